--- a/tests/stub_store.py
+++ b/tests/stub_store.py
@@ -6,13 +6,13 @@
 import anyio
 
 from trestledock.platform._epochs import StoreEpochs
-from trestledock.platform._log import LENGTH, StoreClient
+from trestledock.platform._log import RECORD_LENGTH, StoreClient
 
 
 def make_record(key, text):
     """Return a framed record of a keyed topic."""
     body = bytes((len(key),)) + key + text
-    return LENGTH.pack(len(body)) + body
+    return RECORD_LENGTH.pack(len(body)) + body
 
 
 def make_answer(status, body):
--- a/tests/test_platform_epochs.py
+++ b/tests/test_platform_epochs.py
@@ -17,7 +17,7 @@
 from tests.virtual_loop import run_virtually
 from trestledock.entry import DirectoryError, Head
 from trestledock.platform import _epochs, _log
-from trestledock.platform._epochs import DOUBT_S, StoreEpochs
+from trestledock.platform._epochs import MISMATCH_TIMEOUT_S, StoreEpochs
 from trestledock.platform._log import KeyedTopic, StoreClient
 from trestledock.platform._quarantine import QuarantineTopic
 from trestledock.relay import Quarantined
@@ -151,7 +151,7 @@
 
             store.handle = handle_then_restore
             batch = await topic.read()
-            return batch.epoch, [(one.key, one.text) for one in batch.records]
+            return batch.epoch, [(one.key, one.value) for one in batch.records]
 
         with patch.object(stand_in, 'PAGE', 2):
             return run_with_topic(scenario)
@@ -212,7 +212,7 @@
 
     def test_store_that_goes_on_with_a_lower_one(self):
         """It is another store by then: nobody is locked out for good."""
-        found = self.read('9', '1', '1', '1', pause_s=DOUBT_S * 0.6)
+        found = self.read('9', '1', '1', '1', pause_s=MISMATCH_TIMEOUT_S * 0.6)
         self.assertEqual(found, [9, 'doubt', 'doubt', 1])
 
     def test_refusals_without_one(self):
@@ -225,7 +225,7 @@
             epochs = StoreEpochs()
             epochs.take(Head(200, ((b'Store-Era', b'4'),)))
             for _ in range(3):
-                await anyio.sleep(DOUBT_S * 0.6)
+                await anyio.sleep(MISMATCH_TIMEOUT_S * 0.6)
                 epochs.take(Head(503, ()))
             return epochs.current
 
@@ -290,7 +290,7 @@
                 epochs.append(batch.epoch)
                 if batch.whole:
                     known.clear()
-                known.update({one.key: one.text for one in batch.records})
+                known.update({one.key: one.value for one in batch.records})
 
             for number, (what, which, writes) in enumerate(steps):
                 await anyio.sleep(1)
--- a/tests/test_platform_log.py
+++ b/tests/test_platform_log.py
@@ -13,7 +13,7 @@
 from trestledock.entry import DirectoryError, WireError
 from trestledock.platform._epochs import StoreEpochs
 from trestledock.platform._log import (
-    BOUNDS,
+    READ_HEADER,
     KeyedTopic,
     StoreClient,
     split_records,
@@ -48,7 +48,7 @@
             await topic.read()
             batch = await topic.read()
             self.assertTrue(batch.whole)
-            self.assertEqual(batch.records[0].text, b'v')
+            self.assertEqual(batch.records[0].value, b'v')
 
         first = make_answer(200, b'{"items":[],"endOffset":3}')
         gone = make_answer(410, b'{"firstOffset":6}')
@@ -70,8 +70,8 @@
         stub = run_with_stub(
             [
                 first,
-                make_answer(200, BOUNDS.pack(5, 0) + records),
-                make_answer(200, BOUNDS.pack(5, 0)),
+                make_answer(200, READ_HEADER.pack(5, 0) + records),
+                make_answer(200, READ_HEADER.pack(5, 0)),
             ],
             scenario,
         )
@@ -89,7 +89,7 @@
     def test_split_records(self):
         """Records are cut out of a read; an empty value drops the key."""
         raw = make_record(b'a', b'1') + make_record(b'b', b'')
-        found = [(one.key, one.text) for one in split_records(raw)]
+        found = [(one.key, one.value) for one in split_records(raw)]
         self.assertEqual(found, [('a', b'1'), ('b', b'')])
 
 
@@ -105,7 +105,7 @@
         Who is further behind than one answer has room for reads the newest
         record of each key, instead of a megabyte of heartbeats.
         """
-        part = BOUNDS.pack(5, 0) + make_record(b'a', b'1')
+        part = READ_HEADER.pack(5, 0) + make_record(b'a', b'1')
         newest = b'{"items":[{"key":"b","value":"dg=="}],"endOffset":5}'
         batches = []
 
@@ -118,7 +118,7 @@
             FIRST,
             make_answer(200, part),
             make_answer(200, newest),
-            make_answer(200, BOUNDS.pack(5, 0)),
+            make_answer(200, READ_HEADER.pack(5, 0)),
         ]
         stub = run_with_stub(answers, scenario)
         self.assertTrue(batches[0].whole)
@@ -142,7 +142,7 @@
 
     def test_read_after_a_close_is_no_loss_of_the_store(self):
         """It is a matter of the connection: the store itself is well."""
-        stub = ClosingStore([FIRST, make_answer(200, BOUNDS.pack(3, 0))])
+        stub = ClosingStore([FIRST, make_answer(200, READ_HEADER.pack(3, 0))])
 
         async def main():
             listener = await anyio.create_tcp_listener(local_host='127.0.0.1')
--- a/tests/test_platform_notices.py
+++ b/tests/test_platform_notices.py
@@ -8,18 +8,18 @@
 from trestledock.entry import Head
 from trestledock.platform._headers import PlatformDialect
 from trestledock.platform._notices import (
-    MOST_PER_S,
-    MOST_REST_S,
-    read_leaving,
-    read_limit,
-    read_rest,
+    MAX_RATE_PER_S,
+    MAX_BACKOFF_S,
+    read_draining,
+    read_rate_limit,
+    read_backoff,
 )
 
 
 def read(*texts):
     """Return what is read of an answer with these headers."""
     headers = [(b'Server-Limit', one.encode('latin-1')) for one in texts]
-    return read_limit(Head(200, tuple(headers)))
+    return read_rate_limit(Head(200, tuple(headers)))
 
 
 class NamedLimitTest(unittest.TestCase):
@@ -34,7 +34,7 @@
             '.5': 0.5,
             '2.': 2,
             '007': 7,
-            '9' * 400: MOST_PER_S,
+            '9' * 400: MAX_RATE_PER_S,
         }
         for text, per_s in known.items():
             found = read(text)
@@ -85,7 +85,7 @@
 def read_after(*texts, status=503):
     """Return the rest that a refusal with these headers asks for."""
     headers = [(b'Retry-After', one.encode('latin-1')) for one in texts]
-    return read_rest(Head(status, tuple(headers)))
+    return read_backoff(Head(status, tuple(headers)))
 
 
 class NamedRestTest(unittest.TestCase):
@@ -97,7 +97,7 @@
             ' 0.25 ': 0.25,
             '0': 0,
             '86400': 86_400,
-            '9' * 400: MOST_REST_S,
+            '9' * 400: MAX_BACKOFF_S,
         }
         for text, rest_s in known.items():
             found = read_after(text)
@@ -127,7 +127,7 @@
     def test_anything(self, texts):
         found = read_after(*texts)
         self.assertGreaterEqual(found.rest_s, 0)
-        self.assertLessEqual(found.rest_s, MOST_REST_S)
+        self.assertLessEqual(found.rest_s, MAX_BACKOFF_S)
 
 
 class LeavingTest(unittest.TestCase):
@@ -137,9 +137,9 @@
         known = {'1': True, ' 1 ': True, '0': False, '': False, 'true': False}
         for text, leaves in known.items():
             head = Head(200, ((b'SERVER-leaving', text.encode()),))
-            self.assertIs(read_leaving(head), leaves, text)
-        self.assertFalse(read_leaving(Head(200, ())))
+            self.assertIs(read_draining(head), leaves, text)
+        self.assertFalse(read_draining(Head(200, ())))
 
     def test_said_twice(self):
         headers = ((b'server-leaving', b'0'), (b'server-leaving', b'1'))
-        self.assertTrue(read_leaving(Head(500, headers)))
+        self.assertTrue(read_draining(Head(500, headers)))
--- a/tests/test_platform_store.py
+++ b/tests/test_platform_store.py
@@ -8,7 +8,7 @@
 
 from tests.stub_store import make_answer, run_with_stub
 from trestledock.entry import DirectoryError
-from trestledock.platform._log import BOUNDS, Batch, Record
+from trestledock.platform._log import READ_HEADER, Batch, Record
 from trestledock.platform._store import StoreDirectory
 from trestledock.relay import Fleet
 
@@ -88,7 +88,7 @@
             {'items': [{'key': 'config', 'value': item}], 'endOffset': 1}
         )
         answer = make_answer(200, page.encode())
-        nothing = make_answer(200, BOUNDS.pack(1, 0))
+        nothing = make_answer(200, READ_HEADER.pack(1, 0))
 
         async def scenario(client):
             directory = StoreDirectory(client.address)
--- a/trestledock/platform/_documents.py
+++ b/trestledock/platform/_documents.py
@@ -9,7 +9,7 @@
 from dataclasses import replace
 from typing import Any
 
-from trestledock.platform._fields import Field, seconds_of, read_fields
+from trestledock.platform._fields import Field, ms_to_seconds, read_fields
 from trestledock.relay import (
     Catalog,
     EngineModel,
@@ -26,19 +26,19 @@
 #: Callers of this platform abandon a stream, also before its first event, after
 #: a gap of so many seconds, or so many times its objective or its longest
 #: pause, whichever is longest.
-LEAST_GAP_S = 2.0
-GAP_OBJECTIVES = 4
-GAP_PAUSES = 8
+MIN_EVENT_TIMEOUT_S = 2.0
+OBJECTIVES_PER_TIMEOUT = 4
+PAUSES_PER_TIMEOUT = 8
 #: Callers of plain services leave at their deadline only.
-FOREVER_S = float('inf')
+NO_TIMEOUT_S = float('inf')
 
 
-def _per_k_seconds_of(milliseconds: float) -> float:
-    return seconds_of(milliseconds) / TOKENS_PER_K
+def _per_k_ms_to_seconds(milliseconds: float) -> float:
+    return ms_to_seconds(milliseconds) / TOKENS_PER_K
 
 
-def _per_m_seconds_of(milliseconds: float) -> float:
-    return seconds_of(milliseconds) / PAIRS_PER_M
+def _per_m_ms_to_seconds(milliseconds: float) -> float:
+    return ms_to_seconds(milliseconds) / PAIRS_PER_M
 
 
 ROUTE_FIELDS = (
@@ -46,12 +46,12 @@
     Field('host', 'host', str.lower),
     Field('pathPrefix', 'path_prefix'),
     Field('kind', 'kind', RouteKind),
-    Field('timeoutMs', 'timeout_s', seconds_of),
-    Field('sloMs', 'objective_s', seconds_of),
+    Field('timeoutMs', 'timeout_s', ms_to_seconds),
+    Field('sloMs', 'objective_s', ms_to_seconds),
     Field('maxAttempts', 'max_attempts'),
     Field('public', 'public'),
     Field('resumable', 'resumable'),
-    Field('gapAimMs', 'pause_s', seconds_of),
+    Field('gapAimMs', 'pause_s', ms_to_seconds),
     Field('priority', 'priority'),
 )
 
@@ -59,47 +59,47 @@
 ENGINE_FIELDS = (
     Field('slots', 'batch'),
     Field('kvCapacity', 'capacity_tokens'),
-    Field('step_ms', 'step_s', seconds_of),
+    Field('step_ms', 'step_s', ms_to_seconds),
     Field('read_per_s', 'read_rate'),
-    Field('per_seq_ms', 'step_request_s', seconds_of),
-    Field('context_per_k', 'step_context_s', _per_k_seconds_of),
-    Field('pairs_per_m', 'pair_s', _per_m_seconds_of),
+    Field('per_seq_ms', 'step_request_s', ms_to_seconds),
+    Field('context_per_k', 'step_context_s', _per_k_ms_to_seconds),
+    Field('pairs_per_m', 'pair_s', _per_m_ms_to_seconds),
     Field('stride', 'stride'),
 )
 
-LIMIT_FIELDS = (Field('idleTimeoutMs', 'idle_s', seconds_of),)
+LIMIT_FIELDS = (Field('idleTimeoutMs', 'idle_s', ms_to_seconds),)
 
 
-def decode_catalog(plain: dict[str, Any]) -> Catalog:
+def decode_catalog(document: dict[str, Any]) -> Catalog:
     """Return a version of the configuration."""
     routes: dict[str, list[Route]] = defaultdict(list)
-    for row in plain.get('routes', ()):
+    for row in document.get('routes', ()):
         route = _decode_route(row)
         routes[route.host].append(route)
-    services = [_decode_service(row) for row in plain.get('services', ())]
+    services = [_decode_service(row) for row in document.get('services', ())]
     return Catalog(
-        version=plain['version'],
+        version=document['version'],
         routes={host: tuple(some) for host, some in routes.items()},
         services={service.name: service for service in services},
-        keys=_decode_keys(plain),
-        limits=Limits(**read_fields(plain.get('limits', {}), LIMIT_FIELDS)),
+        keys=_decode_keys(document),
+        limits=Limits(**read_fields(document.get('limits', {}), LIMIT_FIELDS)),
     )
 
 
 def _decode_route(row: dict[str, Any]) -> Route:
     found = read_fields(row, ROUTE_FIELDS)
     route = Route(shares=_decode_shares(row), **found)
-    return replace(route, patience_s=_get_patience_s(route))
+    return replace(route, patience_s=_get_event_timeout_s(route))
 
 
-def _get_patience_s(route: Route) -> float:
+def _get_event_timeout_s(route: Route) -> float:
     """Return how long a silence callers of a route bear."""
     if route.kind is not RouteKind.streaming:
-        return FOREVER_S
+        return NO_TIMEOUT_S
     return max(
-        LEAST_GAP_S,
-        GAP_OBJECTIVES * route.objective_s,
-        GAP_PAUSES * route.pause_s,
+        MIN_EVENT_TIMEOUT_S,
+        OBJECTIVES_PER_TIMEOUT * route.objective_s,
+        PAUSES_PER_TIMEOUT * route.pause_s,
     )
 
 
@@ -117,11 +117,11 @@
     return Service(row['name'], engine)
 
 
-def _decode_keys(plain: dict[str, Any]) -> dict[str, TeamKey] | None:
-    if 'tenants' not in plain:
+def _decode_keys(document: dict[str, Any]) -> dict[str, TeamKey] | None:
+    if 'tenants' not in document:
         return None
     return {
         key: TeamKey(tenant['name'], tenant.get('priority'))
-        for tenant in plain['tenants']
+        for tenant in document['tenants']
         for key in tenant.get('apiKeys', ())
     }
--- a/trestledock/platform/_epochs.py
+++ b/trestledock/platform/_epochs.py
@@ -15,11 +15,11 @@
 from trestledock.entry import DirectoryError, EpochDoubted, Head, emit
 
 #: The number that rises by one each time the store came back from a copy.
-HEADER = b'store-era'
+EPOCH_HEADER = b'store-era'
 #: A store that goes on for so long, in seconds, with epochs that make no sense
 #: beside those before is another store: longer than any answer is under way,
 #: and short beside what an operator takes to look.
-DOUBT_S = 10.0
+MISMATCH_TIMEOUT_S = 10.0
 Epoch = int | None
 
 
@@ -31,7 +31,7 @@
     """
 
     current: Epoch = None
-    doubted_at: float | None = None
+    mismatch_since: float | None = None
 
     def take(self, head: Head) -> Epoch:
         """Return the epoch of an answer.
@@ -40,30 +40,30 @@
         that tells none where others did: it proves nothing.  A refusal proves
         nothing in any case, and whoever refuses need not be the store itself.
         """
-        told = _read_epoch(head.get_header(HEADER))
+        told = _read_epoch(head.get_header(EPOCH_HEADER))
         if told is None and head.status >= HTTPStatus.BAD_REQUEST:
             return self.current
-        if self._is_sound(told):
-            self.doubted_at = None
-        elif self._is_in_doubt(told):
+        if self._is_consistent(told):
+            self.mismatch_since = None
+        elif self._should_reject(told):
             raise DirectoryError(f'epoch {told} after {self.current}')
         self.current = told
         return told
 
-    def _is_sound(self, told: Epoch) -> bool:
+    def _is_consistent(self, told: Epoch) -> bool:
         if self.current is None:
             return True
         return told is not None and told >= self.current
 
-    def _is_in_doubt(self, told: Epoch) -> bool:
+    def _should_reject(self, told: Epoch) -> bool:
         """Whether an answer may still be a stray one; begins the doubt."""
         now = anyio.current_time()
-        if self.doubted_at is None:
-            self.doubted_at = now
+        if self.mismatch_since is None:
+            self.mismatch_since = now
             emit(EpochDoubted(str(self.current), str(told)))
-        if now - self.doubted_at < DOUBT_S:
+        if now - self.mismatch_since < MISMATCH_TIMEOUT_S:
             return True
-        self.doubted_at = None
+        self.mismatch_since = None
         return False
 
 
--- a/trestledock/platform/_fields.py
+++ b/trestledock/platform/_fields.py
@@ -15,15 +15,15 @@
 class Field(NamedTuple):
     """A wire name, the field it becomes, and the conversion of its value."""
 
-    wire: str
-    name: str
+    wire_name: str
+    attribute: str
     convert: Callable[[Any], Any] | None = None
 
 
-def seconds_of(milliseconds: float) -> float:
+def ms_to_seconds(milliseconds: float) -> float:
     """Return seconds.
 
-    >>> seconds_of(250)
+    >>> ms_to_seconds(250)
     0.25
     """
     return milliseconds / MS
@@ -35,7 +35,9 @@
 ) -> dict[str, Any]:
     """Return the arguments for a data class from the names that are there."""
     return {
-        one.name: one.convert(row[one.wire]) if one.convert else row[one.wire]
+        one.attribute: one.convert(row[one.wire_name])
+        if one.convert
+        else row[one.wire_name]
         for one in fields
-        if one.wire in row
+        if one.wire_name in row
     }
--- a/trestledock/platform/_headers.py
+++ b/trestledock/platform/_headers.py
@@ -11,9 +11,9 @@
 
 from trestledock.entry import AnswerNote, Head, Headers, Order, Passing
 from trestledock.platform._notices import (
-    read_leaving,
-    read_limit,
-    read_rest,
+    read_draining,
+    read_rate_limit,
+    read_backoff,
 )
 from trestledock.relay import Body, Call, Listed, PromptSize
 
@@ -22,24 +22,24 @@
 DEADLINE = b'trestledock-request-deadline'
 SEAL = b'trestledock-response-seal'
 TEAM = b'trestledock-tenant'
-EXPECT = b'trestledock-expect-instance'
+EXPECTED_INSTANCE = b'trestledock-expect-instance'
 NOT_RUN = b'trestledock-not-executed'
-SIZES = b'trestledock-token-counts'
+TOKEN_COUNTS = b'trestledock-token-counts'
 HELPERS = b'trestledock-helpers'
 LAST_EVENT = b'last-event-id'
 AT_FAULT = b'at-server'
 #: The target that answers, where that is not the one that was asked.
 INSTANCE = b'trestledock-instance-id'
 AUTHORIZATION = b'authorization'
-SCHEME = 'bearer '
+BEARER_PREFIX = 'bearer '
 #: The rank of a request where it waits at a target, from 0 (first) to 9.
 PRIORITY = b'trestledock-request-priority'
-LEAST_URGENT = 9
+LOWEST_PRIORITY = 9
 MISDIRECTED = 421
 MS = 1000
 
 #: Headers that concern one connection only.
-HOP_BY_HOP = frozenset(
+HOP_BY_HOP_HEADERS = frozenset(
     (
         b'connection',
         b'keep-alive',
@@ -52,11 +52,11 @@
     )
 )
 #: Headers of a caller that are replaced on the way to a target.
-REPLACED = HOP_BY_HOP | {
+REPLACED = HOP_BY_HOP_HEADERS | {
     AUTHORIZATION,
     DEADLINE,
     TEAM,
-    EXPECT,
+    EXPECTED_INSTANCE,
     HELPERS,
     LAST_EVENT,
     PRIORITY,
@@ -79,19 +79,19 @@
         raw_path = scope['raw_path'].decode('latin-1')
         query = scope['query_string'].decode('latin-1')
         host = found.get(b'host', b'').decode('latin-1').lower()
-        wait_ms = _read_number(found.get(DEADLINE))
+        wait_ms = _parse_number(found.get(DEADLINE))
         return Call(
             req_id=found.get(REQUEST_ID, b'').decode('latin-1'),
             method=scope['method'],
             path=raw_path,
             query=f'?{query}' if query else '',
             host=host.partition(':')[0],
-            headers=_drop(scope['headers'], REPLACED),
+            headers=_remove_headers(scope['headers'], REPLACED),
             body=body,
             arrived_at=now,
             deadline=None if wait_ms is None else now + wait_ms / MS,
-            key=_read_key(found.get(AUTHORIZATION, b'')),
-            size=_read_sizes(found.get(SIZES, b'')),
+            key=_parse_api_key(found.get(AUTHORIZATION, b'')),
+            size=_parse_token_counts(found.get(TOKEN_COUNTS, b'')),
             resume_after=found.get(LAST_EVENT, b'').decode('latin-1'),
         )
 
@@ -100,17 +100,17 @@
         left_ms = max(1, int(passing.left_s * MS))
         added = [
             (DEADLINE, str(left_ms).encode()),
-            (EXPECT, passing.placement.target.target_id.encode()),
+            (EXPECTED_INSTANCE, passing.placement.target.target_id.encode()),
         ]
         if passing.team:
             added.append((TEAM, passing.team.encode()))
         if passing.priority is not None:
-            rank = min(max(passing.priority, 0), LEAST_URGENT)
+            rank = min(max(passing.priority, 0), LOWEST_PRIORITY)
             added.append((PRIORITY, str(rank).encode()))
         if passing.resume_after:
             added.append((LAST_EVENT, passing.resume_after.encode()))
         if passing.placement.helpers:
-            added.append((HELPERS, _write_helpers(passing).encode()))
+            added.append((HELPERS, _format_helpers(passing).encode()))
         if call.body.raw or call.method not in {'GET', 'HEAD'}:
             added.append((b'content-length', str(len(call.body.raw)).encode()))
         return (*call.headers, *added)
@@ -127,14 +127,14 @@
             connection=head.get_header(b'connection'),
             at_fault=head.get_header(AT_FAULT),
             instance=head.get_header(INSTANCE),
-            limit=read_limit(head),
-            leaves=read_leaving(head),
-            rest=read_rest(head),
+            limit=read_rate_limit(head),
+            leaves=read_draining(head),
+            rest=read_backoff(head),
         )
 
     def make_reply_headers(self, head: Head) -> Headers:
         """Return the headers of an answer that is passed on."""
-        return _drop(head.headers, HOP_BY_HOP)
+        return _remove_headers(head.headers, HOP_BY_HOP_HEADERS)
 
     def make_reserve(
         self,
@@ -162,14 +162,14 @@
     body = json.dumps(fields).encode()
     headers = (
         (b'host', holder.address.encode()),
-        (EXPECT, holder.target_id.encode()),
+        (EXPECTED_INSTANCE, holder.target_id.encode()),
         (b'content-type', b'application/json'),
         (b'content-length', str(len(body)).encode()),
     )
     return Order('POST', '/order', headers, body)
 
 
-def _write_helpers(passing: Passing) -> str:
+def _format_helpers(passing: Passing) -> str:
     """Return the helpers as `IP:PORT` or `IP:PORT/TICKET`."""
     parts = []
     for helper in passing.placement.helpers:
@@ -178,7 +178,7 @@
     return ','.join(parts)
 
 
-def _drop(headers: Any, names: frozenset[bytes]) -> Headers:
+def _remove_headers(headers: Any, names: frozenset[bytes]) -> Headers:
     listed = b','.join(
         text for name, text in headers if name.lower() == b'connection'
     )
@@ -190,21 +190,21 @@
     )
 
 
-def _read_number(raw: bytes | None) -> float | None:
+def _parse_number(raw: bytes | None) -> float | None:
     try:
         return float(raw) if raw else None
     except ValueError:
         return None
 
 
-def _read_key(raw: bytes) -> str:
+def _parse_api_key(raw: bytes) -> str:
     text = raw.decode('latin-1').strip()
-    if text.lower().startswith(SCHEME):
-        return text[len(SCHEME) :].strip()
+    if text.lower().startswith(BEARER_PREFIX):
+        return text[len(BEARER_PREFIX) :].strip()
     return ''
 
 
-def _read_sizes(raw: bytes) -> PromptSize | None:
+def _parse_token_counts(raw: bytes) -> PromptSize | None:
     """Read `PROMPT,OUTPUT` token counts."""
     first, _, second = raw.decode('latin-1').partition(',')
     if first.strip().isdigit() and second.strip().isdigit():
--- a/trestledock/platform/_log.py
+++ b/trestledock/platform/_log.py
@@ -28,17 +28,17 @@
 from trestledock.platform._epochs import Epoch, StoreEpochs
 
 OK = 200
-TRIMMED = 410
+TRIMMED_STATUS = 410
 #: So many copies of the store may follow one another while a topic is read
 #: whole, before that counts as a read that failed.
-MOST_RESTARTS = 3
+MAX_RESTARTS = 3
 #: The most that one read asks for, in KB: the heartbeats of some seconds, and a
 #: fifth of a second on the slowest links.  Who is further behind reads the
 #: newest record of each key instead.
-MOST_KB = 256
+MAX_READ_KB = 256
 #: The first bytes of a read: the end and the first retained offset.
-BOUNDS = struct.Struct('>QQ')
-LENGTH = struct.Struct('>I')
+READ_HEADER = struct.Struct('>QQ')
+RECORD_LENGTH = struct.Struct('>I')
 MS = 1000
 
 
@@ -47,7 +47,7 @@
     """One record of a keyed topic; without a value the key is dropped."""
 
     key: str
-    text: bytes
+    value: bytes
 
 
 @dataclass(frozen=True)
@@ -186,43 +186,43 @@
         Where nothing is new the store waits for `wait_s` until something is.
         """
         if self._next is None or self._epoch != self.client.epochs.current:
-            return await self._read_newest()
+            return await self._read_all()
         query = {
             'topic': self.topic,
             'part': 0,
             'from': self._next,
-            'maxKb': MOST_KB,
+            'maxKb': MAX_READ_KB,
         }
         if wait_s:
             query['waitMs'] = round(wait_s * MS)
         answer = await self.client.call('GET', '/log-read', query)
-        return self._take(answer, self._next) or await self._read_newest()
+        return self._parse_read(answer, self._next) or await self._read_all()
 
-    def forget(self) -> None:
+    def reset(self) -> None:
         """Have the next read bring everything."""
         self._next = None
 
-    def _take(self, answer: Answer, start: int) -> Batch | None:
+    def _parse_read(self, answer: Answer, start: int) -> Batch | None:
         """Return what an answer brings, None where all must be read anew."""
         if answer.epoch != self._epoch:
             return None
-        if answer.status == TRIMMED:
+        if answer.status == TRIMMED_STATUS:
             emit(HistoryForgotten(self.topic))
             return None
         if answer.status != OK:
             raise DirectoryError(f'log-read {self.topic}: {answer.status}')
-        records = tuple(split_records(answer.body[BOUNDS.size :]))
-        end = BOUNDS.unpack_from(answer.body)[0]
+        records = tuple(split_records(answer.body[READ_HEADER.size :]))
+        end = READ_HEADER.unpack_from(answer.body)[0]
         if end != start + len(records):
             # Too far behind, or ahead of a log that was begun anew.
             return None
         self._next = end
         return Batch(records, end, epoch=answer.epoch)
 
-    async def _read_newest(self) -> Batch:
+    async def _read_all(self) -> Batch:
         """Read everything, in one epoch; begin again where it changes."""
         self._next = None
-        for _ in range(MOST_RESTARTS):
+        for _ in range(MAX_RESTARTS):
             with suppress(EpochChanged):
                 return await self._read_pages()
         raise DirectoryError(f'log-newest {self.topic}: epochs change')
@@ -277,7 +277,7 @@
     """
     raw = key.encode()
     record = bytes((len(raw),)) + raw + text
-    return LENGTH.pack(len(record)) + record
+    return RECORD_LENGTH.pack(len(record)) + record
 
 
 def split_records(raw: bytes) -> Iterator[Record]:
@@ -286,9 +286,9 @@
     One without a readable key counts, too, since each has its offset.
     """
     position = 0
-    while position + LENGTH.size <= len(raw):
-        start = position + LENGTH.size
-        position = start + LENGTH.unpack_from(raw, position)[0]
+    while position + RECORD_LENGTH.size <= len(raw):
+        start = position + RECORD_LENGTH.size
+        position = start + RECORD_LENGTH.unpack_from(raw, position)[0]
         yield _split_record(raw[start:position])
 
 
--- a/trestledock/platform/_notices.py
+++ b/trestledock/platform/_notices.py
@@ -13,26 +13,26 @@
 
 from trestledock.entry import Head, NamedLimit, NamedRest
 
-LIMIT = b'server-limit'
-LEAVING = b'server-leaving'
+RATE_LIMIT = b'server-limit'
+DRAINING = b'server-leaving'
 #: Seconds; only the answers of these statuses turn a request away.
 RETRY_AFTER = b'retry-after'
-TURNED_AWAY = frozenset((429, 503))
-LEAVES = '1'
+REJECTED_STATUSES = frozenset((429, 503))
+DRAINING_VALUE = '1'
 DECIMAL = re.compile(r'[0-9]+(?:\.[0-9]*)?|\.[0-9]+')
 #: What a number counts as that no target could mean, in requests a second.
-MOST_PER_S = 1e9
+MAX_RATE_PER_S = 1e9
 #: The longest rest that a target could mean, in seconds.
-MOST_REST_S = 86_400.0
+MAX_BACKOFF_S = 86_400.0
 
 
-def read_limit(head: Head) -> NamedLimit:
+def read_rate_limit(head: Head) -> NamedLimit:
     """Return the limit that an answer names.
 
     Of several numbers the lowest counts, beside others that can't be read.
     """
-    texts = _read_texts(head, LIMIT)
-    numbers = _read_numbers(texts, MOST_PER_S)
+    texts = _read_texts(head, RATE_LIMIT)
+    numbers = _parse_numbers(texts, MAX_RATE_PER_S)
     return NamedLimit(
         per_s=min(numbers, default=None),
         is_named=bool(texts),
@@ -40,22 +40,22 @@
     )
 
 
-def read_leaving(head: Head) -> bool:
+def read_draining(head: Head) -> bool:
     """Return whether an answer says that its target leaves."""
-    return LEAVES in _read_texts(head, LEAVING)
+    return DRAINING_VALUE in _read_texts(head, DRAINING)
 
 
-def read_rest(head: Head) -> NamedRest:
+def read_backoff(head: Head) -> NamedRest:
     """Return the rest that an answer asks for.
 
     Of several numbers the highest counts.  A date is no number: it would be
     read by another machine's clock.
     """
-    if head.status not in TURNED_AWAY:
+    if head.status not in REJECTED_STATUSES:
         return NamedRest()
     texts = _read_texts(head, RETRY_AFTER)
     return NamedRest(
-        rest_s=max(_read_numbers(texts, MOST_REST_S), default=0),
+        rest_s=max(_parse_numbers(texts, MAX_BACKOFF_S), default=0),
         unreadable=_join_unreadable(texts),
     )
 
@@ -64,7 +64,7 @@
     return [text.strip() for text in head.get_headers(name)]
 
 
-def _read_numbers(texts: Sequence[str], most: float) -> list[float]:
+def _parse_numbers(texts: Sequence[str], most: float) -> list[float]:
     return [min(float(text), most) for text in texts if DECIMAL.fullmatch(text)]
 
 
--- a/trestledock/platform/_quarantine.py
+++ b/trestledock/platform/_quarantine.py
@@ -22,7 +22,7 @@
     read_list,
     read_text,
 )
-from trestledock.platform._entries import UNREADABLE
+from trestledock.platform._target_records import DECODE_ERRORS
 from trestledock.platform._epochs import StoreEpochs
 from trestledock.platform._log import (
     OK,
@@ -35,7 +35,7 @@
 
 TOPIC = 'keyed.quarantine'
 #: What the store answers where a partition has grown meanwhile.
-GROWN = 412
+END_MISMATCH_STATUS = 412
 MS = 1000
 
 
@@ -47,19 +47,19 @@
 
     def __init__(self, address: str, epochs: StoreEpochs) -> None:
         """Keep the address; nothing is sent yet."""
-        self._followed = KeyedTopic(StoreClient(address, epochs), TOPIC)
+        self._reader = KeyedTopic(StoreClient(address, epochs), TOPIC)
         self._writer = StoreClient(address, epochs)
 
     async def read_records(self, wait_s: float) -> tuple[Quarantined, ...]:
         """Return what is new, once there is something or the time is over."""
-        batch = await self._followed.read(wait_s)
-        return _read_records(batch.records)
+        batch = await self._reader.read(wait_s)
+        return _decode_records(batch.records)
 
     async def read_whole(self) -> StoredQuarantine:
         """Return all records, with the place at which the topic ends."""
         batch = await KeyedTopic(self._writer, TOPIC).read()
         place = Place(batch.end, batch.epoch)
-        return StoredQuarantine(_read_records(batch.records), place)
+        return StoredQuarantine(_decode_records(batch.records), place)
 
     async def write_records(
         self,
@@ -74,18 +74,18 @@
         query = {} if expected is None else {'expectedEnd': expected.offset}
         now_ms = read_unix_ms()
         framed = [
-            frame_record(record.fingerprint, _write_record(record, now_ms))
+            frame_record(record.fingerprint, _encode_record(record, now_ms))
             for record in records
         ]
         answer = await self._writer.append(TOPIC, framed, **query)
-        if answer.status not in {OK, GROWN}:
+        if answer.status not in {OK, END_MISMATCH_STATUS}:
             raise DirectoryError(f'log-append {TOPIC}: {answer.status}')
         if expected and answer.epoch != expected.epoch:
             return False
         return answer.status == OK
 
 
-def _write_record(record: Quarantined, now_ms: float) -> bytes:
+def _encode_record(record: Quarantined, now_ms: float) -> bytes:
     """Return the value of a record."""
     plain = {
         'ends': record.incarnations,
@@ -96,21 +96,21 @@
     return json.dumps(plain, separators=(',', ':')).encode()
 
 
-def _read_records(records: Iterable[Record]) -> tuple[Quarantined, ...]:
+def _decode_records(records: Iterable[Record]) -> tuple[Quarantined, ...]:
     """Return what records say; one that makes no sense says nothing."""
     now_ms = read_unix_ms()
     found = []
     for record in records:
         try:
-            found.append(_read_record(record, now_ms))
-        except UNREADABLE as exc:
+            found.append(_decode_record(record, now_ms))
+        except DECODE_ERRORS as exc:
             emit(RecordIgnored(record.key, repr(exc)))
     return tuple(found)
 
 
-def _read_record(record: Record, now_ms: float) -> Quarantined:
+def _decode_record(record: Record, now_ms: float) -> Quarantined:
     """Return a quarantined request; times of day differ, but by seconds."""
-    plain = json.loads(record.text)
+    plain = json.loads(record.value)
     if not isinstance(plain, dict):
         raise ValueError('no object')
     since_ms = read_amount(plain.get('since_ms'))
--- a/trestledock/platform/_settings.py
+++ b/trestledock/platform/_settings.py
@@ -12,7 +12,7 @@
 from typing import Any
 
 from trestledock.entry import EntrySettings
-from trestledock.platform._fields import Field, seconds_of, read_fields
+from trestledock.platform._fields import Field, ms_to_seconds, read_fields
 from trestledock.relay import BudgetTerms
 
 #: The variable that holds the path of the file.
@@ -28,13 +28,13 @@
 )
 
 BOUND_FIELDS = (
-    Field('revokeMs', 'revoke_s', seconds_of),
+    Field('revokeMs', 'revoke_s', ms_to_seconds),
     Field('gracePeriodS', 'grace_s'),
 )
 
 #: What bounds the time until a change is in force: of the configuration, and
 #: of the targets that leave, in milliseconds.
-SETTLE_BOUNDS = ('configMs', 'drainMs')
+PROPAGATION_BOUNDS = ('configMs', 'drainMs')
 
 
 class SettingsError(Exception):
@@ -62,7 +62,9 @@
     if not bounds.get('strictRevoke', False):
         more['revoke_s'] = 0
     settling = [
-        seconds_of(bounds[name]) for name in SETTLE_BOUNDS if name in bounds
+        ms_to_seconds(bounds[name])
+        for name in PROPAGATION_BOUNDS
+        if name in bounds
     ]
     if settling:
         more['settle_s'] = min(settling)
--- a/trestledock/platform/_store.py
+++ b/trestledock/platform/_store.py
@@ -21,10 +21,10 @@
     read_count,
 )
 from trestledock.platform._documents import decode_catalog
-from trestledock.platform._entries import (
-    UNREADABLE,
+from trestledock.platform._target_records import (
+    DECODE_ERRORS,
     decode_address,
-    decode_entry,
+    decode_target,
 )
 from trestledock.platform._epochs import Epoch, StoreEpochs
 from trestledock.platform._log import (
@@ -48,7 +48,7 @@
 #: entry has waited in until the others had written again what was lost.
 EPOCH_KEY = 'epoch'
 #: What decoding raises where a configuration makes no sense.
-BAD_DOCUMENT = (*UNREADABLE, KeyError, TypeError, AttributeError)
+CONFIG_DECODE_ERRORS = (*DECODE_ERRORS, KeyError, TypeError, AttributeError)
 
 
 class StoreDirectory:
@@ -74,15 +74,15 @@
         batch = await self._config.read()
         newest = News()
         for record in batch.records:
-            if record.key == CONFIG_KEY and record.text:
-                newest = _pick_newer(newest, self._decode_record(record))
+            if record.key == CONFIG_KEY and record.value:
+                newest = _pick_newer(newest, self._decode_version(record))
         return replace(newest, epoch=batch.epoch)
 
     def decode_document(self, document: str) -> Catalog:
         """Read the text of a configuration that another entry passed on."""
         try:
             return decode_catalog(json.loads(document))
-        except BAD_DOCUMENT as exc:
+        except CONFIG_DECODE_ERRORS as exc:
             raise DirectoryError(f'configuration: {exc!r}') from exc
 
     async def read_targets(self) -> News:
@@ -91,8 +91,8 @@
         Each record counts: one that is written late is not the newest.
         """
         batch = await self._targets.read()
-        news = tuple(_read_targets(batch))
-        _note_old_records(news)
+        news = tuple(_decode_targets(batch))
+        _log_stale_records(news)
         return News(targets=news, whole=batch.whole, epoch=batch.epoch)
 
     async def read_peers(self) -> Announced:
@@ -106,9 +106,9 @@
             self._settled_epoch = None
         for record in batch.records:
             if record.key.startswith(PEER_PREFIX):
-                self._take_peer(record)
+                self._update_peer(record)
             elif record.key == EPOCH_KEY:
-                self._settled_epoch = _read_settled(record)
+                self._settled_epoch = _decode_settled_epoch(record)
         return Announced(
             dict(self._known_peers), batch.epoch, self._settled_epoch
         )
@@ -133,34 +133,34 @@
         if answer.status != OK:
             raise DirectoryError(f'log-append {PEERS_TOPIC}: {answer.status}')
 
-    def _take_peer(self, record: Record) -> None:
+    def _update_peer(self, record: Record) -> None:
         name = record.key[len(PEER_PREFIX) :]
-        if not record.text:
+        if not record.value:
             self._known_peers.pop(name, None)
             return
         try:
-            self._known_peers[name] = decode_address(record.text)
-        except UNREADABLE as exc:
+            self._known_peers[name] = decode_address(record.value)
+        except DECODE_ERRORS as exc:
             emit(RecordIgnored(record.key, repr(exc)))
 
-    def _decode_record(self, record: Record) -> News:
+    def _decode_version(self, record: Record) -> News:
         """Return a version, or have it read again: nobody may vouch for it."""
-        document = record.text.decode()
+        document = record.value.decode()
         try:
             return News(self.decode_document(document), document)
         except DirectoryError:
-            self._config.forget()
+            self._config.reset()
             raise
 
 
-def _read_settled(record: Record) -> Epoch:
+def _decode_settled_epoch(record: Record) -> Epoch:
     """Return the epoch of a record; one without sense is the safe side.
 
     No epoch of a store is before that, so whoever reads it waits.
     """
     try:
-        return read_count(json.loads(record.text))
-    except UNREADABLE as exc:
+        return read_count(json.loads(record.value))
+    except DECODE_ERRORS as exc:
         emit(RecordIgnored(record.key, repr(exc)))
         return -1
 
@@ -172,7 +172,7 @@
     return one if one.catalog.version > other.catalog.version else other
 
 
-def _note_old_records(news: Iterable[TargetNews]) -> None:
+def _log_stale_records(news: Iterable[TargetNews]) -> None:
     """Note records that were written after newer ones of the same target."""
     newest: dict[str, Listed] = {}
     for one in news:
@@ -185,21 +185,21 @@
             newest[one.target_id] = one.listed
 
 
-def _read_targets(batch: Batch) -> Iterator[TargetNews]:
+def _decode_targets(batch: Batch) -> Iterator[TargetNews]:
     """Yield what the records say; one that makes no sense hides no other.
 
     It names no target, as little as one that was removed, until the target
     writes its entry again.
     """
     for record in batch.records:
-        yield TargetNews(record.key, _read_target(record))
+        yield TargetNews(record.key, _decode_target_record(record))
 
 
-def _read_target(record: Record) -> Listed | None:
-    if not record.text:
+def _decode_target_record(record: Record) -> Listed | None:
+    if not record.value:
         return None
     try:
-        return decode_entry(record.key, record.text)
-    except UNREADABLE as exc:
+        return decode_target(record.key, record.value)
+    except DECODE_ERRORS as exc:
         emit(RecordIgnored(record.key, repr(exc)))
         return None
--- a/trestledock/platform/_entries.py
+++ b/trestledock/platform/_target_records.py
@@ -18,14 +18,14 @@
 from trestledock.relay import UNTOLD, Listed, Standing
 
 #: What stands for the states that the platform names.
-STANDINGS: Mapping[str, Standing] = MappingProxyType(
+STANDING_BY_STATE: Mapping[str, Standing] = MappingProxyType(
     {'ready': Standing.ready, 'draining': Standing.leaving}
 )
 #: An id goes into headers, and into names of incarnations after a `@`.
 TARGET_ID = re.compile('[!-?A-~]+')
-MOST_PORT = 65_535
+MAX_PORT = 65_535
 #: What decoding raises where an entry makes no sense; nested too deep is one.
-UNREADABLE = (ValueError, RecursionError)
+DECODE_ERRORS = (ValueError, RecursionError)
 
 
 def _read_name(plain: Any) -> str:
@@ -45,21 +45,21 @@
     IPv4Address(host)
     if not port.isascii() or not port.isdigit():
         raise ValueError(f'no port: {plain!r}')
-    if not 0 < int(port) <= MOST_PORT:
+    if not 0 < int(port) <= MAX_PORT:
         raise ValueError(f'no port: {plain!r}')
     return f'{host}:{int(port)}'
 
 
 def _read_standing(plain: Any) -> Standing:
     state = read_text(plain)
-    if state not in STANDINGS:
+    if state not in STANDING_BY_STATE:
         raise ValueError(f'unknown state: {state!r}')
-    return STANDINGS[state]
+    return STANDING_BY_STATE[state]
 
 
 #: `zone` is a data centre, `state` says whether new work may come, and
 #: `sequence` counts the heartbeats of one incarnation.
-ENTRY_FIELDS = (
+TARGET_FIELDS = (
     Field('service', 'service', _read_name),
     Field('address', 'address', _read_address),
     Field('zone', 'data_centre', _read_name),
@@ -70,24 +70,26 @@
 )
 #: What else an entry may say; nothing here is believed, but what another writer
 #: has put there tells it apart from a target's.
-BESIDE: Mapping[str, Callable[[Any], Any]] = MappingProxyType(
+EXTRA_FIELDS: Mapping[str, Callable[[Any], Any]] = MappingProxyType(
     {'version': read_text, 'coldLeftMs': read_amount, 'phase': read_text}
 )
 #: Platforms that give each start of a target a new id don't tell its birth.
-OPTIONAL = MappingProxyType({'born': UNTOLD})
+FIELD_DEFAULTS = MappingProxyType({'born': UNTOLD})
 
 
-def decode_entry(key: str, raw: bytes) -> Listed:
+def decode_target(key: str, raw: bytes) -> Listed:
     """Return the target that an entry names, or raise one of `UNREADABLE`."""
     plain = json.loads(raw)
     if not isinstance(plain, dict):
         raise ValueError('no object')
     if not TARGET_ID.fullmatch(key):
         raise ValueError('no id')
-    found = {**OPTIONAL, **read_fields(plain, ENTRY_FIELDS)}
-    for name in BESIDE.keys() & plain.keys():
-        BESIDE[name](plain[name])
-    missing = [one.wire for one in ENTRY_FIELDS if one.name not in found]
+    found = {**FIELD_DEFAULTS, **read_fields(plain, TARGET_FIELDS)}
+    for name in EXTRA_FIELDS.keys() & plain.keys():
+        EXTRA_FIELDS[name](plain[name])
+    missing = [
+        one.wire_name for one in TARGET_FIELDS if one.attribute not in found
+    ]
     if missing:
         raise ValueError(f'missing: {missing}')
     return Listed(target_id=key, **found)
