--- a/trestledock/clock.py
+++ b/trestledock/clock.py
@@ -18,7 +18,7 @@
 MS = 1000
 #: A growth of what the steady clock has missed below this is no pause of the
 #: machine, in seconds: the two clocks are read one after the other.
-LEAST_PAUSE_S = 0.05
+MIN_SUSPENSION_S = 0.05
 
 
 def counts_suspension() -> bool:
@@ -52,16 +52,16 @@
         """Begin with the clock as it is."""
         super().__init__()
         self._read = read
-        self._newest = read()
-        self._set_back_s: float = 0
+        self._last_time = read()
+        self._offset_s: float = 0
 
     def time(self) -> float:
         """Return the time of the loop in seconds."""
-        now = self._read() + self._set_back_s
-        if now < self._newest:
-            self._set_back_s += self._newest - now
-            return self._newest
-        self._newest = now
+        now = self._read() + self._offset_s
+        if now < self._last_time:
+            self._offset_s += self._last_time - now
+            return self._last_time
+        self._last_time = now
         return now
 
 
@@ -81,20 +81,20 @@
     (0, 30)
     """
 
-    read_steady: Callable[[], float] = time.monotonic
-    read: Callable[[], float] = read_clock
-    missed_s: float = field(init=False)
+    read_monotonic: Callable[[], float] = time.monotonic
+    read_boottime: Callable[[], float] = read_clock
+    suspended_s: float = field(init=False)
 
     def __post_init__(self) -> None:
         """Begin with what was missed before."""
-        self.missed_s = self._get_missed_s()
+        self.suspended_s = self._read_suspended_s()
 
     def look(self) -> float:
         """Return how long the machine was suspended since, in seconds."""
-        before, self.missed_s = self.missed_s, self._get_missed_s()
-        pause_s = self.missed_s - before
-        return pause_s if pause_s > LEAST_PAUSE_S else 0
+        before, self.suspended_s = self.suspended_s, self._read_suspended_s()
+        pause_s = self.suspended_s - before
+        return pause_s if pause_s > MIN_SUSPENSION_S else 0
 
-    def _get_missed_s(self) -> float:
-        steady = self.read_steady()
-        return self.read() - steady
+    def _read_suspended_s(self) -> float:
+        steady = self.read_monotonic()
+        return self.read_boottime() - steady
--- a/trestledock/packaging.py
+++ b/trestledock/packaging.py
@@ -18,18 +18,18 @@
 
 ROOT = Path(__file__).parent.parent
 #: Parts of the source that serve developers only.
-LEFT_OUT = ('bench', 'packaging.py', '__pycache__')
+EXCLUDED = ('bench', 'packaging.py', '__pycache__')
 
 
 def build_binary(path: Path) -> None:
     """Build the zip application at `path`."""
     with tempfile.TemporaryDirectory() as folder:
         stage = Path(folder)
-        _install_libraries(stage)
+        _install_dependencies(stage)
         shutil.copytree(
             ROOT / 'trestledock',
             stage / 'trestledock',
-            ignore=shutil.ignore_patterns(*LEFT_OUT),
+            ignore=shutil.ignore_patterns(*EXCLUDED),
         )
         path.parent.mkdir(parents=True, exist_ok=True)
         zipapp.create_archive(
@@ -41,7 +41,7 @@
         )
 
 
-def _install_libraries(stage: Path) -> None:
+def _install_dependencies(stage: Path) -> None:
     command = [
         sys.executable,
         '-m',
