--- a/trestledock/request/_stream.py
+++ b/trestledock/request/_stream.py
@@ -49,7 +49,7 @@
             return ()
         if len(self._early) < MAX_EARLY_CHUNKS:
             self._early.setdefault(chunk.index, chunk)
-        return tuple(self._release())
+        return tuple(self._pop_ready())
 
     def finish(self, attempt: int, count: int) -> None:
         """Take the final marker: the answer has `count` tokens in all."""
@@ -62,7 +62,7 @@
         self.expected = None
         self._early.clear()
 
-    def _release(self) -> list[Chunk]:
+    def _pop_ready(self) -> list[Chunk]:
         ready = []
         while self.next_index in self._early:
             chunk = self._early.pop(self.next_index)
--- a/trestledock/version/_check.py
+++ b/trestledock/version/_check.py
@@ -25,12 +25,12 @@
 Document = TypeVar('Document')
 
 #: The kinds that are never converted from one another.
-PLAIN_KINDS = (str, int, float, bool)
+SCALAR_TYPES = (str, int, float, bool)
 
 #: The choices; they are texts, too, and are told apart from them here.
-CHOICES = (TargetKind, Op)
+ENUM_TYPES = (TargetKind, Op)
 
-_EXTRA = re.compile(r'extra fields found \((.+)\) @ (.*)')
+_EXTRA_FIELDS = re.compile(r'extra fields found \((.+)\) @ (.*)')
 
 
 class OptionError(Exception):
@@ -42,7 +42,7 @@
         self.errors = errors
 
 
-def _strict(raw: Any, kind: type) -> Any:
+def _structure_scalar(raw: Any, kind: type) -> Any:
     if isinstance(raw, bool) is not (kind is bool):
         raise ValueError(f'expected {kind.__name__}, got {raw!r}')
     allowed = (int, float) if kind is float else kind
@@ -51,7 +51,7 @@
     return kind(raw)
 
 
-def _choose(raw: Any, kind: type[Enum]) -> Enum:
+def _structure_enum(raw: Any, kind: type[Enum]) -> Enum:
     known = [member.value for member in kind]
     if raw not in known:
         raise ValueError(f'expected one of {known}, got {raw!r}')
@@ -61,44 +61,44 @@
 def make_converter() -> cattrs.Converter:
     """Return the converter of all documents: strict, no unknown keys."""
     converter = cattrs.Converter(forbid_extra_keys=True)
-    for kind in PLAIN_KINDS:
-        converter.register_structure_hook(kind, _strict)
-    for choice in CHOICES:
-        converter.register_structure_hook(choice, _choose)
+    for kind in SCALAR_TYPES:
+        converter.register_structure_hook(kind, _structure_scalar)
+    for choice in ENUM_TYPES:
+        converter.register_structure_hook(choice, _structure_enum)
     return converter
 
 
 CONVERTER = make_converter()
 
 
-def _known_names(kind: Any) -> list[str]:
+def _list_field_names(kind: Any) -> list[str]:
     """Return every field name that occurs in a data class, nested too."""
     names: list[str] = []
     for field in fields(kind):
         names.append(field.name)
         for inner in (field.type, *getattr(field.type, '__args__', ())):
             if is_dataclass(inner):
-                names.extend(_known_names(inner))
+                names.extend(_list_field_names(inner))
             names.extend(
                 name
                 for deep in getattr(inner, '__args__', ())
                 if is_dataclass(deep)
-                for name in _known_names(deep)
+                for name in _list_field_names(deep)
             )
     return names
 
 
-def _describe(exc: BaseException, kind: type | None) -> str:
+def _format_error(exc: BaseException, kind: type | None) -> str:
     if isinstance(exc, ValueError) and exc.args:
         return str(exc)
     return format_exception(exc, kind)
 
 
-def _explain(line: str, kind: type) -> str:
-    found = _EXTRA.match(line)
+def _add_key_hints(line: str, kind: type) -> str:
+    found = _EXTRA_FIELDS.match(line)
     if not found:
         return line
-    names = _known_names(kind)
+    names = _list_field_names(kind)
     hints = []
     for key in found.group(1).split(', '):
         near = difflib.get_close_matches(key, names, n=1, cutoff=0)
@@ -124,9 +124,9 @@
     try:
         return Success(CONVERTER.structure(raw, kind))
     except Exception as exc:
-        lines = cattrs.transform_error(exc, '$', _describe)
+        lines = cattrs.transform_error(exc, '$', _format_error)
         return Failure(
-            OptionError(tuple(_explain(line, kind) for line in lines)),
+            OptionError(tuple(_add_key_hints(line, kind) for line in lines)),
         )
 
 
@@ -198,9 +198,9 @@
 
 def check_configuration(text: str) -> Result[Configuration, OptionError]:
     """Read and check a configuration: its shape, then its sense."""
-    return load_document(text, Configuration).bind(_check_sense)
+    return load_document(text, Configuration).bind(_check_semantics)
 
 
-def _check_sense(cfg: Configuration) -> Result[Configuration, OptionError]:
+def _check_semantics(cfg: Configuration) -> Result[Configuration, OptionError]:
     errors = tuple(line for check in _CHECKS for line in check(cfg))
     return Failure(OptionError(errors)) if errors else Success(cfg)
--- a/trestledock/version/_codec.py
+++ b/trestledock/version/_codec.py
@@ -12,7 +12,7 @@
 
 from trestledock.version._check import CONVERTER
 
-Typed = TypeVar('Typed')
+Decoded = TypeVar('Decoded')
 
 
 def dump_json(typed: Any) -> str:
@@ -24,7 +24,7 @@
     """What came from outside does not fit its data class."""
 
 
-def decode(plain: Any, kind: type[Typed]) -> Typed:
+def decode(plain: Any, kind: type[Decoded]) -> Decoded:
     """Turn plain lists and mappings into `kind`, or raise `DecodeError`."""
     try:
         return CONVERTER.structure(plain, kind)
@@ -32,7 +32,7 @@
         raise DecodeError(f'no {kind}: {exc!r}') from exc
 
 
-def load_json(text: str | bytes, kind: type[Typed]) -> Typed:
+def load_json(text: str | bytes, kind: type[Decoded]) -> Decoded:
     """Read JSON text into the data class `kind`, or raise `DecodeError`."""
     try:
         plain = json.loads(text)
--- a/trestledock/version/_fold.py
+++ b/trestledock/version/_fold.py
@@ -73,7 +73,7 @@
     return check is not None and check(record.body)
 
 
-def _is_body(kind: type) -> Callable[[str], bool]:
+def _make_body_check(kind: type) -> Callable[[str], bool]:
     def check(body: str) -> bool:  # noqa: WPS430
         try:
             load_json(body, kind)
@@ -92,8 +92,8 @@
 _BODY_CHECKS: Mapping[str, Callable[[str], bool]] = MappingProxyType(
     {
         CONFIGURATION: _is_configuration,
-        'epoch': _is_body(EpochBody),
-        'lease': _is_body(LeaseBody),
+        'epoch': _make_body_check(EpochBody),
+        'lease': _make_body_check(LeaseBody),
     }
 )
 
--- a/trestledock/version/_reader.py
+++ b/trestledock/version/_reader.py
@@ -92,12 +92,12 @@
     def feed(self, batch: Batch) -> list[Entry]:
         """Take a batch; return the entries accepted by it."""
         if batch.first > self.next_read:
-            self._open_gap(batch.first)
+            self._start_gap(batch.first)
         accepted: list[Entry] = []
         for entry in batch.entries:
             if entry.offset >= self.next_read:
                 self.next_read = entry.offset + 1
-                accepted.extend(self._take(entry))
+                accepted.extend(self._process_entry(entry))
         self.next_read = max(self.next_read, batch.first)
         self.at_tail = self.next_read >= batch.tail and not self.has_gap
         return accepted
@@ -114,23 +114,23 @@
         self.has_gap = False
         waiting = tuple(self._pending)
         self._pending.clear()
-        return [entry for entry in waiting if self._fold(entry)]
+        return [entry for entry in waiting if self._apply(entry)]
 
-    def _open_gap(self, first: int) -> None:
+    def _start_gap(self, first: int) -> None:
         self.has_gap = True
         self._gap_start = first
         self.next_read = first
         self._pending.clear()
 
-    def _take(self, entry: Entry) -> Iterable[Entry]:
+    def _process_entry(self, entry: Entry) -> Iterable[Entry]:
         if entry.record.scope == SNAPSHOT:
-            return self._take_snapshot(entry)
+            return self._process_snapshot(entry)
         if self.has_gap:
             self._pending.append(entry)
             return ()
-        return (entry,) if self._fold(entry) else ()
+        return (entry,) if self._apply(entry) else ()
 
-    def _take_snapshot(self, entry: Entry) -> Iterable[Entry]:
+    def _process_snapshot(self, entry: Entry) -> Iterable[Entry]:
         self.snapshots_seen += 1
         if not self.has_gap:
             self.fold.next_offset = entry.offset + 1
@@ -141,7 +141,7 @@
             return ()
         return self.adopt(snapshot)
 
-    def _fold(self, entry: Entry) -> bool:
+    def _apply(self, entry: Entry) -> bool:
         if entry.offset < self.fold.next_offset:
             return False
         return self.fold.apply(entry.offset, entry.record)
