--- a/trestledock/connection/_caller.py
+++ b/trestledock/connection/_caller.py
@@ -33,7 +33,7 @@
     read_completion,
     read_envelope,
 )
-from trestledock.connection._peer import read_envelope_of_peer
+from trestledock.connection._peer import decode_peer_message
 from trestledock.connection._problems import (
     get_problem_body,
     make_bad_request,
@@ -43,8 +43,8 @@
 from trestledock.request import Outcome, Request, Verdict
 
 #: How long past the deadline the connection waits for the core's last word.
-GRACE_S = 1.0
-NOT_READY = HTTPStatus.SERVICE_UNAVAILABLE
+VERDICT_GRACE_S = 1.0
+NOT_READY_STATUS = HTTPStatus.SERVICE_UNAVAILABLE
 
 
 class CallerApp:
@@ -66,13 +66,17 @@
                     self.call,
                     methods=call_methods,
                 ),
-                Route('/peer/v1/messages', self.take_peer, methods=['POST']),
+                Route(
+                    '/peer/v1/messages',
+                    self.receive_peer_message,
+                    methods=['POST'],
+                ),
                 Route('/metrics', self.get_metrics),
                 Route('/healthz', self.get_health),
                 Route('/readyz', self.get_ready),
                 *operator.make_routes(),
             ],
-            exception_handlers={BadRequest: _answer_bad_request},
+            exception_handlers={BadRequest: _handle_bad_request},
         )
 
     async def complete(self, http: HttpRequest) -> Response:
@@ -93,10 +97,10 @@
         exchange.arrived_at = anyio.current_time()
         exchange.length = req.length_class.value
         exchange.deadline = req.deadline
-        await self.hub.tell(Arrive(req))
+        await self.hub.send(Arrive(req))
         if completion.stream:
-            return await self._stream(req, exchange)
-        return await self._answer_whole(http, req, exchange)
+            return await self._respond_streaming(req, exchange)
+        return await self._respond(http, req, exchange)
 
     async def call(self, http: HttpRequest) -> Response:
         """Pass a call on to a plain service."""
@@ -113,14 +117,14 @@
         exchange.content_type = http.headers.get('content-type', '')
         exchange.idempotency_key = req.idempotency_key
         exchange.deadline = req.deadline
-        await self.hub.tell(Arrive(req))
-        return await self._answer_whole(http, req, exchange)
+        await self.hub.send(Arrive(req))
+        return await self._respond(http, req, exchange)
 
-    async def take_peer(self, http: HttpRequest) -> Response:
+    async def receive_peer_message(self, http: HttpRequest) -> Response:
         """Take a message from a peer."""
         body = await http.body()
         self.hub.metrics.control_bytes.labels('received').inc(len(body))
-        await self.hub.tell(read_envelope_of_peer(body))
+        await self.hub.send(decode_peer_message(body))
         return Response(status_code=HTTPStatus.NO_CONTENT)
 
     async def get_metrics(self, http: HttpRequest) -> Response:
@@ -135,12 +139,14 @@
         """Say whether the balancer should send requests here."""
         ready = self.hub.node.is_ready()
         text = 'ready' if ready else 'not ready'
-        return PlainTextResponse(text, HTTPStatus.OK if ready else NOT_READY)
+        return PlainTextResponse(
+            text, HTTPStatus.OK if ready else NOT_READY_STATUS
+        )
 
     def _get_cfg(self) -> Any:
         return self.hub.node.state.version.cfg
 
-    async def _answer_whole(
+    async def _respond(
         self,
         http: HttpRequest,
         req: Request,
@@ -148,7 +154,7 @@
     ) -> Response:
         try:
             async with anyio.create_task_group() as group:
-                group.start_soon(self._watch, http, req)
+                group.start_soon(self._watch_disconnect, http, req)
                 verdict = await self._wait_for_verdict(req, exchange)
                 group.cancel_scope.cancel()
         finally:
@@ -165,18 +171,20 @@
             {'text': ''.join(exchange.emitted), 'tokens': verdict.tokens},
         )
 
-    async def _stream(self, req: Request, exchange: Exchange) -> Response:
+    async def _respond_streaming(
+        self, req: Request, exchange: Exchange
+    ) -> Response:
         """Start the stream only once there is a token to send."""
-        reply = await self._next_reply(req, exchange)
+        reply = await self._receive_reply(req, exchange)
         if isinstance(reply, Finish):
             self.hub.exchanges.pop(req.req_id, None)
             return make_problem(reply.verdict)
         return StreamingResponse(
-            self._iter_events(req, exchange, reply),
+            self._generate_events(req, exchange, reply),
             media_type='text/event-stream',
         )
 
-    async def _iter_events(
+    async def _generate_events(
         self,
         req: Request,
         exchange: Exchange,
@@ -187,25 +195,25 @@
             while isinstance(reply, EmitChunks):
                 for chunk in reply.chunks:
                     event = {'index': chunk.index, 'text': chunk.text}
-                    yield _to_event(event)
-                reply = await self._next_reply(req, exchange)
+                    yield _format_event(event)
+                reply = await self._receive_reply(req, exchange)
             is_whole = True
-            yield _to_event(_get_last_event(reply.verdict))
+            yield _format_event(_make_final_event(reply.verdict))
             yield 'data: [DONE]\n\n'
         finally:
             self.hub.exchanges.pop(req.req_id, None)
             if not is_whole:
                 with anyio.CancelScope(shield=True):
-                    await self.hub.tell(CallerGone(req.req_id))
+                    await self.hub.send(CallerGone(req.req_id))
 
-    async def _next_reply(self, req: Request, exchange: Exchange) -> Any:
-        left_s = req.deadline + GRACE_S - anyio.current_time()
+    async def _receive_reply(self, req: Request, exchange: Exchange) -> Any:
+        left_s = req.deadline + VERDICT_GRACE_S - anyio.current_time()
         with anyio.move_on_after(max(0, left_s)):
             try:
                 return await exchange.receive.receive()
             except anyio.EndOfStream:
-                await self.hub.tell(CallerGone(req.req_id))
-        return Finish(req, Verdict(_get_worst(req), step='reply'))
+                await self.hub.send(CallerGone(req.req_id))
+        return Finish(req, Verdict(_get_fallback_outcome(req), step='reply'))
 
     async def _wait_for_verdict(
         self,
@@ -213,18 +221,18 @@
         exchange: Exchange,
     ) -> Verdict:
         while True:
-            reply = await self._next_reply(req, exchange)
+            reply = await self._receive_reply(req, exchange)
             if isinstance(reply, Finish):
                 return reply.verdict
 
-    async def _watch(self, http: HttpRequest, req: Request) -> None:
+    async def _watch_disconnect(self, http: HttpRequest, req: Request) -> None:
         """Tell the core when the caller leaves."""
         while not await http.is_disconnected():
-            await anyio.sleep(GRACE_S / 4)
-        await self.hub.tell(CallerGone(req.req_id))
+            await anyio.sleep(VERDICT_GRACE_S / 4)
+        await self.hub.send(CallerGone(req.req_id))
 
 
-async def _answer_bad_request(
+async def _handle_bad_request(
     http: HttpRequest,
     exc: Exception,
 ) -> Response:
@@ -237,15 +245,15 @@
     return uuid.uuid4().hex
 
 
-def _to_event(plain: dict[str, Any]) -> str:
+def _format_event(plain: dict[str, Any]) -> str:
     return f'data: {json.dumps(plain)}\n\n'
 
 
-def _get_last_event(verdict: Verdict) -> dict[str, Any]:
+def _make_final_event(verdict: Verdict) -> dict[str, Any]:
     if verdict.outcome is Outcome.answered:
         return {'outcome': 'answered', 'tokens': verdict.tokens}
     return {'outcome': verdict.outcome.value, **get_problem_body(verdict)}
 
 
-def _get_worst(req: Request) -> Outcome:
+def _get_fallback_outcome(req: Request) -> Outcome:
     return Outcome.failed if req.idempotent else Outcome.unknown
--- a/trestledock/connection/_daemon.py
+++ b/trestledock/connection/_daemon.py
@@ -41,7 +41,7 @@
 )
 
 #: How often the end of the drain is looked for, in seconds.
-DRAIN_LOOK_S = 0.1
+DRAIN_POLL_INTERVAL_S = 0.1
 #: Connections to targets that one instance may have open.
 MAX_CONNECTIONS = 2000
 
@@ -55,8 +55,8 @@
 
 async def run_until_signal(settings: Settings) -> None:
     """Run an instance until SIGTERM or SIGINT; later signals do nothing."""
-    kinds = (signal.SIGTERM, signal.SIGINT)
-    with anyio.open_signal_receiver(*kinds) as signals:
+    stop_signals = (signal.SIGTERM, signal.SIGINT)
+    with anyio.open_signal_receiver(*stop_signals) as signals:
 
         async def wait_for_signal() -> None:  # noqa: WPS430
             await anext(aiter(signals))
@@ -84,9 +84,9 @@
         hub = Hub(node, settings, Metrics(), group)
         ended = anyio.Event()
         group.start_soon(_run_links, hub)
-        group.start_soon(_wait_for_end, hub, wait_for_stop, ended)
+        group.start_soon(_drain_on_stop, hub, wait_for_stop, ended)
         log.info('started', extra={'member': identity.member})
-        await _serve_apart(hub, ended)
+        await _serve_in_task_group(hub, ended)
         group.cancel_scope.cancel()
     log.info('ended', extra={'member': identity.member})
 
@@ -117,7 +117,7 @@
         group.start_soon(Poller(hub, client).run)
 
 
-async def _serve_apart(hub: Hub, ended: anyio.Event) -> None:
+async def _serve_in_task_group(hub: Hub, ended: anyio.Event) -> None:
     """Serve in a task of its own, since the server cancels its own task."""
     async with anyio.create_task_group() as group:
         group.start_soon(_serve, hub, ended)
@@ -137,7 +137,7 @@
     )
 
 
-async def _wait_for_end(
+async def _drain_on_stop(
     hub: Hub,
     wait_for_stop: Callable[[], Awaitable[None]],
     ended: anyio.Event,
@@ -151,14 +151,14 @@
     hub.node.unready = True
     log.info('draining')
     await anyio.sleep(hub.settings.notice_s)
-    await hub.tell(Shutdown())
+    await hub.send(Shutdown())
     await _wait_until_drained(hub)
     ended.set()
 
 
 async def _wait_until_drained(hub: Hub) -> None:
     while hub.node.state.live or hub.exchanges:
-        await anyio.sleep(DRAIN_LOOK_S)
+        await anyio.sleep(DRAIN_POLL_INTERVAL_S)
     with anyio.move_on_after(hub.settings.handover_s):
         while not hub.node.is_drained():
-            await anyio.sleep(DRAIN_LOOK_S)
+            await anyio.sleep(DRAIN_POLL_INTERVAL_S)
--- a/trestledock/connection/_hub.py
+++ b/trestledock/connection/_hub.py
@@ -31,8 +31,8 @@
 )
 
 #: Messages that may wait for the core, and chunks for a slow caller.
-MESSAGE_BUFFER = 10_000
-REPLY_BUFFER = 4096
+MAX_QUEUED_MESSAGES = 10_000
+MAX_QUEUED_REPLIES = 4096
 
 log = logging.getLogger('trestledock')
 
@@ -73,18 +73,20 @@
     publications: dict[str, anyio.Event] = field(default_factory=dict)
     published: dict[str, Published] = field(default_factory=dict)
     links: dict[type, Any] = field(default_factory=dict)
-    _send: MemoryObjectSendStream[Any] = field(init=False)
-    _receive: MemoryObjectReceiveStream[Any] = field(init=False)
+    _message_sender: MemoryObjectSendStream[Any] = field(init=False)
+    _message_receiver: MemoryObjectReceiveStream[Any] = field(init=False)
 
     def __post_init__(self) -> None:
         """Open the queue of messages."""
-        self._send, self._receive = anyio.create_memory_object_stream[Any](
-            MESSAGE_BUFFER,
+        self._message_sender, self._message_receiver = (
+            anyio.create_memory_object_stream[Any](
+                MAX_QUEUED_MESSAGES,
+            )
         )
 
-    async def tell(self, message: Any) -> None:
+    async def send(self, message: Any) -> None:
         """Send the core a message."""
-        await self._send.send(message)
+        await self._message_sender.send(message)
 
     async def run(self) -> None:
         """Step the core until cancelled."""
@@ -93,13 +95,15 @@
             wait_s = max(0, self.node.get_next_timer() - now)
             message: Any = Tick()
             with anyio.move_on_after(wait_s):
-                message = await self._receive.receive()
+                message = await self._message_receiver.receive()
             for action in self.node.step(message, anyio.current_time()):
                 self._perform(action)
 
     def open_exchange(self, req_id: str) -> Exchange:
         """Open the exchange of a new request."""
-        send, receive = anyio.create_memory_object_stream[Any](REPLY_BUFFER)
+        send, receive = anyio.create_memory_object_stream[Any](
+            MAX_QUEUED_REPLIES
+        )
         exchange = Exchange(send, receive)
         self.exchanges[req_id] = exchange
         return exchange
@@ -136,7 +140,7 @@
         return
     if not exchange.emitted:
         waited_s = anyio.current_time() - exchange.arrived_at
-        hub.metrics.note_first_token(exchange.length, waited_s)
+        hub.metrics.observe_first_token(exchange.length, waited_s)
     exchange.emitted.extend(chunk.text for chunk in action.chunks)
     hub.metrics.add('tokens', sum(chunk.tokens for chunk in action.chunks))
     _reply(hub, action.req_id, action)
--- a/trestledock/connection/_metrics.py
+++ b/trestledock/connection/_metrics.py
@@ -37,7 +37,7 @@
 )
 
 #: Counters without a label.
-PLAIN_COUNTERS: Mapping[str, str] = MappingProxyType(
+UNLABELLED_COUNTERS: Mapping[str, str] = MappingProxyType(
     {
         'tokens': 'Tokens passed on to callers',
         'slow_callers': 'Callers cut off because they did not read',
@@ -73,9 +73,9 @@
             )
             for name, (text, label) in COUNTERS.items()
         }
-        self._plain = {
+        self._unlabelled = {
             name: Counter(f'trestledock_{name}', text, registry=self.registry)
-            for name, text in PLAIN_COUNTERS.items()
+            for name, text in UNLABELLED_COUNTERS.items()
         }
         self.control_bytes = Counter(
             'trestledock_control_bytes',
@@ -106,9 +106,9 @@
 
     def add(self, name: str, amount: float = 1) -> None:
         """Count on one of the counters without a label."""
-        self._plain[name].inc(amount)
+        self._unlabelled[name].inc(amount)
 
-    def note_first_token(self, length: str, seconds: float) -> None:
+    def observe_first_token(self, length: str, seconds: float) -> None:
         """Observe the time to the first token of a request."""
         self.ttft.labels(length).observe(seconds)
 
--- a/trestledock/connection/_operator.py
+++ b/trestledock/connection/_operator.py
@@ -21,10 +21,10 @@
 from trestledock.request import Kind, Model, Request
 
 #: How long a publication may stay without a verdict, in seconds.
-PUBLISH_PATIENCE_S = 20.0
-CONFLICT = HTTPStatus.CONFLICT
-NOT_FOUND = HTTPStatus.NOT_FOUND
-PENDING = HTTPStatus.ACCEPTED
+PUBLISH_TIMEOUT_S = 20.0
+CONFLICT_STATUS = HTTPStatus.CONFLICT
+NOT_FOUND_STATUS = HTTPStatus.NOT_FOUND
+PENDING_STATUS = HTTPStatus.ACCEPTED
 
 
 class OperatorRoutes:
@@ -52,15 +52,15 @@
         base = int(params.get('base', '-1'))
         event = anyio.Event()
         self.hub.publications[publish_id] = event
-        await self.hub.tell(Publish(publish_id, base, body))
-        with anyio.move_on_after(PUBLISH_PATIENCE_S):
+        await self.hub.send(Publish(publish_id, base, body))
+        with anyio.move_on_after(PUBLISH_TIMEOUT_S):
             await event.wait()
         self.hub.publications.pop(publish_id, None)
         verdict = self.hub.published.pop(publish_id, None)
         if verdict is None:
             return JSONResponse(
                 {'verdict': 'unknown', 'id': publish_id},
-                status_code=PENDING,
+                status_code=PENDING_STATUS,
             )
         name = 'accepted' if verdict.accepted else 'conflict'
         return JSONResponse(
@@ -70,7 +70,7 @@
                 'version': verdict.version,
                 'detail': verdict.detail,
             },
-            status_code=HTTPStatus.OK if verdict.accepted else CONFLICT,
+            status_code=HTTPStatus.OK if verdict.accepted else CONFLICT_STATUS,
         )
 
     async def get_configuration(self, http: HttpRequest) -> Response:
@@ -78,7 +78,7 @@
         fold = self.hub.node.state.reader.fold
         accepted = fold.get_accepted_by_scope('configuration')
         if accepted is None:
-            return PlainTextResponse('none is in force', NOT_FOUND)
+            return PlainTextResponse('none is in force', NOT_FOUND_STATUS)
         headers = {'trestledock-version': str(accepted.offset)}
         return PlainTextResponse(accepted.body, headers=headers)
 
@@ -141,7 +141,7 @@
         if name not in self.hub.node.state.fleet.targets:
             return JSONResponse(
                 {'detail': f'no target is called {name}'},
-                status_code=NOT_FOUND,
+                status_code=NOT_FOUND_STATUS,
             )
-        await self.hub.tell(MarkLeaving(name))
+        await self.hub.send(MarkLeaving(name))
         return JSONResponse({'leaving': name})
--- a/trestledock/connection/_parsing.py
+++ b/trestledock/connection/_parsing.py
@@ -32,10 +32,10 @@
 #: The largest numbers that make sense.
 MAX_DEADLINE_MS = 86_400_000
 MAX_TOKENS = 1_000_000
-DEFAULT_TOKENS = 256
-MAX_KEY = 256
+DEFAULT_MAX_TOKENS = 256
+MAX_KEY_LENGTH = 256
 MS = 1000
-TOO_LARGE = 413
+TOO_LARGE_STATUS = 413
 SAFE_METHODS = frozenset(('GET', 'HEAD'))
 
 
@@ -78,7 +78,9 @@
         size += len(part)
         if size > settings.max_body_bytes:
             limit = settings.max_body_bytes
-            raise BadRequest(f'the body exceeds {limit} bytes', TOO_LARGE)
+            raise BadRequest(
+                f'the body exceeds {limit} bytes', TOO_LARGE_STATUS
+            )
         parts.append(part)
     return b''.join(parts)
 
@@ -95,8 +97,8 @@
     known = cfg.get_team_by_name(name) if cfg else None
     team = known or Team(name, deadline_ms=MAX_DEADLINE_MS)
     key = http.headers.get(KEY_HEADER, '')
-    if len(key) > MAX_KEY:
-        raise BadRequest(f'{KEY_HEADER} exceeds {MAX_KEY} characters')
+    if len(key) > MAX_KEY_LENGTH:
+        raise BadRequest(f'{KEY_HEADER} exceeds {MAX_KEY_LENGTH} characters')
     home = http.headers.get(HOME_HEADER) or team.home
     if cfg and home and home not in cfg.data_centres:
         raise BadRequest(f'{home} is no data centre')
@@ -119,21 +121,21 @@
         raise BadRequest(f'the body is not JSON: {exc}') from exc
     if not isinstance(plain, dict):
         raise BadRequest('the body must be a JSON object')
-    prompt = _get(plain, 'prompt', str, None)
+    prompt = _get_field(plain, 'prompt', str, None)
     if not prompt:
         raise BadRequest('the prompt is empty')
-    max_tokens = _get(plain, 'max_tokens', int, DEFAULT_TOKENS)
+    max_tokens = _get_field(plain, 'max_tokens', int, DEFAULT_MAX_TOKENS)
     if not 0 < max_tokens <= MAX_TOKENS:
         raise BadRequest(f'max_tokens must be 1 to {MAX_TOKENS}')
     return Completion(
         prompt,
         Model(
-            _get(plain, 'model', str, None),
-            _get(plain, 'adapter', str, ''),
-            _get(plain, 'version', str, ''),
+            _get_field(plain, 'model', str, None),
+            _get_field(plain, 'adapter', str, ''),
+            _get_field(plain, 'version', str, ''),
         ),
         max_tokens,
-        _get(plain, 'stream', bool, False),
+        _get_field(plain, 'stream', bool, False),
     )
 
 
@@ -229,7 +231,9 @@
     return int(text)
 
 
-def _get(plain: dict[str, Any], name: str, kind: type, default: Any) -> Any:
+def _get_field(
+    plain: dict[str, Any], name: str, kind: type, default: Any
+) -> Any:
     found = plain.get(name, default)
     if found is None:
         raise BadRequest(f'{name} is missing')
--- a/trestledock/connection/_peer.py
+++ b/trestledock/connection/_peer.py
@@ -25,11 +25,11 @@
 #: How long a message to a peer may take, in seconds.
 PEER_TIMEOUT_S = 2.0
 
-_KINDS = {kind.__name__: kind for kind in PAYLOADS}  # noqa: WPS407
+_PAYLOAD_TYPES = {kind.__name__: kind for kind in PAYLOADS}  # noqa: WPS407
 
 
 @dataclass(frozen=True)
-class Envelope:
+class PeerEnvelope:
     """A message between instances: who sends it, its type and payload."""
 
     sender: str
@@ -67,11 +67,11 @@
             self.hub.metrics.add('lost_peer_messages')
 
 
-def read_envelope_of_peer(body: bytes) -> PeerMessage:
+def decode_peer_message(body: bytes) -> PeerMessage:
     """Read a message from a peer."""
     try:
-        envelope = load_json(body, Envelope)
-        payload: Any = decode(envelope.payload, _KINDS[envelope.type])
+        envelope = load_json(body, PeerEnvelope)
+        payload: Any = decode(envelope.payload, _PAYLOAD_TYPES[envelope.type])
     except (DecodeError, KeyError) as exc:
         raise BadRequest(f'not a message of a peer: {exc!r}') from exc
     return PeerMessage(envelope.sender, payload)
--- a/trestledock/connection/_platform.py
+++ b/trestledock/connection/_platform.py
@@ -28,10 +28,10 @@
 )
 
 #: How long to wait after a failed poll, in seconds.
-FAILURE_PAUSE_S = 0.5
+RETRY_DELAY_S = 0.5
 ENTRY_ROLE = 'entry'
 #: What is read of an entry of the list; the platform may tell more.
-LISTED_KEYS = frozenset(field.name for field in fields(TargetInfo))
+TARGET_INFO_KEYS = frozenset(field.name for field in fields(TargetInfo))
 
 
 class PlatformLink:
@@ -45,8 +45,8 @@
     async def run(self) -> None:
         """Poll the log and the list until cancelled."""
         async with anyio.create_task_group() as group:
-            group.start_soon(self._repeat, self.read_log)
-            group.start_soon(self._repeat, self.read_list)
+            group.start_soon(self._poll_forever, self.read_log)
+            group.start_soon(self._poll_forever, self.read_list)
 
     async def append(self, action: AppendRecord) -> None:
         """Append a record; whether it took effect is read from the log."""
@@ -64,7 +64,7 @@
         offset = self.hub.node.state.reader.next_read
         plain = await self._get('/v1/log', {'from': offset})
         batch = read_batch(plain)
-        await self.hub.tell(LogRead(batch))
+        await self.hub.send(LogRead(batch))
         while self.hub.node.state.reader.next_read < batch.first:
             await anyio.sleep(0)
         await anyio.sleep(0)
@@ -72,7 +72,7 @@
     async def read_list(self) -> None:
         """Read the instance list."""
         plain = await self._get('/v1/instances', {})
-        await self.hub.tell(read_instances(plain))
+        await self.hub.send(decode_instances(plain))
         await anyio.sleep(self.hub.settings.poll_list_s)
 
     async def _get(self, path: str, params: dict[str, Any]) -> Any:
@@ -87,22 +87,22 @@
         )
         return response.json()
 
-    async def _repeat(self, poll: Callable[[], Awaitable[None]]) -> None:
+    async def _poll_forever(self, poll: Callable[[], Awaitable[None]]) -> None:
         while True:
             try:
                 await poll()
             except (httpx.HTTPError, ValueError):
-                await anyio.sleep(FAILURE_PAUSE_S)
+                await anyio.sleep(RETRY_DELAY_S)
 
 
 @dataclass(frozen=True)
-class Listing:
+class InstanceList:
     """The instance list before its entries have been looked at."""
 
     instances: tuple[dict[str, Any], ...]
 
 
-def read_instances(plain: Any) -> InstancesListed:
+def decode_instances(plain: Any) -> InstancesListed:
     """Read the instance list; entry instances are peers, others targets.
 
     Entries that make no sense are left out, so that one of them can't hide
@@ -110,8 +110,8 @@
     """
     targets = []
     peers = []
-    for one in decode(plain, Listing).instances:
-        known = {key: one[key] for key in one if key in LISTED_KEYS}
+    for one in decode(plain, InstanceList).instances:
+        known = {key: one[key] for key in one if key in TARGET_INFO_KEYS}
         try:
             listed = decode(known, TargetInfo)
         except DecodeError:
--- a/trestledock/connection/_polling.py
+++ b/trestledock/connection/_polling.py
@@ -26,13 +26,13 @@
 #: How long a poll may take, in seconds.
 POLL_TIMEOUT_S = 2.0
 #: Statuses of a plain service that knows nothing of load reports.
-NO_SUCH_ROUTE = frozenset((404, 405, 501))
+NO_ROUTE_STATUSES = frozenset((404, 405, 501))
 #: How often the list of targets is looked at, in seconds.
-LOOK_S = 0.1
+DUE_CHECK_INTERVAL_S = 0.1
 
 
 @dataclass(frozen=True)
-class CacheLines:
+class CacheEvents:
     """An engine's answer to a request for cache events."""
 
     events: tuple[CacheEvent, ...]
@@ -45,16 +45,16 @@
         """Keep the client that owns the connections."""
         self.hub = hub
         self.client = client
-        self.due: dict[str, float] = {}
-        self.cache_due: dict[str, float] = {}
+        self.next_poll_at: dict[str, float] = {}
+        self.next_cache_poll_at: dict[str, float] = {}
 
     async def run(self) -> None:
         """Poll every target when it is due, until cancelled."""
         async with anyio.create_task_group() as group:
             while True:
-                for name in self._get_due():
+                for name in self._schedule_due():
                     group.start_soon(self.poll, name)
-                await anyio.sleep(LOOK_S)
+                await anyio.sleep(DUE_CHECK_INTERVAL_S)
 
     async def poll(self, name: str) -> None:
         """Read a target's load and cache events once."""
@@ -64,7 +64,7 @@
         started = anyio.current_time()
         try:
             report = await self._read_load(target.info.address)
-            await self.hub.tell(LoadReported(name, report))
+            await self.hub.send(LoadReported(name, report))
             if report.capacity_tokens and self._is_cache_due(name, started):
                 await self._read_cache(target)
         except (httpx.HTTPError, ValueError):
@@ -75,7 +75,7 @@
     async def _read_load(self, address: str) -> LoadReport:
         """Read a report; a service that has none to give is alive at least."""
         response = await self._get(f'http://{address}/v1/load')
-        if response.status_code in NO_SUCH_ROUTE:
+        if response.status_code in NO_ROUTE_STATUSES:
             return make_service_report({})
         response.raise_for_status()
         plain = response.json()
@@ -84,9 +84,9 @@
         return make_service_report(plain)
 
     def _is_cache_due(self, name: str, now: float) -> bool:
-        if now < self.cache_due.get(name, 0):
+        if now < self.next_cache_poll_at.get(name, 0):
             return False
-        self.cache_due[name] = now + self.hub.settings.poll_cache_s
+        self.next_cache_poll_at[name] = now + self.hub.settings.poll_cache_s
         return True
 
     async def _read_cache(self, target: Target) -> None:
@@ -94,8 +94,8 @@
         address = target.info.address
         response = await self._get(f'http://{address}/v1/cache?after={after}')
         response.raise_for_status()
-        for event in decode(response.json(), CacheLines).events:
-            await self.hub.tell(CacheReported(target.info.name, event))
+        for event in decode(response.json(), CacheEvents).events:
+            await self.hub.send(CacheReported(target.info.name, event))
 
     async def _get(self, url: str) -> httpx.Response:
         response = await self.client.get(url, timeout=POLL_TIMEOUT_S)
@@ -103,15 +103,17 @@
         self.hub.metrics.control_bytes.labels('target').inc(size)
         return response
 
-    def _get_due(self) -> list[str]:
+    def _schedule_due(self) -> list[str]:
         """Return the targets to be polled now, and set their next time."""
         now = anyio.current_time()
         state = self.hub.node.state
         due = [
-            name for name in state.fleet.targets if now >= self.due.get(name, 0)
+            name
+            for name in state.fleet.targets
+            if now >= self.next_poll_at.get(name, 0)
         ]
         for name in due:
-            self.due[name] = now + self._get_interval(name)
+            self.next_poll_at[name] = now + self._get_interval(name)
         return due
 
     def _get_interval(self, name: str) -> float:
--- a/trestledock/connection/_problems.py
+++ b/trestledock/connection/_problems.py
@@ -19,7 +19,7 @@
 BAD_GATEWAY = 502
 
 #: Statuses of reasons; others are answered with `BAD_GATEWAY`.
-STATUSES: Mapping[Reason, int] = MappingProxyType(
+STATUS_BY_REASON: Mapping[Reason, int] = MappingProxyType(
     {
         Reason.unknown_team: 403,
         Reason.unknown_model: 404,
@@ -48,7 +48,7 @@
         headers['Retry-After'] = str(math.ceil(verdict.retry_after))
     return JSONResponse(
         get_problem_body(verdict),
-        status_code=STATUSES.get(verdict.reason, BAD_GATEWAY),
+        status_code=STATUS_BY_REASON.get(verdict.reason, BAD_GATEWAY),
         headers=headers,
         media_type=MEDIA_TYPE,
     )
--- a/trestledock/connection/_target.py
+++ b/trestledock/connection/_target.py
@@ -35,14 +35,14 @@
 
 #: How long a cancel or an order may take, in seconds.
 CONTROL_TIMEOUT_S = 5.0
-LEAST_TIMEOUT_S = 0.001
-REJECTED_STATUS = 503
-OLD_NUMBER_STATUS = 409
+MIN_TIMEOUT_S = 0.001
+NOT_STARTED_STATUS = 503
+STALE_FENCING_STATUS = 409
 MS = 1000
 #: What the client raises where a target has closed the connection.
-CLOSED = (httpx.RemoteProtocolError, httpx.ReadError, httpx.WriteError)
+CLOSED_ERRORS = (httpx.RemoteProtocolError, httpx.ReadError, httpx.WriteError)
 #: How long after that is looked whether it has ended, in seconds.
-SETTLE_S = 0.03
+RECONNECT_DELAY_S = 0.03
 
 
 @dataclass(frozen=True)
@@ -54,7 +54,7 @@
 
 
 @dataclass(frozen=True)
-class PieceAnswer:
+class PrefillAnswer:
     """An engine's word that a piece is prefilled up to `stop`."""
 
     hold: str
@@ -101,7 +101,7 @@
         if action.job.generate:
             await self._read_stream(action, '/v1/jobs', body, exchange)
         else:
-            await self._wait_for_piece(action, body, exchange)
+            await self._run_prefill(action, body, exchange)
 
     async def resume(self, action: ResumeStream) -> None:
         """Go on with a stream that broke off."""
@@ -134,9 +134,9 @@
                 timeout=self._get_timeout(left_s),
             )
         except httpx.HTTPError as exc:
-            await self._fail_on(action, 'call', exc)
+            await self._fail_with_error(action, 'call', exc)
             return
-        await self.hub.tell(
+        await self.hub.send(
             CallDone(
                 action.req_id,
                 action.attempt,
@@ -156,7 +156,7 @@
         except httpx.HTTPError:
             return
         if response.is_success:
-            await self.hub.tell(CancelConfirmed(action.target, action.holds))
+            await self.hub.send(CancelConfirmed(action.target, action.holds))
 
     async def order(self, action: GiveOrder) -> None:
         """Give an order, unless the lease may have lapsed meanwhile."""
@@ -170,10 +170,10 @@
             )
         except httpx.HTTPError:
             return
-        refused = response.status_code == OLD_NUMBER_STATUS
-        await self.hub.tell(OrderAnswered(action.target, refused))
+        refused = response.status_code == STALE_FENCING_STATUS
+        await self.hub.send(OrderAnswered(action.target, refused))
 
-    async def _wait_for_piece(
+    async def _run_prefill(
         self,
         action: StartJob,
         body: dict[str, Any],
@@ -187,24 +187,24 @@
                 timeout=self._get_timeout(left_s),
             )
         except httpx.HTTPError as exc:
-            await self._fail_on(action, 'piece', exc)
+            await self._fail_with_error(action, 'piece', exc)
             return
         if response.is_success:
-            await self._note_piece(action, response)
+            await self._report_prefill(action, response)
         else:
             await self._reject(action, 'piece', response)
 
-    async def _note_piece(
+    async def _report_prefill(
         self,
         action: StartJob,
         response: httpx.Response,
     ) -> None:
         try:
-            done = load_json(response.content, PieceAnswer)
+            done = load_json(response.content, PrefillAnswer)
         except DecodeError as exc:
             await self._fail(action, 'piece', str(exc), proof=False)
             return
-        await self.hub.tell(
+        await self.hub.send(
             PieceDone(action.req_id, action.attempt, done.hold, done.stop),
         )
 
@@ -228,13 +228,13 @@
                     await source.response.aread()
                     await self._reject(action, 'stream', source.response)
                     return
-                await self._pass_on(action, source)
+                await self._forward_events(action, source)
         except httpx.HTTPError as exc:
-            await self._fail_on(action, 'stream', exc)
+            await self._fail_with_error(action, 'stream', exc)
         except (DecodeError, httpx_sse.SSEError) as exc:
             await self._fail(action, 'stream', repr(exc), proof=False)
 
-    async def _pass_on(
+    async def _forward_events(
         self,
         action: StartJob | ResumeStream,
         source: httpx_sse.EventSource,
@@ -242,14 +242,14 @@
         async for event in source.aiter_sse():
             line = load_json(event.data, StreamLine)
             if line.count is not None:
-                await self.hub.tell(
+                await self.hub.send(
                     StreamDone(action.req_id, action.attempt, line.count),
                 )
                 return
             if action.req_id not in self.hub.exchanges:
                 return
             chunk = Chunk(line.index, line.text, line.tokens)
-            await self.hub.tell(
+            await self.hub.send(
                 ChunkArrived(action.req_id, action.attempt, chunk),
             )
         await self._fail(action, 'stream', 'no final marker', proof=False)
@@ -263,17 +263,19 @@
         proof = _says_not_started(response)
         await self._fail(action, step, response.text, proof=proof)
 
-    async def _fail_on(
+    async def _fail_with_error(
         self,
         action: StartJob | ResumeStream | CallService,
         step: str,
         exc: httpx.HTTPError,
     ) -> None:
         proof = isinstance(exc, (httpx.ConnectError, httpx.ConnectTimeout))
-        ended = isinstance(exc, CLOSED) and await self._has_ended(action)
+        ended = isinstance(exc, CLOSED_ERRORS) and await self._has_crashed(
+            action
+        )
         await self._fail(action, step, repr(exc), proof=proof, ended=ended)
 
-    async def _has_ended(
+    async def _has_crashed(
         self, action: StartJob | ResumeStream | CallService
     ) -> bool:
         """Whether nobody listens any more at a target that closed.
@@ -281,7 +283,7 @@
         A process that ends closes its sockets one after the other, so there is
         a moment's pause before the look.
         """
-        await anyio.sleep(SETTLE_S)
+        await anyio.sleep(RECONNECT_DELAY_S)
         host, _, port = action.address.rpartition(':')
         try:
             with anyio.fail_after(self.hub.settings.target_connect_s):
@@ -300,7 +302,7 @@
         proof: bool,
         ended: bool = False,
     ) -> None:
-        await self.hub.tell(
+        await self.hub.send(
             AttemptFailed(
                 action.req_id,
                 action.attempt,
@@ -314,13 +316,13 @@
 
     def _get_timeout(self, left_s: float) -> httpx.Timeout:
         connect_s = self.hub.settings.target_connect_s
-        left_s = max(LEAST_TIMEOUT_S, left_s)
+        left_s = max(MIN_TIMEOUT_S, left_s)
         return httpx.Timeout(left_s, connect=min(connect_s, left_s))
 
 
 def _says_not_started(response: httpx.Response) -> bool:
     """Whether an engine's answer proves that it did not start a job."""
-    if response.status_code != REJECTED_STATUS:
+    if response.status_code != NOT_STARTED_STATUS:
         return False
     try:
         answer = load_json(response.content, Rejection)
