--- a/trestledock/__main__.py
+++ b/trestledock/__main__.py
@@ -1,8 +1,8 @@
 """
-Entry point
-===========
+Command-line entry point
+========================
 
-Runs the command line as `python -m trestledock` and from the zip application.
+Runs the command line for `python -m trestledock` and for the zip application.
 """
 
 from trestledock.cli import main
--- a/trestledock/clock.py
+++ b/trestledock/clock.py
@@ -1,11 +1,11 @@
 """
-Clock of a process
-==================
+Process clock
+=============
 
-The one clock by which ages, leases, bounds and deadlines are counted: it goes
-on while the machine is suspended, as the steady clock does not.  On an event
-loop that runs on it every timer and every `anyio.current_time()` counts that
-time, so what has run out meanwhile has run out at the first step after it.
+The clock for all ages, leases, timeouts and deadlines.  Unlike the monotonic
+clock, it keeps running while the machine is suspended.  With an event loop on
+this clock, every timer and `anyio.current_time()` includes suspended time, so
+whatever expired during a suspension is expired at the first step after it.
 """
 
 import asyncio
@@ -16,20 +16,20 @@
 import anyio
 
 MS = 1000
-#: A growth of what the steady clock has missed below this is no pause of the
-#: machine, in seconds: the two clocks are read one after the other.
+#: The shortest difference, in seconds, that counts as a suspension.  The two
+#: clocks are read one after the other, so smaller differences mean nothing.
 MIN_SUSPENSION_S = 0.05
 
 
 def counts_suspension() -> bool:
-    """Whether this system has a clock that goes on while it is suspended."""
+    """Return whether the system has a clock that includes suspended time."""
     return hasattr(time, 'CLOCK_BOOTTIME')
 
 
 def read_clock() -> float:
-    """Return the seconds since the system's start, those suspended included.
+    """Return the seconds since boot, including suspended time.
 
-    A system without such a clock has its steady one read.
+    Falls back to the monotonic clock on systems without such a clock.
     """
     if counts_suspension():
         return time.clock_gettime(time.CLOCK_BOOTTIME)
@@ -37,26 +37,27 @@
 
 
 def read_unix_ms() -> float:
-    """Return the time of day in milliseconds; it may jump either way."""
+    """Return the Unix time in milliseconds; it may jump in either direction."""
     return time.time() * MS
 
 
 class SuspensionLoop(asyncio.SelectorEventLoop):
-    """An event loop whose time counts what the machine was suspended for.
+    """Event loop whose time includes the time that the machine was suspended.
 
-    Its time never goes back, and goes on from where it was if the clock does.
-    What is due on waking runs with the first timer or event that ends the wait.
+    Loop time never decreases: if the clock is set back, loop time continues
+    from its last value.  Timers that expired during a suspension run with the
+    first timer or event that ends the current wait.
     """
 
     def __init__(self, read: Callable[[], float] = read_clock) -> None:
-        """Begin with the clock as it is."""
+        """Start from the current reading of the clock."""
         super().__init__()
         self._read = read
         self._last_time = read()
         self._offset_s: float = 0
 
     def time(self) -> float:
-        """Return the time of the loop in seconds."""
+        """Return the loop time in seconds."""
         now = self._read() + self._offset_s
         if now < self._last_time:
             self._offset_s += self._last_time - now
@@ -66,17 +67,20 @@
 
 
 def run(main: Callable[..., Awaitable[Any]], *args: Any) -> Any:
-    """Run a program on a loop whose time counts suspension."""
+    """Run `main` on an event loop whose time includes suspensions."""
     options = {'loop_factory': SuspensionLoop}
     return anyio.run(main, *args, backend_options=options)
 
 
 @dataclass
 class PauseWatch:
-    """Finds pauses of the machine: what the steady clock has missed since.
+    """Detects suspensions of the machine.
 
-    >>> steady, counting = iter([5.0, 6.0, 6.1]), iter([7.0, 8.0, 38.1])
-    >>> watch = PauseWatch(steady.__next__, counting.__next__)
+    A suspension shows as growth of the difference between the boot-time clock
+    and the monotonic clock.
+
+    >>> monotonic, boottime = iter([5.0, 6.0, 6.1]), iter([7.0, 8.0, 38.1])
+    >>> watch = PauseWatch(monotonic.__next__, boottime.__next__)
     >>> watch.look(), round(watch.look())
     (0, 30)
     """
@@ -86,15 +90,15 @@
     suspended_s: float = field(init=False)
 
     def __post_init__(self) -> None:
-        """Begin with what was missed before."""
+        """Record the time suspended so far."""
         self.suspended_s = self._read_suspended_s()
 
     def look(self) -> float:
-        """Return how long the machine was suspended since, in seconds."""
+        """Return the seconds suspended since the last call, or 0."""
         before, self.suspended_s = self.suspended_s, self._read_suspended_s()
-        pause_s = self.suspended_s - before
-        return pause_s if pause_s > MIN_SUSPENSION_S else 0
+        increase_s = self.suspended_s - before
+        return increase_s if increase_s > MIN_SUSPENSION_S else 0
 
     def _read_suspended_s(self) -> float:
-        steady = self.read_monotonic()
-        return self.read_boottime() - steady
+        monotonic = self.read_monotonic()
+        return self.read_boottime() - monotonic
--- a/trestledock/packaging.py
+++ b/trestledock/packaging.py
@@ -2,13 +2,13 @@
 Packaging
 =========
 
-Builds the one binary: a zip application with the product and the libraries it
-needs.  All of them are pure Python, so it runs straight from the file, without
-unpacking and without starting another process.
+Builds the single executable: a zip application of the package and its
+dependencies.  All of them are pure Python, so it runs directly from the file,
+without unpacking and without starting another process.
 """
 
 import shutil
-import subprocess  # noqa: S404 - a build tool, no part of the product
+import subprocess  # noqa: S404 - build tool, not part of the product
 import sys
 import tempfile
 import zipapp
@@ -17,7 +17,7 @@
 import click
 
 ROOT = Path(__file__).parent.parent
-#: Parts of the source that serve developers only.
+#: Files and packages for developers only.
 EXCLUDED = ('bench', 'packaging.py', '__pycache__')
 
 
@@ -55,15 +55,15 @@
         str(ROOT / 'requirements.txt'),
     ]
     subprocess.run(command, check=True)  # noqa: S603
-    for compiled in stage.rglob('*.so'):
-        compiled.unlink()
+    for extension_module in stage.rglob('*.so'):
+        extension_module.unlink()
     shutil.rmtree(stage / 'bin', ignore_errors=True)
 
 
 @click.command()
 @click.argument('path')
 def main(path: str) -> None:
-    """Build the binary at PATH."""
+    """Build the zip application at PATH."""
     build_binary(Path(path))
     size = Path(path).stat().st_size
     click.echo(f'{path}: {size} bytes')
--- a/trestledock/platform/__init__.py
+++ b/trestledock/platform/__init__.py
@@ -1,10 +1,10 @@
 """
-Adapter to the users' platform
-==============================
+Platform adapter
+================
 
-Translates between the platform's settings, store, headers and orders and the
-types of `trestledock.entry` and `trestledock.relay`.  It decides nothing, and
-nothing outside it knows the platform's names.
+Translates between the formats of the users' platform (settings, store, headers,
+orders) and the types of `trestledock.entry` and `trestledock.relay`.  It makes
+no decisions, and no other package knows the platform's names.
 """
 
 import signal
@@ -14,8 +14,8 @@
 
 def run() -> None:
     """Run an entry until it is asked to stop."""
-    # A hang-up must not end a process that is still starting, and importing
-    # what it runs takes most of that time.
+    # SIGHUP must not terminate a process that is still starting.  Imports take
+    # most of the start, so the signal is ignored before them.
     signal.signal(signal.SIGHUP, signal.SIG_IGN)
     from trestledock.platform._run import run_entry_process  # noqa: WPS433
 
--- a/trestledock/platform/__main__.py
+++ b/trestledock/platform/__main__.py
@@ -1,9 +1,9 @@
 """
-Entry point on the platform
-===========================
+Platform entry point
+====================
 
-Runs an entry as `python -m trestledock.platform`, without the imports of the
-other commands.
+Runs an entry for `python -m trestledock.platform`, without importing the other
+commands.
 """
 
 from trestledock.platform import run
--- a/trestledock/platform/_documents.py
+++ b/trestledock/platform/_documents.py
@@ -1,8 +1,8 @@
 """
-Documents in the store
-======================
+Configuration documents
+=======================
 
-Decodes what the operator writes: the configuration under `op/config`.
+Decodes the configuration that the operator writes to the store as `op/config`.
 """
 
 from collections import defaultdict
@@ -23,13 +23,14 @@
 
 TOKENS_PER_K = 1000
 PAIRS_PER_M = 1_000_000
-#: Callers of this platform abandon a stream, also before its first event, after
-#: a gap of so many seconds, or so many times its objective or its longest
-#: pause, whichever is longest.
+#: Callers of this platform abandon a stream when no event arrives within a
+#: timeout, which also applies to the first event.  The timeout is the longest
+#: of a minimum in seconds, a multiple of the route's latency objective and a
+#: multiple of its longest allowed pause.
 MIN_EVENT_TIMEOUT_S = 2.0
 OBJECTIVES_PER_TIMEOUT = 4
 PAUSES_PER_TIMEOUT = 8
-#: Callers of plain services leave at their deadline only.
+#: Callers of non-streaming services wait until their deadline.
 NO_TIMEOUT_S = float('inf')
 
 
@@ -55,7 +56,8 @@
     Field('priority', 'priority'),
 )
 
-#: `slots` of an engine is its batch; `kvCapacity` counts prompt and answer.
+#: `slots` is the batch size of an engine; `kvCapacity` covers the tokens of
+#: both prompt and answer.
 ENGINE_FIELDS = (
     Field('slots', 'batch'),
     Field('kvCapacity', 'capacity_tokens'),
@@ -71,7 +73,7 @@
 
 
 def decode_catalog(document: dict[str, Any]) -> Catalog:
-    """Return a version of the configuration."""
+    """Decode one version of the configuration."""
     routes: dict[str, list[Route]] = defaultdict(list)
     for row in document.get('routes', ()):
         route = _decode_route(row)
@@ -79,7 +81,7 @@
     services = [_decode_service(row) for row in document.get('services', ())]
     return Catalog(
         version=document['version'],
-        routes={host: tuple(some) for host, some in routes.items()},
+        routes={host: tuple(of_host) for host, of_host in routes.items()},
         services={service.name: service for service in services},
         keys=_decode_keys(document),
         limits=Limits(**read_fields(document.get('limits', {}), LIMIT_FIELDS)),
@@ -87,13 +89,13 @@
 
 
 def _decode_route(row: dict[str, Any]) -> Route:
-    found = read_fields(row, ROUTE_FIELDS)
-    route = Route(shares=_decode_shares(row), **found)
+    attributes = read_fields(row, ROUTE_FIELDS)
+    route = Route(shares=_decode_shares(row), **attributes)
     return replace(route, patience_s=_get_event_timeout_s(route))
 
 
 def _get_event_timeout_s(route: Route) -> float:
-    """Return how long a silence callers of a route bear."""
+    """Return the longest gap between events that a route's callers accept."""
     if route.kind is not RouteKind.streaming:
         return NO_TIMEOUT_S
     return max(
--- a/trestledock/platform/_epochs.py
+++ b/trestledock/platform/_epochs.py
@@ -1,10 +1,10 @@
 """
-Epochs of the store
-===================
+Store epochs
+============
 
-Which copy of the platform's store an answer is from.  Each answer bears a
-number that rises as the store comes back from an older copy; what was read, or
-given out, under one number says nothing under another.
+Tracks from which copy of the platform's store a response comes.  Every response
+carries an epoch number, which increases when the store is restored from an
+older copy.  Data and offsets of one epoch are not valid in another.
 """
 
 from dataclasses import dataclass
@@ -14,53 +14,58 @@
 
 from trestledock.entry import DirectoryError, EpochDoubted, Head, emit
 
-#: The number that rises by one each time the store came back from a copy.
+#: The epoch number, which increases by one with each restore from a copy.
 EPOCH_HEADER = b'store-era'
-#: A store that goes on for so long, in seconds, with epochs that make no sense
-#: beside those before is another store: longer than any answer is under way,
-#: and short beside what an operator takes to look.
+#: After responses with inconsistent epochs for this long, in seconds, the store
+#: is taken for a different store, and its epoch is accepted.  The time is
+#: longer than any response is in transit, and much shorter than an operator's
+#: reaction.
 MISMATCH_TIMEOUT_S = 10.0
 Epoch = int | None
 
 
 @dataclass
 class StoreEpochs:
-    """The newest epoch that any call of one process has heard.
+    """The newest epoch that this process has received in any response.
 
-    It is None for a store that tells none.
+    It is None if the store sends no epochs.
     """
 
     current: Epoch = None
     mismatch_since: float | None = None
 
     def take(self, head: Head) -> Epoch:
-        """Return the epoch of an answer.
+        """Record and return the epoch of a response.
 
-        Raises a `DirectoryError` for one that is older than what was heard, or
-        that tells none where others did: it proves nothing.  A refusal proves
-        nothing in any case, and whoever refuses need not be the store itself.
+        Raises `DirectoryError` if the epoch is older than the current one, or
+        is missing although earlier responses had one: such a response proves
+        nothing.  Error responses without an epoch are accepted, because they
+        prove nothing anyway and may come from a proxy in front of the store.
         """
-        told = _read_epoch(head.get_header(EPOCH_HEADER))
-        if told is None and head.status >= HTTPStatus.BAD_REQUEST:
+        epoch = _read_epoch(head.get_header(EPOCH_HEADER))
+        if epoch is None and head.status >= HTTPStatus.BAD_REQUEST:
             return self.current
-        if self._is_consistent(told):
+        if self._is_consistent(epoch):
             self.mismatch_since = None
-        elif self._should_reject(told):
-            raise DirectoryError(f'epoch {told} after {self.current}')
-        self.current = told
-        return told
+        elif self._should_reject(epoch):
+            raise DirectoryError(f'epoch {epoch} after {self.current}')
+        self.current = epoch
+        return epoch
 
-    def _is_consistent(self, told: Epoch) -> bool:
+    def _is_consistent(self, epoch: Epoch) -> bool:
         if self.current is None:
             return True
-        return told is not None and told >= self.current
+        return epoch is not None and epoch >= self.current
 
-    def _should_reject(self, told: Epoch) -> bool:
-        """Whether an answer may still be a stray one; begins the doubt."""
+    def _should_reject(self, epoch: Epoch) -> bool:
+        """Return whether an inconsistent response may just be late.
+
+        The first inconsistent response starts the timeout.
+        """
         now = anyio.current_time()
         if self.mismatch_since is None:
             self.mismatch_since = now
-            emit(EpochDoubted(str(self.current), str(told)))
+            emit(EpochDoubted(str(self.current), str(epoch)))
         if now - self.mismatch_since < MISMATCH_TIMEOUT_S:
             return True
         self.mismatch_since = None
@@ -68,7 +73,7 @@
 
 
 def _read_epoch(text: str) -> Epoch:
-    """Return what a header says, or None where that is no whole number.
+    """Parse the epoch header; return None unless it is a whole number.
 
     >>> _read_epoch('7'), _read_epoch(''), _read_epoch('-1'), _read_epoch('x')
     (7, None, None, None)
--- a/trestledock/platform/_fields.py
+++ b/trestledock/platform/_fields.py
@@ -1,10 +1,9 @@
 """
-Fields of the platform's documents
-==================================
+Field mapping for the platform's documents
+==========================================
 
-Tables say which wire name becomes which field of a data class and in what
-unit; one function reads them.  A name that is missing leaves the data class's
-own default in force.
+Tables map wire names to attributes of data classes and convert units;
+`read_fields` applies them.  The data class's default applies to a missing name.
 """
 
 from typing import Any, Callable, Mapping, NamedTuple
@@ -13,7 +12,7 @@
 
 
 class Field(NamedTuple):
-    """A wire name, the field it becomes, and the conversion of its value."""
+    """A wire name, its attribute, and the conversion of its value."""
 
     wire_name: str
     attribute: str
@@ -21,7 +20,7 @@
 
 
 def ms_to_seconds(milliseconds: float) -> float:
-    """Return seconds.
+    """Convert milliseconds to seconds.
 
     >>> ms_to_seconds(250)
     0.25
@@ -33,11 +32,11 @@
     row: Mapping[str, Any],
     fields: tuple[Field, ...],
 ) -> dict[str, Any]:
-    """Return the arguments for a data class from the names that are there."""
+    """Return keyword arguments for a data class from the fields present."""
     return {
-        one.attribute: one.convert(row[one.wire_name])
-        if one.convert
-        else row[one.wire_name]
-        for one in fields
-        if one.wire_name in row
+        field.attribute: field.convert(row[field.wire_name])
+        if field.convert
+        else row[field.wire_name]
+        for field in fields
+        if field.wire_name in row
     }
--- a/trestledock/platform/_headers.py
+++ b/trestledock/platform/_headers.py
@@ -1,9 +1,9 @@
 """
-Headers of callers and targets
-==============================
+Request and response headers
+============================
 
-Translates requests, answers and orders.  The platform's header names stand
-here and nowhere else.
+Translates requests of callers, responses of targets, and orders to targets.
+Header names of the platform are defined only here and in `_notices`.
 """
 
 import json
@@ -18,7 +18,7 @@
 from trestledock.relay import Body, Call, Listed, PromptSize
 
 REQUEST_ID = b'trestledock-request-id'
-#: Milliseconds that the caller will wait, or that a target may take.
+#: Milliseconds that the caller waits, or that the target may take.
 DEADLINE = b'trestledock-request-deadline'
 SEAL = b'trestledock-response-seal'
 TEAM = b'trestledock-tenant'
@@ -28,17 +28,17 @@
 HELPERS = b'trestledock-helpers'
 LAST_EVENT = b'last-event-id'
 AT_FAULT = b'at-server'
-#: The target that answers, where that is not the one that was asked.
+#: The target that responds, if another one was asked.
 INSTANCE = b'trestledock-instance-id'
 AUTHORIZATION = b'authorization'
 BEARER_PREFIX = 'bearer '
-#: The rank of a request where it waits at a target, from 0 (first) to 9.
+#: The priority of a request in a target's queue, from 0 (first) to 9.
 PRIORITY = b'trestledock-request-priority'
 LOWEST_PRIORITY = 9
 MISDIRECTED = 421
 MS = 1000
 
-#: Headers that concern one connection only.
+#: Headers that apply to a single connection.
 HOP_BY_HOP_HEADERS = frozenset(
     (
         b'connection',
@@ -51,7 +51,7 @@
         b'expect',
     )
 )
-#: Headers of a caller that are replaced on the way to a target.
+#: Headers of a caller that are removed or replaced before forwarding.
 REPLACED = HOP_BY_HOP_HEADERS | {
     AUTHORIZATION,
     DEADLINE,
@@ -66,7 +66,7 @@
 
 
 class PlatformDialect:
-    """The formats of the platform's callers and targets."""
+    """Formats of the platform's callers and targets."""
 
     def read_call(
         self,
@@ -75,13 +75,13 @@
         now: float,
     ) -> Call:
         """Read a caller's request from its ASGI scope."""
-        found = dict(scope['headers'])
+        headers = dict(scope['headers'])
         raw_path = scope['raw_path'].decode('latin-1')
         query = scope['query_string'].decode('latin-1')
-        host = found.get(b'host', b'').decode('latin-1').lower()
-        wait_ms = _parse_number(found.get(DEADLINE))
+        host = headers.get(b'host', b'').decode('latin-1').lower()
+        wait_ms = _parse_number(headers.get(DEADLINE))
         return Call(
-            req_id=found.get(REQUEST_ID, b'').decode('latin-1'),
+            req_id=headers.get(REQUEST_ID, b'').decode('latin-1'),
             method=scope['method'],
             path=raw_path,
             query=f'?{query}' if query else '',
@@ -90,9 +90,9 @@
             body=body,
             arrived_at=now,
             deadline=None if wait_ms is None else now + wait_ms / MS,
-            key=_parse_api_key(found.get(AUTHORIZATION, b'')),
-            size=_parse_token_counts(found.get(TOKEN_COUNTS, b'')),
-            resume_after=found.get(LAST_EVENT, b'').decode('latin-1'),
+            key=_parse_api_key(headers.get(AUTHORIZATION, b'')),
+            size=_parse_token_counts(headers.get(TOKEN_COUNTS, b'')),
+            resume_after=headers.get(LAST_EVENT, b'').decode('latin-1'),
         )
 
     def make_headers(self, call: Call, passing: Passing) -> Headers:
@@ -116,7 +116,7 @@
         return (*call.headers, *added)
 
     def read_head(self, head: Head) -> AnswerNote:
-        """Read the head of a target's answer."""
+        """Read the head of a target's response."""
         marked = bool(head.get_header(NOT_RUN))
         return AnswerNote(
             req_id=head.get_header(REQUEST_ID),
@@ -133,7 +133,7 @@
         )
 
     def make_reply_headers(self, head: Head) -> Headers:
-        """Return the headers of an answer that is passed on."""
+        """Return the headers of a response that is forwarded to the caller."""
         return _remove_headers(head.headers, HOP_BY_HOP_HEADERS)
 
     def make_reserve(
@@ -143,7 +143,7 @@
         hold_s: float,
         holder: Listed,
     ) -> Order:
-        """Return the order that reserves memory, or fails at once."""
+        """Return the order that reserves memory; it fails if none is free."""
         return _make_order(
             holder,
             operation='reserve',
@@ -153,12 +153,15 @@
         )
 
     def make_release(self, ticket: str, holder: Listed) -> Order:
-        """Return the order that gives memory back."""
+        """Return the order that releases reserved memory."""
         return _make_order(holder, operation='release', id=ticket)
 
 
 def _make_order(holder: Listed, **fields: Any) -> Order:
-    """Return an order that only one target takes, not who has its address."""
+    """Return an order that names its target.
+
+    Another target that has taken over the address rejects it.
+    """
     body = json.dumps(fields).encode()
     headers = (
         (b'host', holder.address.encode()),
@@ -170,7 +173,7 @@
 
 
 def _format_helpers(passing: Passing) -> str:
-    """Return the helpers as `IP:PORT` or `IP:PORT/TICKET`."""
+    """Format the helpers as a list of `IP:PORT` or `IP:PORT/TICKET`."""
     parts = []
     for helper in passing.placement.helpers:
         ticket = passing.tickets.get(helper.incarnation)
@@ -179,14 +182,15 @@
 
 
 def _remove_headers(headers: Any, names: frozenset[bytes]) -> Headers:
-    listed = b','.join(
+    """Remove `names` and the headers that `Connection` names."""
+    connection = b','.join(
         text for name, text in headers if name.lower() == b'connection'
     )
-    also = {part.strip().lower() for part in listed.split(b',')}
+    per_connection = {part.strip().lower() for part in connection.split(b',')}
     return tuple(
         (name, text)
         for name, text in headers
-        if name.lower() not in names and name.lower() not in also
+        if name.lower() not in names and name.lower() not in per_connection
     )
 
 
@@ -205,8 +209,8 @@
 
 
 def _parse_token_counts(raw: bytes) -> PromptSize | None:
-    """Read `PROMPT,OUTPUT` token counts."""
-    first, _, second = raw.decode('latin-1').partition(',')
-    if first.strip().isdigit() and second.strip().isdigit():
-        return PromptSize(int(first), int(second))
+    """Parse the token counts `PROMPT,OUTPUT`."""
+    prompt, _, output = raw.decode('latin-1').partition(',')
+    if prompt.strip().isdigit() and output.strip().isdigit():
+        return PromptSize(int(prompt), int(output))
     return None
--- a/trestledock/platform/_log.py
+++ b/trestledock/platform/_log.py
@@ -1,10 +1,10 @@
 """
-The platform's log
-==================
+Platform log client
+===================
 
-The client for the log that the platform runs: framed records in topics, of
-which the newest of each key is kept for ever.  One connection, one call at a
-time.
+Client of the log that the platform runs.  Topics hold framed records; the
+newest record of every key is kept forever.  A client has one connection and
+makes one call at a time.
 """
 
 import base64
@@ -29,14 +29,14 @@
 
 OK = 200
 TRIMMED_STATUS = 410
-#: So many copies of the store may follow one another while a topic is read
-#: whole, before that counts as a read that failed.
+#: A read of a whole topic must start over whenever the epoch of the store
+#: changes, and fails after this many starts.
 MAX_RESTARTS = 3
-#: The most that one read asks for, in KB: the heartbeats of some seconds, and a
-#: fifth of a second on the slowest links.  Who is further behind reads the
-#: newest record of each key instead.
+#: The size limit of one read, in KB: the heartbeats of several seconds, or 0.2
+#: s of transfer on the slowest links.  A reader that is further behind reads
+#: the newest record of every key instead.
 MAX_READ_KB = 256
-#: The first bytes of a read: the end and the first retained offset.
+#: The first bytes of a read: the end offset and the first retained offset.
 READ_HEADER = struct.Struct('>QQ')
 RECORD_LENGTH = struct.Struct('>I')
 MS = 1000
@@ -44,7 +44,7 @@
 
 @dataclass(frozen=True)
 class Record:
-    """One record of a keyed topic; without a value the key is dropped."""
+    """A record of a keyed topic; an empty value deletes the key."""
 
     key: str
     value: bytes
@@ -52,10 +52,10 @@
 
 @dataclass(frozen=True)
 class Batch:
-    """Records with the offset at which the next read begins.
+    """Records, and the offset at which the next read begins.
 
-    `whole` says that they are the newest of every key, `epoch` of which copy of
-    the store they are.
+    `whole` is true if they are the newest records of all keys.  `epoch` is the
+    epoch of the store in which they were read.
     """
 
     records: tuple[Record, ...]
@@ -66,7 +66,7 @@
 
 @dataclass(frozen=True)
 class Answer:
-    """An answer of the store, with the epoch that it is from."""
+    """A response of the store and its epoch."""
 
     status: int
     body: bytes
@@ -74,16 +74,16 @@
 
 
 class EpochChanged(Exception):
-    """The store came back from a copy in the middle of a read."""
+    """The store was restored from a copy during a read."""
 
 
 class StoreClient:
-    """Calls of the store over one connection that is opened when needed."""
+    """Client of the store with one connection, which is opened on demand."""
 
     def __init__(self, address: str, epochs: StoreEpochs) -> None:
-        """Keep the address; nothing is sent yet.
+        """Set the address without connecting.
 
-        `epochs` is shared by all clients of one store.
+        All clients of a store share the same `epochs`.
         """
         self.address = address
         self.epochs = epochs
@@ -99,18 +99,18 @@
     ) -> Answer:
         """Make one call.
 
-        Raises a `DirectoryError` where the answer's epoch makes no sense, and a
-        `WireError` where none comes.
+        Raises `DirectoryError` if the epoch of the response is inconsistent,
+        and `WireError` if there is no response.
         """
         target = f'{path}?{urlencode(query)}'
         async with self._lock:
-            kept = self._wire is not None
+            is_reused = self._wire is not None
             try:
                 return await self._call_once(method, target, body)
             except WireError:
-                # A kept connection may have been closed while it was idle,
-                # which says nothing of the store.
-                if not kept or method != 'GET':
+                # An idle connection may have been closed in the meantime, which
+                # does not mean that the store failed.
+                if not is_reused or method != 'GET':
                     raise
             return await self._call_once(method, target, body)
 
@@ -120,7 +120,7 @@
         framed: Iterable[bytes],
         **query: int,
     ) -> Answer:
-        """Append records to a topic, all or none."""
+        """Append records to a topic atomically."""
         return await self.call(
             'POST',
             '/log-append',
@@ -136,14 +136,16 @@
     ) -> Answer:
         if self._wire is None:
             self._wire = await Wire.connect(self.address)
-        done = False
+        is_reusable = False
         try:
-            head, text = await self._exchange(self._wire, method, target, body)
-            done = self._wire.recycle()
+            head, content = await self._exchange(
+                self._wire, method, target, body
+            )
+            is_reusable = self._wire.recycle()
         finally:
-            if not done:
+            if not is_reusable:
                 await self._close()
-        return Answer(head.status, text, self.epochs.take(head))
+        return Answer(head.status, content, self.epochs.take(head))
 
     async def _exchange(
         self,
@@ -167,23 +169,23 @@
 
 
 class KeyedTopic:
-    """Reads one keyed topic: all of it first, then what is new.
+    """Reader of a keyed topic: first reads all of it, then new records only.
 
-    The offset at which the next read begins belongs to the epoch in which it
-    was given out: in another one it may have been given out again.
+    The offset of the next read is valid only in the epoch in which it was
+    received; in another epoch the same offset may belong to another record.
     """
 
     def __init__(self, client: StoreClient, topic: str) -> None:
-        """Keep the topic; the first read brings everything."""
+        """Set the topic; the first read returns all records."""
         self.client = client
         self.topic = topic
         self._next: int | None = None
         self._epoch: Epoch = None
 
     async def read(self, wait_s: float = 0) -> Batch:
-        """Return what is new, or everything where that can't be told.
+        """Return new records, or all records if new ones can't be identified.
 
-        Where nothing is new the store waits for `wait_s` until something is.
+        The store waits up to `wait_s` for a new record if there is none.
         """
         if self._next is None or self._epoch != self.client.epochs.current:
             return await self._read_all()
@@ -199,11 +201,11 @@
         return self._parse_read(answer, self._next) or await self._read_all()
 
     def reset(self) -> None:
-        """Have the next read bring everything."""
+        """Make the next read return all records."""
         self._next = None
 
     def _parse_read(self, answer: Answer, start: int) -> Batch | None:
-        """Return what an answer brings, None where all must be read anew."""
+        """Return the new records, or None if all must be read again."""
         if answer.epoch != self._epoch:
             return None
         if answer.status == TRIMMED_STATUS:
@@ -214,21 +216,21 @@
         records = tuple(split_records(answer.body[READ_HEADER.size :]))
         end = READ_HEADER.unpack_from(answer.body)[0]
         if end != start + len(records):
-            # Too far behind, or ahead of a log that was begun anew.
+            # The reader is too far behind, or ahead of a log that started over.
             return None
         self._next = end
         return Batch(records, end, epoch=answer.epoch)
 
     async def _read_all(self) -> Batch:
-        """Read everything, in one epoch; begin again where it changes."""
+        """Read all records in one epoch; start over if the epoch changes."""
         self._next = None
         for _ in range(MAX_RESTARTS):
             with suppress(EpochChanged):
                 return await self._read_pages()
-        raise DirectoryError(f'log-newest {self.topic}: epochs change')
+        raise DirectoryError(f'log-newest {self.topic}: epoch keeps changing')
 
     async def _read_pages(self) -> Batch:
-        """Read all pages; what is written meanwhile is read afterwards."""
+        """Read all pages; the next read returns records written meanwhile."""
         query: dict[str, Any] = {'topic': self.topic, 'part': 0}
         first = await self._read_page(query)
         pages = [first]
@@ -240,7 +242,7 @@
             pages.append(page)
         self._next = first.end
         self._epoch = first.epoch
-        records = tuple([one for page in pages for one in page.records])
+        records = tuple([record for page in pages for record in page.records])
         return Batch(records, first.end, whole=True, epoch=first.epoch)
 
     async def _read_page(self, query: dict[str, Any]) -> 'Page':
@@ -250,8 +252,8 @@
         plain = json.loads(answer.body)
         records = tuple(
             [
-                Record(one['key'], base64.b64decode(one['value'] or ''))
-                for one in plain['items']
+                Record(row['key'], base64.b64decode(row['value'] or ''))
+                for row in plain['items']
             ]
         )
         is_last = not plain.get('hasMore') or not records
@@ -261,7 +263,7 @@
 
 @dataclass(frozen=True)
 class Page:
-    """A part of the newest records; `last_key` is empty on the last one."""
+    """A page of the newest records; the last page has an empty `last_key`."""
 
     records: tuple[Record, ...]
     end: int
@@ -269,21 +271,22 @@
     epoch: Epoch
 
 
-def frame_record(key: str, text: bytes) -> bytes:
-    """Return a keyed record as it is appended.
+def frame_record(key: str, value: bytes) -> bytes:
+    """Encode a keyed record for an append.
 
     >>> len(frame_record('k', b'text'))
     10
     """
-    raw = key.encode()
-    record = bytes((len(raw),)) + raw + text
+    raw_key = key.encode()
+    record = bytes((len(raw_key),)) + raw_key + value
     return RECORD_LENGTH.pack(len(record)) + record
 
 
 def split_records(raw: bytes) -> Iterator[Record]:
     """Yield the keyed records of a read.
 
-    One without a readable key counts, too, since each has its offset.
+    Records with an undecodable key are included, because every record has its
+    own offset.
     """
     position = 0
     while position + RECORD_LENGTH.size <= len(raw):
@@ -293,7 +296,7 @@
 
 
 def _split_record(framed: bytes) -> Record:
-    """Return a record; bytes of its key that can't be read are escaped."""
+    """Decode a record; undecodable bytes of its key are escaped."""
     key_end = 1 + framed[0] if framed else 0
     key = framed[1:key_end].decode(errors='backslashreplace')
     return Record(key, framed[key_end:])
--- a/trestledock/platform/_notices.py
+++ b/trestledock/platform/_notices.py
@@ -1,11 +1,11 @@
 """
-Notices in answers
-==================
+Notices in responses
+====================
 
-Reads the headers in which a target says something of itself: that it leaves,
-how long it wants rest from whoever asked, and how many requests a second it
-takes from all entries together.  What can't be read asks for nothing, and takes
-nothing back.
+Reads the headers in which a target describes its own state: that it is
+draining, how long the sender should back off, and how many requests per second
+it accepts from all entries together.  A value that can't be parsed has no
+effect, and does not revoke an earlier notice either.
 """
 
 import re
@@ -15,21 +15,23 @@
 
 RATE_LIMIT = b'server-limit'
 DRAINING = b'server-leaving'
-#: Seconds; only the answers of these statuses turn a request away.
+#: A back-off in seconds, read only from responses with one of these statuses.
 RETRY_AFTER = b'retry-after'
 REJECTED_STATUSES = frozenset((429, 503))
 DRAINING_VALUE = '1'
 DECIMAL = re.compile(r'[0-9]+(?:\.[0-9]*)?|\.[0-9]+')
-#: What a number counts as that no target could mean, in requests a second.
+#: Higher rates are implausible and are lowered to this one, in requests per
+#: second.
 MAX_RATE_PER_S = 1e9
-#: The longest rest that a target could mean, in seconds.
+#: Longer back-offs are implausible and are shortened to this one, in seconds.
 MAX_BACKOFF_S = 86_400.0
 
 
 def read_rate_limit(head: Head) -> NamedLimit:
-    """Return the limit that an answer names.
+    """Read the rate limit that a response announces.
 
-    Of several numbers the lowest counts, beside others that can't be read.
+    The lowest of several numbers applies; values that can't be parsed are
+    reported beside it.
     """
     texts = _read_texts(head, RATE_LIMIT)
     numbers = _parse_numbers(texts, MAX_RATE_PER_S)
@@ -41,15 +43,15 @@
 
 
 def read_draining(head: Head) -> bool:
-    """Return whether an answer says that its target leaves."""
+    """Return whether a response says that its target is draining."""
     return DRAINING_VALUE in _read_texts(head, DRAINING)
 
 
 def read_backoff(head: Head) -> NamedRest:
-    """Return the rest that an answer asks for.
+    """Read the back-off that a response requests.
 
-    Of several numbers the highest counts.  A date is no number: it would be
-    read by another machine's clock.
+    The highest of several numbers applies.  Dates are not accepted, because the
+    clocks of two machines may differ.
     """
     if head.status not in REJECTED_STATUSES:
         return NamedRest()
@@ -64,9 +66,13 @@
     return [text.strip() for text in head.get_headers(name)]
 
 
-def _parse_numbers(texts: Sequence[str], most: float) -> list[float]:
-    return [min(float(text), most) for text in texts if DECIMAL.fullmatch(text)]
+def _parse_numbers(texts: Sequence[str], maximum: float) -> list[float]:
+    return [
+        min(float(text), maximum) for text in texts if DECIMAL.fullmatch(text)
+    ]
 
 
 def _join_unreadable(texts: Sequence[str]) -> str:
-    return '; '.join(repr(one) for one in texts if not DECIMAL.fullmatch(one))
+    return '; '.join(
+        repr(text) for text in texts if not DECIMAL.fullmatch(text)
+    )
--- a/trestledock/platform/_quarantine.py
+++ b/trestledock/platform/_quarantine.py
@@ -1,10 +1,10 @@
 """
-Quarantine in the store
-=======================
+Quarantine topic
+================
 
-What entries remember of quarantined requests, as records of a topic of their
-own, by fingerprint.  What was answered after all keeps its record, since others
-may still know the ends that it was cleared of.
+Stores quarantined requests as records of a topic of their own, keyed by
+fingerprint.  A request that was answered after all keeps its record, because
+other entries may still know the crashes of which it was cleared.
 """
 
 import json
@@ -34,7 +34,7 @@
 from trestledock.relay import Quarantined
 
 TOPIC = 'keyed.quarantine'
-#: What the store answers where a partition has grown meanwhile.
+#: The store's response if the partition no longer ends at the expected offset.
 END_MISMATCH_STATUS = 412
 MS = 1000
 
@@ -42,21 +42,21 @@
 class QuarantineTopic:
     """The topic of quarantined requests.
 
-    Reads wait on a connection of their own.
+    Long-polling reads use a separate connection.
     """
 
     def __init__(self, address: str, epochs: StoreEpochs) -> None:
-        """Keep the address; nothing is sent yet."""
+        """Set the address without connecting."""
         self._reader = KeyedTopic(StoreClient(address, epochs), TOPIC)
         self._writer = StoreClient(address, epochs)
 
     async def read_records(self, wait_s: float) -> tuple[Quarantined, ...]:
-        """Return what is new, once there is something or the time is over."""
+        """Return new records, waiting up to `wait_s` for the first one."""
         batch = await self._reader.read(wait_s)
         return _decode_records(batch.records)
 
     async def read_whole(self) -> StoredQuarantine:
-        """Return all records, with the place at which the topic ends."""
+        """Return all records and the end of the topic."""
         batch = await KeyedTopic(self._writer, TOPIC).read()
         place = Place(batch.end, batch.epoch)
         return StoredQuarantine(_decode_records(batch.records), place)
@@ -66,10 +66,10 @@
         records: Iterable[Quarantined],
         expected: Place | None = None,
     ) -> bool:
-        """Write records; return whether the topic still ended at a place.
+        """Write records; return whether the topic ended at `expected`.
 
-        An offset that another copy of the store has given out is another place,
-        also where it has the same number.
+        The end must match in offset and epoch: the same offset in another epoch
+        belongs to another record.
         """
         query = {} if expected is None else {'expectedEnd': expected.offset}
         now_ms = read_unix_ms()
@@ -86,7 +86,7 @@
 
 
 def _encode_record(record: Quarantined, now_ms: float) -> bytes:
-    """Return the value of a record."""
+    """Encode the value of a record."""
     plain = {
         'ends': record.incarnations,
         'since_ms': round(now_ms - record.age_s * MS),
@@ -97,22 +97,25 @@
 
 
 def _decode_records(records: Iterable[Record]) -> tuple[Quarantined, ...]:
-    """Return what records say; one that makes no sense says nothing."""
+    """Decode records, skipping invalid ones."""
     now_ms = read_unix_ms()
-    found = []
+    decoded = []
     for record in records:
         try:
-            found.append(_decode_record(record, now_ms))
+            decoded.append(_decode_record(record, now_ms))
         except DECODE_ERRORS as exc:
             emit(RecordIgnored(record.key, repr(exc)))
-    return tuple(found)
+    return tuple(decoded)
 
 
 def _decode_record(record: Record, now_ms: float) -> Quarantined:
-    """Return a quarantined request; times of day differ, but by seconds."""
+    """Decode a quarantined request.
+
+    Its age is correct to within seconds, by which the clocks of entries differ.
+    """
     plain = json.loads(record.value)
     if not isinstance(plain, dict):
-        raise ValueError('no object')
+        raise ValueError('not a JSON object')
     since_ms = read_amount(plain.get('since_ms'))
     return Quarantined(
         record.key,
--- a/trestledock/platform/_run.py
+++ b/trestledock/platform/_run.py
@@ -2,7 +2,7 @@
 Entry process on the platform
 =============================
 
-Builds the entry from the platform's settings and runs it.
+Builds an entry from the platform's settings and runs it.
 """
 
 import sys
@@ -15,7 +15,7 @@
 
 
 def run_entry_process() -> None:
-    """Run an entry; leave with a message where the settings are of no use."""
+    """Run an entry; exit with a message if the settings are invalid."""
     set_up_logs()
     try:
         clock.run(run_entry, read_settings, PlatformDialect(), _make_directory)
--- a/trestledock/platform/_settings.py
+++ b/trestledock/platform/_settings.py
@@ -1,9 +1,9 @@
 """
-Settings file of the platform
-=============================
+Platform settings
+=================
 
-Reads the TOML file that the platform writes for each process.  Unknown fields
-are ignored; the platform may add some.
+Reads the TOML settings file that the platform writes for each process.  Unknown
+fields are ignored, because the platform may add some.
 """
 
 import os
@@ -15,10 +15,10 @@
 from trestledock.platform._fields import Field, ms_to_seconds, read_fields
 from trestledock.relay import BudgetTerms
 
-#: The variable that holds the path of the file.
+#: The environment variable with the path of the file.
 PATH_VARIABLE = 'TRESTLEDOCK_BOOT'
-#: The port of the metrics, which `deploy/system.toml` names, too: a fixed one,
-#: since ports of the settings file are new each day.
+#: The port of the metrics, which is also named in `deploy/system.toml`.  It is
+#: fixed because the ports in the settings file change every day.
 METRICS_PORT = 9464
 
 BUDGET_FIELDS = (
@@ -32,17 +32,17 @@
     Field('gracePeriodS', 'grace_s'),
 )
 
-#: What bounds the time until a change is in force: of the configuration, and
-#: of the targets that leave, in milliseconds.
+#: The bounds, in milliseconds, on the time until a change takes effect: a new
+#: configuration, and a draining target.
 PROPAGATION_BOUNDS = ('configMs', 'drainMs')
 
 
 class SettingsError(Exception):
-    """The settings file can't be read or lacks a field."""
+    """The settings file can't be read or a field is missing."""
 
 
 def read_settings() -> EntrySettings:
-    """Read the file that the environment names."""
+    """Read the settings file that the environment variable names."""
     path = os.environ.get(PATH_VARIABLE, '')
     if not path:
         raise SettingsError(f'{PATH_VARIABLE} is not set')
@@ -55,19 +55,20 @@
 
 
 def decode_settings(plain: dict[str, Any]) -> EntrySettings:
-    """Return the settings of a process from the platform's fields."""
+    """Decode the settings of a process."""
     bounds = plain.get('bounds', {})
-    more = read_fields(bounds, BOUND_FIELDS)
-    # `strictRevoke` says whether `revokeMs` holds when the store is away.
+    optional = read_fields(bounds, BOUND_FIELDS)
+    # `strictRevoke` tells whether `revokeMs` applies while the store is
+    # unavailable.
     if not bounds.get('strictRevoke', False):
-        more['revoke_s'] = 0
-    settling = [
+        optional['revoke_s'] = 0
+    propagation_s = [
         ms_to_seconds(bounds[name])
         for name in PROPAGATION_BOUNDS
         if name in bounds
     ]
-    if settling:
-        more['settle_s'] = min(settling)
+    if propagation_s:
+        optional['settle_s'] = min(propagation_s)
     return EntrySettings(
         instance=plain['nodeName'],
         data_centre=plain['zone'],
@@ -77,5 +78,5 @@
         store=plain['platform']['address'],
         metrics=f'{plain["ipAddr"]}:{METRICS_PORT}',
         budget=BudgetTerms(**read_fields(bounds, BUDGET_FIELDS)),
-        **more,
+        **optional,
     )
--- a/trestledock/platform/_store.py
+++ b/trestledock/platform/_store.py
@@ -1,9 +1,10 @@
 """
-The platform's store
-====================
+Platform store
+==============
 
-What stands in the platform's log: configuration, targets, the addresses of the
-entries, and up to which copy of the store these have waited for what was lost.
+Reads and writes the records in the platform's log: the configuration, targets,
+the addresses of entries, and the newest epoch of the store in which an entry
+has waited until lost records were written again.
 """
 
 import json
@@ -42,20 +43,20 @@
 CONFIG_KEY = 'config'
 TARGETS_TOPIC = 'keyed.servers'
 PEERS_TOPIC = 'keyed.status'
-#: What the record of an entry begins with, under `status/`.
+#: The prefix of the records of entries under `status/`.
 PEER_PREFIX = 'entry-'
-#: The record, also under `status/`, of the newest epoch of the store that some
-#: entry has waited in until the others had written again what was lost.
+#: The record, also under `status/`, of the newest epoch of the store in which
+#: an entry has waited until the other entries had written lost records again.
 EPOCH_KEY = 'epoch'
-#: What decoding raises where a configuration makes no sense.
+#: Raised when a configuration can't be decoded.
 CONFIG_DECODE_ERRORS = (*DECODE_ERRORS, KeyError, TypeError, AttributeError)
 
 
 class StoreDirectory:
-    """The store as the entry reads it."""
+    """The entry's interface to the store."""
 
     def __init__(self, address: str) -> None:
-        """Keep the topics; each has a connection of its own."""
+        """Set up the topics, each with its own connection."""
         self._epochs = StoreEpochs()
         self._config = self._make_topic(address, CONFIG_TOPIC)
         self._targets = self._make_topic(address, TARGETS_TOPIC)
@@ -66,11 +67,11 @@
 
     @property
     def epoch(self) -> Epoch:
-        """The newest epoch that any call has heard."""
+        """The newest epoch received in any response."""
         return self._epochs.current
 
     async def read_catalog(self) -> News:
-        """Return the newest configuration among what is new."""
+        """Return the newest configuration among the new records."""
         batch = await self._config.read()
         newest = News()
         for record in batch.records:
@@ -79,16 +80,17 @@
         return replace(newest, epoch=batch.epoch)
 
     def decode_document(self, document: str) -> Catalog:
-        """Read the text of a configuration that another entry passed on."""
+        """Decode a configuration document that another entry forwarded."""
         try:
             return decode_catalog(json.loads(document))
         except CONFIG_DECODE_ERRORS as exc:
             raise DirectoryError(f'configuration: {exc!r}') from exc
 
     async def read_targets(self) -> News:
-        """Return what is new of the targets, in the order of the log.
+        """Return the new records of targets, in the order of the log.
 
-        Each record counts: one that is written late is not the newest.
+        All of them are returned, because the last record of a target may have
+        been delayed and need not be its newest.
         """
         batch = await self._targets.read()
         news = tuple(_decode_targets(batch))
@@ -96,10 +98,7 @@
         return News(targets=news, whole=batch.whole, epoch=batch.epoch)
 
     async def read_peers(self) -> Announced:
-        """Return what entries have announced.
-
-        Of what another copy of the store held nothing counts.
-        """
+        """Return what entries have announced in the current epoch."""
         batch = await self._peers.read()
         if batch.whole:
             self._known_peers.clear()
@@ -114,14 +113,14 @@
         )
 
     async def announce(self, addresses: Mapping[str, str]) -> None:
-        """Write addresses of entries under their names."""
+        """Write the addresses of entries, keyed by entry name."""
         await self._write_peers(
             frame_record(f'{PEER_PREFIX}{name}', address.encode())
             for name, address in addresses.items()
         )
 
     async def announce_settled(self, epoch: int) -> None:
-        """Write that what the store lost before an epoch is there again."""
+        """Write that records lost before `epoch` have been written again."""
         text = str(epoch).encode()
         await self._write_peers([frame_record(EPOCH_KEY, text)])
 
@@ -144,7 +143,11 @@
             emit(RecordIgnored(record.key, repr(exc)))
 
     def _decode_version(self, record: Record) -> News:
-        """Return a version, or have it read again: nobody may vouch for it."""
+        """Decode a version of the configuration.
+
+        If that fails, the next read returns it again, so that the older version
+        does not pass for the newest one.
+        """
         document = record.value.decode()
         try:
             return News(self.decode_document(document), document)
@@ -154,9 +157,10 @@
 
 
 def _decode_settled_epoch(record: Record) -> Epoch:
-    """Return the epoch of a record; one without sense is the safe side.
+    """Decode a settled epoch.
 
-    No epoch of a store is before that, so whoever reads it waits.
+    An invalid record counts as -1.  This is lower than any epoch, so that
+    entries wait, which is safe.
     """
     try:
         return read_count(json.loads(record.value))
@@ -165,31 +169,31 @@
         return -1
 
 
-def _pick_newer(one: News, other: News) -> News:
+def _pick_newer(left: News, right: News) -> News:
     """Return the newer of two versions of the configuration."""
-    if one.catalog is None or other.catalog is None:
-        return one if other.catalog is None else other
-    return one if one.catalog.version > other.catalog.version else other
+    if left.catalog is None or right.catalog is None:
+        return left if right.catalog is None else right
+    return left if left.catalog.version > right.catalog.version else right
 
 
 def _log_stale_records(news: Iterable[TargetNews]) -> None:
-    """Note records that were written after newer ones of the same target."""
+    """Log records that were written after newer ones of the same target."""
     newest: dict[str, Listed] = {}
-    for one in news:
-        if one.listed is None:
+    for update in news:
+        if update.listed is None:
             continue
-        known = newest.setdefault(one.target_id, one.listed)
-        if one.listed.order < known.order:
-            emit(OldRecord(one.listed.incarnation, *one.listed.order))
+        known = newest.setdefault(update.target_id, update.listed)
+        if update.listed.order < known.order:
+            emit(OldRecord(update.listed.incarnation, *update.listed.order))
         else:
-            newest[one.target_id] = one.listed
+            newest[update.target_id] = update.listed
 
 
 def _decode_targets(batch: Batch) -> Iterator[TargetNews]:
-    """Yield what the records say; one that makes no sense hides no other.
+    """Decode the records of targets.
 
-    It names no target, as little as one that was removed, until the target
-    writes its entry again.
+    An invalid record does not affect the others.  It counts as a removal until
+    the target writes its record again.
     """
     for record in batch.records:
         yield TargetNews(record.key, _decode_target_record(record))
--- a/trestledock/platform/_target_records.py
+++ b/trestledock/platform/_target_records.py
@@ -1,10 +1,10 @@
 """
-Entries of targets
-==================
+Target records
+==============
 
-Decodes what targets write of themselves under `servers/`.  Anybody may write
-there, so each field is checked before anything of an entry is believed: one
-that makes no sense names no target.
+Decodes the records that targets write about themselves under `servers/`.
+Anyone may write there, so every field is validated before any part of a record
+is used; an invalid record describes no target.
 """
 
 import json
@@ -17,26 +17,27 @@
 from trestledock.platform._fields import Field, read_fields
 from trestledock.relay import UNTOLD, Listed, Standing
 
-#: What stands for the states that the platform names.
+#: The states that the platform names.
 STANDING_BY_STATE: Mapping[str, Standing] = MappingProxyType(
     {'ready': Standing.ready, 'draining': Standing.leaving}
 )
-#: An id goes into headers, and into names of incarnations after a `@`.
+#: Ids are written into headers, and into incarnation names before an `@`.
 TARGET_ID = re.compile('[!-?A-~]+')
 MAX_PORT = 65_535
-#: What decoding raises where an entry makes no sense; nested too deep is one.
+#: Raised when a record can't be decoded.  `RecursionError` is raised for deeply
+#: nested JSON.
 DECODE_ERRORS = (ValueError, RecursionError)
 
 
 def _read_name(plain: Any) -> str:
     if not read_text(plain):
-        raise ValueError('empty')
+        raise ValueError('empty name')
     return str(plain)
 
 
 def _read_positive(plain: Any) -> int:
     if not read_count(plain):
-        raise ValueError('zero')
+        raise ValueError('number must be greater than 0')
     return int(plain)
 
 
@@ -44,9 +45,9 @@
     host, _, port = read_text(plain).rpartition(':')
     IPv4Address(host)
     if not port.isascii() or not port.isdigit():
-        raise ValueError(f'no port: {plain!r}')
+        raise ValueError(f'port is not a number: {plain!r}')
     if not 0 < int(port) <= MAX_PORT:
-        raise ValueError(f'no port: {plain!r}')
+        raise ValueError(f'port out of range: {plain!r}')
     return f'{host}:{int(port)}'
 
 
@@ -57,8 +58,8 @@
     return STANDING_BY_STATE[state]
 
 
-#: `zone` is a data centre, `state` says whether new work may come, and
-#: `sequence` counts the heartbeats of one incarnation.
+#: `zone` is the data centre, `state` tells whether the target accepts new
+#: requests, and `sequence` counts the heartbeats of one incarnation.
 TARGET_FIELDS = (
     Field('service', 'service', _read_name),
     Field('address', 'address', _read_address),
@@ -68,33 +69,35 @@
     Field('sequence', 'sequence', read_count),
     Field('born', 'born', _read_positive),
 )
-#: What else an entry may say; nothing here is believed, but what another writer
-#: has put there tells it apart from a target's.
+#: Optional fields, whose values are not used.  They are validated because a
+#: wrong type shows that the record was not written by a target.
 EXTRA_FIELDS: Mapping[str, Callable[[Any], Any]] = MappingProxyType(
     {'version': read_text, 'coldLeftMs': read_amount, 'phase': read_text}
 )
-#: Platforms that give each start of a target a new id don't tell its birth.
+#: Platforms that assign a new id at each start of a target omit its birth time.
 FIELD_DEFAULTS = MappingProxyType({'born': UNTOLD})
 
 
 def decode_target(key: str, raw: bytes) -> Listed:
-    """Return the target that an entry names, or raise one of `UNREADABLE`."""
+    """Decode a target's record, or raise one of `DECODE_ERRORS`."""
     plain = json.loads(raw)
     if not isinstance(plain, dict):
-        raise ValueError('no object')
+        raise ValueError('not a JSON object')
     if not TARGET_ID.fullmatch(key):
-        raise ValueError('no id')
-    found = {**FIELD_DEFAULTS, **read_fields(plain, TARGET_FIELDS)}
+        raise ValueError('invalid target id')
+    attributes = {**FIELD_DEFAULTS, **read_fields(plain, TARGET_FIELDS)}
     for name in EXTRA_FIELDS.keys() & plain.keys():
         EXTRA_FIELDS[name](plain[name])
     missing = [
-        one.wire_name for one in TARGET_FIELDS if one.attribute not in found
+        field.wire_name
+        for field in TARGET_FIELDS
+        if field.attribute not in attributes
     ]
     if missing:
-        raise ValueError(f'missing: {missing}')
-    return Listed(target_id=key, **found)
+        raise ValueError(f'missing fields: {missing}')
+    return Listed(target_id=key, **attributes)
 
 
 def decode_address(raw: bytes) -> str:
-    """Return the address of an entry process, or raise a `ValueError`."""
+    """Decode the address of an entry, or raise `ValueError`."""
     return _read_address(raw.decode())
