--- a/trestledock/request/__init__.py
+++ b/trestledock/request/__init__.py
@@ -1,9 +1,9 @@
 """
-What lives for a request
-========================
+Requests
+========
 
-The request itself, its attempts, its outcome, the assembly of its answer and
-the bounds on its retries.
+Requests, their attempts and outcomes, the assembly of streamed answers, and the
+limits on retries.
 """
 
 from trestledock.request._attempt import Attempt, AttemptEvent, AttemptState
--- a/trestledock/request/_attempt.py
+++ b/trestledock/request/_attempt.py
@@ -2,14 +2,14 @@
 Attempts
 ========
 
-A small state table for one attempt to run a request on a target.  The final
-outcome of a request is derived from these records alone, see
+The state machine of one attempt to run a request on a target.  The final
+outcome of a request is derived from its attempts alone, see
 `trestledock.request.derive_outcome`.
 
 ::
 
     planned -> sent -> started -> complete
-                  \-> rejected     (the target proves that it did not start)
+                  \-> rejected     (proof that the target did not start)
                   \-> lost         (no proof either way)
 """
 
@@ -20,7 +20,7 @@
 
 
 class AttemptState(str, Enum):
-    """Where an attempt stands."""
+    """The state of an attempt."""
 
     planned = 'planned'
     sent = 'sent'
@@ -31,7 +31,7 @@
 
 
 class AttemptEvent(str, Enum):
-    """What may happen to an attempt."""
+    """An event that changes the state of an attempt."""
 
     write = 'write'
     answer = 'answer'
@@ -43,8 +43,8 @@
 _State = AttemptState
 _Event = AttemptEvent
 
-#: The table; a pair that is missing leaves the state as it is, because
-#: messages may come twice, late or out of order.
+#: State transitions.  Pairs that are not listed leave the state unchanged,
+#: because messages may be duplicated, late or out of order.
 TRANSITIONS: Mapping[tuple[AttemptState, AttemptEvent], AttemptState] = (
     MappingProxyType(
         {
@@ -62,7 +62,7 @@
     )
 )
 
-#: States that prove that the target did not run the request.
+#: States that prove that the target did not start the request.
 NOT_STARTED = frozenset((AttemptState.planned, AttemptState.rejected))
 
 #: States in which an attempt may still produce an answer.
@@ -73,7 +73,7 @@
 
 @dataclass(frozen=True)
 class Attempt:
-    """One attempt of a request on a target, numbered from 1."""
+    """An attempt to run a request on a target, numbered from 1."""
 
     number: int
     target: str
@@ -81,11 +81,11 @@
 
     @property
     def is_live(self) -> bool:
-        """Whether the attempt may still produce an answer."""
+        """Return whether the attempt may still produce an answer."""
         return self.state in LIVE
 
     def advance(self, event: AttemptEvent) -> 'Attempt':
-        """Return the attempt after `event`, unchanged where it says nothing.
+        """Return the attempt after `event`.
 
         >>> Attempt(1, 'e1').advance(AttemptEvent.write).state.value
         'sent'
--- a/trestledock/request/_outcome.py
+++ b/trestledock/request/_outcome.py
@@ -2,9 +2,10 @@
 Outcomes
 ========
 
-The four ends of a request and the rule that derives them from the attempts.
-The rule is the only place that may say `not_run`: it does so only while no
-attempt has left the caller's side, or every attempt was rejected with proof.
+The four outcomes of a request, and the rule that derives them from its
+attempts.  Only this rule may return `not_run`.  It does so only if no attempt
+was sent, or if every attempt was rejected with proof that the target did not
+start.
 """
 
 from dataclasses import dataclass
@@ -15,7 +16,7 @@
 
 
 class Outcome(str, Enum):
-    """How a request ended."""
+    """The final outcome of a request."""
 
     answered = 'answered'
     failed = 'failed'
@@ -24,7 +25,7 @@
 
 
 class Reason(str, Enum):
-    """Why a request was refused, retried or given up; one counter each."""
+    """Why a request was rejected, retried or abandoned; one counter each."""
 
     none = 'none'
     no_configuration = 'no_configuration'
@@ -52,10 +53,10 @@
 
 @dataclass(frozen=True)
 class Verdict:
-    """The final word on a request.
+    """The final result of a request.
 
-    `step` and `peer` say where it arose; `retry_after` is in seconds, zero
-    where asking again makes no sense.
+    `step` and `peer` tell where the result was produced.  `retry_after` is in
+    seconds, or zero if a retry is not advised.
     """
 
     outcome: Outcome
@@ -74,7 +75,7 @@
     *,
     idempotent: bool,
 ) -> Outcome:
-    """Derive how a request ended from its attempt records.
+    """Derive the outcome of a request from its attempts.
 
     >>> derive_outcome([], idempotent=False).value
     'not_run'
--- a/trestledock/request/_request.py
+++ b/trestledock/request/_request.py
@@ -2,13 +2,13 @@
 Requests
 ========
 
-The immutable description of what a caller asked for, and the length classes
-that the policy and the metrics tell apart.  A request knows no sockets: its
-prompt text stays with the connection that received it, and the policy sees
-only the prompt's size and the hashes of its leading blocks.
+The immutable description of a caller's request, and the prompt length classes
+used by the placement policy and the metrics.  A request does not contain the
+prompt text, which stays with the connection that received it; the policy sees
+only the size of the prompt and the hashes of its leading blocks.
 
-Token counts are tokens, instants are monotonic seconds of the instance that
-holds the request.
+Points in time are in seconds on the monotonic clock of the instance that
+handles the request.
 """
 
 from dataclasses import dataclass
@@ -19,22 +19,22 @@
 
 
 class Kind(str, Enum):
-    """What sort of target a request needs."""
+    """The kind of target that a request needs."""
 
     generate = 'generate'
     call = 'call'
 
 
 class LengthClass(str, Enum):
-    """Prompt length classes, shortest first."""
+    """Prompt length classes, from shortest to longest."""
 
     short = 'short'
     medium = 'medium'
-    long = 'long'  # noqa: WPS125 - the usual word for the class
+    long = 'long'  # noqa: WPS125 - the usual name of the class
     giant = 'giant'
 
 
-#: Upper bounds, in prompt tokens, of the classes below `giant`.
+#: Maximum prompt tokens of each class below `giant`.
 CLASS_BOUNDS: Mapping[LengthClass, int] = MappingProxyType(
     {
         LengthClass.short: 8_000,
@@ -43,7 +43,7 @@
     }
 )
 
-#: The priority that an engine is asked for, per class (lower runs first).
+#: The priority of a request on its engine, by class (lower runs first).
 CLASS_PRIORITY: Mapping[LengthClass, int] = MappingProxyType(
     {
         LengthClass.short: 1,
@@ -53,7 +53,7 @@
     }
 )
 
-#: The priority of work whose slack is nearly spent.
+#: The priority of a request with little slack left before its deadline.
 URGENT_PRIORITY = 0
 
 
@@ -71,26 +71,26 @@
 
 @dataclass(frozen=True)
 class Model:
-    """A model with its adapter and version, as the operators name them."""
+    """A model, adapter and version, as named by the operators."""
 
     name: str
     adapter: str = ''
     version: str = ''
 
     def __str__(self) -> str:
-        """Return the name that an engine reports for what it has loaded."""
+        """Return the name by which an engine reports a loaded model."""
         return f'{self.name}:{self.adapter}:{self.version}'
 
 
 @dataclass(frozen=True)
 class Request:
-    """One admitted request.
+    """An admitted request.
 
-    `deadline` is a monotonic instant of the instance that admitted it.
-    `idempotency_key` is empty where the caller gave none; `home` names the
-    data centre whose members decide on the key.  `prefix` holds hashes of the
-    prompt's leading blocks, longest prefix last.  `fingerprint` is that of each
-    attempt at the same request, empty where it is not known.
+    `deadline` is a time on the monotonic clock of the instance that admitted
+    it.  `idempotency_key` is empty if the caller gave none; `home` is the data
+    centre whose members decide about the key.  `prefix` holds hashes of the
+    prompt's leading blocks, longest prefix last.  `fingerprint` is the same for
+    every attempt at the request, and empty if unknown.
     """
 
     req_id: str
@@ -116,5 +116,5 @@
 
     @property
     def total_tokens(self) -> int:
-        """The KV tokens that the request needs at its largest."""
+        """The most tokens that the request occupies in the KV cache."""
         return self.prompt_tokens + self.max_tokens
--- a/trestledock/request/_retry.py
+++ b/trestledock/request/_retry.py
@@ -2,33 +2,34 @@
 Retries
 =======
 
-Two bounds on retries: a backoff with full jitter inside the deadline, and a
-breaker per target.  The budget that ties them to first attempts is that of
-`trestledock.relay`.  A counter per reason is kept by the node.
+Two limits on retries: a backoff with full jitter within the deadline, and a
+circuit breaker for each target.  The retry budget, which limits retries to a
+share of first attempts, is in `trestledock.relay`.  The node counts retries by
+reason.
 """
 
 from dataclasses import dataclass
 from enum import Enum
 from random import Random
 
-#: First and largest backoff, in seconds.
+#: The base and the maximum of the backoff, in seconds.
 BACKOFF_BASE_S = 0.02
 BACKOFF_CAP_S = 1.0
-#: Failures in a row that open a breaker, how long it stays open, and how often
-#: that doubles with failed probes.
+#: Consecutive failures that open a circuit breaker, the seconds that it then
+#: stays open, and how often that time doubles with failed probes.
 BREAKER_FAILURES = 3
 BREAKER_OPEN_S = 2.0
 MAX_DOUBLINGS = 4
 
 
 def draw_backoff(number: int, rng: Random) -> float:
-    """Return a full-jitter backoff in seconds before attempt `number`."""
+    """Return the jittered backoff in seconds before attempt `number`."""
     ceiling = min(BACKOFF_CAP_S, BACKOFF_BASE_S * 2**number)
     return rng.uniform(0, ceiling)
 
 
 class BreakerState(str, Enum):
-    """Whether a target gets traffic."""
+    """The state of a circuit breaker."""
 
     closed = 'closed'
     half_open = 'half_open'
@@ -37,7 +38,7 @@
 
 @dataclass
 class Breaker:
-    """A breaker of one target, with one probe while half open.
+    """The circuit breaker of a target; allows one probe while half open.
 
     >>> breaker = Breaker()
     >>> for _ in range(BREAKER_FAILURES):
@@ -60,23 +61,23 @@
         return BreakerState.opened
 
     def allows(self, now: float) -> bool:
-        """Whether an attempt may be sent at `now`."""
+        """Return whether an attempt may be sent at `now`."""
         state = self.get_state(now)
         if state is BreakerState.half_open:
             return not self.probing
         return state is BreakerState.closed
 
     def start(self, now: float) -> None:
-        """Note that an attempt was sent."""
+        """Record that an attempt was sent."""
         self.probing = self.get_state(now) is BreakerState.half_open
 
     def succeed(self) -> None:
-        """Note an answer: the target is well."""
+        """Record a success, which closes the circuit."""
         self.failures = 0
         self.probing = False
 
     def fail(self, now: float) -> None:
-        """Note a failure."""
+        """Record a failure."""
         self.failures += 1
         self.opened_at = now
         self.probing = False
--- a/trestledock/request/_stream.py
+++ b/trestledock/request/_stream.py
@@ -2,20 +2,21 @@
 Stream assembly
 ===============
 
-Puts the chunks of one answer in order.  Only chunks of the live attempt count;
-repeats are dropped, early ones wait, and the end is reported only when the
-engine's final marker has come and every chunk before it has been passed on.
+Reorders the chunks of a streamed answer.  Only chunks of the current attempt
+are accepted.  Duplicates are dropped and early chunks are buffered.  The stream
+is complete only after the engine's final marker has arrived and every chunk
+before it has been forwarded.
 """
 
 from dataclasses import dataclass, field
 
-#: How many early chunks may wait for a missing one.
+#: The most early chunks that are buffered while one is missing.
 MAX_EARLY_CHUNKS = 4096
 
 
 @dataclass(frozen=True)
 class Chunk:
-    """A piece of an answer: `tokens` tokens from token `index` on."""
+    """A part of an answer: `tokens` tokens, starting at token `index`."""
 
     index: int
     text: str
@@ -24,7 +25,7 @@
 
 @dataclass
 class Assembler:
-    """The order keeper of one answer.
+    """Reorders the chunks of one answer.
 
     >>> assembler = Assembler(attempt=1)
     >>> assembler.push(1, Chunk(1, 'b'))
@@ -40,11 +41,11 @@
 
     @property
     def is_whole(self) -> bool:
-        """Whether every token up to the final marker has been passed on."""
+        """Return whether all tokens up to the final marker were forwarded."""
         return self.expected is not None and self.next_index >= self.expected
 
     def push(self, attempt: int, chunk: Chunk) -> tuple[Chunk, ...]:
-        """Take a chunk; return those that may now go to the caller."""
+        """Add a chunk; return the chunks that can now be forwarded."""
         if attempt != self.attempt or chunk.index < self.next_index:
             return ()
         if len(self._early) < MAX_EARLY_CHUNKS:
@@ -52,12 +53,12 @@
         return tuple(self._pop_ready())
 
     def finish(self, attempt: int, count: int) -> None:
-        """Take the final marker: the answer has `count` tokens in all."""
+        """Record the final marker: the answer has `count` tokens in total."""
         if attempt == self.attempt:
             self.expected = count
 
     def switch(self, attempt: int) -> None:
-        """Continue with another attempt, after the tokens passed on so far."""
+        """Continue with another attempt, after the tokens already forwarded."""
         self.attempt = attempt
         self.expected = None
         self._early.clear()
--- a/trestledock/version/__init__.py
+++ b/trestledock/version/__init__.py
@@ -1,9 +1,9 @@
 """
-What lives for a version
-========================
+Configuration versions
+======================
 
-The configuration, its checks, the selectors in it, and the fold of the log
-that decides which version is in force.
+The configuration, its validation, its selectors, and the fold of the log that
+decides which version is in force.
 """
 
 from trestledock.version._bodies import EpochBody, LeaseBody
--- a/trestledock/version/_bodies.py
+++ b/trestledock/version/_bodies.py
@@ -1,10 +1,9 @@
 """
-Bodies of records
-=================
+Record bodies
+=============
 
-What the records of each scope hold, besides configurations.  They are checked
-by the fold, so that a record that makes no sense is refused by every reader
-alike.
+The contents of log records in each scope other than the configuration.  The
+fold validates them, so that every reader rejects the same invalid records.
 """
 
 from dataclasses import dataclass
@@ -12,7 +11,7 @@
 
 @dataclass(frozen=True)
 class EpochBody:
-    """The body of an epoch record: its members and those of the one before."""
+    """The body of an epoch record: its members and the previous members."""
 
     members: tuple[str, ...]
     replicas: int = 2
--- a/trestledock/version/_check.py
+++ b/trestledock/version/_check.py
@@ -1,10 +1,10 @@
 """
-Checked documents
-=================
+Document validation
+===================
 
 Reads YAML or JSON documents into frozen data classes and reports every error
-with its path.  Settings and configurations share this one place; both raise
-the one `OptionError`.
+with its path.  Used for settings and configurations, both of which report
+errors as `OptionError`.
 """
 
 import difflib
@@ -24,20 +24,21 @@
 
 Document = TypeVar('Document')
 
-#: The kinds that are never converted from one another.
+#: Types that are never converted into one another.
 SCALAR_TYPES = (str, int, float, bool)
 
-#: The choices; they are texts, too, and are told apart from them here.
+#: Enumerations.  Their members are also of type `str`, so they need a hook of
+#: their own.
 ENUM_TYPES = (TargetKind, Op)
 
 _EXTRA_FIELDS = re.compile(r'extra fields found \((.+)\) @ (.*)')
 
 
 class OptionError(Exception):
-    """A document that does not fit its data class, with all its errors."""
+    """A document is invalid; `errors` has a line for each error."""
 
     def __init__(self, errors: tuple[str, ...]) -> None:
-        """Keep the errors, one line each."""
+        """Set the errors, one line each."""
         super().__init__('; '.join(errors))
         self.errors = errors
 
@@ -59,7 +60,7 @@
 
 
 def make_converter() -> cattrs.Converter:
-    """Return the converter of all documents: strict, no unknown keys."""
+    """Return the strict converter for documents; it forbids unknown keys."""
     converter = cattrs.Converter(forbid_extra_keys=True)
     for kind in SCALAR_TYPES:
         converter.register_structure_hook(kind, _structure_scalar)
@@ -72,7 +73,7 @@
 
 
 def _list_field_names(kind: Any) -> list[str]:
-    """Return every field name that occurs in a data class, nested too."""
+    """Return all field names of a data class, including nested classes."""
     names: list[str] = []
     for field in fields(kind):
         names.append(field.name)
@@ -95,32 +96,32 @@
 
 
 def _add_key_hints(line: str, kind: type) -> str:
-    found = _EXTRA_FIELDS.match(line)
-    if not found:
+    match = _EXTRA_FIELDS.match(line)
+    if not match:
         return line
     names = _list_field_names(kind)
     hints = []
-    for key in found.group(1).split(', '):
+    for key in match.group(1).split(', '):
         near = difflib.get_close_matches(key, names, n=1, cutoff=0)
         hints.append(f'unknown key {key}, nearest known: {near[0]}')
     joined = '; '.join(hints)
-    return f'{joined} @ {found.group(2)}'
+    return f'{joined} @ {match.group(2)}'
 
 
 def load_document(
     text: str,
     kind: type[Document],
 ) -> Result[Document, OptionError]:
-    """Read a YAML (or JSON) text into the data class `kind`.
+    """Read YAML or JSON text into the data class `kind`.
 
-    The failure holds an `OptionError` with a line for each error.
+    On failure the result holds an `OptionError` with a line for each error.
     """
     try:
         raw = yaml.safe_load(text)
     except yaml.YAMLError as exc:
         return Failure(OptionError((f'not YAML: {exc}',)))
     if not isinstance(raw, dict):
-        return Failure(OptionError(('a mapping is expected @ $',)))
+        return Failure(OptionError(('expected a mapping @ $',)))
     try:
         return Success(CONVERTER.structure(raw, kind))
     except Exception as exc:
@@ -138,7 +139,7 @@
         ('rules', tuple(rule.name for rule in cfg.rules)),
     ):
         if len(set(names)) < len(names):
-            yield f'names must differ @ $.{section}'
+            yield f'names must be unique @ $.{section}'
         if '' in names:
             yield f'a name is empty @ $.{section}'
 
@@ -147,13 +148,13 @@
     for index, team in enumerate(cfg.teams):
         path = f'$.teams[{index}]'
         if team.weight <= 0:
-            yield f'weight must be above zero @ {path}.weight'
+            yield f'weight must be greater than 0 @ {path}.weight'
         if team.limit < 0:
             yield f'limit must not be negative @ {path}.limit'
         if team.deadline_ms <= 0:
-            yield f'deadline_ms must be above zero @ {path}.deadline_ms'
+            yield f'deadline_ms must be greater than 0 @ {path}.deadline_ms'
         if team.home and team.home not in cfg.data_centres:
-            yield f'home is no data centre @ {path}.home'
+            yield f'home is not a listed data centre @ {path}.home'
 
 
 def _check_engine_pool(cfg: Configuration, index: int) -> Iterator[str]:
@@ -161,7 +162,7 @@
     if not pool.models:
         yield f'an engine pool needs models @ $.pools[{index}].models'
     if not 0 <= pool.giant_share <= 1:
-        yield f'giant_share must be 0 to 1 @ $.pools[{index}].giant_share'
+        yield f'giant_share must be in [0, 1] @ $.pools[{index}].giant_share'
 
 
 def _check_service_pool(cfg: Configuration, index: int) -> Iterator[str]:
@@ -186,7 +187,7 @@
 
 def _check_claims(cfg: Configuration) -> Iterator[str]:
     if cfg.claims.keep_s <= 0:
-        yield 'keep_s must be above zero @ $.claims.keep_s'
+        yield 'keep_s must be greater than 0 @ $.claims.keep_s'
     if cfg.claims.replicas < 1:
         yield 'replicas must be at least 1 @ $.claims.replicas'
     if not cfg.data_centres:
@@ -197,7 +198,7 @@
 
 
 def check_configuration(text: str) -> Result[Configuration, OptionError]:
-    """Read and check a configuration: its shape, then its sense."""
+    """Read and validate a configuration: first types, then values."""
     return load_document(text, Configuration).bind(_check_semantics)
 
 
--- a/trestledock/version/_fold.py
+++ b/trestledock/version/_fold.py
@@ -1,21 +1,21 @@
 """
-The fold of the log
-===================
+Log fold
+========
 
-One rule decides everything that must be agreed: a record names a scope and the
-offset of the record it is based on, and is accepted if, and only if, that is
-the offset accepted last in its scope (compare and set).  Every reader folds
-the same records in the same order and so reaches the same verdicts; a record
-appended twice under one id is accepted at most once.
+One rule decides all shared state: a record names a scope and the offset of the
+record that it is based on, and is accepted if and only if that record is the
+last one accepted in its scope (compare-and-set).  All readers fold the same
+records in the same order and therefore reach the same verdicts.  A record
+appended twice with the same id is accepted at most once.
 
-Scopes are `configuration`, `epoch/<data centre>` and `lease/<data centre>`.
+The scopes are `configuration`, `epoch/<data centre>` and `lease/<data centre>`.
 
-A log keeps records for a limited time.  A `Snapshot` therefore carries the
+The log keeps records for a limited time.  A `Snapshot` therefore carries the
 whole state and `as_of`, the offset up to which its writer had read.  A reader
-that misses older records takes a snapshot only if it has read everything from
-`as_of` on, and then folds those records again: a stale snapshot of a writer
-that had been paused can bring nothing back.  The same rebase takes the state
-from a peer while the platform is away.
+that has missed older records installs a snapshot only if it has read every
+record from `as_of` on, and then folds those records again.  A stale snapshot,
+written by a process that was paused, can therefore not restore old state.  The
+state of a peer is installed in the same way while the platform is unavailable.
 """
 
 from dataclasses import dataclass, field
@@ -33,16 +33,16 @@
 EPOCH_PREFIX = 'epoch/'
 LEASE_PREFIX = 'lease/'
 
-#: The base of the first record of a scope.
+#: The base of the first record in a scope.
 NO_BASE = -1
 
-#: How many verdicts of recent records are remembered.
+#: The number of recent records whose verdicts are kept.
 MAX_VERDICTS = 2048
 
 
 @dataclass(frozen=True)
 class Record:
-    """A record of the log; `body` is JSON text."""
+    """A log record; `body` is JSON text."""
 
     record_id: str
     scope: str
@@ -52,7 +52,7 @@
 
 @dataclass(frozen=True)
 class Accepted:
-    """The record accepted last in a scope and its offset."""
+    """The last accepted record of a scope, with its offset."""
 
     offset: int
     record_id: str
@@ -61,7 +61,7 @@
 
 @dataclass(frozen=True)
 class Snapshot:
-    """The state of a fold that had read every record below `as_of`."""
+    """The state of a fold that has read every record below `as_of`."""
 
     as_of: int
     scopes: Mapping[str, Accepted]
@@ -88,7 +88,7 @@
     return isinstance(check_configuration(body), Success)
 
 
-#: What makes a body valid, by the part of the scope before the slash.
+#: Checks of record bodies, by the part of the scope before the slash.
 _BODY_CHECKS: Mapping[str, Callable[[str], bool]] = MappingProxyType(
     {
         CONFIGURATION: _is_configuration,
@@ -100,7 +100,7 @@
 
 @dataclass
 class Fold:
-    """The state of one reader of the log.
+    """The state that a reader has derived from the log.
 
     >>> fold = Fold()
     >>> body = '{"holder": "entry-1", "ttl_s": 10}'
@@ -115,7 +115,7 @@
     verdicts: dict[str, bool] = field(default_factory=dict)
 
     def get_accepted_by_scope(self, scope: str) -> Accepted | None:
-        """Return what is in force in `scope`."""
+        """Return the record in force in `scope`."""
         return self.scopes.get(scope)
 
     def get_base_by_scope(self, scope: str) -> int:
@@ -126,7 +126,7 @@
     def apply(self, offset: int, record: Record) -> bool:
         """Fold the record at `offset`; return whether it was accepted.
 
-        A record below `next_offset` was folded before and changes nothing.
+        Records below `next_offset` were folded before and have no effect.
         """
         if offset < self.next_offset:
             return self.verdicts.get(record.record_id, False)
@@ -143,7 +143,7 @@
         return verdict
 
     def rebase(self, snapshot: Snapshot) -> bool:
-        """Take the state of a snapshot that is ahead of this reader."""
+        """Install a snapshot; return false if it is not ahead of this fold."""
         if snapshot.as_of <= self.next_offset:
             return False
         self.next_offset = snapshot.as_of
@@ -154,7 +154,7 @@
         return True
 
     def get_snapshot(self) -> Snapshot:
-        """Return the state as of now."""
+        """Return the current state."""
         return Snapshot(self.next_offset, dict(self.scopes))
 
     def _remember(self, record_id: str, verdict: bool) -> None:
--- a/trestledock/version/_placement.py
+++ b/trestledock/version/_placement.py
@@ -1,11 +1,12 @@
 """
-Permitted targets
-=================
+Placement permissions
+=====================
 
-The strict filter that keeps the operators' intent in force: a pool decides
-which instances may hold a model or answer for a service, and every rule whose
-work selector matches narrows them further.  Work that nothing may take is
-refused with the selector that shut it out; it never spills elsewhere.
+A strict filter that enforces the operators' configuration.  A pool decides
+which instances may hold a model or serve a service, and every rule whose work
+selector matches restricts them further.  A request that no instance may run is
+rejected, naming the selector that excluded it; it never runs on other
+instances.
 """
 
 from dataclasses import dataclass
@@ -21,7 +22,7 @@
 
 @dataclass(frozen=True)
 class Permission:
-    """Whether work may run on an instance, and which selector forbids it."""
+    """Whether a request may run on an instance, or what forbids it."""
 
     allowed: bool
     forbidden_by: str = ''
@@ -29,7 +30,7 @@
 
 
 def get_work_labels(req: Request, data_centre: str) -> Labels:
-    """Return the labels of a request that work selectors see."""
+    """Return the labels of a request that work selectors match."""
     return {
         'team': req.team,
         'model': req.model.name,
@@ -42,14 +43,14 @@
 
 
 def get_pool_by_request(cfg: Configuration, req: Request) -> Pool | None:
-    """Return the pool that serves a request, None where there is none."""
+    """Return the pool that serves a request, or None."""
     if req.kind is Kind.call:
         return cfg.get_pool_by_service(req.service)
     return cfg.get_pool_by_model(req.model)
 
 
 def get_rules_by_work(cfg: Configuration, work: Labels) -> tuple[Rule, ...]:
-    """Return the rules in force for work with these labels."""
+    """Return the rules that apply to work with these labels."""
     return tuple(rule for rule in cfg.rules if matches(rule.work, work))
 
 
@@ -58,9 +59,9 @@
     rules: tuple[Rule, ...],
     labels: Labels,
 ) -> Permission:
-    """Decide whether an instance with `labels` may take the work.
+    """Decide whether an instance with `labels` may run the work.
 
-    `preference` counts the rules whose `prefer` it meets.
+    `preference` is the number of rules whose `prefer` selector matches.
     """
     term = find_failing_term(pool.select, labels)
     if term:
--- a/trestledock/version/_reader.py
+++ b/trestledock/version/_reader.py
@@ -2,8 +2,8 @@
 Log reader
 ==========
 
-Feeds batches read from the log into a `Fold`, across gaps that the log's
-retention has torn.
+Feeds batches from the log into a `Fold`, and bridges gaps where records were
+removed by the log's retention.
 """
 
 from dataclasses import dataclass, field
@@ -20,7 +20,7 @@
 
 @dataclass(frozen=True)
 class Entry:
-    """A record as read from the log, with its offset."""
+    """A log record and its offset."""
 
     offset: int
     record: Record
@@ -28,10 +28,10 @@
 
 @dataclass(frozen=True)
 class Batch:
-    """An answer of the log: entries from `first` on.
+    """A response of the log: entries from offset `first`.
 
-    `first` is the first offset that the log still keeps at or above the
-    offset asked for; `tail` is the offset that the next append will get.
+    `first` is the lowest retained offset at or above the requested one; `tail`
+    is the offset of the next append.
     """
 
     first: int
@@ -39,13 +39,13 @@
     entries: tuple[Entry, ...]
 
 
-#: Stands for a record that others keep on the log; nothing accepts it.
+#: Placeholder for records of other applications; it is never accepted.
 FOREIGN = Record('', 'foreign', -2, '')
 
 
 @dataclass(frozen=True)
 class RawBatch:
-    """A batch whose entries have not been looked at."""
+    """A batch whose entries have not been decoded."""
 
     first: int
     tail: int
@@ -53,32 +53,33 @@
 
 
 def read_batch(plain: Any) -> Batch:
-    """Read an answer of the log; records of others are kept as foreign.
+    """Decode a response of the log.
 
-    Raises `DecodeError` where the answer itself makes no sense.
+    Entries that can't be decoded are replaced by `FOREIGN`.  Raises
+    `DecodeError` if the response itself is invalid.
     """
     raw = decode(plain, RawBatch)
     entries = []
-    for number, one in enumerate(raw.entries):
+    for number, plain_entry in enumerate(raw.entries):
         try:
-            entries.append(decode(one, Entry))
+            entries.append(decode(plain_entry, Entry))
         except DecodeError:
             entries.append(Entry(raw.first + number, FOREIGN))
     return Batch(raw.first, raw.tail, tuple(entries))
 
 
 def make_snapshot_record(record_id: str, fold: Fold) -> Record:
-    """Return the record that keeps the state of `fold` on the log."""
+    """Return a record that stores the state of `fold` in the log."""
     snapshot = fold.get_snapshot()
     return Record(record_id, SNAPSHOT, snapshot.as_of, dump_json(snapshot))
 
 
 @dataclass
 class Reader:
-    """One reader of the log.
+    """A reader of the log.
 
-    `has_gap` is true while records are missing between the fold and what has
-    been read since; entries read meanwhile wait in `_pending`.
+    `has_gap` is true while records are missing between the fold and the entries
+    read after the gap; these are kept in `_pending`.
     """
 
     fold: Fold = field(default_factory=Fold)
@@ -90,7 +91,7 @@
     _pending: list[Entry] = field(default_factory=list)
 
     def feed(self, batch: Batch) -> list[Entry]:
-        """Take a batch; return the entries accepted by it."""
+        """Process a batch; return its accepted entries."""
         if batch.first > self.next_read:
             self._start_gap(batch.first)
         accepted: list[Entry] = []
@@ -103,18 +104,18 @@
         return accepted
 
     def adopt(self, snapshot: Snapshot) -> list[Entry]:
-        """Take a snapshot from the log or from a peer.
+        """Install a snapshot from the log or from a peer.
 
-        Returns the waiting entries that were accepted on top of it.
+        Returns the pending entries that were then accepted.
         """
-        covers = not self.has_gap or snapshot.as_of >= self._gap_start
-        if not covers or not self.fold.rebase(snapshot):
+        covers_gap = not self.has_gap or snapshot.as_of >= self._gap_start
+        if not covers_gap or not self.fold.rebase(snapshot):
             return []
         self.next_read = max(self.next_read, self.fold.next_offset)
         self.has_gap = False
-        waiting = tuple(self._pending)
+        pending = tuple(self._pending)
         self._pending.clear()
-        return [entry for entry in waiting if self._apply(entry)]
+        return [entry for entry in pending if self._apply(entry)]
 
     def _start_gap(self, first: int) -> None:
         self.has_gap = True
--- a/trestledock/version/_schema.py
+++ b/trestledock/version/_schema.py
@@ -1,10 +1,10 @@
 """
-The configuration
-=================
+Configuration schema
+====================
 
-The frozen data classes that a configuration file is read into.  Every field is
-declared here once: names, types and defaults; `check_configuration` reads and
-checks a document against them.
+The frozen data classes of a configuration file.  They declare the name, type
+and default of every field; `check_configuration` reads documents into them and
+validates the values.
 """
 
 from dataclasses import dataclass
@@ -15,7 +15,7 @@
 
 
 class TargetKind(str, Enum):
-    """What the instances of a pool are."""
+    """The kind of targets in a pool."""
 
     engine = 'engine'
     service = 'service'
@@ -25,9 +25,9 @@
 class Team:
     """A team: its weight, its limit and its defaults.
 
-    `limit` is in engine seconds a second, over all instances; zero means no
-    limit.  `home` names the data centre that decides on the team's
-    idempotency keys where the caller names none.
+    `limit` is in engine seconds per second over all instances; zero means no
+    limit.  `home` is the data centre that decides about the team's idempotency
+    keys if the caller names none.
     """
 
     name: str
@@ -39,12 +39,12 @@
 
 @dataclass(frozen=True)
 class Pool:
-    """A pool of targets: the instances that `select` names.
+    """A pool of targets: the instances that `select` matches.
 
-    A pool of engines holds `models`; a pool of services answers for
-    `service`.  `checks_fencing` says whether its engines refuse an order with
-    an old fencing number.  `idempotent_paths` lists the paths of a service
-    whose calls may be repeated.
+    A pool of engines holds `models`; a pool of services serves `service`.
+    `checks_fencing` tells whether its engines reject orders with an outdated
+    fencing number.  `idempotent_paths` lists the paths of a service whose calls
+    may be repeated.
     """
 
     name: str
@@ -59,9 +59,9 @@
 
 @dataclass(frozen=True)
 class Rule:
-    """Work that `work` selects may run only where `instances` selects.
+    """Restricts work that matches `work` to targets that match `instances`.
 
-    Rules hold together: a target must meet every rule whose `work` matches.
+    All rules apply: a target must satisfy every rule whose `work` matches.
     `prefer` ranks the permitted targets.  Work has the labels `team`,
     `model`, `adapter`, `version`, `service`, `length` and `data_centre` (of
     the entry instance).
@@ -75,11 +75,11 @@
 
 @dataclass(frozen=True)
 class Claims:
-    """How long the outcome of a non-idempotent call is remembered.
+    """How long the outcomes of non-idempotent calls are stored.
 
-    `keep_s` must exceed the time over which callers repeat a key.  It is
-    also how long the keys of a data centre whose instances were all lost at
-    once are answered `unknown`.
+    `keep_s` must exceed the time during which callers repeat a key.  If all
+    instances of a data centre are lost at once, calls with its keys also get
+    the outcome `unknown` for this time.
     """
 
     keep_s: float = 600
@@ -88,7 +88,7 @@
 
 @dataclass(frozen=True)
 class Configuration:
-    """A whole configuration, the unit that is published and accepted."""
+    """A complete configuration; published and accepted as a whole."""
 
     data_centres: tuple[str, ...]
     teams: tuple[Team, ...]
@@ -108,7 +108,7 @@
         )
 
     def get_pool_by_service(self, service: str) -> Pool | None:
-        """Return the pool that answers for `service`."""
+        """Return the pool that serves `service`."""
         return next(
             (
                 pool
--- a/trestledock/version/_selector.py
+++ b/trestledock/version/_selector.py
@@ -2,8 +2,8 @@
 Labels and selectors
 ====================
 
-A selector is a list of terms, all of which must hold for a set of labels.
-Terms are written in YAML, not in a language of their own::
+A selector is a list of terms, all of which must match a set of labels.  Terms
+are written in YAML rather than in a language of their own::
 
     instances:
       - {key: hardware, op: in, of: [h100, a100]}
@@ -19,7 +19,7 @@
 
 
 class Op(str, Enum):
-    """How a term compares a label."""
+    """The operator of a term."""
 
     in_ = 'in'
     not_in = 'not_in'
@@ -29,9 +29,9 @@
 
 @dataclass(frozen=True)
 class Term:
-    """One condition on one label.
+    """A condition on one label.
 
-    A missing label is not `in` anything and is `not_in` everything.
+    A missing label never satisfies `in` and always satisfies `not_in`.
     """
 
     key: str
@@ -39,7 +39,7 @@
     of: tuple[str, ...] = ()
 
     def __str__(self) -> str:
-        """Return the term as it is shown to operators and callers."""
+        """Return the term as shown to operators and callers."""
         return f'{self.key} {self.op.value} {list(self.of)}'
 
 
@@ -56,7 +56,7 @@
 
 
 def find_failing_term(selector: Selector, labels: Labels) -> Term | None:
-    """Return the first term that `labels` do not meet, None where all hold."""
+    """Return the first term that `labels` don't match, or None."""
     for term in selector:
         if not _CHECKS[term.op](term, labels):
             return term
@@ -64,7 +64,7 @@
 
 
 def matches(selector: Selector, labels: Labels) -> bool:
-    """Whether `labels` meet every term of `selector`.
+    """Return whether `labels` match every term of `selector`.
 
     >>> matches((Term('hardware', Op.in_, ('h100',)),), {'hardware': 'h100'})
     True
