--- a/trestledock/connection/__init__.py
+++ b/trestledock/connection/__init__.py
@@ -1,9 +1,9 @@
 """
-What lives for a connection
-===========================
+Connections
+===========
 
-The tasks around the core: caller, target, peer and platform connections, and
-the daemon that runs them.
+The I/O tasks around the core: connections to callers, targets, peers and the
+platform, and the daemon that runs them.
 """
 
 from trestledock.connection._daemon import run_instance, run_until_signal
--- a/trestledock/connection/_caller.py
+++ b/trestledock/connection/_caller.py
@@ -2,8 +2,8 @@
 Caller connections
 ==================
 
-The web application of an entry instance: what callers, peers, operators and
-the platform's balancer ask of it.
+The web application of an entry instance, with routes for callers, peers,
+operators and the platform's load balancer.
 """
 
 import json
@@ -42,16 +42,17 @@
 from trestledock.process import Arrive, CallerGone, EmitChunks, Finish
 from trestledock.request import Outcome, Request, Verdict
 
-#: How long past the deadline the connection waits for the core's last word.
+#: How long a connection waits for the core's verdict after the deadline, in
+#: seconds.
 VERDICT_GRACE_S = 1.0
 NOT_READY_STATUS = HTTPStatus.SERVICE_UNAVAILABLE
 
 
 class CallerApp:
-    """The web application around one hub."""
+    """The web application of one hub."""
 
     def __init__(self, hub: Hub) -> None:
-        """Keep the hub that the routes talk to."""
+        """Set the hub that the routes use."""
         self.hub = hub
 
     def make_app(self) -> Starlette:
@@ -80,7 +81,7 @@
         )
 
     async def complete(self, http: HttpRequest) -> Response:
-        """Serve a completion, whole or as server-sent events."""
+        """Serve a completion, as one response or as server-sent events."""
         body = await read_body(http, self.hub.settings)
         completion = read_completion(body)
         envelope = read_envelope(http, self._get_cfg(), anyio.current_time())
@@ -103,7 +104,7 @@
         return await self._respond(http, req, exchange)
 
     async def call(self, http: HttpRequest) -> Response:
-        """Pass a call on to a plain service."""
+        """Forward a call to a plain service."""
         body = await read_body(http, self.hub.settings)
         cfg = self._get_cfg()
         envelope = read_envelope(http, cfg, anyio.current_time())
@@ -121,7 +122,7 @@
         return await self._respond(http, req, exchange)
 
     async def receive_peer_message(self, http: HttpRequest) -> Response:
-        """Take a message from a peer."""
+        """Receive a message from a peer."""
         body = await http.body()
         self.hub.metrics.control_bytes.labels('received').inc(len(body))
         await self.hub.send(decode_peer_message(body))
@@ -132,11 +133,11 @@
         return PlainTextResponse(self.hub.metrics.render(self.hub.node))
 
     async def get_health(self, http: HttpRequest) -> Response:
-        """Say that the process lives."""
+        """Report that the process is running."""
         return PlainTextResponse('ok')
 
     async def get_ready(self, http: HttpRequest) -> Response:
-        """Say whether the balancer should send requests here."""
+        """Report whether the load balancer should send requests here."""
         ready = self.hub.node.is_ready()
         text = 'ready' if ready else 'not ready'
         return PlainTextResponse(
@@ -174,7 +175,7 @@
     async def _respond_streaming(
         self, req: Request, exchange: Exchange
     ) -> Response:
-        """Start the stream only once there is a token to send."""
+        """Start the response only when the first token is available."""
         reply = await self._receive_reply(req, exchange)
         if isinstance(reply, Finish):
             self.hub.exchanges.pop(req.req_id, None)
@@ -190,19 +191,19 @@
         exchange: Exchange,
         reply: Any,
     ) -> AsyncIterator[str]:
-        is_whole = False
+        is_complete = False
         try:
             while isinstance(reply, EmitChunks):
                 for chunk in reply.chunks:
                     event = {'index': chunk.index, 'text': chunk.text}
                     yield _format_event(event)
                 reply = await self._receive_reply(req, exchange)
-            is_whole = True
+            is_complete = True
             yield _format_event(_make_final_event(reply.verdict))
             yield 'data: [DONE]\n\n'
         finally:
             self.hub.exchanges.pop(req.req_id, None)
-            if not is_whole:
+            if not is_complete:
                 with anyio.CancelScope(shield=True):
                     await self.hub.send(CallerGone(req.req_id))
 
@@ -226,7 +227,7 @@
                 return reply.verdict
 
     async def _watch_disconnect(self, http: HttpRequest, req: Request) -> None:
-        """Tell the core when the caller leaves."""
+        """Notify the core when the caller disconnects."""
         while not await http.is_disconnected():
             await anyio.sleep(VERDICT_GRACE_S / 4)
         await self.hub.send(CallerGone(req.req_id))
--- a/trestledock/connection/_daemon.py
+++ b/trestledock/connection/_daemon.py
@@ -1,9 +1,9 @@
 """
-Daemon
-======
+Instance daemon
+===============
 
-An entry instance as a process: the hub, its links and its web server, from
-the settings to the graceful end.
+Runs an entry instance as a process: the hub, its links and its web server, from
+start to graceful shutdown.
 """
 
 import logging
@@ -40,21 +40,21 @@
     ToPeer,
 )
 
-#: How often the end of the drain is looked for, in seconds.
+#: How often the daemon checks whether it is drained, in seconds.
 DRAIN_POLL_INTERVAL_S = 0.1
-#: Connections to targets that one instance may have open.
+#: The most open connections to targets.
 MAX_CONNECTIONS = 2000
 
 log = logging.getLogger('trestledock')
 
 
 def make_incarnation() -> str:
-    """Return a name for this start; names sort by time."""
+    """Return a name for this run of the process; names sort by start time."""
     return f'{round(read_unix_ms()):012x}{uuid.uuid4().hex[:6]}'
 
 
 async def run_until_signal(settings: Settings) -> None:
-    """Run an instance until SIGTERM or SIGINT; later signals do nothing."""
+    """Run an instance until SIGTERM or SIGINT; ignore further signals."""
     stop_signals = (signal.SIGTERM, signal.SIGINT)
     with anyio.open_signal_receiver(*stop_signals) as signals:
 
@@ -68,7 +68,7 @@
     settings: Settings,
     wait_for_stop: Callable[[], Awaitable[None]],
 ) -> None:
-    """Serve until `wait_for_stop` returns and nothing is in flight."""
+    """Serve until `wait_for_stop` returns and no requests are in flight."""
     identity = Identity(
         settings.instance,
         make_incarnation(),
@@ -118,13 +118,13 @@
 
 
 async def _serve_in_task_group(hub: Hub, ended: anyio.Event) -> None:
-    """Serve in a task of its own, since the server cancels its own task."""
+    """Serve in a separate task, because the server cancels its own task."""
     async with anyio.create_task_group() as group:
         group.start_soon(_serve, hub, ended)
 
 
 async def _serve(hub: Hub, ended: anyio.Event) -> None:
-    """Serve until the end; the server sends what it has begun to send."""
+    """Serve until `ended`; the server then completes started responses."""
     config = Config()
     config.bind = [hub.settings.listen]
     config.accesslog = None
@@ -142,10 +142,11 @@
     wait_for_stop: Callable[[], Awaitable[None]],
     ended: anyio.Event,
 ) -> None:
-    """Drain once the instance shall stop.
+    """Drain the instance when it is asked to stop.
 
-    Unready first, so that the balancer turns away; requests are accepted
-    until it surely has.  Then everything in flight is finished.
+    The instance first reports that it is not ready, and accepts requests until
+    the load balancer has certainly noticed.  Then all requests in flight are
+    completed.
     """
     await wait_for_stop()
     hub.node.unready = True
--- a/trestledock/connection/_hub.py
+++ b/trestledock/connection/_hub.py
@@ -1,9 +1,10 @@
 """
-Hub
-===
+Core event loop
+===============
 
-The one task that owns the core.  Every other task sends it messages; it steps
-the core and hands the actions to the tasks that own the sockets.
+The single task that owns the core.  All other tasks send messages to it; it
+steps the core and passes the resulting actions to the tasks that own the
+sockets.
 """
 
 import logging
@@ -30,7 +31,7 @@
     Tick,
 )
 
-#: Messages that may wait for the core, and chunks for a slow caller.
+#: The most messages queued for the core, and replies for a slow caller.
 MAX_QUEUED_MESSAGES = 10_000
 MAX_QUEUED_REPLIES = 4096
 
@@ -39,9 +40,9 @@
 
 @dataclass
 class Exchange:
-    """What a caller's connection keeps for its request.
+    """The state of a caller's connection for one request.
 
-    `prompt` and `body` stay here; the core sees only sizes and hashes.
+    `prompt` and `body` are stored only here; the core sees sizes and hashes.
     """
 
     send: MemoryObjectSendStream[Any]
@@ -63,7 +64,7 @@
 
 @dataclass
 class Hub:
-    """The core with everything that its actions are handed to."""
+    """The core and the components that carry out its actions."""
 
     node: Node
     settings: Settings
@@ -77,7 +78,7 @@
     _message_receiver: MemoryObjectReceiveStream[Any] = field(init=False)
 
     def __post_init__(self) -> None:
-        """Open the queue of messages."""
+        """Create the message queue."""
         self._message_sender, self._message_receiver = (
             anyio.create_memory_object_stream[Any](
                 MAX_QUEUED_MESSAGES,
@@ -85,7 +86,7 @@
         )
 
     async def send(self, message: Any) -> None:
-        """Send the core a message."""
+        """Send a message to the core."""
         await self._message_sender.send(message)
 
     async def run(self) -> None:
@@ -116,9 +117,9 @@
             self.group.start_soon(self._run_link, link, action)
 
     async def _run_link(self, link: Any, action: Any) -> None:
-        """Run a link; what it did not foresee must not end the process.
+        """Run a link; an unexpected error must not stop the process.
 
-        The request's own deadline still ends it, whatever was lost here.
+        The affected request still ends at its own deadline.
         """
         try:
             await link(action)
@@ -130,7 +131,7 @@
 @singledispatch
 def perform(action: Any, hub: Hub) -> None:
     """Carry out an action that needs no socket."""
-    raise TypeError(f'nothing carries out {type(action).__name__}')
+    raise TypeError(f'no handler for action {type(action).__name__}')
 
 
 @perform.register
--- a/trestledock/connection/_lifespan.py
+++ b/trestledock/connection/_lifespan.py
@@ -1,23 +1,23 @@
 """
-Applications without a lifespan
-===============================
+ASGI lifespan
+=============
 
-The server tells an application of its start and end, and leaves a coroutine
-behind that fails noisily when the process ends first.  Our applications have
-nothing to do then, so they decline.
+The server runs the lifespan protocol for its start and shutdown, and leaves a
+coroutine behind that logs errors if the process exits first.  The applications
+here need no lifespan events, so they decline the protocol.
 """
 
 from typing import Any
 
 
 class WithoutLifespan:
-    """An ASGI application that declines the lifespan protocol."""
+    """ASGI middleware that declines the lifespan protocol."""
 
     def __init__(self, app: Any) -> None:
-        """Keep the application that serves requests."""
+        """Set the application that serves requests."""
         self.app = app
 
     async def __call__(self, scope: Any, receive: Any, send: Any) -> None:
-        """Serve a request; return at once for anything else."""
+        """Serve HTTP requests; return immediately for other scopes."""
         if scope['type'] == 'http':
             await self.app(scope, receive, send)
--- a/trestledock/connection/_metrics.py
+++ b/trestledock/connection/_metrics.py
@@ -2,7 +2,7 @@
 Metrics
 =======
 
-The counters, gauges and histograms of an entry instance, by library.
+The Prometheus counters, gauges and histograms of an entry instance.
 """
 
 from types import MappingProxyType
@@ -18,10 +18,10 @@
 
 from trestledock.process import Count, Node
 
-#: Upper bounds of the histogram of the time to first token, in seconds.
+#: Bucket bounds of the time to first token, in seconds.
 TTFT_BOUNDS_S = (0.05, 0.1, 0.25, 0.5, 0.9, 1.5, 3, 6, 15, 60, 300)
 
-#: The counters by the name that the core counts under, with their label.
+#: Labelled counters by the name that the core uses: help text and label.
 COUNTERS: Mapping[str, tuple[str, str]] = MappingProxyType(
     {
         'requests': ('Requests that arrived', 'kind'),
@@ -36,7 +36,7 @@
     }
 )
 
-#: Counters without a label.
+#: Help texts of counters without labels.
 UNLABELLED_COUNTERS: Mapping[str, str] = MappingProxyType(
     {
         'tokens': 'Tokens passed on to callers',
@@ -47,7 +47,7 @@
     }
 )
 
-#: Gauges, set when they are read.
+#: Help texts of gauges, which are set when metrics are rendered.
 GAUGES: Mapping[str, str] = MappingProxyType(
     {
         'in_flight': 'Requests in flight',
@@ -59,10 +59,10 @@
 
 
 class Metrics:
-    """The metrics of one process, in a registry of their own."""
+    """The metrics of one process, in a separate registry."""
 
     def __init__(self) -> None:
-        """Create every metric."""
+        """Create all metrics."""
         self.registry = CollectorRegistry()
         self.counters = {
             name: Counter(
@@ -101,23 +101,23 @@
         }
 
     def count(self, action: Count) -> None:
-        """Count an event of the core."""
+        """Count an event that the core reported."""
         self.counters[action.name].labels(action.label).inc()
 
     def add(self, name: str, amount: float = 1) -> None:
-        """Count on one of the counters without a label."""
+        """Increase a counter without labels."""
         self._unlabelled[name].inc(amount)
 
     def observe_first_token(self, length: str, seconds: float) -> None:
-        """Observe the time to the first token of a request."""
+        """Observe the time to first token of a request."""
         self.ttft.labels(length).observe(seconds)
 
     def render(self, node: Node) -> bytes:
-        """Return all metrics as text, gauges as of now."""
+        """Return all metrics as text, with current values of the gauges."""
         state = node.state
         self._gauges['in_flight'].set(len(state.live))
         self._gauges['version'].set(state.version.number)
         self._gauges['leaving_targets'].set(len(state.fleet.leaving))
-        peers = [one for one in state.fleet.peers.values() if not one.gone]
+        peers = [peer for peer in state.fleet.peers.values() if not peer.gone]
         self._gauges['peers'].set(len(peers))
         return generate_latest(self.registry)
--- a/trestledock/connection/_operator.py
+++ b/trestledock/connection/_operator.py
@@ -2,8 +2,8 @@
 Operator routes
 ===============
 
-What the command line asks of an instance: publish a configuration, show what
-is in force and why work would be placed where, and mark a target as leaving.
+The routes that the command line uses: publish a configuration, show the current
+state, explain where a request would be placed, and drain a target.
 """
 
 import json
@@ -20,7 +20,7 @@
 from trestledock.process import MarkLeaving, Publish, explain
 from trestledock.request import Kind, Model, Request
 
-#: How long a publication may stay without a verdict, in seconds.
+#: How long a publication waits for its verdict, in seconds.
 PUBLISH_TIMEOUT_S = 20.0
 CONFLICT_STATUS = HTTPStatus.CONFLICT
 NOT_FOUND_STATUS = HTTPStatus.NOT_FOUND
@@ -28,10 +28,10 @@
 
 
 class OperatorRoutes:
-    """The operator's part of the web application."""
+    """The part of the web application for operators."""
 
     def __init__(self, hub: Hub) -> None:
-        """Keep the hub that the routes talk to."""
+        """Set the hub that the routes use."""
         self.hub = hub
 
     def make_routes(self) -> list[Route]:
@@ -74,16 +74,18 @@
         )
 
     async def get_configuration(self, http: HttpRequest) -> Response:
-        """Return the configuration in force, as it was published."""
+        """Return the text of the configuration in force."""
         fold = self.hub.node.state.reader.fold
         accepted = fold.get_accepted_by_scope('configuration')
         if accepted is None:
-            return PlainTextResponse('none is in force', NOT_FOUND_STATUS)
+            return PlainTextResponse(
+                'no configuration is in force', NOT_FOUND_STATUS
+            )
         headers = {'trestledock-version': str(accepted.offset)}
         return PlainTextResponse(accepted.body, headers=headers)
 
     async def get_fleet(self, http: HttpRequest) -> Response:
-        """Return targets and peers as this instance sees them."""
+        """Return this instance's view of targets and peers."""
         now = anyio.current_time()
         state = self.hub.node.state
         targets = [
@@ -114,7 +116,7 @@
         )
 
     async def explain(self, http: HttpRequest) -> Response:
-        """Return why a request would be placed where."""
+        """Explain where a request would be placed."""
         params = http.query_params
         service = params.get('service', '')
         req = Request(
@@ -135,12 +137,12 @@
         return JSONResponse({'lines': lines})
 
     async def drain(self, http: HttpRequest) -> Response:
-        """Mark a target as leaving."""
+        """Drain a target."""
         plain: dict[str, Any] = json.loads(await http.body())
         name = plain.get('target', '')
         if name not in self.hub.node.state.fleet.targets:
             return JSONResponse(
-                {'detail': f'no target is called {name}'},
+                {'detail': f'unknown target {name}'},
                 status_code=NOT_FOUND_STATUS,
             )
         await self.hub.send(MarkLeaving(name))
--- a/trestledock/connection/_parsing.py
+++ b/trestledock/connection/_parsing.py
@@ -1,9 +1,9 @@
 """
-Reading requests
-================
+Request parsing
+===============
 
-Turns what a caller sent into a `Request`, or raises `BadRequest` with a clear
-text before anything has been dispatched.
+Parses HTTP requests of callers into `Request` objects.  Invalid requests raise
+`BadRequest` with a clear message before anything is dispatched.
 """
 
 import hashlib
@@ -25,11 +25,11 @@
 ATTEMPT_HEADER = 'trestledock-attempt'
 KEY_HEADER = 'idempotency-key'
 
-#: Prompt tokens in a block that is hashed for prefix affinity.
+#: Prompt tokens in each block that is hashed for prefix affinity.
 BLOCK_TOKENS = 512
-#: Blocks that are hashed at the most.
+#: The most blocks that are hashed.
 MAX_BLOCKS = 64
-#: The largest numbers that make sense.
+#: The largest accepted values.
 MAX_DEADLINE_MS = 86_400_000
 MAX_TOKENS = 1_000_000
 DEFAULT_MAX_TOKENS = 256
@@ -40,10 +40,10 @@
 
 
 class BadRequest(Exception):
-    """A request that is not understood; `status` is the answer's."""
+    """An invalid request; `status` is the status of the response."""
 
     def __init__(self, detail: str, status: int = 400) -> None:
-        """Keep the text for the caller."""
+        """Set the message for the caller."""
         super().__init__(detail)
         self.detail = detail
         self.status = status
@@ -51,7 +51,7 @@
 
 @dataclass(frozen=True)
 class Envelope:
-    """What every request carries in its headers."""
+    """The values from the headers of a request."""
 
     team: str
     deadline: float
@@ -71,7 +71,7 @@
 
 
 async def read_body(http: HttpRequest, settings: Settings) -> bytes:
-    """Read a body up to the size allowed."""
+    """Read a body up to the maximum size."""
     parts = []
     size = 0
     async for part in http.stream():
@@ -101,7 +101,7 @@
         raise BadRequest(f'{KEY_HEADER} exceeds {MAX_KEY_LENGTH} characters')
     home = http.headers.get(HOME_HEADER) or team.home
     if cfg and home and home not in cfg.data_centres:
-        raise BadRequest(f'{home} is no data centre')
+        raise BadRequest(f'unknown data centre {home}')
     if cfg and not home:
         home = rank_by_key(f'{name}/{key}', cfg.data_centres)[0]
     return Envelope(
@@ -191,7 +191,10 @@
 
 
 def make_fingerprint(http: HttpRequest, team: str, body: bytes) -> str:
-    """Return what a request shares with its repeats, whoever takes them."""
+    """Return the fingerprint of a request.
+
+    Repeats of the request have the same fingerprint on every instance.
+    """
     return get_fingerprint(
         Traits(
             http.method,
@@ -205,7 +208,7 @@
 
 
 def hash_prefix(prompt: str, chars_per_token: float) -> tuple[str, ...]:
-    """Return the hashes of a prompt's leading blocks, each over all before.
+    """Return the cumulative hashes of a prompt's leading blocks.
 
     >>> len(hash_prefix('x' * 4096, 4.0))
     2
@@ -234,10 +237,10 @@
 def _get_field(
     plain: dict[str, Any], name: str, kind: type, default: Any
 ) -> Any:
-    found = plain.get(name, default)
-    if found is None:
+    field = plain.get(name, default)
+    if field is None:
         raise BadRequest(f'{name} is missing')
-    wrong = isinstance(found, bool) is not (kind is bool)
-    if wrong or not isinstance(found, kind):
+    is_mismatch = isinstance(field, bool) is not (kind is bool)
+    if is_mismatch or not isinstance(field, kind):
         raise BadRequest(f'{name} must be of type {kind.__name__}')
-    return found
+    return field
--- a/trestledock/connection/_peer.py
+++ b/trestledock/connection/_peer.py
@@ -2,8 +2,8 @@
 Peer connections
 ================
 
-Sends payloads to peers as JSON over HTTP.  The type of a payload travels by
-name and is looked up in the list of all payloads.
+Sends payloads to peers as JSON over HTTP.  The message contains the class name
+of its payload, by which the receiver finds the class.
 """
 
 import json
@@ -30,23 +30,23 @@
 
 @dataclass(frozen=True)
 class PeerEnvelope:
-    """A message between instances: who sends it, its type and payload."""
+    """A message between instances: its sender, payload type and payload."""
 
     sender: str
-    type: str  # noqa: WPS125 - the name on the wire
+    type: str  # noqa: WPS125 - the wire name
     payload: dict[str, Any]
 
 
 class PeerLink:
-    """The sender of one instance's messages to its peers."""
+    """Sends messages of an instance to its peers."""
 
     def __init__(self, hub: Hub, client: httpx.AsyncClient) -> None:
-        """Keep the client that owns the connections."""
+        """Set the hub, and the client that owns the connections."""
         self.hub = hub
         self.client = client
 
     async def send(self, action: ToPeer) -> None:
-        """Send a payload; it may be lost, and the core counts on that."""
+        """Send a payload; messages may be lost, and the core tolerates it."""
         if not action.address:
             return
         body = json.dumps(
@@ -68,10 +68,10 @@
 
 
 def decode_peer_message(body: bytes) -> PeerMessage:
-    """Read a message from a peer."""
+    """Decode a message from a peer."""
     try:
         envelope = load_json(body, PeerEnvelope)
         payload: Any = decode(envelope.payload, _PAYLOAD_TYPES[envelope.type])
     except (DecodeError, KeyError) as exc:
-        raise BadRequest(f'not a message of a peer: {exc!r}') from exc
+        raise BadRequest(f'invalid peer message: {exc!r}') from exc
     return PeerMessage(envelope.sender, payload)
--- a/trestledock/connection/_platform.py
+++ b/trestledock/connection/_platform.py
@@ -2,8 +2,8 @@
 Platform connections
 ====================
 
-Reads the log and the instance list and appends records.  Failures are left to
-the core's own repeats; each poll waits a little after one.
+Reads the log and the instance list, and appends records.  The core repeats
+failed appends; a failed poll is repeated after a delay.
 """
 
 from dataclasses import dataclass, fields
@@ -27,29 +27,29 @@
     read_batch,
 )
 
-#: How long to wait after a failed poll, in seconds.
+#: The delay after a failed poll, in seconds.
 RETRY_DELAY_S = 0.5
 ENTRY_ROLE = 'entry'
-#: What is read of an entry of the list; the platform may tell more.
+#: The keys read from each listed instance; the platform may add others.
 TARGET_INFO_KEYS = frozenset(field.name for field in fields(TargetInfo))
 
 
 class PlatformLink:
-    """One instance's connections to the platform."""
+    """The connections of an instance to the platform."""
 
     def __init__(self, hub: Hub, client: httpx.AsyncClient) -> None:
-        """Keep the client that owns the connections."""
+        """Set the hub, and the client that owns the connections."""
         self.hub = hub
         self.client = client
 
     async def run(self) -> None:
-        """Poll the log and the list until cancelled."""
+        """Poll the log and the instance list until cancelled."""
         async with anyio.create_task_group() as group:
             group.start_soon(self._poll_forever, self.read_log)
             group.start_soon(self._poll_forever, self.read_list)
 
     async def append(self, action: AppendRecord) -> None:
-        """Append a record; whether it took effect is read from the log."""
+        """Append a record; a later read of the log shows if it was accepted."""
         try:
             await self.client.post(
                 '/v1/log',
@@ -60,7 +60,7 @@
             self.hub.metrics.add('lost_appends')
 
     async def read_log(self) -> None:
-        """Read the log from where the core has got to."""
+        """Read the log from the core's next offset."""
         offset = self.hub.node.state.reader.next_read
         plain = await self._get('/v1/log', {'from': offset})
         batch = read_batch(plain)
@@ -97,21 +97,20 @@
 
 @dataclass(frozen=True)
 class InstanceList:
-    """The instance list before its entries have been looked at."""
+    """The instance list before its rows are decoded."""
 
     instances: tuple[dict[str, Any], ...]
 
 
 def decode_instances(plain: Any) -> InstancesListed:
-    """Read the instance list; entry instances are peers, others targets.
+    """Decode the instance list; entry instances are peers, others are targets.
 
-    Entries that make no sense are left out, so that one of them can't hide
-    the rest.
+    Invalid rows are skipped, so that they don't affect the others.
     """
     targets = []
     peers = []
-    for one in decode(plain, InstanceList).instances:
-        known = {key: one[key] for key in one if key in TARGET_INFO_KEYS}
+    for row in decode(plain, InstanceList).instances:
+        known = {key: row[key] for key in row if key in TARGET_INFO_KEYS}
         try:
             listed = decode(known, TargetInfo)
         except DecodeError:
--- a/trestledock/connection/_polling.py
+++ b/trestledock/connection/_polling.py
@@ -1,10 +1,10 @@
 """
-Polling targets
-===============
+Target polling
+==============
 
-Reads the load and the cache events of targets.  One instance of the data
-centre polls a target often and passes a digest on in its heartbeats; the
-others look seldom.
+Polls targets for load reports and cache events.  One instance of the data
+centre polls a target often and forwards a digest in its heartbeats; the other
+instances poll it rarely.
 """
 
 from dataclasses import dataclass
@@ -25,24 +25,24 @@
 
 #: How long a poll may take, in seconds.
 POLL_TIMEOUT_S = 2.0
-#: Statuses of a plain service that knows nothing of load reports.
+#: Statuses of plain services that don't support load reports.
 NO_ROUTE_STATUSES = frozenset((404, 405, 501))
-#: How often the list of targets is looked at, in seconds.
+#: How often the poller checks which targets are due, in seconds.
 DUE_CHECK_INTERVAL_S = 0.1
 
 
 @dataclass(frozen=True)
 class CacheEvents:
-    """An engine's answer to a request for cache events."""
+    """An engine's response to a request for cache events."""
 
     events: tuple[CacheEvent, ...]
 
 
 class Poller:
-    """The poller of one instance."""
+    """Polls the targets of one instance."""
 
     def __init__(self, hub: Hub, client: httpx.AsyncClient) -> None:
-        """Keep the client that owns the connections."""
+        """Set the hub, and the client that owns the connections."""
         self.hub = hub
         self.client = client
         self.next_poll_at: dict[str, float] = {}
@@ -73,7 +73,10 @@
         self.hub.metrics.poll_seconds.observe(spent_s)
 
     async def _read_load(self, address: str) -> LoadReport:
-        """Read a report; a service that has none to give is alive at least."""
+        """Read a load report.
+
+        A service without load reports is at least reachable.
+        """
         response = await self._get(f'http://{address}/v1/load')
         if response.status_code in NO_ROUTE_STATUSES:
             return make_service_report({})
@@ -104,7 +107,7 @@
         return response
 
     def _schedule_due(self) -> list[str]:
-        """Return the targets to be polled now, and set their next time."""
+        """Return the targets to poll now, and schedule their next poll."""
         now = anyio.current_time()
         state = self.hub.node.state
         due = [
@@ -121,14 +124,14 @@
         home = state.identity.data_centre
         peers = state.fleet.get_live_peers(home)
         members = {peer.info.member for peer in peers} | {state.member}
-        first = rank_by_key(name, members)[0] == state.member
-        state.fleet.targets[name].polled = first
+        is_main = rank_by_key(name, members)[0] == state.member
+        state.fleet.targets[name].polled = is_main
         settings = self.hub.settings
-        return settings.poll_load_s if first else settings.poll_others_s
+        return settings.poll_load_s if is_main else settings.poll_others_s
 
 
 def make_service_report(plain: dict) -> LoadReport:
-    """Return the report of a plain service, which says only if it leaves."""
+    """Return the report of a plain service, which only tells if it drains."""
     return LoadReport(
         age_s=0,
         queued=(),
--- a/trestledock/connection/_problems.py
+++ b/trestledock/connection/_problems.py
@@ -1,9 +1,9 @@
 """
-Problems
-========
+Problem details
+===============
 
-Final answers that are not the target's own, as problem details (RFC 9457).
-`type` is the outcome; the status is chosen by the reason.
+Responses that do not come from a target, as problem details (RFC 9457).  `type`
+is the outcome; the reason determines the status.
 """
 
 import math
@@ -18,7 +18,7 @@
 BAD_REQUEST = 400
 BAD_GATEWAY = 502
 
-#: Statuses of reasons; others are answered with `BAD_GATEWAY`.
+#: HTTP statuses by reason; `BAD_GATEWAY` applies to the others.
 STATUS_BY_REASON: Mapping[Reason, int] = MappingProxyType(
     {
         Reason.unknown_team: 403,
@@ -42,7 +42,7 @@
 
 
 def make_problem(verdict: Verdict) -> JSONResponse:
-    """Return the answer for a request that was not answered by a target."""
+    """Return the response to a request that no target answered."""
     headers = {}
     if verdict.retry_after:
         headers['Retry-After'] = str(math.ceil(verdict.retry_after))
@@ -55,7 +55,7 @@
 
 
 def get_problem_body(verdict: Verdict) -> dict[str, str | float]:
-    """Return the members of the problem; empty ones are left out."""
+    """Return the members of the problem details; empty ones are omitted."""
     members: dict[str, str | float] = {
         'type': verdict.outcome.value,
         'title': verdict.reason.value.replace('_', ' '),
@@ -69,7 +69,7 @@
 
 
 def make_bad_request(detail: str, status: int = BAD_REQUEST) -> JSONResponse:
-    """Return the answer for a request that could not be understood."""
+    """Return the response to an invalid request."""
     return JSONResponse(
         {
             'type': Outcome.not_run.value,
--- a/trestledock/connection/_settings.py
+++ b/trestledock/connection/_settings.py
@@ -1,9 +1,9 @@
 """
-Settings
-========
+Instance settings
+=================
 
-What an entry instance learns from its settings file: who it is, where it
-listens and where the platform is.  Checked in the same place as configurations.
+The settings file of an entry instance: its name, its addresses and the address
+of the platform.  Validated like configurations, by `trestledock.version`.
 """
 
 from dataclasses import dataclass, field
@@ -15,8 +15,8 @@
 class Settings:
     """The settings of an entry instance.
 
-    Addresses are an IP number and a port.  Times end in `_s` (seconds).
-    `chars_per_token` turns the size of a prompt into an estimate of tokens.
+    Addresses consist of an IP address and a port.  Names of times end in `_s`
+    (seconds).  `chars_per_token` is used to estimate the tokens of a prompt.
     """
 
     instance: str
@@ -38,5 +38,5 @@
 
     @property
     def address(self) -> str:
-        """The address that peers reach this instance at."""
+        """The address at which peers reach this instance."""
         return self.public or self.listen
--- a/trestledock/connection/_target.py
+++ b/trestledock/connection/_target.py
@@ -2,9 +2,10 @@
 Target connections
 ==================
 
-Sends jobs, calls, cancels and orders to targets and turns their answers into
-messages.  `not_started` is claimed only where the connection was never made,
-where the target says so itself, or where nothing was written.
+Sends jobs, calls, cancellations and orders to targets and converts their
+responses to messages for the core.  `not_started` is reported only if no
+connection was established, if the target says so itself, or if nothing was
+sent.
 """
 
 from dataclasses import dataclass
@@ -33,21 +34,21 @@
 from trestledock.request import Chunk
 from trestledock.version import CONVERTER, DecodeError, load_json
 
-#: How long a cancel or an order may take, in seconds.
+#: The timeout of cancellations and orders, in seconds.
 CONTROL_TIMEOUT_S = 5.0
 MIN_TIMEOUT_S = 0.001
 NOT_STARTED_STATUS = 503
 STALE_FENCING_STATUS = 409
 MS = 1000
-#: What the client raises where a target has closed the connection.
+#: Raised by the client if the target has closed the connection.
 CLOSED_ERRORS = (httpx.RemoteProtocolError, httpx.ReadError, httpx.WriteError)
-#: How long after that is looked whether it has ended, in seconds.
+#: The delay, in seconds, before checking whether such a target has crashed.
 RECONNECT_DELAY_S = 0.03
 
 
 @dataclass(frozen=True)
 class Rejection:
-    """An engine's word that it did not start a job."""
+    """An engine's rejection of a job; tells whether the job was started."""
 
     started: bool
     detail: str = ''
@@ -55,7 +56,7 @@
 
 @dataclass(frozen=True)
 class PrefillAnswer:
-    """An engine's word that a piece is prefilled up to `stop`."""
+    """An engine's response that a prompt is prefilled up to `stop`."""
 
     hold: str
     stop: int
@@ -63,7 +64,7 @@
 
 @dataclass(frozen=True)
 class StreamLine:
-    """A line of an engine's stream: a chunk, or the count that ends it."""
+    """A line of an engine's stream: a chunk, or the final token count."""
 
     index: int = 0
     text: str = ''
@@ -72,18 +73,18 @@
 
 
 class TargetLink:
-    """The sender of one instance's work to targets."""
+    """Sends work of an instance to targets."""
 
     def __init__(self, hub: Hub, client: httpx.AsyncClient) -> None:
-        """Keep the client that owns the connections."""
+        """Set the hub, and the client that owns the connections."""
         self.hub = hub
         self.client = client
 
     async def start_job(self, action: StartJob) -> None:
-        """Send a job and report what comes of it.
+        """Send a job and report its result.
 
-        The prompt travels with the first job of a hold only, and with it the
-        answer so far where another engine had begun it.
+        Only the first job of a reservation includes the prompt, and the answer
+        so far if another engine had started it.
         """
         exchange = self.hub.exchanges.get(action.req_id)
         late = anyio.current_time() >= action.not_after
@@ -104,7 +105,7 @@
             await self._run_prefill(action, body, exchange)
 
     async def resume(self, action: ResumeStream) -> None:
-        """Go on with a stream that broke off."""
+        """Resume an interrupted stream."""
         exchange = self.hub.exchanges.get(action.req_id)
         if exchange:
             body = {'hold': action.hold, 'index': action.index}
@@ -146,7 +147,7 @@
         )
 
     async def cancel(self, action: CancelHolds) -> None:
-        """Cancel holds; silence means that they still count as held."""
+        """Cancel reservations; without a response they remain in effect."""
         try:
             response = await self.client.post(
                 f'http://{action.address}/v1/cancel',
@@ -159,7 +160,7 @@
             await self.hub.send(CancelConfirmed(action.target, action.holds))
 
     async def order(self, action: GiveOrder) -> None:
-        """Give an order, unless the lease may have lapsed meanwhile."""
+        """Send an order, unless the lease may have expired."""
         if anyio.current_time() >= action.not_after:
             return
         try:
@@ -170,8 +171,8 @@
             )
         except httpx.HTTPError:
             return
-        refused = response.status_code == STALE_FENCING_STATUS
-        await self.hub.send(OrderAnswered(action.target, refused))
+        is_stale = response.status_code == STALE_FENCING_STATUS
+        await self.hub.send(OrderAnswered(action.target, is_stale))
 
     async def _run_prefill(
         self,
@@ -270,18 +271,18 @@
         exc: httpx.HTTPError,
     ) -> None:
         proof = isinstance(exc, (httpx.ConnectError, httpx.ConnectTimeout))
-        ended = isinstance(exc, CLOSED_ERRORS) and await self._has_crashed(
+        crashed = isinstance(exc, CLOSED_ERRORS) and await self._has_crashed(
             action
         )
-        await self._fail(action, step, repr(exc), proof=proof, ended=ended)
+        await self._fail(action, step, repr(exc), proof=proof, ended=crashed)
 
     async def _has_crashed(
         self, action: StartJob | ResumeStream | CallService
     ) -> bool:
-        """Whether nobody listens any more at a target that closed.
+        """Return whether a target that closed a connection refuses new ones.
 
-        A process that ends closes its sockets one after the other, so there is
-        a moment's pause before the look.
+        An exiting process closes its sockets one by one, so the check is made
+        after a short delay.
         """
         await anyio.sleep(RECONNECT_DELAY_S)
         host, _, port = action.address.rpartition(':')
@@ -321,7 +322,7 @@
 
 
 def _says_not_started(response: httpx.Response) -> bool:
-    """Whether an engine's answer proves that it did not start a job."""
+    """Return whether an engine's response proves that it started no job."""
     if response.status_code != NOT_STARTED_STATUS:
         return False
     try:
