--- a/tests/__init__.py
+++ b/tests/__init__.py
@@ -1,8 +1,8 @@
-"""Tests: a file for each module, and example files checked as data.
+"""Tests: one file per module; example files are checked as data.
 
-Property tests share one profile, so that their verdict depends on the code
-alone: the same examples in each run, and none of hypothesis's checks that
-measure wall time, which fail where the machine is busy.
+Property tests share one profile that makes their results depend on the code
+alone: every run uses the same examples, and hypothesis's checks of wall time
+are disabled, because they fail on a busy machine.
 """
 
 from hypothesis import HealthCheck, settings
--- a/tests/stub_store.py
+++ b/tests/stub_store.py
@@ -1,4 +1,4 @@
-"""A stub of the platform's log on loopback, with prepared answers."""
+"""A stub of the platform's log on loopback with prepared responses."""
 
 import socket
 import struct
@@ -9,20 +9,20 @@
 from trestledock.platform._log import RECORD_LENGTH, StoreClient
 
 
-def make_record(key, text):
+def make_record(key, value):
     """Return a framed record of a keyed topic."""
-    body = bytes((len(key),)) + key + text
+    body = bytes((len(key),)) + key + value
     return RECORD_LENGTH.pack(len(body)) + body
 
 
 def make_answer(status, body):
-    """Return the bytes of an answer."""
+    """Return the bytes of an HTTP response."""
     head = f'HTTP/1.1 {status} X\r\nContent-Length: {len(body)}\r\n\r\n'
     return head.encode() + body
 
 
 class StubStore:
-    """Gives prepared answers, one a request; None resets the connection."""
+    """Sends one prepared response per request; None resets the connection."""
 
     def __init__(self, answers):
         self.answers = list(answers)
@@ -41,13 +41,13 @@
 
 
 def reset(stream):
-    """Make the close of a stream a reset."""
+    """Make closing a stream send a TCP reset."""
     raw = stream.extra(anyio.abc.SocketAttribute.raw_socket)
     raw.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, struct.pack('ii', 1, 0))
 
 
 def run_with_stub(answers, scenario):
-    """Run `scenario(client)` against a stub; return the stub."""
+    """Run `scenario(client)` with a client of a stub; return the stub."""
     stub = StubStore(answers)
 
     async def main():
--- a/tests/test_command_line.py
+++ b/tests/test_command_line.py
@@ -1,4 +1,4 @@
-"""Commands on files: every error with its path, exit code 2."""
+"""Commands report the path of a bad file and exit with code 2."""
 
 import subprocess
 import sys
--- a/tests/test_fold.py
+++ b/tests/test_fold.py
@@ -1,4 +1,4 @@
-"""Every reader of the log reaches the same verdicts, whatever it missed."""
+"""All readers of the log reach the same verdicts, whatever they missed."""
 
 import json
 import unittest
@@ -27,7 +27,7 @@
 
 
 def make_log(draws):
-    """Build a log in which some writers know the past and some are stale."""
+    """Build a log in which some records have a stale base."""
     fold = Fold()
     entries = []
     for number, (scope, age, is_snapshot) in enumerate(draws):
--- a/tests/test_lifespan.py
+++ b/tests/test_lifespan.py
@@ -1,4 +1,4 @@
-"""Applications decline the lifespan protocol and serve everything else."""
+"""The lifespan protocol is declined, and HTTP requests are served."""
 
 import unittest
 
@@ -8,10 +8,10 @@
 
 
 class LifespanTest(unittest.TestCase):
-    """What reaches the application."""
+    """Scopes that reach the application."""
 
     def test_only_requests(self):
-        """A lifespan ends at once, a request is served."""
+        """A lifespan scope ends at once; a request is served."""
         seen = []
 
         async def app(scope, receive, send):
--- a/tests/test_outcome.py
+++ b/tests/test_outcome.py
@@ -1,4 +1,4 @@
-"""Outcomes are derived from attempts, and `not_run` needs proof."""
+"""Outcomes are derived from attempts, and `not_run` requires proof."""
 
 import unittest
 
--- a/tests/test_platform_entries.py
+++ b/tests/test_platform_entries.py
@@ -1,10 +1,10 @@
-"""What targets, and others, write under the targets' names.
+"""Target records: restarts under the same id, and invalid records.
 
-A target may start again under the id that it had.  Seen in a probe: one that
-had been at `sequence` 90 and was dropped wrote 1 again and was never used, and
-one that had said that it leaves stayed out for good, since nothing told its
-incarnations apart.  One entry with `"sequence": "8"` made the read fail for all
-targets, and entries without a state, or with any address, got requests.
+A target may restart with the same id.  When incarnations were not
+distinguished, a target that was removed at `sequence` 90 and restarted at 1 was
+never used again, and one that had announced that it was draining was never used
+again either.  One record with `"sequence": "8"` made the read of all targets
+fail, and records without a state or with an invalid address received requests.
 """
 
 import json
@@ -23,7 +23,7 @@
 from trestledock.platform._store import PEER_PREFIX, StoreDirectory
 from trestledock.relay import Fleet, Health, Member, Notices, Throttle
 
-#: When the incarnations of these tests were born, Unix time in milliseconds.
+#: Birth times of two incarnations, as Unix time in milliseconds.
 OLD = 1_775_000_000_000
 NEW = OLD + 5_000
 GOOD = {
@@ -35,7 +35,7 @@
     'sequence': 1,
     'born': OLD,
 }
-#: Any JSON value, with the kinds of field that an entry has among its names.
+#: Any JSON value; names of objects include the fields of a target record.
 ANY_JSON = st.recursive(
     st.none() | st.booleans() | st.integers() | st.floats() | st.text(),
     lambda inner: (
@@ -46,20 +46,20 @@
 )
 
 
-def make_entry(name='t1', without='', **fields):
-    """Return the record of a target with some fields as told."""
+def make_target_record(name='t1', without='', **fields):
+    """Return the record of a target with some fields replaced."""
     plain = {**GOOD, **fields}
     plain.pop(without, None)
     return Record(name, json.dumps(plain).encode())
 
 
-def remove(name='t1'):
-    """Return the record that removes an entry."""
+def make_removal(name='t1'):
+    """Return the record that removes a target."""
     return Record(name, b'')
 
 
 class StubState:
-    """What a listing needs of an entry's state."""
+    """The part of an entry's state that a listing needs."""
 
     def __init__(self):
         self.fleet = Fleet()
@@ -69,14 +69,14 @@
         self.ignored_notices = {}
 
     def note_list(self, as_of, now, source, latest_at):
-        """Note the age of a list that nobody asks for here."""
+        """Ignore the age of the list."""
 
     def notify(self):
-        """Wake nobody."""
+        """Do nothing."""
 
 
 def read_all(*reads):
-    """Return the fleet after some reads of records."""
+    """Return the fleet after reading these batches of records."""
 
     async def main():
         state = StubState()
@@ -89,7 +89,7 @@
 
 
 def make_directory(records):
-    """Return a directory whose next read of targets brings these."""
+    """Return a directory whose reads return `records`."""
     directory = StoreDirectory('127.0.0.1:1')
 
     async def read():
@@ -101,85 +101,93 @@
 
 
 def get_usable(*reads):
-    """Return the ids of the targets that get new work after some reads."""
+    """Return the ids of the usable targets after reading these batches."""
     fleet = read_all(*reads)
-    return [one.target_id for one in fleet.get_usable('s')]
+    return [target.target_id for target in fleet.get_usable('s')]
 
 
-class AgainTest(unittest.TestCase):
-    """A target that starts again under its id."""
+class RestartTest(unittest.TestCase):
+    """A target restarts with the same id."""
 
-    def test_usable_after_it_was_dropped(self):
-        """Its words count from the start, and bring it back."""
-        first = [make_entry(sequence=90), remove()]
-        again = [make_entry(sequence=1, born=NEW)]
+    def test_usable_after_removal(self):
+        """Its first record makes it usable again."""
+        first = [make_target_record(sequence=90), make_removal()]
+        again = [make_target_record(sequence=1, born=NEW)]
         self.assertEqual(get_usable(first, again), ['t1'])
         self.assertEqual(get_usable([*first, *again]), ['t1'])
 
-    def test_usable_after_it_was_leaving(self):
-        """That the one before it left says nothing of it."""
-        first = [make_entry(state='draining', sequence=90)]
-        again = [make_entry(sequence=1, born=NEW)]
+    def test_usable_after_draining(self):
+        """It does not inherit the draining state of the old incarnation."""
+        first = [make_target_record(state='draining', sequence=90)]
+        again = [make_target_record(sequence=1, born=NEW)]
         self.assertEqual(get_usable(first, again), ['t1'])
-        self.assertEqual(get_usable(first, [remove()], again), ['t1'])
+        self.assertEqual(get_usable(first, [make_removal()], again), ['t1'])
 
     def test_usable_without_a_removal(self):
-        """It was away for less than its lease."""
-        again = [make_entry(sequence=1, born=NEW, address='10.0.0.2:80')]
-        fleet = read_all([make_entry(sequence=90)], again)
-        found = next(fleet.get_usable('s'))
-        self.assertEqual(found.address, '10.0.0.2:80')
+        """It restarts within its lease."""
+        again = [
+            make_target_record(sequence=1, born=NEW, address='10.0.0.2:80')
+        ]
+        fleet = read_all([make_target_record(sequence=90)], again)
+        target = next(fleet.get_usable('s'))
+        self.assertEqual(target.address, '10.0.0.2:80')
         self.assertEqual(len(fleet.targets), 1)
 
-    def test_late_word_of_the_one_before(self):
-        """It changes nothing, whatever it says and however late."""
-        again = make_entry(sequence=1, born=NEW)
+    def test_late_record_of_old_incarnation(self):
+        """It is ignored, whatever its state and delay."""
+        again = make_target_record(sequence=1, born=NEW)
         for state in ('ready', 'draining'):
-            late = make_entry(sequence=91, state=state, address='10.0.0.9:80')
+            late = make_target_record(
+                sequence=91, state=state, address='10.0.0.9:80'
+            )
             for reads in ([[again], [late]], [[again, late]]):
                 fleet = read_all(*reads)
-                found = next(fleet.get_usable('s'))
-                self.assertEqual(found.born, NEW)
-                self.assertEqual(found.address, '10.0.0.1:80')
+                target = next(fleet.get_usable('s'))
+                self.assertEqual(target.born, NEW)
+                self.assertEqual(target.address, '10.0.0.1:80')
 
-    def test_late_word_after_the_removal_of_the_newer_one(self):
-        """It brings nothing back."""
-        reads = [make_entry(born=NEW), remove(), make_entry(sequence=95)]
+    def test_late_record_after_removal_of_new_incarnation(self):
+        """It does not make the target usable again."""
+        reads = [
+            make_target_record(born=NEW),
+            make_removal(),
+            make_target_record(sequence=95),
+        ]
         self.assertEqual(get_usable(reads), [])
         self.assertEqual(get_usable(reads[:2], reads[2:]), [])
 
     def test_sequence_orders_within_one_incarnation(self):
-        """An older heartbeat of the same one is old."""
+        """A lower sequence of the same incarnation is stale."""
         reads = [
-            make_entry(sequence=6, state='draining', born=NEW),
-            make_entry(sequence=5, born=NEW),
+            make_target_record(sequence=6, state='draining', born=NEW),
+            make_target_record(sequence=5, born=NEW),
         ]
         self.assertEqual(get_usable(reads), [])
 
     def test_draining_again(self):
-        """The next one leaves by its own word."""
+        """The new incarnation drains when it announces it itself."""
         reads = [
-            make_entry(sequence=90),
-            make_entry(sequence=1, born=NEW),
-            make_entry(sequence=2, born=NEW, state='draining'),
+            make_target_record(sequence=90),
+            make_target_record(sequence=1, born=NEW),
+            make_target_record(sequence=2, born=NEW, state='draining'),
         ]
         self.assertEqual(get_usable(reads), [])
 
 
-class StrangeTest(unittest.TestCase):
-    """Entries that name no target to use."""
+class InvalidRecordTest(unittest.TestCase):
+    """Invalid records describe no usable target."""
 
-    def check(self, strange):
-        """The target beside it is used, and nothing of the strange one."""
-        other = make_entry('t2')
-        self.assertEqual(get_usable([other, strange]), ['t2'], strange)
-        self.assertEqual(get_usable([strange, other]), ['t2'], strange)
+    def check(self, invalid):
+        """Check that `invalid` is ignored and another target is used."""
+        other = make_target_record('t2')
+        self.assertEqual(get_usable([other, invalid]), ['t2'], invalid)
+        self.assertEqual(get_usable([invalid, other]), ['t2'], invalid)
 
     def test_missing_fields(self):
         for name in GOOD:
-            self.check(make_entry(without=name))
+            self.check(make_target_record(without=name))
 
-    def test_other_types(self):
+    def test_invalid_values(self):
         wrong = {
             'service': (['s'], 5, None, ''),
             'address': ('10.0.0.1', 5, 'x:80', '10.0.0.1:0', ':80', '1.2:3'),
@@ -193,50 +201,55 @@
         }
         for name, values in wrong.items():
             for plain in values:
-                self.check(make_entry(**{name: plain}))
+                self.check(make_target_record(**{name: plain}))
 
     def test_unreadable_bytes(self):
         for raw in (b'\xff\xfe', b'{', b'[]', b'7', b'null', b'[' * 100_000):
             self.check(Record('t1', raw))
 
-    def test_ids_that_fit_in_no_header(self):
+    def test_ids_invalid_in_headers(self):
         for name in ('t\n1', 'té', 't 1', 't@5', ''):
-            self.check(make_entry(name))
+            self.check(make_target_record(name))
 
-    def test_unknown_state_says_nothing_of_an_incarnation(self):
-        """The target that writes its entry again is used again."""
+    def test_unknown_state_does_not_end_an_incarnation(self):
+        """The target is used again after its next valid record."""
         reads = [
-            make_entry(sequence=3),
-            make_entry(sequence=4, state='odd'),
+            make_target_record(sequence=3),
+            make_target_record(sequence=4, state='odd'),
         ]
         self.assertEqual(get_usable(reads), [])
-        self.assertEqual(get_usable([*reads, make_entry(sequence=5)]), ['t1'])
+        self.assertEqual(
+            get_usable([*reads, make_target_record(sequence=5)]), ['t1']
+        )
 
-    def test_birth_where_nobody_tells_it(self):
-        """A platform with a new id for each start need not tell births."""
+    def test_missing_birth_time(self):
+        """Platforms that assign a new id at each start may omit it."""
         plain = [make_heartbeat('ready', 1, name) for name in ('t1', 't2')]
         self.assertEqual(get_usable(plain), ['t1', 't2'])
 
     @given(st.binary(max_size=200) | ANY_JSON.map(json.dumps))
     def test_anything(self, text):
-        """Whatever is written, the good entry beside it counts."""
+        """Arbitrary records do not affect a valid record."""
         raw = text if isinstance(text, bytes) else text.encode()
-        found = get_usable([Record('t1', raw), make_entry('t2')])
-        self.assertIn('t2', found)
+        usable = get_usable([Record('t1', raw), make_target_record('t2')])
+        self.assertIn('t2', usable)
 
     @given(st.dictionaries(st.sampled_from(tuple(GOOD)), ANY_JSON, min_size=1))
     def test_any_fields(self, fields):
-        """A field of any kind, or more than one, ends no read."""
+        """Arbitrary values of fields do not make a read fail."""
         self.assertIn(
-            't2', get_usable([make_entry(**fields), make_entry('t2')])
+            't2',
+            get_usable(
+                [make_target_record(**fields), make_target_record('t2')]
+            ),
         )
 
 
 class PeersTest(unittest.TestCase):
-    """Records of entries."""
+    """Records of entry processes."""
 
-    def test_strange_records(self):
-        """One that makes no sense hides no other."""
+    def test_invalid_records(self):
+        """Invalid records do not affect the others."""
         records = [
             Record(f'{PEER_PREFIX}e1', b'10.0.0.1:7000'),
             Record(f'{PEER_PREFIX}e2', b'\xff'),
@@ -244,15 +257,17 @@
             Record(f'{PEER_PREFIX}e4', b''),
             Record('other', b'{}'),
         ]
-        found = anyio.run(make_directory(records).read_peers)
-        self.assertEqual(found.addresses, {'e1': '10.0.0.1:7000'})
+        peers = anyio.run(make_directory(records).read_peers)
+        self.assertEqual(peers.addresses, {'e1': '10.0.0.1:7000'})
 
 
 class SplitTest(unittest.TestCase):
-    """Records as they are framed."""
+    """Splitting of framed records."""
 
     @given(st.lists(st.binary(max_size=20)))
-    def test_each_record_counts(self, framed):
-        """A record whose key can't be read takes its place in the log."""
-        raw = b''.join(len(one).to_bytes(4, 'big') + one for one in framed)
+    def test_each_record_has_an_offset(self, framed):
+        """A record whose key can't be decoded still takes up an offset."""
+        raw = b''.join(
+            len(record).to_bytes(4, 'big') + record for record in framed
+        )
         self.assertEqual(len(tuple(split_records(raw))), len(framed))
--- a/tests/test_platform_epochs.py
+++ b/tests/test_platform_epochs.py
@@ -1,7 +1,8 @@
-"""Topics of a store that comes back from an older copy.
+"""Reads of topics while the store is restored from an older copy.
 
-An offset that is given out again names another record; what a read brings is
-one copy's, whole, and no copy's word counts that is older than one heard.
+After a restore, an offset may belong to a different record.  Every read must
+return the complete records of one epoch, and never those of an epoch older than
+one already received.
 """
 
 import unittest
@@ -12,7 +13,7 @@
 from hypothesis import given, strategies as st
 
 from tests.restoring import StoreWire
-from tests.soak import store as stand_in
+from tests.soak import store as fake_store
 from tests.soak.store import Store
 from tests.virtual_loop import run_virtually
 from trestledock.entry import DirectoryError, Head
@@ -42,16 +43,17 @@
 
 def get_keys(batch):
     """Return the keys of a batch's records, in order."""
-    return [one.key for one in batch.records]
+    return [record.key for record in batch.records]
 
 
 class OffsetTest(unittest.TestCase):
-    """Where a read goes on after the store went back."""
+    """The offset of the next read after a restore."""
 
-    def test_offset_that_was_given_out_again(self):
-        """As many records came as were lost: all are seen.
+    def test_offset_that_was_reused(self):
+        """All records are read when as many were written as were lost.
 
-        The read went on behind them, and nothing showed that they were missed.
+        Otherwise the read would continue behind the new records and miss them
+        unnoticed.
         """
 
         async def scenario(store, topic):
@@ -80,7 +82,7 @@
         self.assertEqual(run_with_topic(scenario), (True, 2, ['a']))
 
     def test_read_that_waits_across_a_restore(self):
-        """It ends as the store comes back, with what is there."""
+        """It ends with the restore and returns the restored records."""
 
         async def scenario(store, topic):
             store.put(TOPIC, 'a', b'1')
@@ -101,8 +103,8 @@
 
         self.assertEqual(run_with_topic(scenario), (2, ['a', 'c']))
 
-    def test_other_topic_has_heard_of_it(self):
-        """One call fewer: the old offset is not asked for any more."""
+    def test_epoch_known_from_another_topic(self):
+        """The outdated offset is not requested, which saves one call."""
 
         async def scenario(store, topic):
             store.put(TOPIC, 'a', b'1')
@@ -117,7 +119,7 @@
         self.assertEqual(found, [('/log-newest', TOPIC)])
 
     def test_store_without_epochs(self):
-        """It is read as ever: from where the last read ended."""
+        """Reads continue where the last read ended."""
 
         async def scenario(store, topic):
             store.put(TOPIC, 'a', b'1')
@@ -131,10 +133,10 @@
 
 
 class PagesTest(unittest.TestCase):
-    """A whole read is of one copy."""
+    """All pages of a read are from one epoch."""
 
-    def play(self, *restores):
-        """Return what a read brings that restores come in the middle of."""
+    def read_during(self, *restores):
+        """Return the result of a read during which restores happen."""
         left = list(restores)
 
         async def scenario(store, topic):
@@ -151,31 +153,31 @@
 
             store.handle = handle_then_restore
             batch = await topic.read()
-            return batch.epoch, [(one.key, one.value) for one in batch.records]
+            return batch.epoch, [(row.key, row.value) for row in batch.records]
 
-        with patch.object(stand_in, 'PAGE', 2):
+        with patch.object(fake_store, 'PAGE', 2):
             return run_with_topic(scenario)
 
     def test_restore_in_the_middle_of_a_read(self):
-        """Its pages are not put together with those of before."""
-        epoch, found = self.play(False, True)
+        """Pages from before the restore are discarded."""
+        epoch, found = self.read_during(False, True)
         self.assertEqual(epoch, 2)
         self.assertEqual(dict(found)['k0'], b'new')
         self.assertNotIn('k5', dict(found))
 
     def test_two_restores_in_one_second(self):
-        epoch, found = self.play(True, False, True)
+        epoch, found = self.read_during(True, False, True)
         self.assertEqual(epoch, 3)
         self.assertEqual(dict(found)['k0'], b'new')
 
-    def test_restores_without_an_end(self):
-        """A read that can't be finished has failed."""
+    def test_endless_restores(self):
+        """A read that can't be completed raises an error."""
         with self.assertRaises(DirectoryError):
-            self.play(*[True for _ in range(20)])
+            self.read_during(*[True for _ in range(20)])
 
 
-class DoubtTest(unittest.TestCase):
-    """Answers whose epoch can't follow the one before."""
+class InconsistentEpochTest(unittest.TestCase):
+    """Responses whose epoch is inconsistent with the current one."""
 
     def setUp(self):
         self.lines = []
@@ -183,42 +185,42 @@
         patched.start()
         self.addCleanup(patched.stop)
 
-    def read(self, *told, pause_s=0.1):
-        """Return what answers count as, one after the other."""
+    def read(self, *headers_sent, pause_s=0.1):
+        """Return the result of each response in turn."""
 
         async def main():
             epochs = StoreEpochs()
-            found = []
-            for text in told:
+            results = []
+            for text in headers_sent:
                 await anyio.sleep(pause_s)
                 headers = ((b'Store-Era', text.encode()),) if text else ()
                 try:
-                    found.append(epochs.take(Head(200, headers)))
+                    results.append(epochs.take(Head(200, headers)))
                 except DirectoryError:
-                    found.append('doubt')
-            return found
+                    results.append('rejected')
+            return results
 
         return run_virtually(main)
 
-    def test_epoch_that_falls(self):
-        """A late answer of the copy before proves nothing."""
-        self.assertEqual(self.read('4', '5', '4', '5'), [4, 5, 'doubt', 5])
+    def test_lower_epoch(self):
+        """A late response from before a restore is rejected."""
+        self.assertEqual(self.read('4', '5', '4', '5'), [4, 5, 'rejected', 5])
         self.assertEqual(len(self.lines), 1)
 
-    def test_epoch_that_is_missing_or_unreadable(self):
+    def test_missing_or_invalid_epoch(self):
         found = self.read('4', '', 'x', '-1', '4')
-        self.assertEqual(found, [4, 'doubt', 'doubt', 'doubt', 4])
+        self.assertEqual(found, [4, 'rejected', 'rejected', 'rejected', 4])
         self.assertEqual(len(self.lines), 1)
 
-    def test_store_that_goes_on_with_a_lower_one(self):
-        """It is another store by then: nobody is locked out for good."""
+    def test_permanently_lower_epoch(self):
+        """After the timeout it is accepted as the epoch of another store."""
         found = self.read('9', '1', '1', '1', pause_s=MISMATCH_TIMEOUT_S * 0.6)
-        self.assertEqual(found, [9, 'doubt', 'doubt', 1])
+        self.assertEqual(found, [9, 'rejected', 'rejected', 1])
 
-    def test_refusals_without_one(self):
-        """Something in front of the store refuses for longer than a doubt.
+    def test_error_responses_without_epoch(self):
+        """A proxy rejects calls for longer than the timeout.
 
-        They were taken for another store, and its return for a restore.
+        This must not pass for another store, nor the end of it for a restore.
         """
 
         async def main():
@@ -232,8 +234,8 @@
         self.assertEqual(run_virtually(main), 4)
         self.assertEqual(self.lines, [])
 
-    def test_refusals_tell_as_well(self):
-        """What refuses a call tells of its epoch, too."""
+    def test_error_response_with_epoch(self):
+        """The epoch of an error response is recorded."""
 
         async def scenario(store, topic):
             await topic.read()
@@ -247,10 +249,10 @@
 
 
 class ClaimTest(unittest.TestCase):
-    """Compare and set at an offset that was given out twice."""
+    """Compare-and-set at an offset that was reused."""
 
-    def test_other_copy_at_the_same_offset(self):
-        """The records behind which a claim stands are gone: it fails."""
+    def test_same_offset_in_another_epoch(self):
+        """A claim fails if the records before it were lost."""
 
         async def scenario(store, _):
             topic = QuarantineTopic('store', StoreEpochs())
@@ -265,7 +267,7 @@
         self.assertFalse(run_with_topic(scenario))
 
 
-#: What may happen to a store: a write of a key, a restore, a read.
+#: Steps of a test: a write of a key, a restore, a read.
 STEPS = st.lists(
     st.one_of(
         st.tuples(st.just('write'), st.sampled_from('abc'), st.booleans()),
@@ -276,11 +278,11 @@
 )
 
 
-class BeliefTest(unittest.TestCase):
-    """Whatever happens, the last read knows what the store has."""
+class ConsistencyTest(unittest.TestCase):
+    """The last read reflects the store after any sequence of steps."""
 
     @given(STEPS)
-    def test_beliefs_end_equal_to_the_store(self, steps):
+    def test_reader_ends_equal_to_the_store(self, steps):
         async def scenario(store, topic):
             known = {}
             epochs = []
@@ -290,40 +292,42 @@
                 epochs.append(batch.epoch)
                 if batch.whole:
                     known.clear()
-                known.update({one.key: one.value for one in batch.records})
+                known.update(
+                    {record.key: record.value for record in batch.records}
+                )
 
-            for number, (what, which, writes) in enumerate(steps):
+            for number, (step, arg, has_value) in enumerate(steps):
                 await anyio.sleep(1)
-                if what == 'write':
-                    store.put(TOPIC, which, b'%d' % number if writes else b'')
-                elif what == 'restore':
-                    store.go_back(which)
+                if step == 'write':
+                    store.put(TOPIC, arg, b'%d' % number if has_value else b'')
+                elif step == 'restore':
+                    store.go_back(arg)
                 else:
                     await read()
             await read()
-            listed = {key: text for key, text in known.items() if text}
+            present = {key: value for key, value in known.items() if value}
             newest = store.get_topic(TOPIC).newest
-            there = {key: text for key, (_, text) in newest.items()}
-            self.assertEqual(listed, there)
+            stored = {key: value for key, (_, value) in newest.items()}
+            self.assertEqual(present, stored)
             self.assertEqual(epochs, sorted(epochs))
 
         run_with_topic(scenario)
 
 
-class StandInTest(unittest.TestCase):
-    """The store of the soak itself."""
+class FakeStoreTest(unittest.TestCase):
+    """The fake store of the soak test."""
 
-    def test_writers_write_their_last_word_again(self):
-        """Also where the store goes back once more before they have."""
+    def test_lost_records_are_written_again(self):
+        """They are, even if a second restore happens before."""
 
         async def scenario(store, _):
             for version in (1, 2, 3):
                 await anyio.sleep(3)
-                store.put_json(*stand_in.CONFIG, {'version': version})
+                store.put_json(*fake_store.CONFIG, {'version': version})
             store.go_back(1)
             store.go_back(5)
             store.write_again()
-            topic = store.get_topic(stand_in.CONFIG[0])
-            return topic.newest[stand_in.CONFIG[1]][1]
+            topic = store.get_topic(fake_store.CONFIG[0])
+            return topic.newest[fake_store.CONFIG[1]][1]
 
         self.assertEqual(run_with_topic(scenario), b'{"version": 3}')
--- a/tests/test_stream.py
+++ b/tests/test_stream.py
@@ -1,4 +1,4 @@
-"""Answers are put in order, whole and from the live attempt only."""
+"""Answers are reordered completely, from the current attempt only."""
 
 import unittest
 
@@ -14,11 +14,11 @@
     @given(st.permutations(range(COUNT)), st.lists(st.integers(0, COUNT - 1)))
     def test_any_order_with_repeats(self, order, repeats):
         assembler = Assembler(1)
-        passed = []
+        pushed = []
         for index in (*order, *repeats):
-            passed.extend(assembler.push(1, Chunk(index, str(index))))
+            pushed.extend(assembler.push(1, Chunk(index, str(index))))
         assembler.finish(1, COUNT)
-        self.assertEqual([one.index for one in passed], list(range(COUNT)))
+        self.assertEqual([chunk.index for chunk in pushed], list(range(COUNT)))
         self.assertTrue(assembler.is_whole)
 
     def test_end_marker_before_last_chunk(self):
--- a/tests/test_verdict.py
+++ b/tests/test_verdict.py
@@ -1,4 +1,4 @@
-"""The verdict of CI: known red tests are passed over, and nothing else is."""
+"""Evaluation of test reports: only known failures are not counted."""
 
 import unittest
 
@@ -11,7 +11,7 @@
 
 
 class VerdictTest(unittest.TestCase):
-    """What a report means."""
+    """Counts and lines for various reports."""
 
     def check(self, report, exit_code, known, passed, failed):
         verdict = judge(report, exit_code, known)
@@ -26,7 +26,7 @@
         self.check(FAILED + OTHER + RAN, 1, (), 3, 2)
 
     def test_known_red_is_passed_over(self):
-        """Just the listed test is, and it is printed."""
+        """Only the listed test is not counted, and it is printed."""
         lines = self.check(FAILED + OTHER + RAN, 1, (NAME,), 3, 1)
         self.assertIn(f'known red: {NAME}', lines)
         self.assertIn('FAILED: tests.test_b.T.test_y', lines)
@@ -38,18 +38,18 @@
         self.check(RAN, 0, (NAME,), 5, 1)
 
     def test_more_than_three(self):
-        known = tuple(f'tests.t.T.test_{one}' for one in range(4))
-        report = ''.join(f'FAIL: x ({one})\n' for one in known)
+        known = tuple(f'tests.t.T.test_{number}' for number in range(4))
+        report = ''.join(f'FAIL: x ({test})\n' for test in known)
         self.check(report + RAN, 1, known, 1, 1)
 
     def test_nothing_ran(self):
         self.check('', 0, (), 0, 1)
 
     def test_runner_that_ended_early(self):
-        """An exit code that no test explains is a failure."""
+        """A nonzero exit code without a failed test is a failure."""
         self.check(RAN, 2, (), 5, 1)
 
     def test_list(self):
-        """A line begins with the test; comments and blank lines don't."""
+        """Lines start with the test; comments and blank lines are ignored."""
         text = f'# why\n\n{NAME}: a cause, issue 1\n'
         self.assertEqual(read_known(text), (NAME,))
--- a/tests/verdict.py
+++ b/tests/verdict.py
@@ -1,15 +1,15 @@
 """
-Verdict of a test run
-=====================
+Test result evaluation
+======================
 
-Reads the report of the test runner and KNOWN-RED.txt, and says how many tests
-passed and failed.  Tests on the list are passed over and printed: they fail for
-a fault that is known and open.  One of them that passes is a failure as well,
-so that the list stays true.
+Reads the report of the test runner and KNOWN-RED.txt, and prints how many tests
+passed and failed.  Failures of listed tests are printed but not counted, as
+they are caused by known, open faults.  A listed test that passes counts as a
+failure, so that the list stays accurate.
 
     python -m tests.verdict REPORT EXIT_CODE KNOWN_RED
 
-prints a line for each test that counts, then `PASSED FAILED`.
+prints a line for each failure and known failure, then `PASSED FAILED`.
 """
 
 import re
@@ -17,16 +17,16 @@
 from dataclasses import dataclass
 from pathlib import Path
 
-#: The line with which the report begins the account of a failed test.
-BROKEN = re.compile(r'^(?:FAIL|ERROR): .*?\(([\w.]+)\)', re.MULTILINE)
+#: The first line of the report about a failed test.
+FAILURE = re.compile(r'^(?:FAIL|ERROR): .*?\(([\w.]+)\)', re.MULTILINE)
 RAN = re.compile(r'^Ran (\d+) tests? in', re.MULTILINE)
-#: How many tests may be red at once.
-MOST_RED = 3
+#: The most tests that may be listed as known red.
+MAX_KNOWN_RED = 3
 
 
 @dataclass(frozen=True)
 class Verdict:
-    """What a run says, with a line for each test that is not simply passed."""
+    """The counts of a run, with a line for each failure."""
 
     passed: int
     failed: int
@@ -34,7 +34,7 @@
 
 
 def read_known(text: str) -> tuple[str, ...]:
-    """Return the tests of the list: the first word of each line.
+    """Return the listed tests: the first word of each line.
 
     >>> read_known('tests.test_a.T.test_x: the cause, issue 1')
     ('tests.test_a.T.test_x',)
@@ -48,28 +48,30 @@
 
 
 def judge(report: str, exit_code: int, known: tuple[str, ...]) -> Verdict:
-    """Return the verdict on a report."""
-    ran = sum(int(one) for one in RAN.findall(report)[-1:])
-    broken = set(BROKEN.findall(report))
-    red = broken.intersection(known)
-    problems = [f'FAILED: {one}' for one in sorted(broken - red)]
+    """Evaluate a report."""
+    ran = sum(int(count) for count in RAN.findall(report)[-1:])
+    failures = set(FAILURE.findall(report))
+    red = failures.intersection(known)
+    problems = [f'FAILED: {test}' for test in sorted(failures - red)]
     problems.extend(
-        f'FAILED: {one} is listed as known red, but passes'
-        for one in sorted(set(known) - broken)
+        f'FAILED: {test} is listed as known red, but passes'
+        for test in sorted(set(known) - failures)
     )
-    if len(known) > MOST_RED:
-        problems.append(f'FAILED: more than {MOST_RED} tests are listed as red')
+    if len(known) > MAX_KNOWN_RED:
+        problems.append(
+            f'FAILED: more than {MAX_KNOWN_RED} tests are listed as red'
+        )
     if not ran:
         problems.append('FAILED: no test ran')
-    if exit_code and not broken:
+    if exit_code and not failures:
         problems.append(f'FAILED: the runner ended with {exit_code}')
-    passed = max(0, ran - len(broken))
-    lines = [f'known red: {one}' for one in sorted(red)]
+    passed = max(0, ran - len(failures))
+    lines = [f'known red: {test}' for test in sorted(red)]
     return Verdict(passed, len(problems), (*lines, *problems))
 
 
 def main() -> None:
-    """Print the verdict on the report that the command line names."""
+    """Evaluate the report named on the command line."""
     report, exit_code, listed = sys.argv[1:]
     path = Path(listed)
     known = read_known(path.read_text('utf-8')) if path.exists() else ()
--- a/tests/virtual_loop.py
+++ b/tests/virtual_loop.py
@@ -1,4 +1,4 @@
-"""An event loop whose clock jumps from one timer to the next."""
+"""An event loop on a virtual clock that jumps from one timer to the next."""
 
 import asyncio
 import selectors
@@ -7,7 +7,7 @@
 
 
 class JumpingSelector(selectors.DefaultSelector):
-    """Waits for nothing: time that would be waited for has passed at once."""
+    """A selector that returns at once and advances the virtual clock."""
 
     def __init__(self):
         super().__init__()
@@ -19,7 +19,7 @@
 
 
 class VirtualLoop(asyncio.SelectorEventLoop):
-    """A loop on a virtual clock that begins at zero, for work without I/O."""
+    """An event loop with a virtual clock from zero, for code without I/O."""
 
     def __init__(self):
         self._jumping = JumpingSelector()
@@ -30,5 +30,5 @@
 
 
 def run_virtually(main):
-    """Run `main()` on a virtual clock; return its result."""
+    """Run `main()` on a virtual clock and return its result."""
     return anyio.run(main, backend_options={'loop_factory': VirtualLoop})
--- a/trestledock/connection/_parsing.py
+++ b/trestledock/connection/_parsing.py
@@ -101,7 +101,7 @@
         raise BadRequest(f'{KEY_HEADER} exceeds {MAX_KEY_LENGTH} characters')
     home = http.headers.get(HOME_HEADER) or team.home
     if cfg and home and home not in cfg.data_centres:
-        raise BadRequest(f'unknown data centre {home}')
+        raise BadRequest(f'{home} is not a known data centre')
     if cfg and not home:
         home = rank_by_key(f'{name}/{key}', cfg.data_centres)[0]
     return Envelope(
