--- a/tests/test_command_line.py
+++ b/tests/test_command_line.py
@@ -14,7 +14,7 @@
 ROOT = Path(__file__).parent.parent
 
 
-class Commands(unittest.TestCase):
+class CommandsTest(unittest.TestCase):
     def run_command(self, *words, text=''):
         runner = CliRunner()
         with runner.isolated_filesystem():
--- a/tests/test_fold.py
+++ b/tests/test_fold.py
@@ -53,9 +53,9 @@
 )
 
 
-class Folding(unittest.TestCase):
+class FoldTest(unittest.TestCase):
     @given(DRAWS, st.integers(0, 30))
-    def test_reader_after_retention_agrees_or_has_a_gap(self, draws, first):
+    def test_reader_of_trimmed_log_agrees_or_has_a_gap(self, draws, first):
         full, entries = make_log(draws)
         first = min(first, len(entries))
         reader = Reader()
@@ -66,7 +66,7 @@
             self.assertFalse(reader.at_tail)
 
     @given(DRAWS, st.lists(st.integers(0, 29), max_size=6))
-    def test_batches_twice_and_cut_anywhere(self, draws, cuts):
+    def test_repeated_and_partial_batches(self, draws, cuts):
         full, entries = make_log(draws)
         reader = Reader()
         for cut in (*sorted(cuts), len(entries)):
@@ -75,7 +75,7 @@
             reader.feed(batch)
         self.assertEqual(reader.fold.scopes, full.scopes)
 
-    def test_stale_snapshot_brings_nothing_back(self):
+    def test_stale_snapshot_does_not_restore_old_state(self):
         fold = Fold()
         stale = make_snapshot_record('stale', fold)
         fold.apply(0, Record('a', 'lease/a', NO_BASE, BODY))
@@ -96,7 +96,7 @@
         record = Record('a', CONFIGURATION, NO_BASE, '{"teams": 3}')
         self.assertFalse(fold.apply(0, record))
 
-    def test_poisoned_and_foreign_records_change_nothing(self):
+    def test_invalid_and_foreign_records_are_ignored(self):
         plain = {
             'first': 0,
             'tail': 3,
@@ -127,7 +127,7 @@
         self.assertTrue(reader.at_tail)
         self.assertEqual(reader.fold.scopes, {})
 
-    def test_peer_behind_is_not_adopted(self):
+    def test_older_snapshot_of_peer_is_not_installed(self):
         ahead = Reader()
         record = Record('a', 'lease/a', NO_BASE, BODY)
         ahead.feed(Batch(0, 1, (Entry(0, record),)))
@@ -135,7 +135,7 @@
         self.assertIn('lease/a', ahead.fold.scopes)
 
 
-class Checking(unittest.TestCase):
+class CheckConfigurationTest(unittest.TestCase):
     @params('huber', 'gulf-piedmont')
     def test_examples(self, name):
         text = (EXAMPLES / f'{name}.yaml').read_text()
--- a/tests/test_outcome.py
+++ b/tests/test_outcome.py
@@ -16,24 +16,24 @@
 EVENTS = st.lists(st.sampled_from(list(AttemptEvent)), max_size=8)
 
 
-def play(events):
+def apply_events(events):
     attempt = Attempt(1, 'engine')
     for event in events:
         attempt = attempt.advance(event)
     return attempt
 
 
-class Outcomes(unittest.TestCase):
+class OutcomeTest(unittest.TestCase):
     def test_nothing_sent(self):
         self.assertIs(derive_outcome([], idempotent=False), Outcome.not_run)
 
     def test_connect_failed_before_write(self):
-        attempt = play([AttemptEvent.lose])
+        attempt = apply_events([AttemptEvent.lose])
         outcome = derive_outcome([attempt], idempotent=False)
         self.assertIs(outcome, Outcome.not_run)
 
     def test_timeout_after_write_is_never_not_run(self):
-        attempt = play([AttemptEvent.write, AttemptEvent.lose])
+        attempt = apply_events([AttemptEvent.write, AttemptEvent.lose])
         self.assertIs(
             derive_outcome([attempt], idempotent=False),
             Outcome.unknown,
@@ -44,7 +44,7 @@
         )
 
     def test_rejection_after_start_proves_nothing(self):
-        attempt = play(
+        attempt = apply_events(
             [
                 AttemptEvent.write,
                 AttemptEvent.answer,
@@ -55,14 +55,14 @@
 
     @given(EVENTS)
     def test_not_run_only_without_write_or_with_rejection(self, events):
-        attempt = play(events)
+        attempt = apply_events(events)
         outcome = derive_outcome([attempt], idempotent=False)
         if outcome is Outcome.not_run and AttemptEvent.write in events:
             self.assertIs(attempt.state, AttemptState.rejected)
 
     @given(EVENTS, EVENTS)
     def test_final_states_stay(self, events, more):
-        attempt = play(events)
+        attempt = apply_events(events)
         if not attempt.is_live:
             for event in more:
                 self.assertEqual(attempt, attempt.advance(event))
--- a/tests/test_platform_log.py
+++ b/tests/test_platform_log.py
@@ -1,4 +1,4 @@
-"""The client of the platform's log, against a stub on loopback."""
+"""The client of the platform's log, tested with a stub on loopback."""
 
 import unittest
 
@@ -21,10 +21,10 @@
 
 
 class LogTest(unittest.TestCase):
-    """Calls, pages, forgotten history and broken connections."""
+    """Calls, pages, trimmed records and broken connections."""
 
-    def test_reset_is_an_error_of_the_wire(self):
-        """A reset during a call is no group of errors (seen on a hunt)."""
+    def test_reset_raises_wire_error(self):
+        """A reset during a call once raised an exception group instead."""
         good = make_answer(200, b'{"items":[],"endOffset":3}')
 
         async def scenario(client):
@@ -37,8 +37,8 @@
 
         run_with_stub([None, good], scenario)
 
-    def test_forgotten_history_is_read_anew(self):
-        """After a 410 everything is read again."""
+    def test_trimmed_topic_is_read_again(self):
+        """All records are read again after a 410."""
         newest = b'{"items":[{"key":"k","value":"dg==","offset":7}],' + (
             b'"endOffset":8}'
         )
@@ -51,19 +51,21 @@
             self.assertEqual(batch.records[0].value, b'v')
 
         first = make_answer(200, b'{"items":[],"endOffset":3}')
-        gone = make_answer(410, b'{"firstOffset":6}')
-        stub = run_with_stub([first, gone, make_answer(200, newest)], scenario)
+        trimmed = make_answer(410, b'{"firstOffset":6}')
+        stub = run_with_stub(
+            [first, trimmed, make_answer(200, newest)], scenario
+        )
         self.assertIn('from=3', stub.requests[1])
 
-    def test_reads_go_on_after_the_last_record(self):
-        """What was read is not asked for again."""
+    def test_reads_continue_after_the_last_record(self):
+        """Records are not requested twice."""
         records = make_record(b'a', b'1') + make_record(b'b', b'')
 
         async def scenario(client):
             topic = KeyedTopic(client, 'keyed.op')
             await topic.read()
             batch = await topic.read()
-            self.assertEqual([one.key for one in batch.records], ['a', 'b'])
+            self.assertEqual([row.key for row in batch.records], ['a', 'b'])
             await topic.read()
 
         first = make_answer(200, b'{"items":[],"endOffset":3}')
@@ -77,8 +79,8 @@
         )
         self.assertIn('from=5', stub.requests[2])
 
-    def test_refusal_is_an_error(self):
-        """A 429 or 503 of the store is told as such."""
+    def test_error_status(self):
+        """An error status of the store raises `DirectoryError`."""
 
         async def scenario(client):
             with self.assertRaises(DirectoryError):
@@ -87,7 +89,7 @@
         run_with_stub([make_answer(503, b'')], scenario)
 
     def test_split_records(self):
-        """Records are cut out of a read; an empty value drops the key."""
+        """A read is split into records; an empty value deletes the key."""
         raw = make_record(b'a', b'1') + make_record(b'b', b'')
         found = [(one.key, one.value) for one in split_records(raw)]
         self.assertEqual(found, [('a', b'1'), ('b', b'')])
@@ -97,13 +99,16 @@
 
 
 class BacklogTest(unittest.TestCase):
-    """One answer of the log has a part of what is new: a megabyte at most."""
+    """A response of the log may contain only a part of the new records.
+
+    It has a megabyte at most.
+    """
 
     def test_read_ends_at_the_end_of_the_log(self):
-        """A read that counts as fresh has brought all that there was.
+        """A read must return everything up to the end of the log.
 
-        Who is further behind than one answer has room for reads the newest
-        record of each key, instead of a megabyte of heartbeats.
+        A reader that is further behind than one response reads the newest
+        record of each key instead of a megabyte of heartbeats.
         """
         part = READ_HEADER.pack(5, 0) + make_record(b'a', b'1')
         newest = b'{"items":[{"key":"b","value":"dg=="}],"endOffset":5}'
@@ -122,13 +127,13 @@
         ]
         stub = run_with_stub(answers, scenario)
         self.assertTrue(batches[0].whole)
-        self.assertEqual([one.key for one in batches[0].records], ['b'])
+        self.assertEqual([row.key for row in batches[0].records], ['b'])
         self.assertEqual(batches[1].records, ())
         self.assertIn('from=5', stub.requests[3])
 
 
 class ClosingStore(StubStore):
-    """Closes its connection after each answer, without a word."""
+    """Closes its connection after each response without notice."""
 
     async def serve(self, stream):
         async with stream:
@@ -138,10 +143,10 @@
 
 
 class IdleConnectionTest(unittest.TestCase):
-    """A kept connection was closed while nothing was asked."""
+    """The store closes an idle connection."""
 
-    def test_read_after_a_close_is_no_loss_of_the_store(self):
-        """It is a matter of the connection: the store itself is well."""
+    def test_read_after_close_of_idle_connection(self):
+        """The call is repeated on a new connection, as the store works."""
         stub = ClosingStore([FIRST, make_answer(200, READ_HEADER.pack(3, 0))])
 
         async def main():
--- a/tests/test_platform_notices.py
+++ b/tests/test_platform_notices.py
@@ -1,4 +1,4 @@
-"""What a target says of itself, in whatever form it comes."""
+"""Parsing of notices in the headers of responses."""
 
 import unittest
 
@@ -17,13 +17,13 @@
 
 
 def read(*texts):
-    """Return what is read of an answer with these headers."""
-    headers = [(b'Server-Limit', one.encode('latin-1')) for one in texts]
+    """Return the rate limit of a response with these headers."""
+    headers = [(b'Server-Limit', text.encode('latin-1')) for text in texts]
     return read_rate_limit(Head(200, tuple(headers)))
 
 
-class NamedLimitTest(unittest.TestCase):
-    """Numbers, and what is none."""
+class RateLimitTest(unittest.TestCase):
+    """Valid and invalid rate limits."""
 
     def test_numbers(self):
         known = {
@@ -41,7 +41,7 @@
             self.assertEqual(found.per_s, per_s, text)
             self.assertFalse(found.unreadable)
 
-    def test_nonsense_is_no_number_and_no_silence(self):
+    def test_invalid_numbers_are_reported(self):
         for text in (
             '',
             '-1',
@@ -60,7 +60,7 @@
             self.assertTrue(found.unreadable, text)
 
     def test_named_twice(self):
-        """The lowest number counts, whatever stands beside it."""
+        """The lowest number applies, even beside invalid ones."""
         self.assertEqual(read('3', '2', '5').per_s, 2)
         self.assertEqual(read('x', '4').per_s, 4)
         self.assertEqual(read('x', '4').unreadable, "'x'")
@@ -69,7 +69,7 @@
         self.assertFalse(read().is_named)
         self.assertIsNone(read().per_s)
 
-    def test_stands_in_any_answer(self):
+    def test_read_from_any_response(self):
         for status in (200, 421, 500, 503):
             head = Head(status, ((b'server-LIMIT', b'2'),))
             self.assertEqual(PlatformDialect().read_head(head).limit.per_s, 2)
@@ -83,13 +83,13 @@
 
 
 def read_after(*texts, status=503):
-    """Return the rest that a refusal with these headers asks for."""
-    headers = [(b'Retry-After', one.encode('latin-1')) for one in texts]
+    """Return the back-off that a response with these headers requests."""
+    headers = [(b'Retry-After', text.encode('latin-1')) for text in texts]
     return read_backoff(Head(status, tuple(headers)))
 
 
-class NamedRestTest(unittest.TestCase):
-    """Seconds of rest, and what is none."""
+class BackoffTest(unittest.TestCase):
+    """Valid and invalid back-off times."""
 
     def test_numbers(self):
         known = {
@@ -104,8 +104,8 @@
             self.assertEqual(found.rest_s, rest_s, text)
             self.assertFalse(found.unreadable, text)
 
-    def test_nonsense_asks_for_nothing(self):
-        """A date would be read by another machine's clock."""
+    def test_invalid_values_have_no_effect(self):
+        """Dates are invalid, because the clocks of two machines may differ."""
         date = 'Thu, 03 Dec 2026 09:36:11 GMT'
         for text in ('', '-3', '+3', 'NaN', 'inf', '1e3', '1,5', 'soon', date):
             found = read_after(text)
@@ -113,11 +113,11 @@
             self.assertTrue(found.unreadable, text)
 
     def test_named_twice(self):
-        """The longest counts, whatever stands beside it."""
+        """The longest time applies, even beside invalid ones."""
         self.assertEqual(read_after('1', '3', 'x').rest_s, 3)
         self.assertEqual(read_after('1', '3', 'x').unreadable, "'x'")
 
-    def test_only_where_a_request_is_turned_away(self):
+    def test_only_for_rejection_statuses(self):
         for status in (429, 503):
             self.assertEqual(read_after('3', status=status).rest_s, 3)
         for status in (200, 301, 421, 500):
@@ -130,16 +130,16 @@
         self.assertLessEqual(found.rest_s, MAX_BACKOFF_S)
 
 
-class LeavingTest(unittest.TestCase):
-    """The one text that says that a target leaves."""
+class DrainingTest(unittest.TestCase):
+    """The header value that announces that a target is draining."""
 
     def test_texts(self):
         known = {'1': True, ' 1 ': True, '0': False, '': False, 'true': False}
-        for text, leaves in known.items():
+        for text, is_draining in known.items():
             head = Head(200, ((b'SERVER-leaving', text.encode()),))
-            self.assertIs(read_draining(head), leaves, text)
+            self.assertIs(read_draining(head), is_draining, text)
         self.assertFalse(read_draining(Head(200, ())))
 
-    def test_said_twice(self):
+    def test_named_twice(self):
         headers = ((b'server-leaving', b'0'), (b'server-leaving', b'1'))
         self.assertTrue(read_draining(Head(500, headers)))
--- a/tests/test_platform_quarantine.py
+++ b/tests/test_platform_quarantine.py
@@ -1,4 +1,4 @@
-"""What the store remembers of quarantined requests."""
+"""Quarantined requests in the store."""
 
 import json
 import unittest
@@ -20,7 +20,7 @@
 
 
 def run_with_store(scenario):
-    """Run `scenario(store, *topics)` with the topics of two entries."""
+    """Run `scenario(store, first, second)` with the topics of two entries."""
 
     async def main():
         store = Store()
@@ -43,86 +43,87 @@
     anyio.run(main)
 
 
-async def claim_trial(topic, record):
-    """Take the right to a trial, as an entry does that never asked before."""
+async def claim_probe(topic, record):
+    """Claim a probe, as an entry does that never claimed one before."""
     state = EntryState(SETTINGS, 'entry-1#a', Random(1), None)
     return await Keeping(state, topic, bool)._claim(record)
 
 
 class QuarantineTopicTest(unittest.TestCase):
-    """Records, trials and what makes no sense."""
+    """Records, probes and invalid records."""
 
-    def test_later_start_reads_what_was_written(self):
-        async def scenario(store, one, other):
-            await one.write_records([RECORD])
-            found = await other.read_records(0)
+    def test_records_are_read_by_another_entry(self):
+        async def scenario(store, first, second):
+            await first.write_records([RECORD])
+            found = await second.read_records(0)
             self.assertEqual([record.fingerprint for record in found], ['f'])
             self.assertEqual(found[0].incarnations, RECORD.incarnations)
             self.assertLess(abs(found[0].age_s - RECORD.age_s), 30)
             self.assertEqual(found[0].trials, 0)
             answered = Quarantined('f', (), cleared=RECORD.incarnations)
-            await one.write_records([answered])
-            found = await other.read_records(0)
+            await first.write_records([answered])
+            found = await second.read_records(0)
             self.assertEqual(found[0].incarnations, ())
             self.assertEqual(found[0].cleared, RECORD.incarnations)
 
         run_with_store(scenario)
 
-    def test_long_read_ends_as_something_is_written(self):
-        async def scenario(store, one, other):
-            await other.read_records(0)
+    def test_long_polling_read_ends_with_a_write(self):
+        async def scenario(store, first, second):
+            await second.read_records(0)
             async with anyio.create_task_group() as group:
-                group.start_soon(one.write_records, [RECORD])
-                found = await other.read_records(600)
+                group.start_soon(first.write_records, [RECORD])
+                found = await second.read_records(600)
             self.assertEqual([record.fingerprint for record in found], ['f'])
 
         run_with_store(scenario)
 
-    def test_one_trial_of_all(self):
-        async def scenario(store, one, other):
-            await one.write_records([RECORD])
+    def test_one_probe_for_all_entries(self):
+        async def scenario(store, first, second):
+            await first.write_records([RECORD])
             granted = [
-                await claim_trial(topic, RECORD) for topic in (one, other, one)
+                await claim_probe(topic, RECORD)
+                for topic in (first, second, first)
             ]
             self.assertEqual(granted, [True, False, False])
-            found = await other.read_records(0)
+            found = await second.read_records(0)
             self.assertEqual(found[0].trials, 1)
             self.assertLess(found[0].age_s, 30)
 
         run_with_store(scenario)
 
-    def test_one_of_two_trials_at_the_same_moment(self):
+    def test_concurrent_claims_of_a_probe(self):
         granted = []
 
-        async def scenario(store, one, other):
-            await one.write_records([RECORD])
-            write = one.write_records
+        async def scenario(store, first, second):
+            await first.write_records([RECORD])
+            write = first.write_records
 
             async def write_later(*args):
-                granted.append(await claim_trial(other, RECORD))
+                granted.append(await claim_probe(second, RECORD))
                 return await write(*args)
 
-            one.write_records = write_later
-            granted.append(await claim_trial(one, RECORD))
+            first.write_records = write_later
+            granted.append(await claim_probe(first, RECORD))
 
         run_with_store(scenario)
         self.assertEqual(granted, [True, False])
 
-    def test_ends_that_others_have_seen_since(self):
-        """Nobody tries what has just ended another target."""
+    def test_crash_seen_by_another_entry_meanwhile(self):
+        """A request that has just crashed another target is not probed."""
 
-        async def scenario(store, one, other):
-            await one.write_records(
+        async def scenario(store, first, second):
+            await first.write_records(
                 [Quarantined('f', ('t1', 't2', 't3', 't4'), 1)]
             )
-            self.assertFalse(await claim_trial(other, RECORD))
+            self.assertFalse(await claim_probe(second, RECORD))
 
         run_with_store(scenario)
 
-    def test_record_without_sense(self):
-        """It says nothing, and hides no other."""
+    def test_invalid_records(self):
+        """Invalid records are skipped and do not affect the others."""
 
-        async def scenario(store, one, other):
+        async def scenario(store, first, second):
             topic = store.get_topic(TOPIC)
             for number, plain in enumerate(
                 (
@@ -134,18 +135,18 @@
             ):
                 topic.put(f'bad{number}', json.dumps(plain).encode())
             topic.put('worse', b'\xff')
-            await one.write_records([RECORD])
-            found = await other.read_records(0)
+            await first.write_records([RECORD])
+            found = await second.read_records(0)
             self.assertEqual([record.fingerprint for record in found], ['f'])
 
         run_with_store(scenario)
 
-    def test_store_that_refuses(self):
-        async def scenario(store, one, other):
+    def test_error_status_of_the_store(self):
+        async def scenario(store, first, second):
             store.status = 503
             with self.assertRaises(DirectoryError):
-                await one.write_records([RECORD])
+                await first.write_records([RECORD])
             with self.assertRaises(DirectoryError):
-                await claim_trial(one, RECORD)
+                await claim_probe(first, RECORD)
 
         run_with_store(scenario)
--- a/tests/test_platform_start.py
+++ b/tests/test_platform_start.py
@@ -1,19 +1,19 @@
-"""What a start imports: each module is paid by every process at every start.
+"""Modules imported at start: every process loads them at every start.
 
-A roll or a kill of 195 entries starts them all once more, and imports were a
-third of an entry's processor time on a short day.
+A rolling restart or a kill of 195 entries starts all of them again, and imports
+took a third of an entry's CPU time in a short run.
 """
 
 import subprocess
 import sys
 import unittest
 
-#: Packages that an entry may load while it starts, beside the standard library.
+#: Packages outside the standard library that an entry may import at start.
 ALLOWED = frozenset(
     (
         'anyio',
         'h11',
-        # The web server loads its other protocols, too.
+        # The web server also imports its other protocols.
         'h2',
         'hpack',
         'hypercorn',
@@ -26,42 +26,42 @@
         'wsproto',
     )
 )
-#: Our own packages and modules, of which the others belong to other commands;
-#: the clock is the event loop's, so an entry needs it from its first step.
+#: The packages and modules of this project that an entry imports; others belong
+#: to other commands.  The clock is used by the event loop from its first step.
 OWN = frozenset(('clock', 'entry', 'platform', 'relay'))
-#: Modules of the standard library that cost much and serve nothing here.
-DEAR = frozenset(
+#: Expensive modules of the standard library that an entry does not use.
+EXPENSIVE = frozenset(
     ('http.server', 'xml', 'unittest', 'sqlite3', 'urllib.request')
 )
 SCRIPT = 'import sys, trestledock.platform._run; print(*sys.modules)'
 
 
 def get_modules():
-    """Return the names of the modules that a start has loaded."""
+    """Return the names of all modules loaded at start."""
     command = (sys.executable, '-c', SCRIPT)
     done = subprocess.run(command, check=True, capture_output=True, text=True)
     return done.stdout.split()
 
 
 class StartTest(unittest.TestCase):
-    """The imports of an entry on the platform."""
+    """Imports of an entry on the platform."""
 
     @classmethod
     def setUpClass(cls):
         cls.names = get_modules()
 
     def test_packages(self):
-        """No library is loaded that is not needed from the beginning."""
+        """Only libraries that are needed at start are imported."""
         found = {name.partition('.')[0] for name in self.names}
-        third = {
+        third_party = {
             name
             for name in found - sys.stdlib_module_names
             if not name.startswith(('_', 'sitecustomize', 'distutils'))
         }
-        self.assertLessEqual(third, ALLOWED)
+        self.assertLessEqual(third_party, ALLOWED)
 
     def test_own_packages(self):
-        """Nothing of other commands is loaded."""
+        """No modules of other commands are imported."""
         found = {
             name.split('.')[1]
             for name in self.names
@@ -69,6 +69,6 @@
         }
         self.assertEqual(found, OWN)
 
-    def test_dear_modules(self):
-        """Nor what a library loads for a part that is not used."""
-        self.assertEqual(DEAR & set(self.names), set())
+    def test_expensive_modules(self):
+        """Nor modules that libraries import for unused features."""
+        self.assertEqual(EXPENSIVE & set(self.names), set())
--- a/tests/test_platform_store.py
+++ b/tests/test_platform_store.py
@@ -1,4 +1,4 @@
-"""What stands in the platform's store: targets and the configuration."""
+"""Targets and the configuration in the platform's store."""
 
 import base64
 import json
@@ -14,7 +14,7 @@
 
 
 def make_heartbeat(state, sequence, name='t1'):
-    """Return a target's record as it stands in the log."""
+    """Return a target's record in the log."""
     fields = {
         'service': 's',
         'address': '10.0.0.1:80',
@@ -27,10 +27,10 @@
 
 
 class TargetsTest(unittest.TestCase):
-    """What is read of targets."""
+    """Reads of targets."""
 
     def read(self, *records):
-        """Return the targets that may get new work after one read."""
+        """Return the ids of the usable targets after one read."""
         directory = StoreDirectory('127.0.0.1:1')
 
         async def read():
@@ -38,18 +38,18 @@
 
         directory._targets.read = read
         fleet = Fleet()
-        for one in anyio.run(directory.read_targets).targets:
-            if one.listed:
-                fleet.put(one.listed)
-        return [one.target_id for one in fleet.get_usable('s')]
-
-    def test_late_heartbeat_hides_nothing(self):
-        """A target leaves, though an older heartbeat is written after that.
-
-        A heartbeat whose answer was lost may be carried out seconds later.
-        Where it came into the same read as the word that the target leaves,
-        only the last of both was kept, and the target got work for as long as
-        its next heartbeat took: 1.2 s and more.
+        for update in anyio.run(directory.read_targets).targets:
+            if update.listed:
+                fleet.put(update.listed)
+        return [target.target_id for target in fleet.get_usable('s')]
+
+    def test_late_heartbeat_does_not_hide_draining(self):
+        """A target drains although an older heartbeat is written afterwards.
+
+        A heartbeat whose response was lost may take effect seconds later.  When
+        it was in the same read as the draining record, only the last of the two
+        was kept, and the target got requests until its next heartbeat, for 1.2
+        s and more.
         """
         found = self.read(
             make_heartbeat('ready', 4),
@@ -58,11 +58,11 @@
         )
         self.assertEqual(found, [])
 
-    def test_record_that_makes_no_sense_hides_no_other(self):
-        """What can't be read is left out, and all others count.
+    def test_invalid_records(self):
+        """Invalid records are skipped and do not affect the others.
 
-        The position in the log had moved on by then: a target that left in the
-        same read got work until it ended.
+        Otherwise the read fails after the log offset has advanced, and a target
+        that drains in the same read gets requests until it exits.
         """
         found = self.read(
             make_heartbeat('ready', 1),
@@ -74,13 +74,13 @@
 
 
 class ConfigurationTest(unittest.TestCase):
-    """What is read of the configuration."""
+    """Reads of the configuration."""
 
-    def test_version_that_makes_no_sense_is_not_passed_over(self):
-        """Nobody vouches for a version that could not be read.
+    def test_invalid_version_is_read_again(self):
+        """Every read fails until the version can be decoded.
 
-        The next read found nothing new and proved that the old version was
-        the newest one.
+        Otherwise the next read finds no new records, which would prove that the
+        older version is the newest one.
         """
         body = json.dumps({'version': 2, 'routes': [{}]}).encode()
         item = base64.b64encode(body).decode()
--- a/tests/test_stream.py
+++ b/tests/test_stream.py
@@ -10,7 +10,7 @@
 COUNT = 12
 
 
-class Assembly(unittest.TestCase):
+class AssemblerTest(unittest.TestCase):
     @given(st.permutations(range(COUNT)), st.lists(st.integers(0, COUNT - 1)))
     def test_any_order_with_repeats(self, order, repeats):
         assembler = Assembler(1)
