--- a/tests/test_platform_log.py
+++ b/tests/test_platform_log.py
@@ -80,7 +80,7 @@
         self.assertIn('from=5', stub.requests[2])
 
     def test_error_status(self):
-        """An error status of the store raises `DirectoryError`."""
+        """An error status such as 429 or 503 raises `DirectoryError`."""
 
         async def scenario(client):
             with self.assertRaises(DirectoryError):
--- a/trestledock/connection/_caller.py
+++ b/trestledock/connection/_caller.py
@@ -208,8 +208,8 @@
                     await self.hub.send(CallerGone(req.req_id))
 
     async def _receive_reply(self, req: Request, exchange: Exchange) -> Any:
-        left_s = req.deadline + VERDICT_GRACE_S - anyio.current_time()
-        with anyio.move_on_after(max(0, left_s)):
+        remaining_s = req.deadline + VERDICT_GRACE_S - anyio.current_time()
+        with anyio.move_on_after(max(0, remaining_s)):
             try:
                 return await exchange.receive.receive()
             except anyio.EndOfStream:
@@ -246,8 +246,8 @@
     return uuid.uuid4().hex
 
 
-def _format_event(plain: dict[str, Any]) -> str:
-    return f'data: {json.dumps(plain)}\n\n'
+def _format_event(data: dict[str, Any]) -> str:
+    return f'data: {json.dumps(data)}\n\n'
 
 
 def _make_final_event(verdict: Verdict) -> dict[str, Any]:
--- a/trestledock/connection/_daemon.py
+++ b/trestledock/connection/_daemon.py
@@ -82,11 +82,11 @@
     )
     async with anyio.create_task_group() as group:
         hub = Hub(node, settings, Metrics(), group)
-        ended = anyio.Event()
+        stopped = anyio.Event()
         group.start_soon(_run_links, hub)
-        group.start_soon(_drain_on_stop, hub, wait_for_stop, ended)
+        group.start_soon(_drain_on_stop, hub, wait_for_stop, stopped)
         log.info('started', extra={'member': identity.member})
-        await _serve_in_task_group(hub, ended)
+        await _serve_in_task_group(hub, stopped)
         group.cancel_scope.cancel()
     log.info('ended', extra={'member': identity.member})
 
@@ -117,14 +117,14 @@
         group.start_soon(Poller(hub, client).run)
 
 
-async def _serve_in_task_group(hub: Hub, ended: anyio.Event) -> None:
+async def _serve_in_task_group(hub: Hub, stopped: anyio.Event) -> None:
     """Serve in a separate task, because the server cancels its own task."""
     async with anyio.create_task_group() as group:
-        group.start_soon(_serve, hub, ended)
+        group.start_soon(_serve, hub, stopped)
 
 
-async def _serve(hub: Hub, ended: anyio.Event) -> None:
-    """Serve until `ended`; the server then completes started responses."""
+async def _serve(hub: Hub, stopped: anyio.Event) -> None:
+    """Serve until `stopped`; the server then completes started responses."""
     config = Config()
     config.bind = [hub.settings.listen]
     config.accesslog = None
@@ -133,14 +133,14 @@
     await serve(
         WithoutLifespan(CallerApp(hub).make_app()),
         config,
-        shutdown_trigger=ended.wait,
+        shutdown_trigger=stopped.wait,
     )
 
 
 async def _drain_on_stop(
     hub: Hub,
     wait_for_stop: Callable[[], Awaitable[None]],
-    ended: anyio.Event,
+    stopped: anyio.Event,
 ) -> None:
     """Drain the instance when it is asked to stop.
 
@@ -154,7 +154,7 @@
     await anyio.sleep(hub.settings.notice_s)
     await hub.send(Shutdown())
     await _wait_until_drained(hub)
-    ended.set()
+    stopped.set()
 
 
 async def _wait_until_drained(hub: Hub) -> None:
--- a/trestledock/connection/_operator.py
+++ b/trestledock/connection/_operator.py
@@ -138,8 +138,8 @@
 
     async def drain(self, http: HttpRequest) -> Response:
         """Drain a target."""
-        plain: dict[str, Any] = json.loads(await http.body())
-        name = plain.get('target', '')
+        data: dict[str, Any] = json.loads(await http.body())
+        name = data.get('target', '')
         if name not in self.hub.node.state.fleet.targets:
             return JSONResponse(
                 {'detail': f'unknown target {name}'},
--- a/trestledock/connection/_parsing.py
+++ b/trestledock/connection/_parsing.py
@@ -116,26 +116,26 @@
 def read_completion(body: bytes) -> Completion:
     """Read the JSON body of a completion."""
     try:
-        plain = json.loads(body)
+        data = json.loads(body)
     except ValueError as exc:
         raise BadRequest(f'the body is not JSON: {exc}') from exc
-    if not isinstance(plain, dict):
+    if not isinstance(data, dict):
         raise BadRequest('the body must be a JSON object')
-    prompt = _get_field(plain, 'prompt', str, None)
+    prompt = _get_field(data, 'prompt', str, None)
     if not prompt:
         raise BadRequest('the prompt is empty')
-    max_tokens = _get_field(plain, 'max_tokens', int, DEFAULT_MAX_TOKENS)
+    max_tokens = _get_field(data, 'max_tokens', int, DEFAULT_MAX_TOKENS)
     if not 0 < max_tokens <= MAX_TOKENS:
         raise BadRequest(f'max_tokens must be 1 to {MAX_TOKENS}')
     return Completion(
         prompt,
         Model(
-            _get_field(plain, 'model', str, None),
-            _get_field(plain, 'adapter', str, ''),
-            _get_field(plain, 'version', str, ''),
+            _get_field(data, 'model', str, None),
+            _get_field(data, 'adapter', str, ''),
+            _get_field(data, 'version', str, ''),
         ),
         max_tokens,
-        _get_field(plain, 'stream', bool, False),
+        _get_field(data, 'stream', bool, False),
     )
 
 
@@ -235,9 +235,9 @@
 
 
 def _get_field(
-    plain: dict[str, Any], name: str, kind: type, default: Any
+    data: dict[str, Any], name: str, kind: type, default: Any
 ) -> Any:
-    field = plain.get(name, default)
+    field = data.get(name, default)
     if field is None:
         raise BadRequest(f'{name} is missing')
     is_mismatch = isinstance(field, bool) is not (kind is bool)
--- a/trestledock/connection/_platform.py
+++ b/trestledock/connection/_platform.py
@@ -62,8 +62,8 @@
     async def read_log(self) -> None:
         """Read the log from the core's next offset."""
         offset = self.hub.node.state.reader.next_read
-        plain = await self._get('/v1/log', {'from': offset})
-        batch = read_batch(plain)
+        data = await self._get('/v1/log', {'from': offset})
+        batch = read_batch(data)
         await self.hub.send(LogRead(batch))
         while self.hub.node.state.reader.next_read < batch.first:
             await anyio.sleep(0)
@@ -71,8 +71,8 @@
 
     async def read_list(self) -> None:
         """Read the instance list."""
-        plain = await self._get('/v1/instances', {})
-        await self.hub.send(decode_instances(plain))
+        data = await self._get('/v1/instances', {})
+        await self.hub.send(decode_instances(data))
         await anyio.sleep(self.hub.settings.poll_list_s)
 
     async def _get(self, path: str, params: dict[str, Any]) -> Any:
@@ -102,14 +102,14 @@
     instances: tuple[dict[str, Any], ...]
 
 
-def decode_instances(plain: Any) -> InstancesListed:
+def decode_instances(data: Any) -> InstancesListed:
     """Decode the instance list; entry instances are peers, others are targets.
 
     Invalid rows are skipped, so that they don't affect the others.
     """
     targets = []
     peers = []
-    for row in decode(plain, InstanceList).instances:
+    for row in decode(data, InstanceList).instances:
         known = {key: row[key] for key in row if key in TARGET_INFO_KEYS}
         try:
             listed = decode(known, TargetInfo)
--- a/trestledock/connection/_polling.py
+++ b/trestledock/connection/_polling.py
@@ -69,8 +69,8 @@
                 await self._read_cache(target)
         except (httpx.HTTPError, ValueError):
             return
-        spent_s = anyio.current_time() - started
-        self.hub.metrics.poll_seconds.observe(spent_s)
+        duration_s = anyio.current_time() - started
+        self.hub.metrics.poll_seconds.observe(duration_s)
 
     async def _read_load(self, address: str) -> LoadReport:
         """Read a load report.
@@ -81,10 +81,10 @@
         if response.status_code in NO_ROUTE_STATUSES:
             return make_service_report({})
         response.raise_for_status()
-        plain = response.json()
-        if 'capacity_tokens' in plain:
-            return decode(plain, LoadReport)
-        return make_service_report(plain)
+        data = response.json()
+        if 'capacity_tokens' in data:
+            return decode(data, LoadReport)
+        return make_service_report(data)
 
     def _is_cache_due(self, name: str, now: float) -> bool:
         if now < self.next_cache_poll_at.get(name, 0):
@@ -121,8 +121,8 @@
 
     def _get_interval(self, name: str) -> float:
         state = self.hub.node.state
-        home = state.identity.data_centre
-        peers = state.fleet.get_live_peers(home)
+        data_centre = state.identity.data_centre
+        peers = state.fleet.get_live_peers(data_centre)
         members = {peer.info.member for peer in peers} | {state.member}
         is_main = rank_by_key(name, members)[0] == state.member
         state.fleet.targets[name].polled = is_main
@@ -130,7 +130,7 @@
         return settings.poll_load_s if is_main else settings.poll_others_s
 
 
-def make_service_report(plain: dict) -> LoadReport:
+def make_service_report(data: dict) -> LoadReport:
     """Return the report of a plain service, which only tells if it drains."""
     return LoadReport(
         age_s=0,
@@ -139,5 +139,5 @@
         capacity_tokens=0,
         rate=1,
         itl_s=0,
-        leaving=bool(plain.get('leaving')),
+        leaving=bool(data.get('leaving')),
     )
--- a/trestledock/connection/_target.py
+++ b/trestledock/connection/_target.py
@@ -89,7 +89,9 @@
         exchange = self.hub.exchanges.get(action.req_id)
         late = anyio.current_time() >= action.not_after
         if exchange is None or late:
-            await self._fail(action, 'send', 'too late to start', proof=True)
+            await self._fail(
+                action, 'send', 'too late to start', not_started=True
+            )
             return
         is_first = action.job.hold not in exchange.holds
         exchange.holds.add(action.job.hold)
@@ -116,12 +118,14 @@
         exchange = self.hub.exchanges.get(action.req_id)
         late = anyio.current_time() >= action.not_after
         if exchange is None or late:
-            await self._fail(action, 'send', 'too late to start', proof=True)
+            await self._fail(
+                action, 'send', 'too late to start', not_started=True
+            )
             return
-        left_s = exchange.deadline - anyio.current_time()
+        remaining_s = exchange.deadline - anyio.current_time()
         headers = {
             'content-type': exchange.content_type or 'application/json',
-            'trestledock-deadline-ms': str(round(left_s * MS)),
+            'trestledock-deadline-ms': str(round(remaining_s * MS)),
         }
         if exchange.idempotency_key:
             headers['idempotency-key'] = exchange.idempotency_key
@@ -132,7 +136,7 @@
                 params=exchange.query,
                 content=exchange.body,
                 headers=headers,
-                timeout=self._get_timeout(left_s),
+                timeout=self._get_timeout(remaining_s),
             )
         except httpx.HTTPError as exc:
             await self._fail_with_error(action, 'call', exc)
@@ -180,12 +184,12 @@
         body: dict[str, Any],
         exchange: Exchange,
     ) -> None:
-        left_s = exchange.deadline - anyio.current_time()
+        remaining_s = exchange.deadline - anyio.current_time()
         try:
             response = await self.client.post(
                 f'http://{action.address}/v1/jobs',
                 json=body,
-                timeout=self._get_timeout(left_s),
+                timeout=self._get_timeout(remaining_s),
             )
         except httpx.HTTPError as exc:
             await self._fail_with_error(action, 'piece', exc)
@@ -203,7 +207,7 @@
         try:
             done = load_json(response.content, PrefillAnswer)
         except DecodeError as exc:
-            await self._fail(action, 'piece', str(exc), proof=False)
+            await self._fail(action, 'piece', str(exc), not_started=False)
             return
         await self.hub.send(
             PieceDone(action.req_id, action.attempt, done.hold, done.stop),
@@ -216,14 +220,14 @@
         body: dict[str, Any],
         exchange: Exchange,
     ) -> None:
-        left_s = exchange.deadline - anyio.current_time()
+        remaining_s = exchange.deadline - anyio.current_time()
         try:
             async with httpx_sse.aconnect_sse(
                 self.client,
                 'POST',
                 f'http://{action.address}{path}',
                 json=body,
-                timeout=self._get_timeout(left_s),
+                timeout=self._get_timeout(remaining_s),
             ) as source:
                 if not source.response.is_success:
                     await source.response.aread()
@@ -233,7 +237,7 @@
         except httpx.HTTPError as exc:
             await self._fail_with_error(action, 'stream', exc)
         except (DecodeError, httpx_sse.SSEError) as exc:
-            await self._fail(action, 'stream', repr(exc), proof=False)
+            await self._fail(action, 'stream', repr(exc), not_started=False)
 
     async def _forward_events(
         self,
@@ -253,7 +257,7 @@
             await self.hub.send(
                 ChunkArrived(action.req_id, action.attempt, chunk),
             )
-        await self._fail(action, 'stream', 'no final marker', proof=False)
+        await self._fail(action, 'stream', 'no final marker', not_started=False)
 
     async def _reject(
         self,
@@ -261,8 +265,8 @@
         step: str,
         response: httpx.Response,
     ) -> None:
-        proof = _says_not_started(response)
-        await self._fail(action, step, response.text, proof=proof)
+        not_started = _says_not_started(response)
+        await self._fail(action, step, response.text, not_started=not_started)
 
     async def _fail_with_error(
         self,
@@ -270,11 +274,15 @@
         step: str,
         exc: httpx.HTTPError,
     ) -> None:
-        proof = isinstance(exc, (httpx.ConnectError, httpx.ConnectTimeout))
+        not_started = isinstance(
+            exc, (httpx.ConnectError, httpx.ConnectTimeout)
+        )
         crashed = isinstance(exc, CLOSED_ERRORS) and await self._has_crashed(
             action
         )
-        await self._fail(action, step, repr(exc), proof=proof, ended=crashed)
+        await self._fail(
+            action, step, repr(exc), not_started=not_started, ended=crashed
+        )
 
     async def _has_crashed(
         self, action: StartJob | ResumeStream | CallService
@@ -300,14 +308,14 @@
         step: str,
         detail: str,
         *,
-        proof: bool,
+        not_started: bool,
         ended: bool = False,
     ) -> None:
         await self.hub.send(
             AttemptFailed(
                 action.req_id,
                 action.attempt,
-                not_started=proof,
+                not_started=not_started,
                 step=step,
                 peer=action.target,
                 detail=detail,
@@ -315,10 +323,10 @@
             ),
         )
 
-    def _get_timeout(self, left_s: float) -> httpx.Timeout:
+    def _get_timeout(self, remaining_s: float) -> httpx.Timeout:
         connect_s = self.hub.settings.target_connect_s
-        left_s = max(MIN_TIMEOUT_S, left_s)
-        return httpx.Timeout(left_s, connect=min(connect_s, left_s))
+        remaining_s = max(MIN_TIMEOUT_S, remaining_s)
+        return httpx.Timeout(remaining_s, connect=min(connect_s, remaining_s))
 
 
 def _says_not_started(response: httpx.Response) -> bool:
--- a/trestledock/platform/_log.py
+++ b/trestledock/platform/_log.py
@@ -65,7 +65,7 @@
 
 
 @dataclass(frozen=True)
-class Answer:
+class StoreResponse:
     """A response of the store and its epoch."""
 
     status: int
@@ -96,7 +96,7 @@
         path: str,
         query: dict[str, Any],
         body: bytes = b'',
-    ) -> Answer:
+    ) -> StoreResponse:
         """Make one call.
 
         Raises `DirectoryError` if the epoch of the response is inconsistent,
@@ -119,7 +119,7 @@
         topic: str,
         framed: Iterable[bytes],
         **query: int,
-    ) -> Answer:
+    ) -> StoreResponse:
         """Append records to a topic atomically."""
         return await self.call(
             'POST',
@@ -133,7 +133,7 @@
         method: str,
         target: str,
         body: bytes,
-    ) -> Answer:
+    ) -> StoreResponse:
         if self._wire is None:
             self._wire = await Wire.connect(self.address)
         is_reusable = False
@@ -145,7 +145,7 @@
         finally:
             if not is_reusable:
                 await self._close()
-        return Answer(head.status, content, self.epochs.take(head))
+        return StoreResponse(head.status, content, self.epochs.take(head))
 
     async def _exchange(
         self,
@@ -197,29 +197,29 @@
         }
         if wait_s:
             query['waitMs'] = round(wait_s * MS)
-        answer = await self.client.call('GET', '/log-read', query)
-        return self._parse_read(answer, self._next) or await self._read_all()
+        response = await self.client.call('GET', '/log-read', query)
+        return self._parse_read(response, self._next) or await self._read_all()
 
     def reset(self) -> None:
         """Make the next read return all records."""
         self._next = None
 
-    def _parse_read(self, answer: Answer, start: int) -> Batch | None:
+    def _parse_read(self, response: StoreResponse, start: int) -> Batch | None:
         """Return the new records, or None if all must be read again."""
-        if answer.epoch != self._epoch:
+        if response.epoch != self._epoch:
             return None
-        if answer.status == TRIMMED_STATUS:
+        if response.status == TRIMMED_STATUS:
             emit(HistoryForgotten(self.topic))
             return None
-        if answer.status != OK:
-            raise DirectoryError(f'log-read {self.topic}: {answer.status}')
-        records = tuple(split_records(answer.body[READ_HEADER.size :]))
-        end = READ_HEADER.unpack_from(answer.body)[0]
+        if response.status != OK:
+            raise DirectoryError(f'log-read {self.topic}: {response.status}')
+        records = tuple(split_records(response.body[READ_HEADER.size :]))
+        end = READ_HEADER.unpack_from(response.body)[0]
         if end != start + len(records):
             # The reader is too far behind, or ahead of a log that started over.
             return None
         self._next = end
-        return Batch(records, end, epoch=answer.epoch)
+        return Batch(records, end, epoch=response.epoch)
 
     async def _read_all(self) -> Batch:
         """Read all records in one epoch; start over if the epoch changes."""
@@ -246,19 +246,19 @@
         return Batch(records, first.end, whole=True, epoch=first.epoch)
 
     async def _read_page(self, query: dict[str, Any]) -> 'Page':
-        answer = await self.client.call('GET', '/log-newest', query)
-        if answer.status != OK:
-            raise DirectoryError(f'log-newest {self.topic}: {answer.status}')
-        plain = json.loads(answer.body)
+        response = await self.client.call('GET', '/log-newest', query)
+        if response.status != OK:
+            raise DirectoryError(f'log-newest {self.topic}: {response.status}')
+        data = json.loads(response.body)
         records = tuple(
             [
                 Record(row['key'], base64.b64decode(row['value'] or ''))
-                for row in plain['items']
+                for row in data['items']
             ]
         )
-        is_last = not plain.get('hasMore') or not records
+        is_last = not data.get('hasMore') or not records
         last_key = '' if is_last else records[-1].key
-        return Page(records, plain['endOffset'], last_key, answer.epoch)
+        return Page(records, data['endOffset'], last_key, response.epoch)
 
 
 @dataclass(frozen=True)
--- a/trestledock/platform/_quarantine.py
+++ b/trestledock/platform/_quarantine.py
@@ -77,23 +77,23 @@
             frame_record(record.fingerprint, _encode_record(record, now_ms))
             for record in records
         ]
-        answer = await self._writer.append(TOPIC, framed, **query)
-        if answer.status not in {OK, END_MISMATCH_STATUS}:
-            raise DirectoryError(f'log-append {TOPIC}: {answer.status}')
-        if expected and answer.epoch != expected.epoch:
+        response = await self._writer.append(TOPIC, framed, **query)
+        if response.status not in {OK, END_MISMATCH_STATUS}:
+            raise DirectoryError(f'log-append {TOPIC}: {response.status}')
+        if expected and response.epoch != expected.epoch:
             return False
-        return answer.status == OK
+        return response.status == OK
 
 
 def _encode_record(record: Quarantined, now_ms: float) -> bytes:
     """Encode the value of a record."""
-    plain = {
+    data = {
         'ends': record.incarnations,
         'since_ms': round(now_ms - record.age_s * MS),
         'trials': record.trials,
         'cleared': record.cleared,
     }
-    return json.dumps(plain, separators=(',', ':')).encode()
+    return json.dumps(data, separators=(',', ':')).encode()
 
 
 def _decode_records(records: Iterable[Record]) -> tuple[Quarantined, ...]:
@@ -113,14 +113,14 @@
 
     Its age is correct to within seconds, by which the clocks of entries differ.
     """
-    plain = json.loads(record.value)
-    if not isinstance(plain, dict):
+    data = json.loads(record.value)
+    if not isinstance(data, dict):
         raise ValueError('not a JSON object')
-    since_ms = read_amount(plain.get('since_ms'))
+    since_ms = read_amount(data.get('since_ms'))
     return Quarantined(
         record.key,
-        tuple(map(read_text, read_list(plain.get('ends')))),
+        tuple(map(read_text, read_list(data.get('ends')))),
         max(0, now_ms - since_ms) / MS,
-        read_count(plain.get('trials')),
-        tuple(map(read_text, read_list(plain.get('cleared', [])))),
+        read_count(data.get('trials')),
+        tuple(map(read_text, read_list(data.get('cleared', [])))),
     )
--- a/trestledock/platform/_settings.py
+++ b/trestledock/platform/_settings.py
@@ -54,9 +54,9 @@
         raise SettingsError(f'{path}: the field {exc} is missing') from exc
 
 
-def decode_settings(plain: dict[str, Any]) -> EntrySettings:
+def decode_settings(data: dict[str, Any]) -> EntrySettings:
     """Decode the settings of a process."""
-    bounds = plain.get('bounds', {})
+    bounds = data.get('bounds', {})
     optional = read_fields(bounds, BOUND_FIELDS)
     # `strictRevoke` tells whether `revokeMs` applies while the store is
     # unavailable.
@@ -70,13 +70,13 @@
     if propagation_s:
         optional['settle_s'] = min(propagation_s)
     return EntrySettings(
-        instance=plain['nodeName'],
-        data_centre=plain['zone'],
-        callers=plain['listen']['front'],
-        ready=plain['listen']['ready'],
-        peers=f'{plain["ipAddr"]}:{plain["portRange"][0]}',
-        store=plain['platform']['address'],
-        metrics=f'{plain["ipAddr"]}:{METRICS_PORT}',
+        instance=data['nodeName'],
+        data_centre=data['zone'],
+        callers=data['listen']['front'],
+        ready=data['listen']['ready'],
+        peers=f'{data["ipAddr"]}:{data["portRange"][0]}',
+        store=data['platform']['address'],
+        metrics=f'{data["ipAddr"]}:{METRICS_PORT}',
         budget=BudgetTerms(**read_fields(bounds, BUDGET_FIELDS)),
         **optional,
     )
--- a/trestledock/platform/_store.py
+++ b/trestledock/platform/_store.py
@@ -128,9 +128,9 @@
         return KeyedTopic(StoreClient(address, self._epochs), topic)
 
     async def _write_peers(self, framed: Iterable[bytes]) -> None:
-        answer = await self._peers.client.append(PEERS_TOPIC, framed)
-        if answer.status != OK:
-            raise DirectoryError(f'log-append {PEERS_TOPIC}: {answer.status}')
+        response = await self._peers.client.append(PEERS_TOPIC, framed)
+        if response.status != OK:
+            raise DirectoryError(f'log-append {PEERS_TOPIC}: {response.status}')
 
     def _update_peer(self, record: Record) -> None:
         name = record.key[len(PEER_PREFIX) :]
--- a/trestledock/version/_codec.py
+++ b/trestledock/version/_codec.py
@@ -24,10 +24,10 @@
     """External data does not match its data class."""
 
 
-def decode(plain: Any, kind: type[Decoded]) -> Decoded:
+def decode(data: Any, kind: type[Decoded]) -> Decoded:
     """Convert plain lists and mappings to `kind`, or raise `DecodeError`."""
     try:
-        return CONVERTER.structure(plain, kind)
+        return CONVERTER.structure(data, kind)
     except (cattrs.BaseValidationError, ValueError, TypeError) as exc:
         raise DecodeError(f'not a valid {kind}: {exc!r}') from exc
 
@@ -35,7 +35,7 @@
 def load_json(text: str | bytes, kind: type[Decoded]) -> Decoded:
     """Decode JSON text as the data class `kind`, or raise `DecodeError`."""
     try:
-        plain = json.loads(text)
+        data = json.loads(text)
     except ValueError as exc:
         raise DecodeError(f'not JSON: {exc}') from exc
-    return decode(plain, kind)
+    return decode(data, kind)
--- a/trestledock/version/_reader.py
+++ b/trestledock/version/_reader.py
@@ -52,17 +52,17 @@
     entries: tuple[Any, ...]
 
 
-def read_batch(plain: Any) -> Batch:
+def read_batch(data: Any) -> Batch:
     """Decode a response of the log.
 
     Entries that can't be decoded are replaced by `FOREIGN`.  Raises
     `DecodeError` if the response itself is invalid.
     """
-    raw = decode(plain, RawBatch)
+    raw = decode(data, RawBatch)
     entries = []
-    for number, plain_entry in enumerate(raw.entries):
+    for number, raw_entry in enumerate(raw.entries):
         try:
-            entries.append(decode(plain_entry, Entry))
+            entries.append(decode(raw_entry, Entry))
         except DecodeError:
             entries.append(Entry(raw.first + number, FOREIGN))
     return Batch(raw.first, raw.tail, tuple(entries))
