--- a/trestledock/platform/_log.py
+++ b/trestledock/platform/_log.py
@@ -32,9 +32,9 @@
 #: A read of a whole topic must start over whenever the epoch of the store
 #: changes, and fails after this many starts.
 MAX_RESTARTS = 3
-#: The size limit of one read, in KB: the heartbeats of several seconds, or 0.2
-#: s of transfer on the slowest links.  A reader that is further behind reads
-#: the newest record of every key instead.
+#: The size limit of one read, in KB: the heartbeats of several seconds, or a
+#: fifth of a second on the slowest links.  A reader that is further behind
+#: reads the newest record of every key instead.
 MAX_READ_KB = 256
 #: The first bytes of a read: the end offset and the first retained offset.
 READ_HEADER = struct.Struct('>QQ')
--- a/trestledock/platform/_quarantine.py
+++ b/trestledock/platform/_quarantine.py
@@ -22,7 +22,6 @@
     read_list,
     read_text,
 )
-from trestledock.platform._target_records import DECODE_ERRORS
 from trestledock.platform._epochs import StoreEpochs
 from trestledock.platform._log import (
     OK,
@@ -31,6 +30,7 @@
     StoreClient,
     frame_record,
 )
+from trestledock.platform._target_records import DECODE_ERRORS
 from trestledock.relay import Quarantined
 
 TOPIC = 'keyed.quarantine'
--- a/trestledock/platform/_store.py
+++ b/trestledock/platform/_store.py
@@ -22,11 +22,6 @@
     read_count,
 )
 from trestledock.platform._documents import decode_catalog
-from trestledock.platform._target_records import (
-    DECODE_ERRORS,
-    decode_address,
-    decode_target,
-)
 from trestledock.platform._epochs import Epoch, StoreEpochs
 from trestledock.platform._log import (
     OK,
@@ -37,6 +32,11 @@
     frame_record,
 )
 from trestledock.platform._quarantine import QuarantineTopic
+from trestledock.platform._target_records import (
+    DECODE_ERRORS,
+    decode_address,
+    decode_target,
+)
 from trestledock.relay import Catalog, Listed
 
 CONFIG_TOPIC = 'keyed.op'
@@ -93,9 +93,9 @@
         been delayed and need not be its newest.
         """
         batch = await self._targets.read()
-        news = tuple(_decode_targets(batch))
-        _log_stale_records(news)
-        return News(targets=news, whole=batch.whole, epoch=batch.epoch)
+        updates = tuple(_decode_targets(batch))
+        _log_stale_records(updates)
+        return News(targets=updates, whole=batch.whole, epoch=batch.epoch)
 
     async def read_peers(self) -> Announced:
         """Return what entries have announced in the current epoch."""
@@ -176,10 +176,10 @@
     return left if left.catalog.version > right.catalog.version else right
 
 
-def _log_stale_records(news: Iterable[TargetNews]) -> None:
+def _log_stale_records(updates: Iterable[TargetNews]) -> None:
     """Log records that were written after newer ones of the same target."""
     newest: dict[str, Listed] = {}
-    for update in news:
+    for update in updates:
         if update.listed is None:
             continue
         known = newest.setdefault(update.target_id, update.listed)
