--- a/tests/test_platform_epochs.py
+++ b/tests/test_platform_epochs.py
@@ -21,10 +21,10 @@
 from trestledock.platform._epochs import MISMATCH_TIMEOUT_S, StoreEpochs
 from trestledock.platform._log import KeyedTopic, StoreClient
 from trestledock.platform._quarantine import QuarantineTopic
-from trestledock.relay import Quarantined
+from trestledock.relay import QuarantineRecord
 
 TOPIC = 'keyed.things'
-RECORD = Quarantined('f', ('t1@1', 't2@1', 't3@2'), age_s=70)
+RECORD = QuarantineRecord('f', ('t1@1', 't2@1', 't3@2'), age_s=70)
 
 
 def run_with_topic(scenario, era=1):
@@ -195,7 +195,7 @@
                 await anyio.sleep(pause_s)
                 headers = ((b'Store-Era', text.encode()),) if text else ()
                 try:
-                    results.append(epochs.take(Head(200, headers)))
+                    results.append(epochs.record(Head(200, headers)))
                 except DirectoryError:
                     results.append('rejected')
             return results
@@ -225,10 +225,10 @@
 
         async def main():
             epochs = StoreEpochs()
-            epochs.take(Head(200, ((b'Store-Era', b'4'),)))
+            epochs.record(Head(200, ((b'Store-Era', b'4'),)))
             for _ in range(3):
                 await anyio.sleep(MISMATCH_TIMEOUT_S * 0.6)
-                epochs.take(Head(503, ()))
+                epochs.record(Head(503, ()))
             return epochs.current
 
         self.assertEqual(run_virtually(main), 4)
--- a/tests/test_platform_notices.py
+++ b/tests/test_platform_notices.py
@@ -39,7 +39,7 @@
         for text, per_s in known.items():
             found = read(text)
             self.assertEqual(found.per_s, per_s, text)
-            self.assertFalse(found.unreadable)
+            self.assertFalse(found.invalid_text)
 
     def test_invalid_numbers_are_reported(self):
         for text in (
@@ -56,17 +56,17 @@
         ):
             found = read(text.encode('utf-8').decode('latin-1'))
             self.assertIsNone(found.per_s, text)
-            self.assertTrue(found.is_named, text)
-            self.assertTrue(found.unreadable, text)
+            self.assertTrue(found.is_present, text)
+            self.assertTrue(found.invalid_text, text)
 
     def test_named_twice(self):
         """The lowest number applies, even beside invalid ones."""
         self.assertEqual(read('3', '2', '5').per_s, 2)
         self.assertEqual(read('x', '4').per_s, 4)
-        self.assertEqual(read('x', '4').unreadable, "'x'")
+        self.assertEqual(read('x', '4').invalid_text, "'x'")
 
     def test_not_named(self):
-        self.assertFalse(read().is_named)
+        self.assertFalse(read().is_present)
         self.assertIsNone(read().per_s)
 
     def test_read_from_any_response(self):
@@ -77,7 +77,7 @@
     @given(st.lists(st.text(st.characters(max_codepoint=255)), max_size=3))
     def test_anything(self, texts):
         found = read(*texts)
-        self.assertEqual(found.is_named, bool(texts))
+        self.assertEqual(found.is_present, bool(texts))
         if found.per_s is not None:
             self.assertGreaterEqual(found.per_s, 0)
 
@@ -101,33 +101,33 @@
         }
         for text, rest_s in known.items():
             found = read_after(text)
-            self.assertEqual(found.rest_s, rest_s, text)
-            self.assertFalse(found.unreadable, text)
+            self.assertEqual(found.backoff_s, rest_s, text)
+            self.assertFalse(found.invalid_text, text)
 
     def test_invalid_values_have_no_effect(self):
         """Dates are invalid, because the clocks of two machines may differ."""
         date = 'Thu, 03 Dec 2026 09:36:11 GMT'
         for text in ('', '-3', '+3', 'NaN', 'inf', '1e3', '1,5', 'soon', date):
             found = read_after(text)
-            self.assertEqual(found.rest_s, 0, text)
-            self.assertTrue(found.unreadable, text)
+            self.assertEqual(found.backoff_s, 0, text)
+            self.assertTrue(found.invalid_text, text)
 
     def test_named_twice(self):
         """The longest time applies, even beside invalid ones."""
-        self.assertEqual(read_after('1', '3', 'x').rest_s, 3)
-        self.assertEqual(read_after('1', '3', 'x').unreadable, "'x'")
+        self.assertEqual(read_after('1', '3', 'x').backoff_s, 3)
+        self.assertEqual(read_after('1', '3', 'x').invalid_text, "'x'")
 
     def test_only_for_rejection_statuses(self):
         for status in (429, 503):
-            self.assertEqual(read_after('3', status=status).rest_s, 3)
+            self.assertEqual(read_after('3', status=status).backoff_s, 3)
         for status in (200, 301, 421, 500):
-            self.assertEqual(read_after('3', status=status).rest_s, 0)
+            self.assertEqual(read_after('3', status=status).backoff_s, 0)
 
     @given(st.lists(st.text(st.characters(max_codepoint=255)), max_size=3))
     def test_anything(self, texts):
         found = read_after(*texts)
-        self.assertGreaterEqual(found.rest_s, 0)
-        self.assertLessEqual(found.rest_s, MAX_BACKOFF_S)
+        self.assertGreaterEqual(found.backoff_s, 0)
+        self.assertLessEqual(found.backoff_s, MAX_BACKOFF_S)
 
 
 class DrainingTest(unittest.TestCase):
--- a/trestledock/clock.py
+++ b/trestledock/clock.py
@@ -21,7 +21,7 @@
 MIN_SUSPENSION_S = 0.05
 
 
-def counts_suspension() -> bool:
+def has_boottime_clock() -> bool:
     """Return whether the system has a clock that includes suspended time."""
     return hasattr(time, 'CLOCK_BOOTTIME')
 
@@ -31,7 +31,7 @@
 
     Falls back to the monotonic clock on systems without such a clock.
     """
-    if counts_suspension():
+    if has_boottime_clock():
         return time.clock_gettime(time.CLOCK_BOOTTIME)
     return time.monotonic()
 
@@ -41,7 +41,7 @@
     return time.time() * MS
 
 
-class SuspensionLoop(asyncio.SelectorEventLoop):
+class BoottimeEventLoop(asyncio.SelectorEventLoop):
     """Event loop whose time includes the time that the machine was suspended.
 
     Loop time never decreases: if the clock is set back, loop time continues
@@ -68,12 +68,12 @@
 
 def run(main: Callable[..., Awaitable[Any]], *args: Any) -> Any:
     """Run `main` on an event loop whose time includes suspensions."""
-    options = {'loop_factory': SuspensionLoop}
+    options = {'loop_factory': BoottimeEventLoop}
     return anyio.run(main, *args, backend_options=options)
 
 
 @dataclass
-class PauseWatch:
+class SuspensionDetector:
     """Detects suspensions of the machine.
 
     A suspension shows as growth of the difference between the boot-time clock
@@ -93,7 +93,7 @@
         """Record the time suspended so far."""
         self.suspended_s = self._read_suspended_s()
 
-    def look(self) -> float:
+    def measure(self) -> float:
         """Return the seconds suspended since the last call, or 0."""
         before, self.suspended_s = self.suspended_s, self._read_suspended_s()
         increase_s = self.suspended_s - before
--- a/trestledock/connection/_caller.py
+++ b/trestledock/connection/_caller.py
@@ -39,7 +39,7 @@
     make_bad_request,
     make_problem,
 )
-from trestledock.process import Arrive, CallerGone, EmitChunks, Finish
+from trestledock.process import Arrive, CallerDisconnected, EmitChunks, Finish
 from trestledock.request import Outcome, Request, Verdict
 
 #: How long a connection waits for the core's verdict after the deadline, in
@@ -205,7 +205,7 @@
             self.hub.exchanges.pop(req.req_id, None)
             if not is_complete:
                 with anyio.CancelScope(shield=True):
-                    await self.hub.send(CallerGone(req.req_id))
+                    await self.hub.send(CallerDisconnected(req.req_id))
 
     async def _receive_reply(self, req: Request, exchange: Exchange) -> Any:
         remaining_s = req.deadline + VERDICT_GRACE_S - anyio.current_time()
@@ -213,7 +213,7 @@
             try:
                 return await exchange.receive.receive()
             except anyio.EndOfStream:
-                await self.hub.send(CallerGone(req.req_id))
+                await self.hub.send(CallerDisconnected(req.req_id))
         return Finish(req, Verdict(_get_fallback_outcome(req), step='reply'))
 
     async def _wait_for_verdict(
@@ -230,7 +230,7 @@
         """Notify the core when the caller disconnects."""
         while not await http.is_disconnected():
             await anyio.sleep(VERDICT_GRACE_S / 4)
-        await self.hub.send(CallerGone(req.req_id))
+        await self.hub.send(CallerDisconnected(req.req_id))
 
 
 async def _handle_bad_request(
--- a/trestledock/connection/_metrics.py
+++ b/trestledock/connection/_metrics.py
@@ -115,7 +115,7 @@
     def render(self, node: Node) -> bytes:
         """Return all metrics as text, with current values of the gauges."""
         state = node.state
-        self._gauges['in_flight'].set(len(state.live))
+        self._gauges['in_flight'].set(len(state.requests))
         self._gauges['version'].set(state.version.number)
         self._gauges['leaving_targets'].set(len(state.fleet.leaving))
         peers = [peer for peer in state.fleet.peers.values() if not peer.gone]
--- a/trestledock/connection/_operator.py
+++ b/trestledock/connection/_operator.py
@@ -17,7 +17,7 @@
 from starlette.routing import Route
 
 from trestledock.connection._hub import Hub
-from trestledock.process import MarkLeaving, Publish, explain
+from trestledock.process import MarkDraining, Publish, explain
 from trestledock.request import Kind, Model, Request
 
 #: How long a publication waits for its verdict, in seconds.
@@ -92,7 +92,7 @@
             {
                 'name': name,
                 'usable': state.fleet.is_usable(target, now),
-                'leaving': state.fleet.is_leaving(target),
+                'leaving': state.fleet.is_draining(target),
                 'in_flight': target.in_flight,
                 'models': sorted(target.models),
                 'labels': dict(target.info.labels),
@@ -145,5 +145,5 @@
                 {'detail': f'unknown target {name}'},
                 status_code=NOT_FOUND_STATUS,
             )
-        await self.hub.send(MarkLeaving(name))
+        await self.hub.send(MarkDraining(name))
         return JSONResponse({'leaving': name})
--- a/trestledock/connection/_target.py
+++ b/trestledock/connection/_target.py
@@ -21,16 +21,16 @@
     CallDone,
     CallService,
     CancelConfirmed,
-    CancelHolds,
+    CancelReservations,
     ChunkArrived,
     GiveOrder,
     OrderAnswered,
-    PieceDone,
+    PrefillDone,
     ResumeStream,
     StartJob,
     StreamDone,
 )
-from trestledock.relay import Sign, get_connect_sign
+from trestledock.relay import FailureKind, classify_connect_error
 from trestledock.request import Chunk
 from trestledock.version import CONVERTER, DecodeError, load_json
 
@@ -150,7 +150,7 @@
             ),
         )
 
-    async def cancel(self, action: CancelHolds) -> None:
+    async def cancel(self, action: CancelReservations) -> None:
         """Cancel reservations; without a response they remain in effect."""
         try:
             response = await self.client.post(
@@ -210,7 +210,7 @@
             await self._fail(action, 'piece', str(exc), not_started=False)
             return
         await self.hub.send(
-            PieceDone(action.req_id, action.attempt, done.hold, done.stop),
+            PrefillDone(action.req_id, action.attempt, done.hold, done.stop),
         )
 
     async def _read_stream(
@@ -298,7 +298,7 @@
             with anyio.fail_after(self.hub.settings.target_connect_s):
                 conn = await anyio.connect_tcp(host, int(port))
         except (OSError, TimeoutError) as exc:
-            return get_connect_sign(exc) is Sign.refused
+            return classify_connect_error(exc) is FailureKind.refused
         await conn.aclose()
         return False
 
--- a/trestledock/platform/_epochs.py
+++ b/trestledock/platform/_epochs.py
@@ -34,7 +34,7 @@
     current: Epoch = None
     mismatch_since: float | None = None
 
-    def take(self, head: Head) -> Epoch:
+    def record(self, head: Head) -> Epoch:
         """Record and return the epoch of a response.
 
         Raises `DirectoryError` if the epoch is older than the current one, or
--- a/trestledock/platform/_log.py
+++ b/trestledock/platform/_log.py
@@ -145,7 +145,7 @@
         finally:
             if not is_reusable:
                 await self._close()
-        return StoreResponse(head.status, content, self.epochs.take(head))
+        return StoreResponse(head.status, content, self.epochs.record(head))
 
     async def _exchange(
         self,
--- a/trestledock/platform/_notices.py
+++ b/trestledock/platform/_notices.py
@@ -11,7 +11,7 @@
 import re
 from typing import Sequence
 
-from trestledock.entry import Head, NamedLimit, NamedRest
+from trestledock.entry import Head, RateLimitHeader, BackoffHeader
 
 RATE_LIMIT = b'server-limit'
 DRAINING = b'server-leaving'
@@ -27,7 +27,7 @@
 MAX_BACKOFF_S = 86_400.0
 
 
-def read_rate_limit(head: Head) -> NamedLimit:
+def read_rate_limit(head: Head) -> RateLimitHeader:
     """Read the rate limit that a response announces.
 
     The lowest of several numbers applies; values that can't be parsed are
@@ -35,10 +35,10 @@
     """
     texts = _read_texts(head, RATE_LIMIT)
     numbers = _parse_numbers(texts, MAX_RATE_PER_S)
-    return NamedLimit(
+    return RateLimitHeader(
         per_s=min(numbers, default=None),
-        is_named=bool(texts),
-        unreadable=_join_unreadable(texts),
+        is_present=bool(texts),
+        invalid_text=_join_unreadable(texts),
     )
 
 
@@ -47,18 +47,18 @@
     return DRAINING_VALUE in _read_texts(head, DRAINING)
 
 
-def read_backoff(head: Head) -> NamedRest:
+def read_backoff(head: Head) -> BackoffHeader:
     """Read the back-off that a response requests.
 
     The highest of several numbers applies.  Dates are not accepted, because the
     clocks of two machines may differ.
     """
     if head.status not in REJECTED_STATUSES:
-        return NamedRest()
+        return BackoffHeader()
     texts = _read_texts(head, RETRY_AFTER)
-    return NamedRest(
-        rest_s=max(_parse_numbers(texts, MAX_BACKOFF_S), default=0),
-        unreadable=_join_unreadable(texts),
+    return BackoffHeader(
+        backoff_s=max(_parse_numbers(texts, MAX_BACKOFF_S), default=0),
+        invalid_text=_join_unreadable(texts),
     )
 
 
--- a/trestledock/platform/_quarantine.py
+++ b/trestledock/platform/_quarantine.py
@@ -13,11 +13,11 @@
 from trestledock.clock import read_unix_ms
 from trestledock.entry import (
     DirectoryError,
-    Place,
+    LogPosition,
     RecordIgnored,
     StoredQuarantine,
     emit,
-    read_amount,
+    read_number,
     read_count,
     read_list,
     read_text,
@@ -31,7 +31,7 @@
     frame_record,
 )
 from trestledock.platform._target_records import DECODE_ERRORS
-from trestledock.relay import Quarantined
+from trestledock.relay import QuarantineRecord
 
 TOPIC = 'keyed.quarantine'
 #: The store's response if the partition no longer ends at the expected offset.
@@ -50,7 +50,7 @@
         self._reader = KeyedTopic(StoreClient(address, epochs), TOPIC)
         self._writer = StoreClient(address, epochs)
 
-    async def read_records(self, wait_s: float) -> tuple[Quarantined, ...]:
+    async def read_records(self, wait_s: float) -> tuple[QuarantineRecord, ...]:
         """Return new records, waiting up to `wait_s` for the first one."""
         batch = await self._reader.read(wait_s)
         return _decode_records(batch.records)
@@ -58,13 +58,13 @@
     async def read_whole(self) -> StoredQuarantine:
         """Return all records and the end of the topic."""
         batch = await KeyedTopic(self._writer, TOPIC).read()
-        place = Place(batch.end, batch.epoch)
+        place = LogPosition(batch.end, batch.epoch)
         return StoredQuarantine(_decode_records(batch.records), place)
 
     async def write_records(
         self,
-        records: Iterable[Quarantined],
-        expected: Place | None = None,
+        records: Iterable[QuarantineRecord],
+        expected: LogPosition | None = None,
     ) -> bool:
         """Write records; return whether the topic ended at `expected`.
 
@@ -85,18 +85,18 @@
         return response.status == OK
 
 
-def _encode_record(record: Quarantined, now_ms: float) -> bytes:
+def _encode_record(record: QuarantineRecord, now_ms: float) -> bytes:
     """Encode the value of a record."""
     data = {
         'ends': record.incarnations,
         'since_ms': round(now_ms - record.age_s * MS),
-        'trials': record.trials,
+        'trials': record.probes,
         'cleared': record.cleared,
     }
     return json.dumps(data, separators=(',', ':')).encode()
 
 
-def _decode_records(records: Iterable[Record]) -> tuple[Quarantined, ...]:
+def _decode_records(records: Iterable[Record]) -> tuple[QuarantineRecord, ...]:
     """Decode records, skipping invalid ones."""
     now_ms = read_unix_ms()
     decoded = []
@@ -108,7 +108,7 @@
     return tuple(decoded)
 
 
-def _decode_record(record: Record, now_ms: float) -> Quarantined:
+def _decode_record(record: Record, now_ms: float) -> QuarantineRecord:
     """Decode a quarantined request.
 
     Its age is correct to within seconds, by which the clocks of entries differ.
@@ -116,8 +116,8 @@
     data = json.loads(record.value)
     if not isinstance(data, dict):
         raise ValueError('not a JSON object')
-    since_ms = read_amount(data.get('since_ms'))
-    return Quarantined(
+    since_ms = read_number(data.get('since_ms'))
+    return QuarantineRecord(
         record.key,
         tuple(map(read_text, read_list(data.get('ends')))),
         max(0, now_ms - since_ms) / MS,
--- a/trestledock/platform/_settings.py
+++ b/trestledock/platform/_settings.py
@@ -13,7 +13,7 @@
 
 from trestledock.entry import EntrySettings
 from trestledock.platform._fields import Field, ms_to_seconds, read_fields
-from trestledock.relay import BudgetTerms
+from trestledock.relay import RetryLimits
 
 #: The environment variable with the path of the file.
 PATH_VARIABLE = 'TRESTLEDOCK_BOOT'
@@ -77,6 +77,6 @@
         peers=f'{data["ipAddr"]}:{data["portRange"][0]}',
         store=data['platform']['address'],
         metrics=f'{data["ipAddr"]}:{METRICS_PORT}',
-        budget=BudgetTerms(**read_fields(bounds, BUDGET_FIELDS)),
+        budget=RetryLimits(**read_fields(bounds, BUDGET_FIELDS)),
         **optional,
     )
--- a/trestledock/platform/_store.py
+++ b/trestledock/platform/_store.py
@@ -12,12 +12,12 @@
 from typing import Iterable, Iterator, Mapping
 
 from trestledock.entry import (
-    Announced,
+    EntryAnnouncements,
     DirectoryError,
-    News,
+    StoreUpdate,
     OldRecord,
     RecordIgnored,
-    TargetNews,
+    TargetUpdate,
     emit,
     read_count,
 )
@@ -37,7 +37,7 @@
     decode_address,
     decode_target,
 )
-from trestledock.relay import Catalog, Listed
+from trestledock.relay import Catalog, ListedTarget
 
 CONFIG_TOPIC = 'keyed.op'
 CONFIG_KEY = 'config'
@@ -70,10 +70,10 @@
         """The newest epoch received in any response."""
         return self._epochs.current
 
-    async def read_catalog(self) -> News:
+    async def read_catalog(self) -> StoreUpdate:
         """Return the newest configuration among the new records."""
         batch = await self._config.read()
-        newest = News()
+        newest = StoreUpdate()
         for record in batch.records:
             if record.key == CONFIG_KEY and record.value:
                 newest = _pick_newer(newest, self._decode_version(record))
@@ -86,7 +86,7 @@
         except CONFIG_DECODE_ERRORS as exc:
             raise DirectoryError(f'configuration: {exc!r}') from exc
 
-    async def read_targets(self) -> News:
+    async def read_targets(self) -> StoreUpdate:
         """Return the new records of targets, in the order of the log.
 
         All of them are returned, because the last record of a target may have
@@ -95,9 +95,11 @@
         batch = await self._targets.read()
         updates = tuple(_decode_targets(batch))
         _log_stale_records(updates)
-        return News(targets=updates, whole=batch.whole, epoch=batch.epoch)
+        return StoreUpdate(
+            targets=updates, whole=batch.whole, epoch=batch.epoch
+        )
 
-    async def read_peers(self) -> Announced:
+    async def read_peers(self) -> EntryAnnouncements:
         """Return what entries have announced in the current epoch."""
         batch = await self._peers.read()
         if batch.whole:
@@ -108,7 +110,7 @@
                 self._update_peer(record)
             elif record.key == EPOCH_KEY:
                 self._settled_epoch = _decode_settled_epoch(record)
-        return Announced(
+        return EntryAnnouncements(
             dict(self._known_peers), batch.epoch, self._settled_epoch
         )
 
@@ -142,7 +144,7 @@
         except DECODE_ERRORS as exc:
             emit(RecordIgnored(record.key, repr(exc)))
 
-    def _decode_version(self, record: Record) -> News:
+    def _decode_version(self, record: Record) -> StoreUpdate:
         """Decode a version of the configuration.
 
         If that fails, the next read returns it again, so that the older version
@@ -150,7 +152,7 @@
         """
         document = record.value.decode()
         try:
-            return News(self.decode_document(document), document)
+            return StoreUpdate(self.decode_document(document), document)
         except DirectoryError:
             self._config.reset()
             raise
@@ -169,16 +171,16 @@
         return -1
 
 
-def _pick_newer(left: News, right: News) -> News:
+def _pick_newer(left: StoreUpdate, right: StoreUpdate) -> StoreUpdate:
     """Return the newer of two versions of the configuration."""
     if left.catalog is None or right.catalog is None:
         return left if right.catalog is None else right
     return left if left.catalog.version > right.catalog.version else right
 
 
-def _log_stale_records(updates: Iterable[TargetNews]) -> None:
+def _log_stale_records(updates: Iterable[TargetUpdate]) -> None:
     """Log records that were written after newer ones of the same target."""
-    newest: dict[str, Listed] = {}
+    newest: dict[str, ListedTarget] = {}
     for update in updates:
         if update.listed is None:
             continue
@@ -189,17 +191,17 @@
             newest[update.target_id] = update.listed
 
 
-def _decode_targets(batch: Batch) -> Iterator[TargetNews]:
+def _decode_targets(batch: Batch) -> Iterator[TargetUpdate]:
     """Decode the records of targets.
 
     An invalid record does not affect the others.  It counts as a removal until
     the target writes its record again.
     """
     for record in batch.records:
-        yield TargetNews(record.key, _decode_target_record(record))
+        yield TargetUpdate(record.key, _decode_target_record(record))
 
 
-def _decode_target_record(record: Record) -> Listed | None:
+def _decode_target_record(record: Record) -> ListedTarget | None:
     if not record.value:
         return None
     try:
--- a/trestledock/platform/_target_records.py
+++ b/trestledock/platform/_target_records.py
@@ -13,9 +13,9 @@
 from types import MappingProxyType
 from typing import Any, Callable, Mapping
 
-from trestledock.entry import read_amount, read_count, read_text
+from trestledock.entry import read_number, read_count, read_text
 from trestledock.platform._fields import Field, read_fields
-from trestledock.relay import UNTOLD, Listed, Standing
+from trestledock.relay import UNKNOWN_BIRTH, ListedTarget, Standing
 
 #: The states that the platform names.
 STANDING_BY_STATE: Mapping[str, Standing] = MappingProxyType(
@@ -72,13 +72,13 @@
 #: Optional fields, whose values are not used.  They are validated because a
 #: wrong type shows that the record was not written by a target.
 EXTRA_FIELDS: Mapping[str, Callable[[Any], Any]] = MappingProxyType(
-    {'version': read_text, 'coldLeftMs': read_amount, 'phase': read_text}
+    {'version': read_text, 'coldLeftMs': read_number, 'phase': read_text}
 )
 #: Platforms that assign a new id at each start of a target omit its birth time.
-FIELD_DEFAULTS = MappingProxyType({'born': UNTOLD})
+FIELD_DEFAULTS = MappingProxyType({'born': UNKNOWN_BIRTH})
 
 
-def decode_target(key: str, raw: bytes) -> Listed:
+def decode_target(key: str, raw: bytes) -> ListedTarget:
     """Decode a target's record, or raise one of `DECODE_ERRORS`."""
     plain = json.loads(raw)
     if not isinstance(plain, dict):
@@ -95,7 +95,7 @@
     ]
     if missing:
         raise ValueError(f'missing fields: {missing}')
-    return Listed(target_id=key, **attributes)
+    return ListedTarget(target_id=key, **attributes)
 
 
 def decode_address(raw: bytes) -> str:
--- a/trestledock/request/_stream.py
+++ b/trestledock/request/_stream.py
@@ -40,7 +40,7 @@
     _early: dict[int, Chunk] = field(default_factory=dict)
 
     @property
-    def is_whole(self) -> bool:
+    def is_complete(self) -> bool:
         """Return whether all tokens up to the final marker were forwarded."""
         return self.expected is not None and self.next_index >= self.expected
 
--- a/trestledock/version/_check.py
+++ b/trestledock/version/_check.py
@@ -34,7 +34,7 @@
 _EXTRA_FIELDS = re.compile(r'extra fields found \((.+)\) @ (.*)')
 
 
-class OptionError(Exception):
+class ValidationError(Exception):
     """A document is invalid; `errors` has a line for each error."""
 
     def __init__(self, errors: tuple[str, ...]) -> None:
@@ -111,7 +111,7 @@
 def load_document(
     text: str,
     kind: type[Document],
-) -> Result[Document, OptionError]:
+) -> Result[Document, ValidationError]:
     """Read YAML or JSON text into the data class `kind`.
 
     On failure the result holds an `OptionError` with a line for each error.
@@ -119,15 +119,17 @@
     try:
         raw = yaml.safe_load(text)
     except yaml.YAMLError as exc:
-        return Failure(OptionError((f'not YAML: {exc}',)))
+        return Failure(ValidationError((f'not YAML: {exc}',)))
     if not isinstance(raw, dict):
-        return Failure(OptionError(('expected a mapping @ $',)))
+        return Failure(ValidationError(('expected a mapping @ $',)))
     try:
         return Success(CONVERTER.structure(raw, kind))
     except Exception as exc:
         lines = cattrs.transform_error(exc, '$', _format_error)
         return Failure(
-            OptionError(tuple(_add_key_hints(line, kind) for line in lines)),
+            ValidationError(
+                tuple(_add_key_hints(line, kind) for line in lines)
+            ),
         )
 
 
@@ -197,11 +199,13 @@
 _CHECKS = (_check_names, _check_teams, _check_pools, _check_claims)
 
 
-def check_configuration(text: str) -> Result[Configuration, OptionError]:
+def check_configuration(text: str) -> Result[Configuration, ValidationError]:
     """Read and validate a configuration: first types, then values."""
     return load_document(text, Configuration).bind(_check_semantics)
 
 
-def _check_semantics(cfg: Configuration) -> Result[Configuration, OptionError]:
+def _check_semantics(
+    cfg: Configuration,
+) -> Result[Configuration, ValidationError]:
     errors = tuple(line for check in _CHECKS for line in check(cfg))
-    return Failure(OptionError(errors)) if errors else Success(cfg)
+    return Failure(ValidationError(errors)) if errors else Success(cfg)
--- a/trestledock/version/_reader.py
+++ b/trestledock/version/_reader.py
@@ -103,13 +103,13 @@
         self.at_tail = self.next_read >= batch.tail and not self.has_gap
         return accepted
 
-    def adopt(self, snapshot: Snapshot) -> list[Entry]:
+    def install_snapshot(self, snapshot: Snapshot) -> list[Entry]:
         """Install a snapshot from the log or from a peer.
 
         Returns the pending entries that were then accepted.
         """
         covers_gap = not self.has_gap or snapshot.as_of >= self._gap_start
-        if not covers_gap or not self.fold.rebase(snapshot):
+        if not covers_gap or not self.fold.install_snapshot(snapshot):
             return []
         self.next_read = max(self.next_read, self.fold.next_offset)
         self.has_gap = False
@@ -140,7 +140,7 @@
             snapshot = load_json(entry.record.body, Snapshot)
         except DecodeError:
             return ()
-        return self.adopt(snapshot)
+        return self.install_snapshot(snapshot)
 
     def _apply(self, entry: Entry) -> bool:
         if entry.offset < self.fold.next_offset:
