--- a/tests/test_entry_budgets.py
+++ b/tests/test_entry_budgets.py
@@ -23,7 +23,7 @@
     now = anyio.current_time()
     count = 0
     for entry in fleet.entries:
-        while entry.state.budgets.spend_repeat('svc', now):
+        while entry.state.budgets.spend_retry('svc', now):
             count += 1
     return count
 
--- a/tests/test_entry_closing.py
+++ b/tests/test_entry_closing.py
@@ -128,7 +128,7 @@
     def test_passed_on_is_answered(self):
         """What was passed on is answered, whenever it came."""
         lost = []
-        with patch.object(_daemon, 'NOTICE_S', 0):
+        with patch.object(_daemon, 'DRAIN_DELAY_S', 0):
             for steps in range(STEPS):
                 passed, raw = anyio.run(cross, steps)
                 if passed and not raw.endswith(b'ok'):
@@ -143,7 +143,7 @@
         new, and closed as an idle one before its request had been read.
         """
         silent = []
-        with patch.object(_daemon, 'NOTICE_S', 0):
+        with patch.object(_daemon, 'DRAIN_DELAY_S', 0):
             for steps in range(STEPS):
                 _, raw = anyio.run(cross, steps)
                 if not raw.startswith((b'HTTP/1.1 200', b'HTTP/1.1 503')):
--- a/tests/test_entry_lists.py
+++ b/tests/test_entry_lists.py
@@ -71,7 +71,7 @@
             other.state.fleet.newest.clear()
             other.state.fleet.watch.resumed_at = anyio.current_time()
             await other.ask(reader)
-            return other.state.fleet.held
+            return other.state.fleet.retained
 
         self.assertEqual(set(run_entries(2, store, scenario)), {'t1'})
 
--- a/tests/test_entry_news.py
+++ b/tests/test_entry_news.py
@@ -9,9 +9,9 @@
 from tests.relaying import SETTINGS, make_listed
 from trestledock.entry._gossip import Gossip
 from trestledock.entry._peers import Peer
-from trestledock.entry._news import NewsExchange
+from trestledock.entry._update_exchange import UpdateExchange
 from trestledock.entry._state import EntryState
-from trestledock.entry._words import Reply
+from trestledock.entry._messages import Reply
 from trestledock.relay import Catalog
 
 READER = 'entry-2#b'
@@ -22,7 +22,7 @@
     state = EntryState(SETTINGS, 'entry-1#a', Random(1), None)
     gossip = Gossip(state)
     gossip.peers.known[READER] = Peer(('127.0.0.1', 9), 0, 0)
-    return NewsExchange(state, gossip)
+    return UpdateExchange(state, gossip)
 
 
 def make_reply(asked_at, age_s=0.1, version=1, revision=7):
@@ -38,8 +38,8 @@
         async def main():
             state = make_exchange().state
             state.proof.renew(10)
-            state.fleet.watch.note_read(7, 7)
-            self.assertEqual(state.get_news_age_s(11), 4)
+            state.fleet.watch.record_read(7, 7)
+            self.assertEqual(state.get_store_age_s(11), 4)
 
         anyio.run(main)
 
@@ -61,7 +61,7 @@
         async def scenario(exchange):
             now = anyio.current_time()
             exchange._take_reply(make_reply(now - 9, age_s=0.5), None)
-            exchange.take_proof(READER)
+            exchange.renew_proof(READER)
             age_s = exchange.state.proof.get_age_s(now)
             self.assertAlmostEqual(age_s, 9.5)
 
@@ -73,7 +73,7 @@
         async def scenario(exchange):
             now = anyio.current_time()
             exchange._take_reply(make_reply(now, version=2), None)
-            self.assertTrue(exchange.take_proof(READER))
+            self.assertTrue(exchange.renew_proof(READER))
             self.assertFalse(exchange.state.proof.is_fresh(now))
 
         self.run_async(scenario)
@@ -85,12 +85,12 @@
             state = exchange.state
             now = anyio.current_time()
             state.fleet.put(make_listed(1, 80))
-            state.fleet.watch.note_read(now - 0.2, now)
+            state.fleet.watch.record_read(now - 0.2, now)
             exchange._take_reply(make_reply(now, age_s=3), None)
-            self.assertFalse(exchange.take_proof(READER))
+            self.assertFalse(exchange.renew_proof(READER))
 
             async def get(address, asked):
-                plain = json.loads(exchange.make_news())
+                plain = json.loads(exchange.encode_update())
                 return {**plain, 'list_age_s': 3, 'targets': []}
 
             exchange._get = get
@@ -105,12 +105,12 @@
         async def scenario(exchange):
             state = exchange.state
             now = anyio.current_time()
-            state.fleet.watch.note_read(now - 2, now - 2)
+            state.fleet.watch.record_read(now - 2, now - 2)
             exchange._take_reply(make_reply(now), None)
-            self.assertTrue(exchange.take_proof(READER))
+            self.assertTrue(exchange.renew_proof(READER))
 
             async def get(address, asked):
-                plain = json.loads(exchange.make_news())
+                plain = json.loads(exchange.encode_update())
                 return {**plain, 'list_age_s': 0.1}
 
             exchange._get = get
@@ -125,7 +125,7 @@
         async def scenario(exchange):
             exchange.state.document = 'text'
             for version, document in ((1, ''), (0, 'text'), (-1, 'text')):
-                plain = json.loads(exchange.make_news(version))
+                plain = json.loads(exchange.encode_update(version))
                 self.assertEqual(plain['document'], document)
 
         self.run_async(scenario)
@@ -148,7 +148,7 @@
 
         async def scenario(exchange):
             async def get(address, asked):
-                plain = json.loads(exchange.make_news())
+                plain = json.loads(exchange.encode_update())
                 plain.update(changes)
                 return {
                     name: what
--- a/tests/test_entry_sending.py
+++ b/tests/test_entry_sending.py
@@ -31,7 +31,7 @@
 
         async def scenario(world):
             pool = world.relayer.sender.pool
-            take = pool.take
+            take = pool.acquire
             taken = []
 
             async def take_late(target):
@@ -41,7 +41,7 @@
                     change(world.state.fleet, target)
                 return wire
 
-            pool.take = take_late
+            pool.acquire = take_late
             found.append((await world.ask(), taken))
 
         run_world(make_route(), targets, scenario)
@@ -67,7 +67,7 @@
         """Its entry vanished, so it gets nothing more."""
 
         def drop(fleet, target):
-            fleet.drop(target.target_id, 0, 0)
+            fleet.record_removal(target.target_id, 0, 0)
 
         self.check(drop)
 
@@ -94,7 +94,7 @@
         async def scenario(world):
             state = world.state
             pool = world.relayer.sender.pool
-            take = pool.take
+            take = pool.acquire
             moved = replace(state.fleet.targets['t1'], service='new')
             state.fleet.put(replace(moved, sequence=1))
 
@@ -104,7 +104,7 @@
                     move(state, route)
                 return wire
 
-            pool.take = take_late
+            pool.acquire = take_late
             await world.ask()
 
         run_world(route, targets, scenario)
@@ -127,7 +127,7 @@
 
         async def scenario(world):
             board = world.state.board
-            tell = world.state.tell_own
+            tell = world.state.send_own_changes
 
             def tell_and_hear():
                 tell()
@@ -135,9 +135,11 @@
                     flight = next(iter(board.own.values()))
                     found.append(flight)
                     other = make_other(flight)
-                    board.hear('p', 1, [(other.flight_id, other)], whole=True)
+                    board.apply_update(
+                        'p', 1, [(other.flight_id, other)], whole=True
+                    )
 
-            world.state.tell_own = tell_and_hear
+            world.state.send_own_changes = tell_and_hear
             found.append(await world.ask(headers=LONG))
 
         route = make_route(objective_s=4, timeout_s=15)
--- a/tests/test_promises.py
+++ b/tests/test_promises.py
@@ -93,7 +93,7 @@
     (
         'leaving',
         'leaving_target',
-        (mock.patch.object(Fleet, 'is_leaving', return_value=False),),
+        (mock.patch.object(Fleet, 'is_draining', return_value=False),),
     ),
     (
         'leaving',
@@ -118,7 +118,7 @@
     (
         'orders',
         'old_holder_unchecked',
-        (mock.patch.object(Lease, 'get_order_limit', return_value=1e9),),
+        (mock.patch.object(Lease, 'get_order_deadline', return_value=1e9),),
     ),
     (
         'ends deadly',
--- a/tests/test_query_of_death.py
+++ b/tests/test_query_of_death.py
@@ -86,13 +86,13 @@
 
         async def scenario(fleet):
             entry = fleet.entries[0]
-            look = entry.state.isolation.ways.look
+            look = entry.state.isolation.hooks.reconnect
 
             async def look_late(target):
                 group.cancel_scope.cancel()
                 return await look(target)
 
-            entry.state.isolation.ways.look = look_late
+            entry.state.isolation.hooks.reconnect = look_late
             async with anyio.create_task_group() as group:
                 group.start_soon(entry.ask, 'r1', 'POST', KEY, (), DEADLY)
             fleet.found = entry.state.isolation.quarantine.suspects
--- a/tests/test_relaying.py
+++ b/tests/test_relaying.py
@@ -79,11 +79,11 @@
 
         async def scenario(world):
             world.state.board.put(
-                Flight('x', 't1', 9, 9, Phase.reading, since=0)
+                Flight('x', 't1', 9, 9, Phase.prefill, since=0)
             )
             found = await world.ask()
             self.assertEqual(found.status, 200)
-            self.assertEqual(set(world.state.fleet.leaving), {'t0'})
+            self.assertEqual(set(world.state.fleet.draining), {'t0'})
 
         run_world(ONCE, targets, scenario)
         self.assertEqual(len(targets[0].requests), 1)
@@ -258,8 +258,8 @@
             state = world.state
             far = replace(state.fleet.targets['t0'], data_centre='far')
             state.fleet.put(far)
-            state.health.note_failure('t1', anyio.current_time())
-            state.note_heard('far', 'e', anyio.current_time())
+            state.health.record_failure('t1', anyio.current_time())
+            state.record_remote_entry('far', 'e', anyio.current_time())
             async with anyio.create_task_group() as group:
                 group.start_soon(cut)
                 found.append(await world.ask())
@@ -269,7 +269,7 @@
         async def cut():
             for pause_s in (0.25, 0.3):
                 await anyio.sleep(pause_s)
-                states[0].check_reach(anyio.current_time())
+                states[0].check_reachability(anyio.current_time())
 
         states = []
 
--- a/trestledock/process/_payloads.py
+++ b/trestledock/process/_payloads.py
@@ -100,7 +100,7 @@
 
 @dataclass(frozen=True)
 class ClaimAnswer:
-    """The answer to a `ClaimAsk`; `grant` is the name of a `Grant`."""
+    """The answer to a `ClaimAsk`; `grant` is the name of a `ClaimDecision`."""
 
     key: str
     claim_id: str
--- a/trestledock/process/_policy.py
+++ b/trestledock/process/_policy.py
@@ -3,7 +3,7 @@
 ======
 
 The knobs of placement and admission, with the values that the replay spoke
-for (docs/MEASUREMENTS.md).  `PLAIN` is the baseline without the mechanisms.
+for (docs/MEASUREMENTS.md).  `BASELINE` is the baseline without the mechanisms.
 """
 
 from dataclasses import dataclass
@@ -22,37 +22,38 @@
 class Policy:
     """One set of decisions.
 
-    `piece_s` is the length of a prefill piece in engine seconds, zero for
-    whole prompts; a prompt of up to `whole_tokens` is never cut, since another
-    prompt's piece would get in between.  `window_s` is how much prefill may
-    wait at an engine before the rest waits in the fair queue.  `near_s` is
-    the band of predictions that count as equal and among which one is drawn.
-    `pace` says whether the pace of own pieces counts for cut prompts,
-    `subset` is how many of the permitted engines an instance looks at.
+    `prefill_chunk_s` is the length of a prefill piece in engine seconds, zero
+    for whole prompts; a prompt of up to `max_unchunked_tokens` is never cut,
+    since another prompt's piece would get in between.  `window_s` is how much
+    prefill may wait at an engine before the rest waits in the fair queue.
+    `tie_s` is the band of predictions that count as equal and among which one
+    is drawn.  `uses_pace` says whether the pace of own pieces counts for cut
+    prompts, `subset_size` is how many of the permitted engines an instance
+    looks at.
     """
 
     chooser: Chooser = Chooser.predicted
-    piece_s: float = 0.1
-    whole_tokens: int = 8_192
+    prefill_chunk_s: float = 0.1
+    max_unchunked_tokens: int = 8_192
     priorities: bool = True
     affinity: bool = True
-    near_s: float = 0.05
+    tie_s: float = 0.05
     window_s: float = 0.4
     admission: bool = True
-    margin: float = 1.15
-    prefer_s: float = 0.5
-    urgent_s: float = 1.0
-    subset: int = 24
-    pace: bool = True
+    deadline_margin: float = 1.15
+    preference_penalty_s: float = 0.5
+    urgent_slack_s: float = 1.0
+    subset_size: int = 24
+    uses_pace: bool = True
 
 
 #: Everything off: whole prompts in order of arrival, round robin.
-PLAIN = Policy(
+BASELINE = Policy(
     chooser=Chooser.round_robin,
-    piece_s=0,
+    prefill_chunk_s=0,
     priorities=False,
     affinity=False,
-    near_s=0,
+    tie_s=0,
     window_s=float('inf'),
     admission=False,
 )
--- a/trestledock/relay/_elsewhere.py
+++ b/trestledock/relay/_elsewhere.py
@@ -26,15 +26,15 @@
 ELSEWHERE = ''
 
 
-def is_worth_asking(worth: float, cost: float | None) -> bool:
+def should_query_remote(worth: float, cost: float | None) -> bool:
     """Whether a request should see the targets of other data centres, too.
 
     `cost` is that of its best place nearby, None where it can't go there now.
 
-    >>> is_worth_asking(20.0, cost=0.6), is_worth_asking(20.0, cost=4.0)
+    >>> should_query_remote(20.0, cost=0.6), should_query_remote(20.0, cost=4.0)
     (False, True)
-    >>> is_worth_asking(20.0, cost=None), is_worth_asking(0.5, cost=None)
-    (True, False)
+    >>> [should_query_remote(worth, cost=None) for worth in (20.0, 0.5)]
+    [True, False]
     """
     if worth <= SMALL_WORTH:
         return False
@@ -42,7 +42,7 @@
 
 
 @dataclass(frozen=True)
-class Load:
+class RemoteLoad:
     """What the targets of a data centre had to do at the instant `as_of`."""
 
     as_of: float
@@ -53,7 +53,7 @@
         return now - self.as_of <= USED_S
 
 
-def summarize(
+def summarize_load(
     flights: Iterable[Flight],
     targets: Container[str],
     now: float,
@@ -66,10 +66,10 @@
     """
     writing: dict[str, list[Flight]] = {}
     for flight in flights:
-        for name in flight.engaged:
+        for name in flight.engaged_targets:
             if name not in targets:
                 continue
-            if flight.phase is Phase.reading:
+            if flight.phase is Phase.prefill:
                 yield _take_part(flight, name)
             else:
                 writing.setdefault(name, []).append(flight)
@@ -86,7 +86,7 @@
         flight_id=f'{flight.flight_id}/{name}',
         target=name,
         helpers=tuple([ELSEWHERE for _ in flight.helpers]),
-        tickets=((ELSEWHERE, surplus),) if surplus else (),
+        reservations=((ELSEWHERE, surplus),) if surplus else (),
     )
 
 
@@ -97,7 +97,7 @@
         target=name,
         prompt_tokens=sum(one.get_held_tokens(name) for one in found),
         output_tokens=0,
-        phase=Phase.writing,
+        phase=Phase.decode,
         since=now,
         pause_s=min(one.pause_s for one in found),
         worth=sum(one.worth for one in found),
--- a/trestledock/relay/_giants.py
+++ b/trestledock/relay/_giants.py
@@ -36,7 +36,7 @@
         best = _plan_giant(problem, holders, len(holders) - 1)
     share = _get_share(problem, len(holders))
     tickets = tuple((view.listed.incarnation, share) for view in holders[1:])
-    return replace(best, tickets=tickets)
+    return replace(best, reservations=tickets)
 
 
 def _plan_giant(
--- a/trestledock/relay/_rate_limits.py
+++ b/trestledock/relay/_rate_limits.py
@@ -10,7 +10,7 @@
 
 from dataclasses import dataclass, replace
 
-from trestledock.relay._notices import believe
+from trestledock.relay._notices import resolve
 
 
 @dataclass(frozen=True)
@@ -18,25 +18,25 @@
     """A target takes `per_s` requests a second, None for any number.
 
     That was said between `asked_at`, when the request left that it answers, and
-    `heard_at`; with `is_told` another instance heard it.
+    `heard_at`; with `is_shared` another instance heard it.
 
     >>> from trestledock.relay import Notices
     >>> notices = Notices()
-    >>> notices.note('t1', RateLimit(2, asked_at=0, heard_at=1)).value
+    >>> notices.record('t1', RateLimit(2, asked_at=0, heard_at=1)).value
     'learnt'
-    >>> notices.note('t1', RateLimit(None, asked_at=0.5, heard_at=2)).value
+    >>> notices.record('t1', RateLimit(None, asked_at=0.5, heard_at=2)).value
     'nothing'
-    >>> notices.note('t1', RateLimit(None, asked_at=1.5, heard_at=2)).value
+    >>> notices.record('t1', RateLimit(None, asked_at=1.5, heard_at=2)).value
     'lifted'
     """
 
     per_s: float | None
     asked_at: float
     heard_at: float
-    is_told: bool = False
+    is_shared: bool = False
 
     @property
-    def asks_for(self) -> float | None:
+    def requested(self) -> float | None:
         """The number of requests a second."""
         return self.per_s
 
@@ -51,7 +51,7 @@
         return other.per_s is None or self.per_s < other.per_s
 
 
-@believe.register
+@resolve.register
 def _(notice: RateLimit, before: RateLimit) -> RateLimit:
     """Of those whose order nobody can tell the lowest limit counts."""
     if notice.follows(before):
--- a/trestledock/relay/_terms.py
+++ b/trestledock/relay/_terms.py
@@ -11,43 +11,44 @@
 
 
 @dataclass(frozen=True)
-class Terms:
+class PlacementPolicy:
     """What placements are chosen and decided by.
 
     `packing`: short requests share few engines, so that others stay free for
-    long prompts.  `helpers`: long prompts are read in parts.  `near_first`: the
-    own data centre goes first, since the way to others may be cut.  `harm`:
-    what those lose who are at an engine counts.  `departure`: nobody waits
-    longer than its patience.  `waiting`: what costs much waits for a better
-    place while it can still be in time.  `queueing`: what can't waits for
-    others.  `elsewhere`: what finds no good place in the own data centre, where
-    instances are many, asks the others for what their targets have to do.
+    long prompts.  `helpers`: long prompts are read in parts.  `prefer_local`:
+    the own data centre goes first, since the way to others may be cut.
+    `weigh_cost_to_others`: what those lose who are at an engine counts.
+    `abandonment`: nobody waits longer than its patience.  `waiting`: what costs
+    much waits for a better place while it can still be in time.  `queueing`:
+    what can't waits for others.  `remote_targets`: what finds no good place in
+    the own data centre, where instances are many, asks the others for what
+    their targets have to do.
 
     `claims`: a long prompt is told to the others before it is sent.
 
-    `engine_cost` is the cost of a second of the last idle engine for a request
-    that is late anyway, in units of worth: an engine that is packed with short
-    requests answers 3.5 of them a second, which lose 1 each by lateness.
-    Without it, a giant that takes all idle engines meets the next burst: the
-    worst of 24 simulated days earns 0.81 instead of 0.87.
+    `idle_engine_cost` is the cost of a second of the last idle engine for a
+    request that is late anyway, in units of worth: an engine that is packed
+    with short requests answers 3.5 of them a second, which lose 1 each by
+    lateness.  Without it, a giant that takes all idle engines meets the next
+    burst: the worst of 24 simulated days earns 0.81 instead of 0.87.
 
-    `harm_limit` is what a request may cost others at most, as a part of what it
-    earns itself.  Where long prompts and bursts of short ones meet, the mean of
-    24 simulated days is 0.3 in 100 higher with 0.7 than with 1.
+    `max_cost_to_others` is what a request may cost others at most, as a part of
+    what it earns itself.  Where long prompts and bursts of short ones meet, the
+    mean of 24 simulated days is 0.3 in 100 higher with 0.7 than with 1.
     """
 
     packing: bool = True
     helpers: bool = True
-    near_first: bool = True
-    harm: bool = True
-    departure: bool = True
+    prefer_local: bool = True
+    weigh_cost_to_others: bool = True
+    abandonment: bool = True
     waiting: bool = True
     queueing: bool = True
-    elsewhere: bool = True
+    remote_targets: bool = True
     claims: bool = True
-    engine_cost: float = 3.0
-    harm_limit: float = 0.7
+    idle_engine_cost: float = 3.0
+    max_cost_to_others: float = 0.7
 
 
 #: What runs.
-TERMS = Terms()
+DEFAULT_POLICY = PlacementPolicy()
