--- a/tests/living.py
+++ b/tests/living.py
@@ -122,8 +122,8 @@
                 for one, (_, port) in zip(life.entries, network, strict=True)
             }
             for entry in life.entries:
-                entry.gossip.neighbours.own = entry.address
-                entry.gossip.meet(addresses)
+                entry.gossip.addresses.own = entry.address
+                entry.gossip.add_addresses(addresses)
                 group.start_soon(entry.live)
             found = await scenario(life)
             group.cancel_scope.cancel()
--- a/tests/test_entry_isolation.py
+++ b/tests/test_entry_isolation.py
@@ -48,7 +48,7 @@
 
         async def scenario(isolation):
             for target in TARGETS[:3]:
-                await isolation.note_lost('f', sign, [target])
+                await isolation.investigate_failure('f', sign, [target])
 
         isolation = run_isolation(scenario, seen)
         return isolation.quarantine.count_crashes('f'), len(isolation.looks)
@@ -83,7 +83,9 @@
         """Whoever reads a prompt and those that help may end together."""
 
         async def scenario(isolation):
-            await isolation.note_lost('f', FailureKind.closed, TARGETS)
+            await isolation.investigate_failure(
+                'f', FailureKind.closed, TARGETS
+            )
 
         isolation = run_isolation(scenario)
         self.assertEqual(isolation.quarantine.count_crashes('f'), 1)
@@ -96,8 +98,10 @@
                 is_first = target is TARGETS[0]
                 return FailureKind.none if is_first else FailureKind.refused
 
-            isolation.ways.look = look
-            await isolation.note_lost('f', FailureKind.closed, TARGETS)
+            isolation.hooks.reconnect = look
+            await isolation.investigate_failure(
+                'f', FailureKind.closed, TARGETS
+            )
 
         isolation = run_isolation(scenario)
         self.assertEqual(isolation.told, [Crash('f', TARGETS[1].incarnation)])
@@ -108,9 +112,11 @@
 
     def test_what_was_answered_is_not_blamed(self):
         async def scenario(isolation):
-            isolation.note_answered('f')
+            isolation.record_answered('f')
             for target in TARGETS[:3]:
-                await isolation.note_lost('f', FailureKind.closed, [target])
+                await isolation.investigate_failure(
+                    'f', FailureKind.closed, [target]
+                )
 
         isolation = run_isolation(scenario)
         self.assertFalse(isolation.is_quarantined('f'))
@@ -120,18 +126,22 @@
         """Its targets may have another version since it was answered."""
 
         async def scenario(isolation):
-            isolation.note_answered('f')
+            isolation.record_answered('f')
             for target in TARGETS:
-                await isolation.note_lost('f', FailureKind.closed, [target])
+                await isolation.investigate_failure(
+                    'f', FailureKind.closed, [target]
+                )
 
         self.assertTrue(run_isolation(scenario).is_quarantined('f'))
 
     def test_an_answer_does_not_speak_for_ever(self):
         async def scenario(isolation):
-            isolation.note_answered('f')
+            isolation.record_answered('f')
             await anyio.sleep(ANSWER_TTL_S + 1)
             for target in TARGETS[:3]:
-                await isolation.note_lost('f', FailureKind.closed, [target])
+                await isolation.investigate_failure(
+                    'f', FailureKind.closed, [target]
+                )
 
         self.assertTrue(run_isolation(scenario).is_quarantined('f'))
 
@@ -143,7 +153,7 @@
         """One sending ends, and something is learnt after a while."""
 
         async def scenario(isolation):
-            await isolation.note_lost('f', sign, [TARGETS[0]])
+            await isolation.investigate_failure('f', sign, [TARGETS[0]])
             await anyio.sleep(after_s)
             step(isolation)
 
@@ -152,7 +162,7 @@
 
     def test_started_again_under_its_id(self):
         def step(isolation):
-            isolation.note_replaced(TARGETS[0].incarnation)
+            isolation.record_replaced(TARGETS[0].incarnation)
 
         self.check(1, step)
         self.check(1, step, FailureKind.garbled)
@@ -163,10 +173,10 @@
         listed = ListedTarget(
             'new', 'svc', TARGETS[0].address, 'dc', Standing.ready, 8
         )
-        self.check(1, lambda isolation: isolation.note_listed(listed))
+        self.check(1, lambda isolation: isolation.record_listed(listed))
 
     def test_its_own_entry_changes(self):
-        self.check(0, lambda isolation: isolation.note_listed(TARGETS[0]))
+        self.check(0, lambda isolation: isolation.record_listed(TARGETS[0]))
 
 
 class TellingTest(unittest.TestCase):
@@ -174,11 +184,13 @@
 
     def test_store_is_told_by_whoever_has_seen_an_end(self):
         async def scenario(isolation):
-            await isolation.note_lost('f', FailureKind.closed, [TARGETS[0]])
+            await isolation.investigate_failure(
+                'f', FailureKind.closed, [TARGETS[0]]
+            )
             others = [
                 (Crash(name, f'o{one}'), 0) for name in 'fg' for one in '123'
             ]
-            isolation.take_ends(others, 'e#b')
+            isolation.merge_crashes(others, 'e#b')
 
         isolation = run_isolation(scenario)
         self.assertTrue(isolation.is_quarantined('f'))
@@ -187,7 +199,7 @@
 
     def test_store_is_not_told_what_it_told(self):
         async def scenario(isolation):
-            isolation.take_records(
+            isolation.merge_records(
                 [QuarantineRecord('f', ('a', 'b', 'c'))], 'store'
             )
 
@@ -199,12 +211,14 @@
         told = []
 
         async def scenario(isolation):
-            isolation.ways.tell_cleared = lambda name, _: told.append(name)
-            isolation.take_ends([(Crash('one', 'a'), 0)], 'e#b')
-            isolation.take_ends([(Crash('two', x), 0) for x in 'ab'], 'e#b')
-            isolation.take_ends([(Crash('held', x), 0) for x in 'abc'], 'e#b')
+            isolation.hooks.send_cleared = lambda name, _: told.append(name)
+            isolation.merge_crashes([(Crash('one', 'a'), 0)], 'e#b')
+            isolation.merge_crashes([(Crash('two', x), 0) for x in 'ab'], 'e#b')
+            isolation.merge_crashes(
+                [(Crash('held', x), 0) for x in 'abc'], 'e#b'
+            )
             for name in ('none', 'one', 'two', 'held'):
-                isolation.note_answered(name)
+                isolation.record_answered(name)
 
         isolation = run_isolation(scenario)
         self.assertEqual(told, ['two', 'held'])
@@ -223,8 +237,8 @@
         async def scenario(isolation):
             for number in range(2):
                 isolation.fleet.put(make_listed(number, 80))
-            isolation.take_ends([(Crash('f', 't9'), 0)], 'b')
-            isolation.take_ends(
+            isolation.merge_crashes([(Crash('f', 't9'), 0)], 'b')
+            isolation.merge_crashes(
                 [(Crash('f', 't0'), 0), (Crash('f', 't1'), 9)], 'b'
             )
             now = anyio.current_time()
@@ -268,12 +282,12 @@
 
         async def scenario(isolation):
             async def ask():
-                found.append(await isolation.may_try('f'))
+                found.append(await isolation.may_probe('f'))
 
-            isolation.ways.claim = claim
-            isolation.take_ends([(Crash('f', x), 0) for x in 'abc'], 'e#b')
+            isolation.hooks.claim = claim
+            isolation.merge_crashes([(Crash('f', x), 0) for x in 'abc'], 'e#b')
             await ask()
-            await anyio.sleep(isolation.get_come_back_s('f'))
+            await anyio.sleep(isolation.get_retry_after_s('f'))
             async with anyio.create_task_group() as group:
                 group.start_soon(ask)
                 group.start_soon(ask)
@@ -291,13 +305,13 @@
 
         async def scenario(isolation):
             async def claim(_):
-                isolation.take_cleared('f', ('a', 'b', 'c'), 'e#b')
+                isolation.merge_cleared('f', ('a', 'b', 'c'), 'e#b')
                 return True
 
-            isolation.ways.claim = claim
-            isolation.take_ends([(Crash('f', x), 0) for x in 'abc'], 'e#b')
-            await anyio.sleep(isolation.get_come_back_s('f'))
-            found.append(await isolation.may_try('f'))
+            isolation.hooks.claim = claim
+            isolation.merge_crashes([(Crash('f', x), 0) for x in 'abc'], 'e#b')
+            await anyio.sleep(isolation.get_retry_after_s('f'))
+            found.append(await isolation.may_probe('f'))
             found.append(isolation.is_quarantined('f'))
 
         run_isolation(scenario)
--- a/tests/test_platform_entries.py
+++ b/tests/test_platform_entries.py
@@ -59,7 +59,7 @@
 
 
 class StubState:
-    """The part of an entry's state that a listing needs."""
+    """The part of an entry's state that a `TargetListUpdater` needs."""
 
     def __init__(self):
         self.fleet = Fleet()
@@ -68,7 +68,7 @@
         self.throttle = Throttle(Member('e', 'dc'), Notices(), Random().random)
         self.ignored_notices = {}
 
-    def note_list(self, as_of, now, source, latest_at):
+    def record_list(self, as_of, now, source, latest_at):
         """Ignore the age of the list."""
 
     def notify(self):
@@ -80,9 +80,9 @@
 
     async def main():
         state = StubState()
-        listing = TargetListUpdater(state, Pool(None))
+        updater = TargetListUpdater(state, Pool(None))
         for records in reads:
-            listing.apply(await make_directory(records).read_targets())
+            updater.apply(await make_directory(records).read_targets())
         return state.fleet
 
     return anyio.run(main)
--- a/tests/test_platform_quarantine.py
+++ b/tests/test_platform_quarantine.py
@@ -59,7 +59,7 @@
             self.assertEqual([record.fingerprint for record in found], ['f'])
             self.assertEqual(found[0].incarnations, RECORD.incarnations)
             self.assertLess(abs(found[0].age_s - RECORD.age_s), 30)
-            self.assertEqual(found[0].trials, 0)
+            self.assertEqual(found[0].probes, 0)
             answered = QuarantineRecord('f', (), cleared=RECORD.incarnations)
             await first.write_records([answered])
             found = await second.read_records(0)
@@ -87,7 +87,7 @@
             ]
             self.assertEqual(granted, [True, False, False])
             found = await second.read_records(0)
-            self.assertEqual(found[0].trials, 1)
+            self.assertEqual(found[0].probes, 1)
             self.assertLess(found[0].age_s, 30)
 
         run_with_store(scenario)
--- a/tests/test_relay_turns.py
+++ b/tests/test_relay_turns.py
@@ -28,8 +28,8 @@
         waiting = turns.waiting.values()
         first = [one for one in waiting if not turns.count_ahead(one)]
         assert len(first) == 1, first
-        turns.leave(first[0].req_id)
-        turns.note_served(first[0], len(served) + 100)
+        turns.remove(first[0].req_id)
+        turns.record_served(first[0], len(served) + 100)
         served.append(first[0])
     return served
 
--- a/trestledock/bench/_sharing.py
+++ b/trestledock/bench/_sharing.py
@@ -220,7 +220,7 @@
             return
         patience_s = one.prompt.kind.patience_s
         gone = min(timing.deadline, self.now + after_s + patience_s)
-        one.ask = replace(one.ask, timing=replace(timing, gone=gone))
+        one.ask = replace(one.ask, timing=replace(timing, abandoned_at=gone))
         one.heard_at = self.now + after_s
         self._at(self.now + after_s, partial(self._try, one))
 
--- a/trestledock/entry/_notice_codec.py
+++ b/trestledock/entry/_notice_codec.py
@@ -76,7 +76,7 @@
         *form.read(now, *asks_for),
         asked_at=now - read_count(asked_ms) / MS,
         heard_at=now - read_count(heard_ms) / MS,
-        is_told=True,
+        is_shared=True,
     )
     return notice
 
--- a/trestledock/entry/_pool.py
+++ b/trestledock/entry/_pool.py
@@ -73,7 +73,7 @@
             try:
                 wire = await Wire.connect(target.address)
             except WireError as exc:
-                return exc.sign
+                return exc.failure_kind
             if await self._is_settled(wire):
                 self._keep(target, wire, IDLE_S)
                 return FailureKind.none
--- a/trestledock/platform/_quarantine.py
+++ b/trestledock/platform/_quarantine.py
@@ -22,6 +22,7 @@
     read_list,
     read_text,
 )
+from trestledock.platform._entries import DECODE_ERRORS
 from trestledock.platform._epochs import StoreEpochs
 from trestledock.platform._log import (
     OK,
@@ -30,7 +31,6 @@
     StoreClient,
     frame_record,
 )
-from trestledock.platform._target_records import DECODE_ERRORS
 from trestledock.relay import QuarantineRecord
 
 TOPIC = 'keyed.quarantine'
--- a/trestledock/platform/_store.py
+++ b/trestledock/platform/_store.py
@@ -22,6 +22,11 @@
     read_count,
 )
 from trestledock.platform._documents import decode_catalog
+from trestledock.platform._entries import (
+    DECODE_ERRORS,
+    decode_address,
+    decode_target,
+)
 from trestledock.platform._epochs import Epoch, StoreEpochs
 from trestledock.platform._log import (
     OK,
@@ -32,11 +37,6 @@
     frame_record,
 )
 from trestledock.platform._quarantine import QuarantineTopic
-from trestledock.platform._target_records import (
-    DECODE_ERRORS,
-    decode_address,
-    decode_target,
-)
 from trestledock.relay import Catalog, ListedTarget
 
 CONFIG_TOPIC = 'keyed.op'
--- a/trestledock/relay/_backoff.py
+++ b/trestledock/relay/_backoff.py
@@ -23,7 +23,7 @@
 def get_jitter_s(rest_s: float, drawn: float) -> float:
     """Return by how much a rest is made longer, for a draw from 0 to 1.
 
-    >>> get_spread_s(2, 0.5), get_spread_s(60, 1)
+    >>> get_jitter_s(2, 0.5), get_jitter_s(60, 1)
     (0.2, 1.0)
     """
     return min(rest_s * SPREAD_SHARE, SPREAD_MOST_S) * drawn
@@ -33,12 +33,13 @@
 class BackoffGate:
     """Keeps requests from targets that asked this entry for rest.
 
-    >>> resting = Resting(Notices())
-    >>> _ = resting.notices.note('t', Rest(until=3, asked_at=0, heard_at=0))
-    >>> resting.is_free('t', now=2), resting.is_free('t', now=3)
+    >>> resting = BackoffGate(Notices())
+    >>> backoff = Backoff(until=3, asked_at=0, heard_at=0)
+    >>> _ = resting.notices.record('t', backoff)
+    >>> resting.can_send('t', now=2), resting.can_send('t', now=3)
     (False, True)
-    >>> resting.take('t', now=3)
-    >>> resting.is_free('t', now=3.1), resting.is_free('t', now=3.5)
+    >>> resting.record_sent('t', now=3)
+    >>> resting.can_send('t', now=3.1), resting.can_send('t', now=3.5)
     (False, True)
     """
 
--- a/trestledock/relay/_board.py
+++ b/trestledock/relay/_board.py
@@ -25,11 +25,11 @@
     """One request at a target.
 
     `since` is when its phase began, on this process's clock.  `helpers` read
-    equal parts of the prompt beside the target; `tickets` are the tokens that
-    it holds at other targets.  `pause_s` is the longest pause that its caller
-    takes as timely, `patience_s` the one at which it leaves; `due` is the
-    instant at which its first token is late, `gone` that at which nobody waits
-    for it any more, and `worth` what is lost with it.
+    equal parts of the prompt beside the target; `reservations` are the tokens
+    that it holds at other targets.  `pause_s` is the longest pause that its
+    caller takes as timely, `patience_s` the one at which it leaves; `due_at` is
+    the instant at which its first token is late, `abandoned_at` that at which
+    nobody waits for it any more, and `worth` what is lost with it.
     """
 
     flight_id: str
@@ -87,8 +87,8 @@
 class LoadTable:
     """Flights by target, of this instance and of its peers.
 
-    >>> board = Board()
-    >>> board.put(Flight('a', 't1', 100, 10, Phase.reading, since=0))
+    >>> board = LoadTable()
+    >>> board.put(Flight('a', 't1', 100, 10, Phase.prefill, since=0))
     >>> [flight.flight_id for flight in board.get_flights('t1')]
     ['a']
     """
--- a/trestledock/relay/_patience.py
+++ b/trestledock/relay/_patience.py
@@ -58,9 +58,9 @@
     `early` is for a request that another target may still answer in time.
 
     >>> route = Route('r', '', '/', RouteKind.streaming, (), resumable=True)
-    >>> get_first_patience_s(route, 0.1, early=False)
+    >>> get_first_event_timeout_s(route, 0.1, early=False)
     0.8
-    >>> get_first_patience_s(route, 0.1, early=True)
+    >>> get_first_event_timeout_s(route, 0.1, early=True)
     0.25
     """
     if not route.repeatable:
--- a/trestledock/relay/_problem.py
+++ b/trestledock/relay/_problem.py
@@ -43,7 +43,7 @@
     """What is to be placed: sizes, times left, and what it is worth.
 
     Its first token is late after `objective_s`, and nobody waits for it any
-    more after `gone_s`.
+    more after `abandoned_after_s`.
     """
 
     size: PromptSize
@@ -57,12 +57,12 @@
 class Placement:
     """Where a request goes; `cost` is what all are expected to lose.
 
-    `harm` is the part of it that others lose who are at the engines already,
-    and `gain` what the request itself is expected to earn.
+    `cost_to_others` is the part of it that others lose who are at the engines
+    already, and `gain` what the request itself is expected to earn.
 
-    `first_s` predicts the first token, `ideal_s` what an idle fleet would do;
-    after `clear_s` everything that is being read now will have been.
-    `tickets` are the tokens to be reserved at helpers, by their ids.
+    `first_token_s` predicts the first token, `ideal_s` what an idle fleet would
+    do; after `clear_s` everything that is being read now will have been.
+    `reservations` are the tokens to be reserved at helpers, by their ids.
     """
 
     target: ListedTarget
--- a/trestledock/relay/_proof.py
+++ b/trestledock/relay/_proof.py
@@ -19,13 +19,13 @@
 
 @dataclass
 class FreshnessProof:
-    """The newest proof; `bound_s` of zero asks for none.
+    """The newest proof; `max_age_s` of zero asks for none.
 
     `read_at` is when the configuration was read for the last time, by this
     instance or the one it asks: a read need not prove anything, and where it
     doesn't, more reads would not either.
 
-    >>> proof = Proof(bound_s=4.0)
+    >>> proof = FreshnessProof(max_age_s=4.0)
     >>> proof.renew(asked_at=1.0)
     >>> proof.is_fresh(3.9), proof.is_fresh(4.1)
     (True, False)
--- a/trestledock/relay/_readers.py
+++ b/trestledock/relay/_readers.py
@@ -44,7 +44,7 @@
     `settle_s` is the time within which a change must be in force everywhere,
     in seconds.
 
-    >>> round(ReadPace(settle_s=3).read_s, 2)
+    >>> round(ReadSchedule(settle_s=3).read_interval_s, 2)
     0.6
     """
 
@@ -89,7 +89,7 @@
 ) -> str:
     """Return the name of the instance that reads for all.
 
-    >>> choose_reader([Candidate('a', 9.0), Candidate('b', 0.2)])
+    >>> choose_reader([ReaderCandidate('a', 9.0), ReaderCandidate('b', 0.2)])
     'b'
     """
     known = tuple(candidates)
@@ -107,7 +107,7 @@
 
     By then, asking has not helped for too long.
 
-    >>> round(get_own_read_in_s('b', ['a', 'b'], age_s=0.92), 2)
+    >>> round(get_own_read_delay_s('b', ['a', 'b'], age_s=0.92), 2)
     0.01
     """
     place = sum(name < me for name in names)
@@ -117,7 +117,7 @@
 def get_read_retry_s(me: str, names: Iterable[str]) -> float:
     """Return how long an instance waits between tries when all are stale.
 
-    >>> get_retry_s('b', ['a', 'b', 'c'])
+    >>> get_read_retry_s('b', ['a', 'b', 'c'])
     0.85
     """
     place = sum(name < me for name in names)
--- a/trestledock/request/_request.py
+++ b/trestledock/request/_request.py
@@ -60,7 +60,7 @@
 def get_length_class_by_tokens(tokens: int) -> LengthClass:
     """Return the length class of a prompt of `tokens` tokens.
 
-    >>> get_class_by_tokens(1_000).value
+    >>> get_length_class_by_tokens(1_000).value
     'short'
     """
     for name, bound in CLASS_BOUNDS.items():
--- a/trestledock/request/_retry.py
+++ b/trestledock/request/_retry.py
@@ -40,7 +40,7 @@
 class CircuitBreaker:
     """The circuit breaker of a target; allows one probe while half open.
 
-    >>> breaker = Breaker()
+    >>> breaker = CircuitBreaker()
     >>> for _ in range(BREAKER_FAILURES):
     ...     breaker.fail(now=0)
     >>> breaker.get_state(now=1).value
