--- a/trestledock/platform/_headers.py
+++ b/trestledock/platform/_headers.py
@@ -101,22 +101,22 @@
             resume_after=headers.get(LAST_EVENT, b'').decode('latin-1'),
         )
 
-    def make_headers(self, call: Call, passing: ForwardingContext) -> Headers:
+    def make_headers(self, call: Call, context: ForwardingContext) -> Headers:
         """Return the headers of a request to a target."""
-        left_ms = max(1, int(passing.left_s * MS))
+        left_ms = max(1, int(context.left_s * MS))
         added = [
             (DEADLINE, str(left_ms).encode()),
-            (EXPECTED_INSTANCE, passing.placement.target.target_id.encode()),
+            (EXPECTED_INSTANCE, context.placement.target.target_id.encode()),
         ]
-        if passing.team:
-            added.append((TEAM, passing.team.encode()))
-        if passing.priority is not None:
-            rank = min(max(passing.priority, 0), LOWEST_PRIORITY)
+        if context.team:
+            added.append((TEAM, context.team.encode()))
+        if context.priority is not None:
+            rank = min(max(context.priority, 0), LOWEST_PRIORITY)
             added.append((PRIORITY, str(rank).encode()))
-        if passing.resume_after:
-            added.append((LAST_EVENT, passing.resume_after.encode()))
-        if passing.placement.helpers:
-            added.append((HELPERS, _format_helpers(passing).encode()))
+        if context.resume_after:
+            added.append((LAST_EVENT, context.resume_after.encode()))
+        if context.placement.helpers:
+            added.append((HELPERS, _format_helpers(context).encode()))
         if call.body.raw or call.method not in {'GET', 'HEAD'}:
             added.append((b'content-length', str(len(call.body.raw)).encode()))
         return (*call.headers, *added)
@@ -178,11 +178,11 @@
     return ControlRequest('POST', '/order', headers, body)
 
 
-def _format_helpers(passing: ForwardingContext) -> str:
+def _format_helpers(context: ForwardingContext) -> str:
     """Format the helpers as a list of `IP:PORT` or `IP:PORT/TICKET`."""
     parts = []
-    for helper in passing.placement.helpers:
-        ticket = passing.tickets.get(helper.incarnation)
+    for helper in context.placement.helpers:
+        ticket = context.tickets.get(helper.incarnation)
         parts.append(f'{helper.address}/{ticket}' if ticket else helper.address)
     return ','.join(parts)
 
