--- a/tests/test_platform_notices.py
+++ b/tests/test_platform_notices.py
@@ -99,9 +99,9 @@
             '86400': 86_400,
             '9' * 400: MAX_BACKOFF_S,
         }
-        for text, rest_s in known.items():
+        for text, backoff_s in known.items():
             found = read_after(text)
-            self.assertEqual(found.backoff_s, rest_s, text)
+            self.assertEqual(found.backoff_s, backoff_s, text)
             self.assertFalse(found.invalid_text, text)
 
     def test_invalid_values_have_no_effect(self):
--- a/trestledock/connection/_caller.py
+++ b/trestledock/connection/_caller.py
@@ -96,7 +96,7 @@
         exchange.prompt = completion.prompt
         exchange.prefix = req.prefix
         exchange.arrived_at = anyio.current_time()
-        exchange.length = req.length_class.value
+        exchange.length_class = req.length_class.value
         exchange.deadline = req.deadline
         await self.hub.send(Arrive(req))
         if completion.stream:
@@ -169,7 +169,7 @@
                 media_type='application/json',
             )
         return JSONResponse(
-            {'text': ''.join(exchange.emitted), 'tokens': verdict.tokens},
+            {'text': ''.join(exchange.sent_texts), 'tokens': verdict.tokens},
         )
 
     async def _respond_streaming(
--- a/trestledock/connection/_hub.py
+++ b/trestledock/connection/_hub.py
@@ -43,13 +43,15 @@
     """The state of a caller's connection for one request.
 
     `prompt` and `body` are stored only here; the core sees sizes and hashes.
+    `reservations` are the ids of the reservations (`holds` on the wire) whose
+    engines have received the prompt.
     """
 
     send: MemoryObjectSendStream[Any]
     receive: MemoryObjectReceiveStream[Any]
     prompt: str = ''
-    emitted: list[str] = field(default_factory=list)
-    holds: set[str] = field(default_factory=set)
+    sent_texts: list[str] = field(default_factory=list)
+    reservations: set[str] = field(default_factory=set)
     prefix: tuple[str, ...] = ()
     body: bytes = b''
     method: str = ''
@@ -59,7 +61,7 @@
     idempotency_key: str = ''
     deadline: float = 0
     arrived_at: float = 0
-    length: str = ''
+    length_class: str = ''
 
 
 @dataclass
@@ -139,10 +141,10 @@
     exchange = hub.exchanges.get(action.req_id)
     if exchange is None:
         return
-    if not exchange.emitted:
+    if not exchange.sent_texts:
         waited_s = anyio.current_time() - exchange.arrived_at
-        hub.metrics.observe_first_token(exchange.length, waited_s)
-    exchange.emitted.extend(chunk.text for chunk in action.chunks)
+        hub.metrics.observe_first_token(exchange.length_class, waited_s)
+    exchange.sent_texts.extend(chunk.text for chunk in action.chunks)
     hub.metrics.add('tokens', sum(chunk.tokens for chunk in action.chunks))
     _reply(hub, action.req_id, action)
 
--- a/trestledock/connection/_target.py
+++ b/trestledock/connection/_target.py
@@ -93,13 +93,13 @@
                 action, 'send', 'too late to start', not_started=True
             )
             return
-        is_first = action.job.hold not in exchange.holds
-        exchange.holds.add(action.job.hold)
+        is_first = action.job.hold not in exchange.reservations
+        exchange.reservations.add(action.job.hold)
         body = {
             'job': CONVERTER.unstructure(action.job),
             'prompt': exchange.prompt if is_first else '',
             'prefix': exchange.prefix if is_first else (),
-            'continuation': ''.join(exchange.emitted) if is_first else '',
+            'continuation': ''.join(exchange.sent_texts) if is_first else '',
         }
         if action.job.generate:
             await self._read_stream(action, '/v1/jobs', body, exchange)
--- a/trestledock/platform/__init__.py
+++ b/trestledock/platform/__init__.py
@@ -3,8 +3,9 @@
 ================
 
 Translates between the formats of the users' platform (settings, store, headers,
-orders) and the types of `trestledock.entry` and `trestledock.relay`.  It makes
-no decisions, and no other package knows the platform's names.
+requests to targets) and the types of `trestledock.entry` and
+`trestledock.relay`.  It makes no decisions, and no other package knows the
+platform's names.
 """
 
 import signal
--- a/trestledock/platform/_headers.py
+++ b/trestledock/platform/_headers.py
@@ -2,8 +2,9 @@
 Request and response headers
 ============================
 
-Translates requests of callers, responses of targets, and orders to targets.
-Header names of the platform are defined only here and in `_notices`.
+Translates requests of callers, responses of targets, and requests to the
+control interface of targets (`/order`).  Header names of the platform are
+defined only here and in `_notices`.
 """
 
 import json
@@ -144,34 +145,43 @@
 
     def make_reserve(
         self,
-        ticket: str,
+        reservation_id: str,
         tokens: int,
         lease_s: float,
-        holder: ListedTarget,
+        target: ListedTarget,
     ) -> ControlRequest:
-        """Return the order that reserves memory; it fails if none is free."""
-        return _make_order(
-            holder,
+        """Return the request that reserves memory for `tokens` at `target`.
+
+        It fails at once if the memory is not available.
+        """
+        return _make_control_request(
+            target,
             operation='reserve',
-            id=ticket,
+            id=reservation_id,
             tokens=tokens,
             holdMs=round(lease_s * MS),
         )
 
-    def make_release(self, ticket: str, holder: ListedTarget) -> ControlRequest:
-        """Return the order that releases reserved memory."""
-        return _make_order(holder, operation='release', id=ticket)
+    def make_release(
+        self, reservation_id: str, target: ListedTarget
+    ) -> ControlRequest:
+        """Return the request that releases a reservation."""
+        return _make_control_request(
+            target, operation='release', id=reservation_id
+        )
 
 
-def _make_order(holder: ListedTarget, **fields: Any) -> ControlRequest:
-    """Return an order that names its target.
+def _make_control_request(
+    target: ListedTarget, **fields: Any
+) -> ControlRequest:
+    """Return a control request that names its target.
 
-    Another target that has taken over the address rejects it.
+    A different target that now has the address will reject it.
     """
     body = json.dumps(fields).encode()
     headers = (
-        (b'host', holder.address.encode()),
-        (EXPECTED_INSTANCE, holder.target_id.encode()),
+        (b'host', target.address.encode()),
+        (EXPECTED_INSTANCE, target.target_id.encode()),
         (b'content-type', b'application/json'),
         (b'content-length', str(len(body)).encode()),
     )
@@ -179,11 +189,15 @@
 
 
 def _format_helpers(context: ForwardingContext) -> str:
-    """Format the helpers as a list of `IP:PORT` or `IP:PORT/TICKET`."""
+    """Format helpers as `IP:PORT` or `IP:PORT/RESERVATION`, comma-separated."""
     parts = []
     for helper in context.placement.helpers:
-        ticket = context.tickets.get(helper.incarnation)
-        parts.append(f'{helper.address}/{ticket}' if ticket else helper.address)
+        reservation_id = context.tickets.get(helper.incarnation)
+        parts.append(
+            f'{helper.address}/{reservation_id}'
+            if reservation_id
+            else helper.address
+        )
     return ','.join(parts)
 
 
