--- a/tests/test_platform_entries.py
+++ b/tests/test_platform_entries.py
@@ -17,8 +17,8 @@
 
 from tests.test_platform_store import make_heartbeat
 from trestledock.entry._isolation import Isolation
-from trestledock.entry._target_list import TargetListUpdater
 from trestledock.entry._pool import Pool
+from trestledock.entry._target_list import TargetListUpdater
 from trestledock.platform._log import Batch, Record, split_records
 from trestledock.platform._store import PEER_PREFIX, StoreDirectory
 from trestledock.relay import Fleet, Health, Member, Notices, Throttle
@@ -48,9 +48,9 @@
 
 def make_target_record(name='t1', without='', **fields):
     """Return the record of a target with some fields replaced."""
-    plain = {**GOOD, **fields}
-    plain.pop(without, None)
-    return Record(name, json.dumps(plain).encode())
+    data = {**GOOD, **fields}
+    data.pop(without, None)
+    return Record(name, json.dumps(data).encode())
 
 
 def make_removal(name='t1'):
@@ -188,7 +188,7 @@
             self.check(make_target_record(without=name))
 
     def test_invalid_values(self):
-        wrong = {
+        invalid = {
             'service': (['s'], 5, None, ''),
             'address': ('10.0.0.1', 5, 'x:80', '10.0.0.1:0', ':80', '1.2:3'),
             'zone': ({'name': 'dc'}, 1, None),
@@ -199,9 +199,9 @@
             'version': (None, 1, ['v1']),
             'coldLeftMs': (None, '0', True),
         }
-        for name, values in wrong.items():
-            for plain in values:
-                self.check(make_target_record(**{name: plain}))
+        for name, values in invalid.items():
+            for field in values:
+                self.check(make_target_record(**{name: field}))
 
     def test_unreadable_bytes(self):
         for raw in (b'\xff\xfe', b'{', b'[]', b'7', b'null', b'[' * 100_000):
@@ -224,8 +224,8 @@
 
     def test_missing_birth_time(self):
         """Platforms that assign a new id at each start may omit it."""
-        plain = [make_heartbeat('ready', 1, name) for name in ('t1', 't2')]
-        self.assertEqual(get_usable(plain), ['t1', 't2'])
+        records = [make_heartbeat('ready', 1, name) for name in ('t1', 't2')]
+        self.assertEqual(get_usable(records), ['t1', 't2'])
 
     @given(st.binary(max_size=200) | ANY_JSON.map(json.dumps))
     def test_anything(self, text):
--- a/tests/test_platform_epochs.py
+++ b/tests/test_platform_epochs.py
@@ -137,7 +137,7 @@
 
     def read_during(self, *restores):
         """Return the result of a read during which restores happen."""
-        left = list(restores)
+        remaining = list(restores)
 
         async def scenario(store, topic):
             for number in range(6):
@@ -147,7 +147,7 @@
 
             async def handle_then_restore(exchange):
                 await handle(exchange)
-                if left and left.pop(0):
+                if remaining and remaining.pop(0):
                     store.go_back(12)
                     store.put(TOPIC, 'k0', b'new')
 
@@ -318,7 +318,7 @@
     """The fake store of the soak test."""
 
     def test_lost_records_are_written_again(self):
-        """They are, even if a second restore happens before."""
+        """This includes a second restore before they are written."""
 
         async def scenario(store, _):
             for version in (1, 2, 3):
--- a/tests/test_platform_log.py
+++ b/tests/test_platform_log.py
@@ -91,7 +91,7 @@
     def test_split_records(self):
         """A read is split into records; an empty value deletes the key."""
         raw = make_record(b'a', b'1') + make_record(b'b', b'')
-        found = [(one.key, one.value) for one in split_records(raw)]
+        found = [(row.key, row.value) for row in split_records(raw)]
         self.assertEqual(found, [('a', b'1'), ('b', b'')])
 
 
@@ -146,7 +146,7 @@
     """The store closes an idle connection."""
 
     def test_read_after_close_of_idle_connection(self):
-        """The call is repeated on a new connection, as the store works."""
+        """The call is repeated on a new connection and succeeds."""
         stub = ClosingStore([FIRST, make_answer(200, READ_HEADER.pack(3, 0))])
 
         async def main():
--- a/trestledock/clock.py
+++ b/trestledock/clock.py
@@ -80,8 +80,8 @@
     and the monotonic clock.
 
     >>> monotonic, boottime = iter([5.0, 6.0, 6.1]), iter([7.0, 8.0, 38.1])
-    >>> watch = PauseWatch(monotonic.__next__, boottime.__next__)
-    >>> watch.look(), round(watch.look())
+    >>> detector = SuspensionDetector(monotonic.__next__, boottime.__next__)
+    >>> detector.measure(), round(detector.measure())
     (0, 30)
     """
 
--- a/trestledock/connection/_daemon.py
+++ b/trestledock/connection/_daemon.py
@@ -35,9 +35,9 @@
     Identity,
     Node,
     ResumeStream,
+    SendToPeer,
     Shutdown,
     StartJob,
-    SendToPeer,
 )
 
 #: How often the daemon checks whether it is drained, in seconds.
--- a/trestledock/connection/_hub.py
+++ b/trestledock/connection/_hub.py
@@ -25,8 +25,8 @@
     Count,
     EmitChunks,
     Finish,
-    Node,
     LogEvent,
+    Node,
     Published,
     Tick,
 )
--- a/trestledock/platform/_entries.py
+++ b/trestledock/platform/_entries.py
@@ -29,30 +29,30 @@
 DECODE_ERRORS = (ValueError, RecursionError)
 
 
-def _read_name(plain: Any) -> str:
-    if not read_text(plain):
+def _read_name(data: Any) -> str:
+    if not read_text(data):
         raise ValueError('empty name')
-    return str(plain)
+    return str(data)
 
 
-def _read_positive(plain: Any) -> int:
-    if not read_count(plain):
+def _read_positive(data: Any) -> int:
+    if not read_count(data):
         raise ValueError('number must be greater than 0')
-    return int(plain)
+    return int(data)
 
 
-def _read_address(plain: Any) -> str:
-    host, _, port = read_text(plain).rpartition(':')
+def _read_address(data: Any) -> str:
+    host, _, port = read_text(data).rpartition(':')
     IPv4Address(host)
     if not port.isascii() or not port.isdigit():
-        raise ValueError(f'port is not a number: {plain!r}')
+        raise ValueError(f'port is not a number: {data!r}')
     if not 0 < int(port) <= MAX_PORT:
-        raise ValueError(f'port out of range: {plain!r}')
+        raise ValueError(f'port out of range: {data!r}')
     return f'{host}:{int(port)}'
 
 
-def _read_standing(plain: Any) -> Standing:
-    state = read_text(plain)
+def _read_standing(data: Any) -> Standing:
+    state = read_text(data)
     if state not in STANDING_BY_STATE:
         raise ValueError(f'unknown state: {state!r}')
     return STANDING_BY_STATE[state]
@@ -80,14 +80,14 @@
 
 def decode_target(key: str, raw: bytes) -> ListedTarget:
     """Decode a target's record, or raise one of `DECODE_ERRORS`."""
-    plain = json.loads(raw)
-    if not isinstance(plain, dict):
+    data = json.loads(raw)
+    if not isinstance(data, dict):
         raise ValueError('not a JSON object')
     if not TARGET_ID.fullmatch(key):
         raise ValueError('invalid target id')
-    attributes = {**FIELD_DEFAULTS, **read_fields(plain, TARGET_FIELDS)}
-    for name in EXTRA_FIELDS.keys() & plain.keys():
-        EXTRA_FIELDS[name](plain[name])
+    attributes = {**FIELD_DEFAULTS, **read_fields(data, TARGET_FIELDS)}
+    for name in EXTRA_FIELDS.keys() & data.keys():
+        EXTRA_FIELDS[name](data[name])
     missing = [
         field.wire_name
         for field in TARGET_FIELDS
--- a/trestledock/platform/_headers.py
+++ b/trestledock/platform/_headers.py
@@ -12,28 +12,31 @@
 
 from trestledock.entry import (
     AnswerMetadata,
-    Head,
-    Headers,
     ControlRequest,
     ForwardingContext,
+    Head,
+    Headers,
 )
 from trestledock.platform._notices import (
+    read_backoff,
     read_draining,
     read_rate_limit,
-    read_backoff,
 )
 from trestledock.relay import Body, Call, ListedTarget, PromptSize
 
 REQUEST_ID = b'trestledock-request-id'
 #: Milliseconds that the caller waits, or that the target may take.
 DEADLINE = b'trestledock-request-deadline'
+#: Present if the target itself produced the response.
 SEAL = b'trestledock-response-seal'
 TEAM = b'trestledock-tenant'
 EXPECTED_INSTANCE = b'trestledock-expect-instance'
+#: Present if the target did not run the request.
 NOT_RUN = b'trestledock-not-executed'
 TOKEN_COUNTS = b'trestledock-token-counts'
 HELPERS = b'trestledock-helpers'
 LAST_EVENT = b'last-event-id'
+#: The target that is at fault.
 AT_FAULT = b'at-server'
 #: The target that responds, if another one was asked.
 INSTANCE = b'trestledock-instance-id'
@@ -104,9 +107,9 @@
 
     def make_headers(self, call: Call, context: ForwardingContext) -> Headers:
         """Return the headers of a request to a target."""
-        left_ms = max(1, int(context.left_s * MS))
+        remaining_ms = max(1, int(context.left_s * MS))
         added = [
-            (DEADLINE, str(left_ms).encode()),
+            (DEADLINE, str(remaining_ms).encode()),
             (EXPECTED_INSTANCE, context.placement.target.target_id.encode()),
         ]
         if context.team:
--- a/trestledock/platform/_notices.py
+++ b/trestledock/platform/_notices.py
@@ -38,7 +38,7 @@
     return RateLimitHeader(
         per_s=min(numbers, default=None),
         is_present=bool(texts),
-        invalid_text=_join_unreadable(texts),
+        invalid_text=_join_invalid(texts),
     )
 
 
@@ -58,7 +58,7 @@
     texts = _read_texts(head, RETRY_AFTER)
     return BackoffHeader(
         backoff_s=max(_parse_numbers(texts, MAX_BACKOFF_S), default=0),
-        invalid_text=_join_unreadable(texts),
+        invalid_text=_join_invalid(texts),
     )
 
 
@@ -72,7 +72,7 @@
     ]
 
 
-def _join_unreadable(texts: Sequence[str]) -> str:
+def _join_invalid(texts: Sequence[str]) -> str:
     return '; '.join(
         repr(text) for text in texts if not DECIMAL.fullmatch(text)
     )
--- a/trestledock/platform/_quarantine.py
+++ b/trestledock/platform/_quarantine.py
@@ -17,9 +17,9 @@
     RecordIgnored,
     StoredQuarantine,
     emit,
-    read_number,
     read_count,
     read_list,
+    read_number,
     read_text,
 )
 from trestledock.platform._entries import DECODE_ERRORS
@@ -58,8 +58,8 @@
     async def read_whole(self) -> StoredQuarantine:
         """Return all records and the end of the topic."""
         batch = await KeyedTopic(self._writer, TOPIC).read()
-        place = LogPosition(batch.end, batch.epoch)
-        return StoredQuarantine(_decode_records(batch.records), place)
+        end = LogPosition(batch.end, batch.epoch)
+        return StoredQuarantine(_decode_records(batch.records), end)
 
     async def write_records(
         self,
--- a/trestledock/version/_check.py
+++ b/trestledock/version/_check.py
@@ -4,7 +4,7 @@
 
 Reads YAML or JSON documents into frozen data classes and reports every error
 with its path.  Used for settings and configurations, both of which report
-errors as `OptionError`.
+errors as `ValidationError`.
 """
 
 import difflib
@@ -114,7 +114,7 @@
 ) -> Result[Document, ValidationError]:
     """Read YAML or JSON text into the data class `kind`.
 
-    On failure the result holds an `OptionError` with a line for each error.
+    On failure the result holds a `ValidationError` with a line for each error.
     """
     try:
         raw = yaml.safe_load(text)
