--- a/trestledock/connection/_operator.py
+++ b/trestledock/connection/_operator.py
@@ -74,7 +74,7 @@
         )
 
     async def get_configuration(self, http: HttpRequest) -> Response:
-        """Return the text of the configuration in force."""
+        """Return the configuration in force, exactly as it was published."""
         fold = self.hub.node.state.reader.fold
         accepted = fold.get_accepted_by_scope('configuration')
         if accepted is None:
--- a/trestledock/request/_attempt.py
+++ b/trestledock/request/_attempt.py
@@ -85,7 +85,7 @@
         return self.state in LIVE
 
     def advance(self, event: AttemptEvent) -> 'Attempt':
-        """Return the attempt after `event`.
+        """Return the attempt after `event`, unchanged without a transition.
 
         >>> Attempt(1, 'e1').advance(AttemptEvent.write).state.value
         'sent'
