--- a/tests/test_command_line.py
+++ b/tests/test_command_line.py
@@ -1,4 +1,4 @@
-"""Commands on files: every error with its path, exit code 2."""
+"""Commands report the path of a bad file and exit with code 2."""
 
 import subprocess
 import sys
@@ -14,7 +14,7 @@
 ROOT = Path(__file__).parent.parent
 
 
-class Commands(unittest.TestCase):
+class CommandsTest(unittest.TestCase):
     def run_command(self, *words, text=''):
         runner = CliRunner()
         with runner.isolated_filesystem():
--- a/trestledock/connection/_hub.py
+++ b/trestledock/connection/_hub.py
@@ -1,9 +1,10 @@
 """
-Hub
-===
+Core event loop
+===============
 
-The one task that owns the core.  Every other task sends it messages; it steps
-the core and hands the actions to the tasks that own the sockets.
+The single task that owns the core.  All other tasks send messages to it; it
+steps the core and passes the resulting actions to the tasks that own the
+sockets.
 """
 
 import logging
@@ -24,31 +25,33 @@
     Count,
     EmitChunks,
     Finish,
-    Node,
     LogEvent,
+    Node,
     Published,
     Tick,
 )
 
-#: Messages that may wait for the core, and chunks for a slow caller.
-MESSAGE_BUFFER = 10_000
-REPLY_BUFFER = 4096
+#: The most messages queued for the core, and replies for a slow caller.
+MAX_QUEUED_MESSAGES = 10_000
+MAX_QUEUED_REPLIES = 4096
 
 log = logging.getLogger('trestledock')
 
 
 @dataclass
 class Exchange:
-    """What a caller's connection keeps for its request.
+    """The state of a caller's connection for one request.
 
-    `prompt` and `body` stay here; the core sees only sizes and hashes.
+    `prompt` and `body` are stored only here; the core sees sizes and hashes.
+    `reservations` are the ids of the reservations (`holds` on the wire) whose
+    engines have received the prompt.
     """
 
     send: MemoryObjectSendStream[Any]
     receive: MemoryObjectReceiveStream[Any]
     prompt: str = ''
-    emitted: list[str] = field(default_factory=list)
-    holds: set[str] = field(default_factory=set)
+    sent_texts: list[str] = field(default_factory=list)
+    reservations: set[str] = field(default_factory=set)
     prefix: tuple[str, ...] = ()
     body: bytes = b''
     method: str = ''
@@ -58,12 +61,12 @@
     idempotency_key: str = ''
     deadline: float = 0
     arrived_at: float = 0
-    length: str = ''
+    length_class: str = ''
 
 
 @dataclass
 class Hub:
-    """The core with everything that its actions are handed to."""
+    """The core and the components that carry out its actions."""
 
     node: Node
     settings: Settings
@@ -73,18 +76,20 @@
     publications: dict[str, anyio.Event] = field(default_factory=dict)
     published: dict[str, Published] = field(default_factory=dict)
     links: dict[type, Any] = field(default_factory=dict)
-    _send: MemoryObjectSendStream[Any] = field(init=False)
-    _receive: MemoryObjectReceiveStream[Any] = field(init=False)
+    _message_sender: MemoryObjectSendStream[Any] = field(init=False)
+    _message_receiver: MemoryObjectReceiveStream[Any] = field(init=False)
 
     def __post_init__(self) -> None:
-        """Open the queue of messages."""
-        self._send, self._receive = anyio.create_memory_object_stream[Any](
-            MESSAGE_BUFFER,
+        """Create the message queue."""
+        self._message_sender, self._message_receiver = (
+            anyio.create_memory_object_stream[Any](
+                MAX_QUEUED_MESSAGES,
+            )
         )
 
-    async def tell(self, message: Any) -> None:
-        """Send the core a message."""
-        await self._send.send(message)
+    async def send(self, message: Any) -> None:
+        """Send a message to the core."""
+        await self._message_sender.send(message)
 
     async def run(self) -> None:
         """Step the core until cancelled."""
@@ -93,13 +98,15 @@
             wait_s = max(0, self.node.get_next_timer() - now)
             message: Any = Tick()
             with anyio.move_on_after(wait_s):
-                message = await self._receive.receive()
+                message = await self._message_receiver.receive()
             for action in self.node.step(message, anyio.current_time()):
                 self._perform(action)
 
     def open_exchange(self, req_id: str) -> Exchange:
         """Open the exchange of a new request."""
-        send, receive = anyio.create_memory_object_stream[Any](REPLY_BUFFER)
+        send, receive = anyio.create_memory_object_stream[Any](
+            MAX_QUEUED_REPLIES
+        )
         exchange = Exchange(send, receive)
         self.exchanges[req_id] = exchange
         return exchange
@@ -112,9 +119,9 @@
             self.group.start_soon(self._run_link, link, action)
 
     async def _run_link(self, link: Any, action: Any) -> None:
-        """Run a link; what it did not foresee must not end the process.
+        """Run a link; an unexpected error must not stop the process.
 
-        The request's own deadline still ends it, whatever was lost here.
+        The affected request still ends at its own deadline.
         """
         try:
             await link(action)
@@ -126,7 +133,7 @@
 @singledispatch
 def perform(action: Any, hub: Hub) -> None:
     """Carry out an action that needs no socket."""
-    raise TypeError(f'nothing carries out {type(action).__name__}')
+    raise TypeError(f'no handler for action {type(action).__name__}')
 
 
 @perform.register
@@ -134,10 +141,10 @@
     exchange = hub.exchanges.get(action.req_id)
     if exchange is None:
         return
-    if not exchange.emitted:
+    if not exchange.sent_texts:
         waited_s = anyio.current_time() - exchange.arrived_at
-        hub.metrics.note_first_token(exchange.length, waited_s)
-    exchange.emitted.extend(chunk.text for chunk in action.chunks)
+        hub.metrics.observe_first_token(exchange.length_class, waited_s)
+    exchange.sent_texts.extend(chunk.text for chunk in action.chunks)
     hub.metrics.add('tokens', sum(chunk.tokens for chunk in action.chunks))
     _reply(hub, action.req_id, action)
 
--- a/trestledock/connection/_parsing.py
+++ b/trestledock/connection/_parsing.py
@@ -1,9 +1,9 @@
 """
-Reading requests
-================
+Request parsing
+===============
 
-Turns what a caller sent into a `Request`, or raises `BadRequest` with a clear
-text before anything has been dispatched.
+Parses HTTP requests of callers into `Request` objects.  Invalid requests raise
+`BadRequest` with a clear message before anything is dispatched.
 """
 
 import hashlib
@@ -25,25 +25,25 @@
 ATTEMPT_HEADER = 'trestledock-attempt'
 KEY_HEADER = 'idempotency-key'
 
-#: Prompt tokens in a block that is hashed for prefix affinity.
+#: Prompt tokens in each block that is hashed for prefix affinity.
 BLOCK_TOKENS = 512
-#: Blocks that are hashed at the most.
+#: The most blocks that are hashed.
 MAX_BLOCKS = 64
-#: The largest numbers that make sense.
+#: The largest accepted values.
 MAX_DEADLINE_MS = 86_400_000
 MAX_TOKENS = 1_000_000
-DEFAULT_TOKENS = 256
-MAX_KEY = 256
+DEFAULT_MAX_TOKENS = 256
+MAX_KEY_LENGTH = 256
 MS = 1000
-TOO_LARGE = 413
+TOO_LARGE_STATUS = 413
 SAFE_METHODS = frozenset(('GET', 'HEAD'))
 
 
 class BadRequest(Exception):
-    """A request that is not understood; `status` is the answer's."""
+    """An invalid request; `status` is the status of the response."""
 
     def __init__(self, detail: str, status: int = 400) -> None:
-        """Keep the text for the caller."""
+        """Set the message for the caller."""
         super().__init__(detail)
         self.detail = detail
         self.status = status
@@ -51,7 +51,7 @@
 
 @dataclass(frozen=True)
 class Envelope:
-    """What every request carries in its headers."""
+    """The values from the headers of a request."""
 
     team: str
     deadline: float
@@ -71,14 +71,16 @@
 
 
 async def read_body(http: HttpRequest, settings: Settings) -> bytes:
-    """Read a body up to the size allowed."""
+    """Read a body up to the maximum size."""
     parts = []
     size = 0
     async for part in http.stream():
         size += len(part)
         if size > settings.max_body_bytes:
             limit = settings.max_body_bytes
-            raise BadRequest(f'the body exceeds {limit} bytes', TOO_LARGE)
+            raise BadRequest(
+                f'the body exceeds {limit} bytes', TOO_LARGE_STATUS
+            )
         parts.append(part)
     return b''.join(parts)
 
@@ -95,11 +97,11 @@
     known = cfg.get_team_by_name(name) if cfg else None
     team = known or Team(name, deadline_ms=MAX_DEADLINE_MS)
     key = http.headers.get(KEY_HEADER, '')
-    if len(key) > MAX_KEY:
-        raise BadRequest(f'{KEY_HEADER} exceeds {MAX_KEY} characters')
+    if len(key) > MAX_KEY_LENGTH:
+        raise BadRequest(f'{KEY_HEADER} exceeds {MAX_KEY_LENGTH} characters')
     home = http.headers.get(HOME_HEADER) or team.home
     if cfg and home and home not in cfg.data_centres:
-        raise BadRequest(f'{home} is no data centre')
+        raise BadRequest(f'{home} is not a known data centre')
     if cfg and not home:
         home = rank_by_key(f'{name}/{key}', cfg.data_centres)[0]
     return Envelope(
@@ -114,26 +116,26 @@
 def read_completion(body: bytes) -> Completion:
     """Read the JSON body of a completion."""
     try:
-        plain = json.loads(body)
+        data = json.loads(body)
     except ValueError as exc:
         raise BadRequest(f'the body is not JSON: {exc}') from exc
-    if not isinstance(plain, dict):
+    if not isinstance(data, dict):
         raise BadRequest('the body must be a JSON object')
-    prompt = _get(plain, 'prompt', str, None)
+    prompt = _get_field(data, 'prompt', str, None)
     if not prompt:
         raise BadRequest('the prompt is empty')
-    max_tokens = _get(plain, 'max_tokens', int, DEFAULT_TOKENS)
+    max_tokens = _get_field(data, 'max_tokens', int, DEFAULT_MAX_TOKENS)
     if not 0 < max_tokens <= MAX_TOKENS:
         raise BadRequest(f'max_tokens must be 1 to {MAX_TOKENS}')
     return Completion(
         prompt,
         Model(
-            _get(plain, 'model', str, None),
-            _get(plain, 'adapter', str, ''),
-            _get(plain, 'version', str, ''),
+            _get_field(data, 'model', str, None),
+            _get_field(data, 'adapter', str, ''),
+            _get_field(data, 'version', str, ''),
         ),
         max_tokens,
-        _get(plain, 'stream', bool, False),
+        _get_field(data, 'stream', bool, False),
     )
 
 
@@ -189,7 +191,10 @@
 
 
 def make_fingerprint(http: HttpRequest, team: str, body: bytes) -> str:
-    """Return what a request shares with its repeats, whoever takes them."""
+    """Return the fingerprint of a request.
+
+    Repeats of the request have the same fingerprint on every instance.
+    """
     return get_fingerprint(
         RequestIdentity(
             http.method,
@@ -203,7 +208,7 @@
 
 
 def hash_prefix(prompt: str, chars_per_token: float) -> tuple[str, ...]:
-    """Return the hashes of a prompt's leading blocks, each over all before.
+    """Return the cumulative hashes of a prompt's leading blocks.
 
     >>> len(hash_prefix('x' * 4096, 4.0))
     2
@@ -229,11 +234,13 @@
     return int(text)
 
 
-def _get(plain: dict[str, Any], name: str, kind: type, default: Any) -> Any:
-    found = plain.get(name, default)
-    if found is None:
+def _get_field(
+    data: dict[str, Any], name: str, kind: type, default: Any
+) -> Any:
+    field = data.get(name, default)
+    if field is None:
         raise BadRequest(f'{name} is missing')
-    wrong = isinstance(found, bool) is not (kind is bool)
-    if wrong or not isinstance(found, kind):
+    is_mismatch = isinstance(field, bool) is not (kind is bool)
+    if is_mismatch or not isinstance(field, kind):
         raise BadRequest(f'{name} must be of type {kind.__name__}')
-    return found
+    return field
--- a/trestledock/platform/_fields.py
+++ b/trestledock/platform/_fields.py
@@ -1,10 +1,9 @@
 """
-Fields of the platform's documents
-==================================
+Field mapping for the platform's documents
+==========================================
 
-Tables say which wire name becomes which field of a data class and in what
-unit; one function reads them.  A name that is missing leaves the data class's
-own default in force.
+Tables map wire names to attributes of data classes and convert units;
+`read_fields` applies them.  The data class's default applies to a missing name.
 """
 
 from typing import Any, Callable, Mapping, NamedTuple
@@ -13,17 +12,17 @@
 
 
 class Field(NamedTuple):
-    """A wire name, the field it becomes, and the conversion of its value."""
+    """A wire name, its attribute, and the conversion of its value."""
 
-    wire: str
-    name: str
+    wire_name: str
+    attribute: str
     convert: Callable[[Any], Any] | None = None
 
 
-def seconds_of(milliseconds: float) -> float:
-    """Return seconds.
+def ms_to_seconds(milliseconds: float) -> float:
+    """Convert milliseconds to seconds.
 
-    >>> seconds_of(250)
+    >>> ms_to_seconds(250)
     0.25
     """
     return milliseconds / MS
@@ -33,9 +32,11 @@
     row: Mapping[str, Any],
     fields: tuple[Field, ...],
 ) -> dict[str, Any]:
-    """Return the arguments for a data class from the names that are there."""
+    """Return keyword arguments for a data class from the fields present."""
     return {
-        one.name: one.convert(row[one.wire]) if one.convert else row[one.wire]
-        for one in fields
-        if one.wire in row
+        field.attribute: field.convert(row[field.wire_name])
+        if field.convert
+        else row[field.wire_name]
+        for field in fields
+        if field.wire_name in row
     }
--- a/trestledock/platform/_log.py
+++ b/trestledock/platform/_log.py
@@ -1,10 +1,10 @@
 """
-The platform's log
-==================
+Platform log client
+===================
 
-The client for the log that the platform runs: framed records in topics, of
-which the newest of each key is kept for ever.  One connection, one call at a
-time.
+Client of the log that the platform runs.  Topics hold framed records; the
+newest record of every key is kept forever.  A client has one connection and
+makes one call at a time.
 """
 
 import base64
@@ -28,34 +28,34 @@
 from trestledock.platform._epochs import Epoch, StoreEpochs
 
 OK = 200
-TRIMMED = 410
-#: So many copies of the store may follow one another while a topic is read
-#: whole, before that counts as a read that failed.
-MOST_RESTARTS = 3
-#: The most that one read asks for, in KB: the heartbeats of some seconds, and a
-#: fifth of a second on the slowest links.  Who is further behind reads the
-#: newest record of each key instead.
-MOST_KB = 256
-#: The first bytes of a read: the end and the first retained offset.
-BOUNDS = struct.Struct('>QQ')
-LENGTH = struct.Struct('>I')
+TRIMMED_STATUS = 410
+#: A read of a whole topic must start over whenever the epoch of the store
+#: changes, and fails after this many starts.
+MAX_RESTARTS = 3
+#: The size limit of one read, in KB: the heartbeats of several seconds, or a
+#: fifth of a second on the slowest links.  A reader that is further behind
+#: reads the newest record of every key instead.
+MAX_READ_KB = 256
+#: The first bytes of a read: the end offset and the first retained offset.
+READ_HEADER = struct.Struct('>QQ')
+RECORD_LENGTH = struct.Struct('>I')
 MS = 1000
 
 
 @dataclass(frozen=True)
 class Record:
-    """One record of a keyed topic; without a value the key is dropped."""
+    """A record of a keyed topic; an empty value deletes the key."""
 
     key: str
-    text: bytes
+    value: bytes
 
 
 @dataclass(frozen=True)
 class Batch:
-    """Records with the offset at which the next read begins.
+    """Records, and the offset at which the next read begins.
 
-    `whole` says that they are the newest of every key, `epoch` of which copy of
-    the store they are.
+    `whole` is true if they are the newest records of all keys.  `epoch` is the
+    epoch of the store in which they were read.
     """
 
     records: tuple[Record, ...]
@@ -65,8 +65,8 @@
 
 
 @dataclass(frozen=True)
-class Answer:
-    """An answer of the store, with the epoch that it is from."""
+class StoreResponse:
+    """A response of the store and its epoch."""
 
     status: int
     body: bytes
@@ -74,16 +74,16 @@
 
 
 class EpochChanged(Exception):
-    """The store came back from a copy in the middle of a read."""
+    """The store was restored from a copy during a read."""
 
 
 class StoreClient:
-    """Calls of the store over one connection that is opened when needed."""
+    """Client of the store with one connection, which is opened on demand."""
 
     def __init__(self, address: str, epochs: StoreEpochs) -> None:
-        """Keep the address; nothing is sent yet.
+        """Set the address without connecting.
 
-        `epochs` is shared by all clients of one store.
+        All clients of a store share the same `epochs`.
         """
         self.address = address
         self.epochs = epochs
@@ -96,21 +96,21 @@
         path: str,
         query: dict[str, Any],
         body: bytes = b'',
-    ) -> Answer:
+    ) -> StoreResponse:
         """Make one call.
 
-        Raises a `DirectoryError` where the answer's epoch makes no sense, and a
-        `WireError` where none comes.
+        Raises `DirectoryError` if the epoch of the response is inconsistent,
+        and `WireError` if there is no response.
         """
         target = f'{path}?{urlencode(query)}'
         async with self._lock:
-            kept = self._wire is not None
+            is_reused = self._wire is not None
             try:
                 return await self._call_once(method, target, body)
             except WireError:
-                # A kept connection may have been closed while it was idle,
-                # which says nothing of the store.
-                if not kept or method != 'GET':
+                # An idle connection may have been closed in the meantime, which
+                # does not mean that the store failed.
+                if not is_reused or method != 'GET':
                     raise
             return await self._call_once(method, target, body)
 
@@ -119,8 +119,8 @@
         topic: str,
         framed: Iterable[bytes],
         **query: int,
-    ) -> Answer:
-        """Append records to a topic, all or none."""
+    ) -> StoreResponse:
+        """Append records to a topic atomically."""
         return await self.call(
             'POST',
             '/log-append',
@@ -133,17 +133,19 @@
         method: str,
         target: str,
         body: bytes,
-    ) -> Answer:
+    ) -> StoreResponse:
         if self._wire is None:
             self._wire = await Wire.connect(self.address)
-        done = False
+        is_reusable = False
         try:
-            head, text = await self._exchange(self._wire, method, target, body)
-            done = self._wire.recycle()
+            head, content = await self._exchange(
+                self._wire, method, target, body
+            )
+            is_reusable = self._wire.recycle()
         finally:
-            if not done:
+            if not is_reusable:
                 await self._close()
-        return Answer(head.status, text, self.epochs.record(head))
+        return StoreResponse(head.status, content, self.epochs.record(head))
 
     async def _exchange(
         self,
@@ -167,68 +169,68 @@
 
 
 class KeyedTopic:
-    """Reads one keyed topic: all of it first, then what is new.
+    """Reader of a keyed topic: first reads all of it, then new records only.
 
-    The offset at which the next read begins belongs to the epoch in which it
-    was given out: in another one it may have been given out again.
+    The offset of the next read is valid only in the epoch in which it was
+    received; in another epoch the same offset may belong to another record.
     """
 
     def __init__(self, client: StoreClient, topic: str) -> None:
-        """Keep the topic; the first read brings everything."""
+        """Set the topic; the first read returns all records."""
         self.client = client
         self.topic = topic
         self._next: int | None = None
         self._epoch: Epoch = None
 
     async def read(self, wait_s: float = 0) -> Batch:
-        """Return what is new, or everything where that can't be told.
+        """Return new records, or all records if new ones can't be identified.
 
-        Where nothing is new the store waits for `wait_s` until something is.
+        The store waits up to `wait_s` for a new record if there is none.
         """
         if self._next is None or self._epoch != self.client.epochs.current:
-            return await self._read_newest()
+            return await self._read_all()
         query = {
             'topic': self.topic,
             'part': 0,
             'from': self._next,
-            'maxKb': MOST_KB,
+            'maxKb': MAX_READ_KB,
         }
         if wait_s:
             query['waitMs'] = round(wait_s * MS)
-        answer = await self.client.call('GET', '/log-read', query)
-        return self._take(answer, self._next) or await self._read_newest()
+        response = await self.client.call('GET', '/log-read', query)
+        return self._parse_read(response, self._next) or await self._read_all()
 
-    def forget(self) -> None:
-        """Have the next read bring everything."""
+    def reset(self) -> None:
+        """Make the next read return all records."""
         self._next = None
 
-    def _take(self, answer: Answer, start: int) -> Batch | None:
-        """Return what an answer brings, None where all must be read anew."""
-        if answer.epoch != self._epoch:
+    def _parse_read(self, response: StoreResponse, start: int) -> Batch | None:
+        """Return the new records, or None if all must be read again."""
+        if response.epoch != self._epoch:
             return None
-        if answer.status == TRIMMED:
+        if response.status == TRIMMED_STATUS:
             emit(HistoryForgotten(self.topic))
             return None
-        if answer.status != OK:
-            raise DirectoryError(f'log-read {self.topic}: {answer.status}')
-        records = tuple(split_records(answer.body[BOUNDS.size :]))
-        end = BOUNDS.unpack_from(answer.body)[0]
+        if response.status != OK:
+            raise DirectoryError(f'log-read {self.topic}: {response.status}')
+        records = tuple(split_records(response.body[READ_HEADER.size :]))
+        end = READ_HEADER.unpack_from(response.body)[0]
         if end != start + len(records):
-            # Too far behind, or ahead of a log that was begun anew.
+            # The reader is too far behind, or ahead of a log that started over.
             return None
         self._next = end
-        return Batch(records, end, epoch=answer.epoch)
+        return Batch(records, end, epoch=response.epoch)
 
-    async def _read_newest(self) -> Batch:
-        """Read everything, in one epoch; begin again where it changes."""
+    async def _read_all(self) -> Batch:
+        """Read all records in one epoch; start over if the epoch changes."""
         self._next = None
-        for _ in range(MOST_RESTARTS):
+        for _ in range(MAX_RESTARTS):
             with suppress(EpochChanged):
                 return await self._read_pages()
-        raise DirectoryError(f'log-newest {self.topic}: epochs change')
+        raise DirectoryError(f'log-newest {self.topic}: epoch keeps changing')
 
     async def _read_pages(self) -> Batch:
-        """Read all pages; what is written meanwhile is read afterwards."""
+        """Read all pages; the next read returns records written meanwhile."""
         query: dict[str, Any] = {'topic': self.topic, 'part': 0}
         first = await self._read_page(query)
         pages = [first]
@@ -240,28 +242,28 @@
             pages.append(page)
         self._next = first.end
         self._epoch = first.epoch
-        records = tuple([one for page in pages for one in page.records])
+        records = tuple([record for page in pages for record in page.records])
         return Batch(records, first.end, whole=True, epoch=first.epoch)
 
     async def _read_page(self, query: dict[str, Any]) -> 'Page':
-        answer = await self.client.call('GET', '/log-newest', query)
-        if answer.status != OK:
-            raise DirectoryError(f'log-newest {self.topic}: {answer.status}')
-        plain = json.loads(answer.body)
+        response = await self.client.call('GET', '/log-newest', query)
+        if response.status != OK:
+            raise DirectoryError(f'log-newest {self.topic}: {response.status}')
+        data = json.loads(response.body)
         records = tuple(
             [
-                Record(one['key'], base64.b64decode(one['value'] or ''))
-                for one in plain['items']
+                Record(row['key'], base64.b64decode(row['value'] or ''))
+                for row in data['items']
             ]
         )
-        is_last = not plain.get('hasMore') or not records
+        is_last = not data.get('hasMore') or not records
         last_key = '' if is_last else records[-1].key
-        return Page(records, plain['endOffset'], last_key, answer.epoch)
+        return Page(records, data['endOffset'], last_key, response.epoch)
 
 
 @dataclass(frozen=True)
 class Page:
-    """A part of the newest records; `last_key` is empty on the last one."""
+    """A page of the newest records; the last page has an empty `last_key`."""
 
     records: tuple[Record, ...]
     end: int
@@ -269,31 +271,32 @@
     epoch: Epoch
 
 
-def frame_record(key: str, text: bytes) -> bytes:
-    """Return a keyed record as it is appended.
+def frame_record(key: str, value: bytes) -> bytes:
+    """Encode a keyed record for an append.
 
     >>> len(frame_record('k', b'text'))
     10
     """
-    raw = key.encode()
-    record = bytes((len(raw),)) + raw + text
-    return LENGTH.pack(len(record)) + record
+    raw_key = key.encode()
+    record = bytes((len(raw_key),)) + raw_key + value
+    return RECORD_LENGTH.pack(len(record)) + record
 
 
 def split_records(raw: bytes) -> Iterator[Record]:
     """Yield the keyed records of a read.
 
-    One without a readable key counts, too, since each has its offset.
+    Records with an undecodable key are included, because every record has its
+    own offset.
     """
     position = 0
-    while position + LENGTH.size <= len(raw):
-        start = position + LENGTH.size
-        position = start + LENGTH.unpack_from(raw, position)[0]
+    while position + RECORD_LENGTH.size <= len(raw):
+        start = position + RECORD_LENGTH.size
+        position = start + RECORD_LENGTH.unpack_from(raw, position)[0]
         yield _split_record(raw[start:position])
 
 
 def _split_record(framed: bytes) -> Record:
-    """Return a record; bytes of its key that can't be read are escaped."""
+    """Decode a record; undecodable bytes of its key are escaped."""
     key_end = 1 + framed[0] if framed else 0
     key = framed[1:key_end].decode(errors='backslashreplace')
     return Record(key, framed[key_end:])
