--- a/trestledock/relay/__init__.py
+++ b/trestledock/relay/__init__.py
@@ -2,10 +2,9 @@
 Decisions on relayed requests
 =============================
 
-Where a request goes that is passed on as it came: routes and keys, the fleet
-of targets and its passive health, placement of prompts of unlike lengths, the
-board of what is in flight, the outcome of sendings and the shared budget for
-repeats.  No sockets, no clock.
+Routes and keys, the fleet of targets and its passive health, placement of
+prompts of different lengths, the load table, the outcome of attempts and the
+shared retry budget. The package opens no sockets and reads no clock.
 """
 
 from trestledock.relay._arithmetic import (
--- a/trestledock/relay/_arithmetic.py
+++ b/trestledock/relay/_arithmetic.py
@@ -1,9 +1,9 @@
 """
-Arithmetic of engines
-=====================
+Timing model of engines
+=======================
 
-How long an engine reads a prompt and how long its passes take, from the
-constants in `EngineModel`.  All results are seconds.
+Durations of prefill and of decode passes, from the constants in `EngineModel`.
+All results are in seconds.
 """
 
 from dataclasses import dataclass
@@ -11,14 +11,14 @@
 from trestledock.relay._call import PromptSize
 from trestledock.relay._catalog import EngineModel
 
-#: The part of the tokens that it may have that an answer uses, in the median:
-#: 0.32 of 1,163 answers by their events, 0.36 by the time they took.
+#: The median share of the maximum output tokens that an answer uses: 0.32 of
+#: 1,163 answers when counted by events, 0.36 when derived from their duration.
 USED_SHARE = 0.35
 
 
 @dataclass(frozen=True)
 class PassLoad:
-    """What a pass has to do: writers, their context, reading in seconds."""
+    """The work of a pass: decoding requests, their context, prefill time."""
 
     writers: int = 0
     context_tokens: int = 0
@@ -26,7 +26,7 @@
 
 
 def get_read_s(engine: EngineModel, tokens: int) -> float:
-    """Return how long a prompt is read that an engine has to itself.
+    """Return how long an otherwise idle engine takes to prefill a prompt.
 
     >>> engine = EngineModel(8, 232_000, 0.001, 200_000, pair_s=1e-10)
     >>> round(get_read_s(engine, 100_000), 3)
@@ -37,10 +37,10 @@
 
 
 def get_write_pass_s(engine: EngineModel, load: PassLoad) -> float:
-    """Return how long one pass with writers takes, reading included.
+    """Return how long a pass with decoding requests takes, prefill included.
 
-    A pass reads at most `stride` chunks, so a long prompt fills it and the
-    rest waits for the next pass.
+    A pass contains at most `stride` prefill chunks, so a long prompt fills it
+    and its remaining chunks wait for the next pass.
     """
     step_s = (
         engine.step_s
@@ -51,7 +51,7 @@
 
 
 def get_write_s(engine: EngineModel, size: PromptSize) -> float:
-    """Return how long an answer is usually written, without other work.
+    """Return how long an idle engine usually takes to decode an answer.
 
     >>> engine = EngineModel(8, 232_000, 0.001, 200_000)
     >>> get_write_s(engine, PromptSize(1_000, 1_000))
--- a/trestledock/relay/_asking.py
+++ b/trestledock/relay/_asking.py
@@ -1,9 +1,9 @@
 """
-Asking for a place
+Placement requests
 ==================
 
-A request with what its route says of times, as the decisions take it: the work
-that is placed, the flight that the board is told of, and the choice.
+A request with the time limits of its route, as the placement decisions need it:
+the work to place, the entry in the load table, and the choice of a target.
 """
 
 from dataclasses import dataclass, replace
@@ -26,15 +26,16 @@
 from trestledock.relay._problem import Placement, Work
 from trestledock.relay._worth import get_worth
 
-#: What a late request is placed as if it still had, in seconds.
+#: The objective, in seconds, that a request which is already late is placed
+#: with.
 LEAST_OBJECTIVE_S = 0.05
-#: An instant that never comes.
+#: An instant that is never reached.
 FOREVER = float('inf')
 
 
 @dataclass(frozen=True)
 class NoPlace:
-    """Why a request goes nowhere now, and when its caller may come back."""
+    """Why a request is not placed now, and when its caller should retry."""
 
     decision: Decision
     come_back_s: float = 0
@@ -43,14 +44,17 @@
 def pick_cheapest(
     options: Sequence[Placement | NoPlace],
 ) -> Placement | NoPlace:
-    """Return the placement that costs least; without any the first's word."""
+    """Return the cheapest placement, or the first refusal if there is none."""
     placements = [one for one in options if isinstance(one, Placement)]
     return min(placements, key=lambda one: one.cost, default=options[0])
 
 
 @dataclass(frozen=True)
 class Ask:
-    """One request; `pause_s` and `patience_s` are those of its route."""
+    """A request to be placed.
+
+    `pause_s` and `patience_s` are the limits of its route.
+    """
 
     req_id: str
     size: PromptSize
@@ -60,12 +64,12 @@
 
     @property
     def worth(self) -> float:
-        """What the request is worth, in units of a plain call."""
+        """The worth of the request, in units of a plain call."""
         return get_worth(self.size)
 
     @property
     def is_small(self) -> bool:
-        """Whether little is lost where the request has to be repeated."""
+        """Whether repeating the request would cost little."""
         return self.worth <= SMALL_WORTH
 
     def choose(
@@ -75,7 +79,7 @@
         targets: Sequence[Listed],
         now: float,
     ) -> Placement | NoPlace:
-        """Return where the request goes now, or what else is done with it."""
+        """Return the placement of the request, or why it has none."""
         timing = replace(self.timing, write_s=get_write_s(engine, self.size))
         if not placer.terms.departure:
             timing = replace(timing, gone=FOREVER, deadline=FOREVER)
@@ -97,7 +101,7 @@
         phase: Phase,
         now: float,
     ) -> Flight:
-        """Return what the board is told of a sending."""
+        """Return the entry of an attempt in the load table."""
         return Flight(
             flight_id=self.req_id,
             target=placement.target.incarnation,
--- a/trestledock/relay/_board.py
+++ b/trestledock/relay/_board.py
@@ -1,10 +1,10 @@
 """
-Board of requests in flight
-===========================
+Load table
+==========
 
-What every target is working on: the own requests exactly, those of the other
-instances as they last told.  Each flight stands on the board of the instance
-that sent it; peers hold copies, until whoever listens drops the sender.
+The requests in flight at every target: exact for this instance, and as last
+reported for all others. Each request is owned by the instance that sent it;
+peers hold copies until the caller of this module drops that instance.
 """
 
 from collections import defaultdict
@@ -14,7 +14,7 @@
 
 
 class Phase(str, Enum):
-    """Whether a request's prompt is being read, or its answer written."""
+    """Whether an engine prefills a request's prompt or decodes its answer."""
 
     reading = 'r'
     writing = 'w'
@@ -22,14 +22,14 @@
 
 @dataclass(frozen=True)
 class Flight:
-    """One request at a target.
-
-    `since` is when its phase began, on this process's clock.  `helpers` read
-    equal parts of the prompt beside the target; `tickets` are the tokens that
-    it holds at other targets.  `pause_s` is the longest pause that its caller
-    takes as timely, `patience_s` the one at which it leaves; `due` is the
-    instant at which its first token is late, `gone` that at which nobody waits
-    for it any more, and `worth` what is lost with it.
+    """A request in flight at a target.
+
+    `since` is when its phase began, on the clock of this process. `helpers`
+    prefill equal chunks of the prompt beside the target; `tickets` are the
+    tokens reserved at other targets. `pause_s` is the longest pause between
+    events that the caller accepts as timely, and `patience_s` the pause at
+    which it leaves. The first token is late after `due`, the caller has left at
+    `gone`, and `worth` is lost if the request fails.
     """
 
     flight_id: str
@@ -48,21 +48,21 @@
 
     @property
     def parts(self) -> int:
-        """Into how many equal parts the prompt is cut for reading."""
+        """The number of equal chunks into which the prompt is split."""
         return len(self.helpers) + 1
 
     @property
     def engaged(self) -> tuple[str, ...]:
-        """The targets that have something to do for the request.
+        """The targets that work on the request or hold part of its memory.
 
-        Once the prompt has been read, helpers that hold none of it are free.
+        After prefill, helpers without a reservation are free again.
         """
         if self.phase is Phase.reading:
             return (self.target, *self.helpers)
         return (self.target, *(name for name, _ in self.tickets))
 
     def get_held_tokens(self, target: str) -> int:
-        """Return the KV tokens that the request takes at one target."""
+        """Return the KV tokens that the request occupies at a target."""
         ticketed = dict(self.tickets)
         if target != self.target:
             return ticketed.get(target, 0)
@@ -75,17 +75,18 @@
 
 @dataclass
 class _Sender:
-    """One instance's flights; `sequence` is that of its newest message."""
+    """The requests of one instance, and the sequence of its newest message."""
 
     sequence: int = -1
     flights: dict[str, Flight] = field(default_factory=dict)
 
 
+#: The key of this instance among the senders.
 OWN = ''
 
 
 class Board:
-    """Flights by target, of this instance and of its peers.
+    """Requests in flight by target, of this instance and of its peers.
 
     >>> board = Board()
     >>> board.put(Flight('a', 't1', 100, 10, Phase.reading, since=0))
@@ -94,7 +95,7 @@
     """
 
     def __init__(self) -> None:
-        """Begin with nothing in flight."""
+        """Create a table without any request."""
         self._senders: dict[str, _Sender] = {OWN: _Sender()}
         self._by_target: dict[str, dict[str, Flight]] = defaultdict(dict)
         self._elsewhere: dict[str, dict[str, list[Flight]]] = {}
@@ -102,28 +103,28 @@
 
     @property
     def own(self) -> dict[str, Flight]:
-        """The flights of this instance by id."""
+        """The requests of this instance by id."""
         return self._senders[OWN].flights
 
     def put(self, flight: Flight) -> None:
-        """Add or replace a flight of this instance."""
+        """Add or replace a request of this instance."""
         self._set(OWN, flight)
         self.changed[flight.flight_id] = flight
 
     def advance(self, flight_id: str, now: float) -> None:
-        """Note that the first part of an answer has come."""
+        """Record that the first part of an answer has arrived."""
         flight = self.own.get(flight_id)
         if flight and flight.phase is Phase.reading:
             self.put(replace(flight, phase=Phase.writing, since=now))
 
     def remove(self, flight_id: str) -> None:
-        """Drop a flight of this instance."""
+        """Remove a request of this instance."""
         if flight_id in self.own:
             self._unset(OWN, flight_id)
             self.changed[flight_id] = None
 
     def take_changes(self) -> dict[str, Flight | None]:
-        """Return what changed among the own flights since the last call."""
+        """Return and reset the changes to this instance's own requests."""
         changed = self.changed
         self.changed = {}
         return changed
@@ -136,9 +137,9 @@
         *,
         whole: bool,
     ) -> bool:
-        """Fold a peer's message; a whole one replaces all that it had.
+        """Apply a peer's update; a whole one replaces all its earlier requests.
 
-        Return whether any flight may have changed.
+        Return whether any request may have changed.
         """
         peer = self._senders.setdefault(sender, _Sender())
         if sequence <= peer.sequence:
@@ -156,18 +157,18 @@
         return had_any or bool(peer.flights)
 
     def drop_sender(self, sender: str) -> None:
-        """Forget a peer that is no longer heard."""
+        """Remove all requests of a peer that no longer sends messages."""
         if sender in self._senders:
             for flight_id in tuple(self._senders[sender].flights):
                 self._unset(sender, flight_id)
             self._senders.pop(sender)
 
     def count_peers(self) -> int:
-        """Return how many peers are being heard."""
+        """Return the number of peers with requests in the table."""
         return len(self._senders) - 1
 
     def get_flights(self, target: str) -> Iterator[Flight]:
-        """Return everything that a target is working on."""
+        """Return all requests in flight at a target."""
         told = [
             flight
             for by_target in self._elsewhere.values()
@@ -176,16 +177,16 @@
         return iter((*self._by_target.get(target, {}).values(), *told))
 
     def get_beside(self, flight: Flight) -> list[Flight]:
-        """Return what the targets of a flight have to do, itself included."""
+        """Return all requests at the targets of a request, itself included."""
         return [
             one for name in flight.engaged for one in self.get_flights(name)
         ]
 
     def set_elsewhere(self, place: str, flights: Iterable[Flight]) -> None:
-        """Take what instances elsewhere have at the targets of a data centre.
+        """Replace the load that was reported for a remote data centre.
 
-        It replaces what was told before; nothing of it is from senders that
-        this instance hears itself.
+        The reported requests never include those of peers that send messages to
+        this instance directly.
         """
         by_target: dict[str, list[Flight]] = defaultdict(list)
         for flight in flights:
@@ -193,7 +194,7 @@
         self._elsewhere[place] = by_target
 
     def get_all_but(self, senders: Container[str]) -> Iterator[Flight]:
-        """Yield the flights of this instance and of all but some peers."""
+        """Yield all requests in the table but those of the given peers."""
         for sender, peer in self._senders.items():
             if sender not in senders:
                 yield from peer.flights.values()
--- a/trestledock/relay/_budget.py
+++ b/trestledock/relay/_budget.py
@@ -1,17 +1,17 @@
 """
-Shared retry budget
-===================
+Retry budget
+============
 
-Repeats to a service are bounded over all instances by a share of the requests
-for it in a sliding window, plus a fixed slack.  Nothing is exchanged for it:
-each instance keeps to its part of the slack and to the share of its own
-requests.
+Retries to a service are bounded, over all instances together, by a ratio of its
+requests in a sliding window plus a fixed slack. No messages are needed: each
+instance keeps to its part of the slack and to the ratio of its own requests.
 """
 
 from collections import deque
 from dataclasses import dataclass, field
 
-#: What is left unused of the bound, for repeats that are counted elsewhere.
+#: The share of the bound that is used; the rest is left for retries that are
+#: counted elsewhere.
 MARGIN = 0.7
 
 
@@ -26,7 +26,7 @@
 
 @dataclass
 class RetryWindow:
-    """The requests and repeats of one service in the last window.
+    """The requests and retries of a service in the sliding window.
 
     >>> window = RetryWindow(BudgetTerms(ratio=0, slack=2))
     >>> [window.spend(now=1.0, instances=1) for _ in range(2)]
@@ -38,18 +38,18 @@
     _repeats: deque[float] = field(default_factory=deque)
 
     def earn(self, now: float) -> None:
-        """Count a first sending."""
+        """Count a request that is sent for the first time."""
         self._requests.append(now)
 
     def spend(self, now: float, instances: int) -> bool:
-        """Take one repeat from the budget; False where it is spent."""
+        """Take a retry from the budget; return False if it is exhausted."""
         if not self.is_left(now, instances):
             return False
         self._repeats.append(now)
         return True
 
     def is_left(self, now: float, instances: int) -> bool:
-        """Whether one more repeat may be taken."""
+        """Return whether the budget allows another retry."""
         start = now - self.terms.window_s
         for times in (self._requests, self._repeats):
             while times and times[0] <= start:
--- a/trestledock/relay/_call.py
+++ b/trestledock/relay/_call.py
@@ -2,8 +2,8 @@
 Calls
 =====
 
-A request that is relayed as it came: the body and the headers that go on to
-the target are opaque, and only what decisions need is read out of it.
+A relayed request. The body and the headers are passed to the target unchanged;
+only what the decisions need is parsed.
 """
 
 from dataclasses import dataclass
@@ -12,22 +12,23 @@
 
 @dataclass(frozen=True)
 class PromptSize:
-    """The tokens of a prompt and the most that may be generated."""
+    """The tokens of a prompt and the maximum number of output tokens."""
 
     prompt_tokens: int
     output_tokens: int
 
     @property
     def total_tokens(self) -> int:
-        """The KV tokens that the request needs at its largest."""
+        """The KV tokens that the request needs at most."""
         return self.prompt_tokens + self.output_tokens
 
 
 @dataclass(frozen=True)
 class Body:
-    """A body with its SHA-256, which is taken as the body comes in.
+    """A body and its SHA-256 digest, computed while the body is received.
 
-    That costs 1.4 ms a megabyte; taken piece by piece it holds nobody else up.
+    Hashing costs 1.4 ms per megabyte; hashing each chunk as it arrives does not
+    block other requests.
     """
 
     raw: bytes = b''
@@ -35,17 +36,17 @@
 
     @classmethod
     def of(cls, raw: bytes) -> 'Body':
-        """Return a body that is there already."""
+        """Return a body that has been received completely."""
         return cls(raw, sha256(raw).digest())
 
 
 @dataclass(frozen=True)
 class Call:
-    """One attempt of a caller, whole.
+    """One attempt of a caller, received completely.
 
-    `arrived_at` and `deadline` are monotonic instants of this process;
-    `headers` are those that go on; `resume_after` is the id of the last event
-    that the caller has, empty at the start of a stream.
+    `arrived_at` and `deadline` are monotonic instants of this process.
+    `headers` are those passed to the target. `resume_after` is the id of the
+    last event that the caller has received, or empty at the start of a stream.
     """
 
     req_id: str
--- a/trestledock/relay/_catalog.py
+++ b/trestledock/relay/_catalog.py
@@ -1,10 +1,10 @@
 """
-Catalogue
-=========
+Route catalogue
+===============
 
-One version of what operators have configured for relayed requests: routes,
-the services they lead to, the keys of teams and the limits on callers.  It is
-looked up by host, path and key, and never changed in place.
+One version of the operators' configuration of relayed requests: routes, their
+services, the keys of teams and the limits on callers. Routes are looked up by
+host and path, keys by their text; a version is never modified.
 """
 
 from dataclasses import dataclass, field
@@ -14,7 +14,7 @@
 
 
 class RouteKind(str, Enum):
-    """What may be repeated on a route."""
+    """The semantics of a route's requests, which decide on retries."""
 
     idempotent = 'idempotent'
     non_idempotent = 'non_idempotent'
@@ -23,7 +23,7 @@
 
 @dataclass(frozen=True)
 class Share:
-    """A service that gets a part of a route's requests by weight."""
+    """A service that gets a weighted share of a route's requests."""
 
     service: str
     weight: float = 1
@@ -31,13 +31,13 @@
 
 @dataclass(frozen=True)
 class Route:
-    """Where requests of a host and path prefix go, and what they are owed.
+    """The target services and the service level of a host and path prefix.
 
-    `timeout_s` bounds the whole request, `objective_s` is the time to the
-    first byte (or event) that operators aim at, `pause_s` the longest pause
-    between events, and `patience_s` the silence after which callers leave,
-    before the first event too.  `max_attempts` bounds the targets that may
-    run it, and `priority` is its rank where work waits, 0 first.
+    `timeout_s` bounds the whole request, `objective_s` is the intended time to
+    the first byte or event, and `pause_s` the longest allowed pause between
+    events. Callers leave after a silence of `patience_s`, also before the first
+    event. `max_attempts` bounds the number of targets that may run a request,
+    and `priority` is its rank in a queue, 0 first.
     """
 
     name: str
@@ -56,13 +56,13 @@
 
     @property
     def repeatable(self) -> bool:
-        """Whether a second target may run a request that may have run."""
+        """Whether another target may run a request that may have run."""
         if self.kind is RouteKind.streaming:
             return self.resumable
         return self.kind is RouteKind.idempotent
 
     def draw_service(self, rng: Random) -> str:
-        """Return one of the services, drawn by weight."""
+        """Return a service drawn by weight."""
         if len(self.shares) == 1:
             return self.shares[0].service
         weights = [share.weight for share in self.shares]
@@ -71,13 +71,13 @@
 
 @dataclass(frozen=True)
 class EngineModel:
-    """The arithmetic of an engine, as its operators measured it.
+    """The timing model of an engine, as measured by its operators.
 
-    Work is done in passes: `stride` steps where a request is writing, single
-    steps else.  A step takes `step_s`, and `step_request_s` and
-    `step_context_s` (a token of context) for each writer; prompts are read at
-    `read_rate` tokens a second, plus `pair_s` for each pair of a token with an
-    earlier one.
+    An engine works in passes of `stride` steps while any request decodes, and
+    of single steps otherwise. A step takes `step_s`, plus `step_request_s` for
+    each decoding request and `step_context_s` for each token of its context.
+    Prompts are prefilled at `read_rate` tokens a second, plus `pair_s` for each
+    pair of a token and an earlier token.
     """
 
     batch: int
@@ -92,7 +92,7 @@
 
 @dataclass(frozen=True)
 class Service:
-    """A set of targets that answer for the same requests."""
+    """A set of interchangeable targets."""
 
     name: str
     engine: EngineModel | None = None
@@ -100,7 +100,10 @@
 
 @dataclass(frozen=True)
 class TeamKey:
-    """Whose a key is; `priority` goes before that of the route."""
+    """The team that owns a key.
+
+    `priority` overrides the priority of the route.
+    """
 
     team: str
     priority: int | None = None
@@ -108,14 +111,14 @@
 
 @dataclass(frozen=True)
 class Limits:
-    """How long callers may stay idle."""
+    """Limits on callers: how long they may stay idle."""
 
     idle_s: float = 15
 
 
 @dataclass(frozen=True)
 class Catalog:
-    """A whole version; `keys` is None where no keys are asked for.
+    """A version of the configuration; `keys` is None if no keys are required.
 
     >>> route = Route('r', 'a.example', '/x/', RouteKind.idempotent, ())
     >>> catalog = Catalog(1, {'a.example': (route,)}, {}, None)
--- a/trestledock/relay/_claims.py
+++ b/trestledock/relay/_claims.py
@@ -2,10 +2,11 @@
 Claims of long prompts
 ======================
 
-Two instances that choose at the same moment know nothing of each other, and may
-give the same engines to two long prompts: together they need more memory than
-an engine has, or twice the time.  So a long prompt is told to the others first,
-and sent a moment later, unless somebody else has told of these engines, too.
+Two instances that place long prompts at the same moment don't know of each
+other, and may choose the same engines: the prompts then need more memory than
+an engine has, or twice the time. A long prompt is therefore announced to the
+other instances first, and sent a moment later unless another instance has
+claimed one of its engines in the meantime.
 """
 
 from typing import Container, Iterable
@@ -14,17 +15,19 @@
 from trestledock.relay._deciding import SMALL_WORTH
 from trestledock.relay._problem import Placement
 
-#: How long is waited for others' words, in seconds.  Of two that chose the same
-#: engines the second one did so up to 35 ms after the first: its choice took
-#: some ms on half a core, and the word queued behind the prompt's own bytes (30
-#: KB take 12 ms at 20 Mbit/s), which it goes ahead of now.
+#: How long to wait for claims of other instances, in seconds. When two
+#: instances chose the same engines, the second choice came up to 35 ms after
+#: the first: the choice took a few milliseconds on half a core, and the message
+#: waited behind the bytes of the prompt (30 KB take 12 ms at 20 Mbit/s).
+#: Messages are now sent before these bytes.
 CLAIM_S = 0.03
-#: Only what takes so many times as long is worth the wait.
+#: The least ratio of the time to the first token to this wait at which a claim
+#: is worth its delay.
 LEAST_TURNS = 10
 
 
 def needs_claim(placement: Placement, worth: float) -> bool:
-    """Whether a prompt is told to others before it is sent."""
+    """Return whether a prompt is announced to others before it is sent."""
     is_long = placement.first_s >= CLAIM_S * LEAST_TURNS
     return is_long and worth > SMALL_WORTH
 
@@ -34,11 +37,12 @@
     others: Iterable[Flight],
     known: Container[str],
 ) -> Flight | None:
-    """Return a long prompt that goes before the own one at an engine, if any.
+    """Return a long prompt that precedes the own one at an engine, if any.
 
-    What was `known` at the choice was reckoned with.  One that was told longer
-    ago than the wait is under way; among those of the same moment the ids
-    decide, so that all who hear of both agree.
+    Prompts in `known` were taken into account by the placement. A prompt that
+    was announced longer ago than the wait is already being sent. Among prompts
+    of the same moment the ids decide, so that all instances that know both
+    agree.
     """
     for other in others:
         is_new = other.flight_id not in known and other != own
--- a/trestledock/relay/_deciding.py
+++ b/trestledock/relay/_deciding.py
@@ -1,11 +1,11 @@
 """
-Deciding on a placement
-=======================
+Admission
+=========
 
-Whether a request takes the best place there is now, waits for a better one,
-or is refused.  A caller that would leave before its first event is refused at
-once: an engine would read its prompt for nobody, and those that could still be
-in time would wait for it.
+Whether a request takes the best placement that exists now, waits for a better
+one, or is refused. A request whose caller would leave before the first event is
+refused at once: an engine would prefill its prompt in vain and delay requests
+that can still be in time.
 """
 
 from dataclasses import dataclass
@@ -14,36 +14,39 @@
 from trestledock.relay._problem import GONE_SHARE, Placement
 from trestledock.relay._terms import TERMS, Terms
 
-#: The part of its objective that a request may wait for a better place.
+#: The share of its objective that a request may wait for a better placement.
 PATIENCE_SHARE = 0.3
-#: Waiting ends when the prediction fills this part of what is left of the
-#: objective.
+#: Waiting ends when the predicted time to the first token fills this share of
+#: the remaining objective.
 OBJECTIVE_SHARE = 0.75
-#: The harm to others, as a part of its worth, for which a request that would be
-#: late waits for them, as long as it may still be in time.
+#: A late request waits for others if its cost to them exceeds this share of its
+#: own worth, as long as it may still be in time.
 LATE_HARM_SHARE = 0.1
-#: For which part of the time that its caller waits a request queues that is
-#: late in any case, and the part of the time left that reading it on an idle
-#: fleet must fit into.  Only prompts above a worth of 2 (some 14,000 tokens)
-#: do: a short one that waits is in the way of those that may be in time.
+#: A request that will be late in any case queues for at most this share of the
+#: time until its caller leaves, provided that its prefill on an idle fleet fits
+#: into `IDEAL_SHARE` of the time left. Only prompts above a worth of 2 (some
+#: 14,000 tokens) queue: a short request that waits would delay requests that
+#: may be in time.
 LATE_PATIENCE_SHARE = 0.4
 IDEAL_SHARE = 0.6
 SMALL_WORTH = 2.0
-#: The part of the time left after which a refused caller comes back at the
-#: latest; callers don't wait for longer than a third.
+#: The largest share of the remaining time that a refused caller is told to wait
+#: before it retries. Callers don't wait for longer than a third.
 COME_BACK_SHARE = 0.3
-#: The part of its time that a request may wait for memory.
+#: The share of its total time that a request may wait for memory.
 MEMORY_PATIENCE_SHARE = 0.4
-#: The cost, as a part of a request's worth, for which it is worth waiting.
+#: The cost, as a share of its worth, above which a request waits for a better
+#: placement.
 WAIT_COST_SHARE = 0.3
-#: How often a waiting request is placed anew without any news, in seconds.
+#: The interval at which a waiting request is placed again if nothing has
+#: changed, in seconds.
 LOOK_S = 0.03
-#: How long to look for any target at all, in seconds.
+#: How long a request waits while its service has no target, in seconds.
 TARGET_PATIENCE_S = 0.2
 
 
 class Decision(str, Enum):
-    """What is done with a request now."""
+    """What happens to a request now."""
 
     send = 'send'
     wait = 'wait'
@@ -55,12 +58,12 @@
 
 @dataclass(frozen=True)
 class Timing:
-    """The instants that a request is judged by.
+    """The instants that decide on a request.
 
-    Its first event is late after `due`; at `gone` its caller has left, and at
-    `deadline` it must be answered whole.  `write_s` is what its answer takes
-    after the first event.  One that has `begun` may have been run, or answered
-    in part.
+    The first event is late after `due`, the caller has left at `gone`, and the
+    whole answer must be finished by `deadline`. `write_s` is the time to decode
+    the answer after the first event. A request that has `begun` may have been
+    run, or answered in part.
     """
 
     arrived_at: float
@@ -71,15 +74,15 @@
     begun: bool = False
 
     def get_waited_s(self, now: float) -> float:
-        """Return how long the request has been waiting."""
+        """Return how long the request has waited."""
         return now - self.arrived_at
 
     def get_objective_left_s(self, now: float) -> float:
-        """Return what is left until the first event would be late."""
+        """Return the time left until the first event is late."""
         return self.due - now
 
     def get_left_s(self, now: float) -> float:
-        """Return how long the first event may take to be of any use."""
+        """Return the time left in which the first event is still useful."""
         return min(self.gone, self.deadline - self.write_s) - now
 
 
@@ -90,7 +93,7 @@
     now: float,
     terms: Terms = TERMS,
 ) -> Decision:
-    """Return what to do where `placement` is the best that there is."""
+    """Return what happens to a request whose best placement is `placement`."""
     if terms.waiting and is_worth_waiting(timing, worth, placement, now):
         return Decision.wait
     refusal = _get_refusal(timing, placement, now, terms)
@@ -109,9 +112,10 @@
     now: float,
     terms: Terms,
 ) -> Decision | None:
-    """Return why a placement is worse than none, if so.
+    """Return why the placement should not be used, or None.
 
-    What has begun goes on: its caller has waited, and engines have worked.
+    A request that has begun is never refused for its cost to others: its caller
+    has waited, and engines have already worked on it.
     """
     if placement.first_s > timing.get_left_s(now) * GONE_SHARE:
         return Decision.no_time
@@ -127,7 +131,7 @@
     placement: Placement,
     now: float,
 ) -> bool:
-    """Whether a request that will be late should let others finish first."""
+    """Return whether a late request should let other requests finish first."""
     is_late = placement.first_s > timing.get_objective_left_s(now)
     return is_late and placement.harm > worth * LATE_HARM_SHARE
 
@@ -138,10 +142,11 @@
     placement: Placement,
     now: float,
 ) -> bool:
-    """Whether a better place may come free while there is still time.
+    """Return whether a better placement may appear while there is time.
 
-    A placement that harms others is put off until it would soon be late, one
-    that is late already as long as an idle fleet could still be in time.
+    A placement with a high cost is put off until it would soon be late. A
+    placement that is late already is put off as long as an idle fleet could
+    still be in time.
     """
     objective_s = timing.due - timing.arrived_at
     if timing.get_waited_s(now) > objective_s * PATIENCE_SHARE:
@@ -160,7 +165,7 @@
     placement: Placement,
     now: float,
 ) -> bool:
-    """Whether it would be in time if others finished now."""
+    """Return whether the request would be in time on an idle fleet."""
     left_s = min(
         timing.get_objective_left_s(now) * OBJECTIVE_SHARE,
         timing.get_left_s(now) * GONE_SHARE,
@@ -173,7 +178,7 @@
     placement: Placement,
     now: float,
 ) -> bool:
-    """Whether a late request should wait for others to finish."""
+    """Return whether a late request should wait for others to finish."""
     whole_s = timing.gone - timing.arrived_at
     if timing.get_waited_s(now) > whole_s * LATE_PATIENCE_SHARE:
         return False
@@ -181,10 +186,10 @@
 
 
 def get_come_back_s(timing: Timing, clear_s: float, now: float) -> float:
-    """Return when a refused caller should come back, in seconds.
+    """Return after how many seconds a refused caller should retry.
 
-    That is when the reading that is in its way will have ended, but early
-    enough for its second try to have most of its time.
+    By then the prefill that delays the request has ended, but the second try
+    must still have most of its time.
     """
     most_s = (timing.deadline - now) * COME_BACK_SHARE
     return max(0, min(clear_s, most_s))
@@ -196,7 +201,7 @@
     *,
     any_target: bool,
 ) -> Decision:
-    """Return what to do where nothing can take a request now."""
+    """Return what happens to a request that no target can take now."""
     patience_s = TARGET_PATIENCE_S
     refusal = Decision.no_target
     if any_target:
--- a/trestledock/relay/_elsewhere.py
+++ b/trestledock/relay/_elsewhere.py
@@ -1,11 +1,11 @@
 """
-Targets elsewhere
-=================
+Load of remote targets
+======================
 
-Where instances are many, each knows at once what the targets of its own data
-centre have to do, and little of the others.  A long prompt that finds no good
-place there is worth a question: an instance of another data centre answers with
-what its targets have to do, and for a moment these are chosen among as well.
+In a large deployment each instance knows the load of its own data centre's
+targets at once, and little of the others. A long prompt without a good
+placement nearby asks an instance of another data centre for the load of its
+targets, and can be placed on these as well while the answer is fresh.
 """
 
 from dataclasses import dataclass, replace
@@ -14,22 +14,22 @@
 from trestledock.relay._board import Flight, Phase
 from trestledock.relay._deciding import SMALL_WORTH
 
-#: The part of its worth that a prompt's best place nearby may cost: above that
-#: others are asked.  Late prompts cost some two thirds of it, those that wait
-#: for others or spoil their pauses a fifth and more, and one alone on idle
-#: engines a fiftieth.
+#: Other data centres are asked if the best nearby placement costs more than
+#: this share of the prompt's worth. Late prompts cost about two thirds of their
+#: worth, prompts that wait for others or spoil their pauses a fifth or more,
+#: and a prompt alone on idle engines a fiftieth.
 NEAR_COST_SHARE = 0.1
-#: For how long an answer is used, in seconds: half of what a prompt of 100,000
-#: tokens keeps an engine busy for.
+#: How long an answer is used, in seconds: half of the time that a prompt of
+#: 100,000 tokens keeps an engine busy.
 USED_S = 0.25
-#: What stands for targets in other data centres than the one that answers.
+#: The placeholder for targets outside the data centre that answers.
 ELSEWHERE = ''
 
 
 def is_worth_asking(worth: float, cost: float | None) -> bool:
-    """Whether a request should see the targets of other data centres, too.
+    """Return whether to ask other data centres for the load of their targets.
 
-    `cost` is that of its best place nearby, None where it can't go there now.
+    `cost` is that of the best nearby placement, None if there is none now.
 
     >>> is_worth_asking(20.0, cost=0.6), is_worth_asking(20.0, cost=4.0)
     (False, True)
@@ -43,13 +43,13 @@
 
 @dataclass(frozen=True)
 class Load:
-    """What the targets of a data centre had to do at the instant `as_of`."""
+    """The load of a data centre's targets at the instant `as_of`."""
 
     as_of: float
     flights: tuple[Flight, ...]
 
     def is_fresh(self, now: float) -> bool:
-        """Whether targets may still be chosen by it."""
+        """Return whether placements may still rely on this load."""
         return now - self.as_of <= USED_S
 
 
@@ -58,11 +58,11 @@
     targets: Container[str],
     now: float,
 ) -> Iterator[Flight]:
-    """Yield what some targets have to do, in few flights.
+    """Yield the load of some targets as few requests.
 
-    Each prompt that is being read stands for itself at each target: when it
-    ends, and what is lost by delaying it, decides.  All answers that one target
-    writes stand together for the least pause that one of them bears.
+    Each prompt in prefill is kept at each of its targets, since its end and the
+    loss by delaying it affect placements. All answers that a target decodes are
+    merged into one request with the shortest allowed pause among them.
     """
     writing: dict[str, list[Flight]] = {}
     for flight in flights:
@@ -78,7 +78,7 @@
 
 
 def _take_part(flight: Flight, name: str) -> Flight:
-    """Return what one target does of a prompt: its part, and its memory."""
+    """Return a target's part of a prompt: its chunk and its memory."""
     total = flight.prompt_tokens + flight.output_tokens
     surplus = total - flight.get_held_tokens(name)
     return replace(
@@ -91,7 +91,7 @@
 
 
 def _put_together(name: str, found: list[Flight], now: float) -> Flight:
-    """Return one flight that stands for all answers that a target writes."""
+    """Return one request that stands for all answers that a target decodes."""
     return Flight(
         flight_id=name,
         target=name,
--- a/trestledock/relay/_events.py
+++ b/trestledock/relay/_events.py
@@ -1,9 +1,9 @@
 """
-Events of a stream
-==================
+Event stream parsing
+====================
 
-Cuts the bytes of an event stream into whole events, so that an answer can be
-continued by another target after the last whole one.
+Splits the bytes of an event stream into whole events, so that another target
+can resume the stream after the last whole event.
 """
 
 from dataclasses import dataclass
@@ -15,7 +15,7 @@
 
 @dataclass(frozen=True)
 class Event:
-    """One whole event: its bytes as they came, and its id if it has one."""
+    """A whole event: its raw bytes, and its id if it has one."""
 
     raw: bytes
     event_id: str = ''
@@ -23,7 +23,7 @@
 
 @dataclass
 class Splitter:
-    """Collects bytes and gives out whole events.
+    """Buffers bytes and returns whole events.
 
     >>> Splitter().push(b'id: 1')
     []
@@ -32,7 +32,7 @@
     rest: bytes = b''
 
     def push(self, raw: bytes) -> list[Event]:
-        """Take bytes; return the events that are whole now."""
+        """Add bytes; return the events that they complete."""
         buffered = b''.join((self.rest, raw))
         end = END_CRLF if b'\r' in buffered else END
         *whole, self.rest = buffered.split(end)
--- a/trestledock/relay/_fingerprint.py
+++ b/trestledock/relay/_fingerprint.py
@@ -1,23 +1,23 @@
 """
-Fingerprints of requests
-========================
+Request fingerprints
+====================
 
-What makes two attempts the same request.  The id says nothing of that: each
-attempt of a caller has one of its own.
+Identifies retries of the same request. The request id can't: each attempt of a
+caller has its own.
 """
 
 from hashlib import sha256
 from typing import NamedTuple
 
-#: Hexadecimal digits that are kept, 96 bits: of a million requests two share
-#: them by chance once in 10^17 fleets.
+#: Hexadecimal digits of a fingerprint, 96 bits: among a million requests, two
+#: collide by chance in one of 10^17 fleets.
 DIGITS = 24
 
 
 class Traits(NamedTuple):
-    """What a target works by, beside the body.
+    """What identifies a request to a target, apart from the body.
 
-    The team stands for the caller, whose key may be replaced meanwhile.
+    The team stands for the caller, since keys may be replaced between attempts.
     """
 
     method: str
@@ -28,10 +28,10 @@
 
 
 def get_fingerprint(traits: Traits, body_digest: bytes) -> str:
-    """Return what a request shares with its repeats, whoever takes them.
+    """Return the fingerprint that all retries of a request share.
 
-    Each part counts with its length, so that no two different requests read
-    the same.
+    Each part is hashed with its length, so that no two different requests
+    produce the same input.
 
     >>> traits = Traits('GET', 'a.example', '/x', '', 'kiosks')
     >>> len(get_fingerprint(traits, sha256(b'').digest()))
--- a/trestledock/relay/_fleet.py
+++ b/trestledock/relay/_fleet.py
@@ -2,11 +2,11 @@
 Fleet of targets
 ================
 
-The targets that relayed requests may go to, as the platform's directory lists
-them.  Leaving is final for an incarnation, and so is the removal of its entry,
-but for an entry that vanished while the directory was disturbed: it may only
-have lapsed, so it is held for a little longer.  Of each id only the newest
-incarnation is known, and no word of an older one changes anything of it.
+The targets that requests may be relayed to, as listed by the platform's
+directory. Draining is final for an incarnation, and so is the removal of its
+record, unless the record vanished while the directory was disturbed. Its lease
+may only have lapsed then, so the target is retained for a little longer. Only
+the newest incarnation of each id is kept; records of older ones change nothing.
 """
 
 from dataclasses import dataclass, field, replace
@@ -16,13 +16,13 @@
 from trestledock.relay._notices import Leave, Notices
 from trestledock.relay._watch import Watch
 
-#: Less than the order of any word.
+#: Lower than the order of any record.
 BEFORE_ALL: Order = (UNTOLD, -1)
 
 
 @dataclass(frozen=True)
 class GoneTarget:
-    """A target that is gone, with the order of its last word."""
+    """A removed target, with the order of its last record."""
 
     target_id: str
     order: Order
@@ -30,15 +30,15 @@
 
 @dataclass
 class Fleet:
-    """The targets by incarnation, and until when those are held that miss.
-
-    `newest` has the incarnation of each id.  `gone` keeps the order of the last
-    word of what was dropped, by id, so that a record that is written late
-    brings nothing back.  `revision` grows with every change that matters to
-    others; that a target is only held is one of them, since others must judge
-    for themselves whether to hold it, too.  `births` is how many of the
-    targets tell when they were born.  `notices` has what targets said of
-    themselves, here or to others.
+    """The targets by incarnation, and how long missing ones are retained.
+
+    `newest` maps each id to its incarnation. `gone` has the order of the last
+    record of each removed id, so that a record that arrives late does not bring
+    the target back. `revision` grows with every change that concerns other
+    instances. That a target is only retained concerns them too, since they must
+    decide for themselves whether to retain it. `births` counts the targets with
+    a known birth. `notices` has what targets announced about themselves, here
+    or to others.
     """
 
     targets: dict[str, Listed] = field(default_factory=dict)
@@ -52,19 +52,19 @@
 
     @property
     def leaving(self) -> Collection[str]:
-        """The incarnations that take nothing new, whoever said so."""
+        """The draining incarnations, which take no new requests."""
         return self.notices.get_all(Leave).keys()
 
     def is_leaving(self, incarnation: str) -> bool:
-        """Whether an incarnation has said that it leaves."""
+        """Return whether an incarnation is draining."""
         return incarnation in self.leaving
 
     def count_leaving(self) -> int:
-        """Return how many targets are there that have said that they leave."""
+        """Return the number of known targets that are draining."""
         return len(self.targets.keys() & self.leaving)
 
     def have_all_left(self, service: str) -> bool:
-        """Whether a service has targets, and all have said that they leave."""
+        """Return whether a service has targets and all of them are draining."""
         names = [
             name
             for name, listed in self.targets.items()
@@ -73,11 +73,11 @@
         return bool(names) and all(map(self.is_leaving, names))
 
     def note_leaving(self, incarnation: str, heard_at: float) -> None:
-        """Note that a target leaves, as all entries learn by themselves."""
+        """Record a draining target; all instances learn of it by themselves."""
         self.notices.note(incarnation, Leave(heard_at, heard_at, is_told=True))
 
     def put(self, listed: Listed) -> bool:
-        """Take an entry; return whether it changes anything but its age."""
+        """Add or update a record; return whether more than its age changed."""
         self._note_standing(listed)
         known = self.get_by_id(listed.target_id)
         if listed.order < self._get_least_order(listed.target_id):
@@ -95,16 +95,16 @@
         return self.targets.get(self.newest.get(target_id, ''))
 
     def is_superseded(self, listed: Listed) -> bool:
-        """Whether a target has started again since."""
+        """Return whether the target has restarted since."""
         return self.get_last_order(listed.target_id)[0] > listed.born
 
     def get_last_order(self, target_id: str) -> Order:
-        """Return the order of the last word on a target, or less than any."""
+        """Return the order of a target's last record, or the lowest order."""
         known = self.get_by_id(target_id)
         return known.order if known else self.gone.get(target_id, BEFORE_ALL)
 
     def note_past(self, listed: Listed) -> None:
-        """Take a record that a removal has followed since."""
+        """Process a record that was followed by a removal."""
         self._note_standing(listed)
         known = self.get_by_id(listed.target_id)
         if known is None:
@@ -116,7 +116,7 @@
             self._set(replace(known, sequence=listed.sequence))
 
     def hold(self, listed: Listed, until: float) -> bool:
-        """Take a target that another instance holds, if it is news here."""
+        """Retain a target that another instance retains, if it is new here."""
         name = listed.target_id
         is_known = name in self.newest or name in self.gone
         if is_known and not self._is_newer_birth(listed):
@@ -127,9 +127,9 @@
         return True
 
     def drop(self, target_id: str, until: float, now: float) -> bool:
-        """Take the removal of an entry; return whether it is gone at once.
+        """Process a removal; return whether the target is gone at once.
 
-        It may only have lapsed until the instant `until`.
+        Until the instant `until` its lease may only have lapsed.
         """
         known = self.get_by_id(target_id)
         if known is None:
@@ -143,7 +143,10 @@
         return False
 
     def expire(self, now: float) -> list[str]:
-        """Drop held targets that did not come back; return incarnations."""
+        """Remove retained targets that were not listed again in time.
+
+        Return their incarnations.
+        """
         over = [one for one, until in self.held.items() if now >= until]
         for incarnation in over:
             self._remove(self.targets[incarnation])
@@ -158,20 +161,20 @@
         )
 
     def get_held(self) -> Iterator[tuple[Listed, float]]:
-        """Return the missing targets, with until when they are held."""
+        """Return the retained targets, and until when each is retained."""
         return (
             (self.targets[name], until) for name, until in self.held.items()
         )
 
     def get_gone(self) -> Iterator[GoneTarget]:
-        """Yield the targets that are gone, for one that never knew them."""
+        """Yield the removed targets, for instances that never knew them."""
         for target_id, order in self.gone.items():
             yield GoneTarget(target_id, order)
 
     def take_gone(self, gone: Iterable[GoneTarget]) -> list[str]:
-        """Take what another instance knows to be gone.
+        """Merge the removed targets that another instance knows.
 
-        Return the incarnations that were known here, by older words.
+        Return the incarnations that were removed here, known by older records.
         """
         dropped = []
         for one in gone:
@@ -185,7 +188,7 @@
         return dropped
 
     def get_usable(self, service: str) -> Iterator[Listed]:
-        """Return the targets of a service that may get new work."""
+        """Return the targets of a service that accept new requests."""
         births_are_told = self._are_births_told()
         leaving = self.leaving
         return (
@@ -197,14 +200,14 @@
         )
 
     def is_usable(self, incarnation: str) -> bool:
-        """Whether a target may get new work now."""
+        """Return whether a target accepts new requests."""
         listed = self.targets.get(incarnation)
         if listed is None or self.is_leaving(incarnation):
             return False
         return listed.born != UNTOLD or not self._are_births_told()
 
     def get_incarnation_by_name(self, name: str) -> str:
-        """Return the target that is named by id or by address."""
+        """Return the incarnation of a target that is named by id or address."""
         if name in self.newest:
             return self.newest[name]
         for listed in self.targets.values():
@@ -213,10 +216,11 @@
         return ''
 
     def _are_births_told(self) -> bool:
-        """Whether targets here tell when they were born, as most show.
+        """Return whether the targets here report their birth, as most do.
 
-        An entry without it is another writer's then, and names no target; on a
-        platform where none tells it, all count as born at the same time.
+        A record without a birth then has another origin and is no target. On a
+        platform where no target reports its birth, all count as born at the
+        same time.
         """
         return self.births * 2 >= len(self.targets)
 
@@ -224,12 +228,12 @@
         return listed.born > self.get_last_order(listed.target_id)[0]
 
     def _note_standing(self, listed: Listed) -> None:
-        """Note that a target leaves, whenever it said so."""
+        """Record a target that is listed as draining, in any order."""
         if listed.standing is Standing.leaving:
             self.note_leaving(listed.incarnation, self.watch.read_at)
 
     def _get_least_order(self, target_id: str) -> Order:
-        """Return the least order of a word that says something new."""
+        """Return the lowest order that a new record of a target can have."""
         known = self.get_by_id(target_id)
         if known:
             return known.order
@@ -237,7 +241,7 @@
         return born, sequence + 1
 
     def _set(self, listed: Listed) -> None:
-        """Know an incarnation, and forget the one before it."""
+        """Store an incarnation and forget the previous one."""
         before = self.get_by_id(listed.target_id)
         if before and before.born == listed.born:
             self.targets[listed.incarnation] = listed
--- a/trestledock/relay/_giants.py
+++ b/trestledock/relay/_giants.py
@@ -1,9 +1,9 @@
 """
-Placing giants
-==============
+Placement of giant prompts
+==========================
 
-Prompts beyond one engine's memory: their memory is held in tickets of equal
-size at several engines, all or nothing.
+Prompts that exceed the memory of one engine reserve equal shares of it at
+several engines, all or nothing.
 """
 
 from dataclasses import replace
@@ -18,10 +18,10 @@
 
 
 def place_giant(problem: Problem) -> Placement | None:
-    """Spread the memory of a prompt over tickets at several engines.
+    """Spread the memory of a prompt over reservations at several engines.
 
-    The engines with the most free memory hold it in equal shares; others
-    only read.  None while the free memory does not suffice.
+    The engines with the most free memory hold it in equal shares; other engines
+    only prefill. Return None while the free memory does not suffice.
     """
     holders = _pick_holders(problem)
     if not holders:
@@ -51,7 +51,7 @@
 
 
 def _pick_holders(problem: Problem) -> tuple[View, ...]:
-    """Return the fewest engines that hold a prompt in equal shares."""
+    """Return the fewest engines that can hold a prompt in equal shares."""
 
     def order_of(view: View) -> tuple[float, float]:  # noqa: WPS430
         return view.pending_s, -view.free_tokens
--- a/trestledock/relay/_health.py
+++ b/trestledock/relay/_health.py
@@ -1,38 +1,41 @@
 """
-Passive health
-==============
+Passive health checks
+=====================
 
-What the own requests tell of a target.  Silence and refused connections make
-it suspect for a time that doubles; failures are averaged with the newest
-outcomes counting most.  No probe is sent: real requests are the probes.
+What the instance's own requests reveal about a target. Silence and refused
+connections make a target suspect for a time that doubles; failures go into an
+average that weights the newest outcomes most. No probes are sent: real requests
+serve as probes.
 """
 
 from dataclasses import dataclass, field
 
 #: The weight of the newest outcome in the averages.
 LEARN = 0.25
-#: First and longest time for which a silent target is left alone, in seconds.
+#: The first and the longest time for which a silent target is avoided, in
+#: seconds.
 SUSPECT_BASE_S = 1.0
 SUSPECT_CAP_S = 8.0
-#: How many times in a row a target may be left early before it is suspect.
+#: The number of early timeouts in a row after which a target is suspect.
 DOUBTS = 2
-#: How many targets of a data centre that fall silent within how many seconds
-#: make all of it suspect, and for how long at first and at most, in seconds.
+#: The number of targets of a data centre that must fall silent, and the window
+#: in seconds in which they do, to make the whole data centre suspect; and for
+#: how long at first and at most, in seconds.
 PLACE_TARGETS = 2
 PLACE_WINDOW_S = 1.5
 PLACE_BASE_S = 0.8
 PLACE_CAP_S = 2.5
-#: How long one request may try a data centre that was suspect before the next
-#: one may, in seconds: above the time that a connection may take.
+#: The least interval between requests that try a data centre that was suspect,
+#: in seconds: more than connecting may take.
 PROBE_S = 0.4
-#: For how long a data centre is left alone whose instances are silent, in
-#: seconds: its targets may live though they have all ended.
+#: How long a data centre whose instances are silent is avoided, in seconds. Its
+#: targets may be alive even if all its instances have ended.
 QUIET_MOST_S = 8.0
-#: For how long after a suspicion only small requests go to a data centre, in
-#: seconds, unless one was answered: a prompt that is read in parts is lost with
-#: any of them.
+#: How long after a suspicion only small requests go to a data centre, in
+#: seconds, unless a request was answered there: a prompt that is prefilled in
+#: chunks is lost if any chunk is.
 DOUBT_S = 5.0
-#: An average of failures halves in this time without news, in seconds.
+#: The half-life of the failure average without new outcomes, in seconds.
 HALF_LIFE_S = 6.0
 
 
@@ -47,19 +50,20 @@
     suspect_until: float = float('-inf')
 
     def get_failure_share(self, now: float) -> float:
-        """Return the share of requests that are expected to fail."""
+        """Return the expected share of failing requests."""
         age = max(0, now - self.noted_at)
         return self.failures * 0.5 ** (age / HALF_LIFE_S)
 
 
 @dataclass
 class PlaceHealth:
-    """The silence of a data centre.
+    """The reachability of a data centre.
 
-    Several silent targets within a short time, or the silence of all instances
-    there, mean that the way is cut; the others need not be tried one by one.
-    Once the suspicion has lapsed, one request at a time finds out whether it
-    still holds: all that waits would otherwise try, and lose, at once.
+    If several targets fall silent within a short time, or all instances there
+    do, the network path is cut, and the remaining targets need not be tried one
+    by one. After the suspicion has lapsed, one request at a time tests whether
+    the path is back; otherwise all waiting requests would try, and fail, at
+    once.
     """
 
     silent: dict[str, float] = field(default_factory=dict)
@@ -69,7 +73,7 @@
     quiet: bool = False
 
     def note_silence(self, target_id: str, now: float) -> None:
-        """Note a silent target there."""
+        """Record a silent target in the data centre."""
         self.silent[target_id] = now
         recent = [
             at for at in self.silent.values() if now - at <= PLACE_WINDOW_S
@@ -78,7 +82,7 @@
             self.suspect(now)
 
     def suspect(self, now: float) -> None:
-        """Have the data centre left alone, for longer each time."""
+        """Avoid the data centre, for longer each time."""
         if now < self.suspect_until:
             return
         wait_s = min(PLACE_CAP_S, PLACE_BASE_S * 2**self.times)
@@ -86,13 +90,13 @@
         self.suspect_until = now + wait_s
 
     def note_quiet(self, now: float) -> None:
-        """Have the data centre left alone until its instances are heard."""
+        """Avoid the data centre until its instances send messages again."""
         self.quiet = True
         self.times += 1
         self.suspect_until = now + QUIET_MOST_S
 
     def is_suspect(self, now: float, *, small: bool) -> bool:
-        """Whether a request should not be sent there now."""
+        """Return whether a request should not be sent there now."""
         if not self.times:
             return False
         if not small:
@@ -100,7 +104,7 @@
         return now < max(self.suspect_until, self.probed_until)
 
     def note_sent(self, now: float) -> None:
-        """Note a request that finds out whether the way is back."""
+        """Record a request that tests whether the path is back."""
         if self.times:
             self.probed_until = now + PROBE_S
 
@@ -119,11 +123,11 @@
     places: dict[str, PlaceHealth] = field(default_factory=dict)
 
     def get(self, target_id: str) -> TargetHealth:
-        """Return what is known of a target."""
+        """Return the health of a target."""
         return self.targets.setdefault(target_id, TargetHealth())
 
     def note_success(self, target_id: str, now: float, place: str = '') -> None:
-        """Note an answer as it should be."""
+        """Record a correct answer."""
         self.places.pop(place, None)
         self._learn(target_id, 0, now)
         one = self.get(target_id)
@@ -132,13 +136,13 @@
         one.suspect_until = float('-inf')
 
     def note_failure(self, target_id: str, now: float) -> None:
-        """Note an answer that failed, was cut short or made no sense."""
+        """Record an answer that failed, was cut short or was invalid."""
         self._learn(target_id, 1, now)
 
     def note_doubt(self, target_id: str, now: float, place: str = '') -> None:
-        """Note that a target was left early, though it may only be busy.
+        """Record an early timeout; the target may only be busy.
 
-        Again without an answer in between, it counts as silent.
+        Another early timeout without an answer in between counts as silence.
         """
         self._learn(target_id, 1, now)
         one = self.get(target_id)
@@ -147,7 +151,7 @@
             self.note_silence(target_id, now, place)
 
     def note_silence(self, target_id: str, now: float, place: str = '') -> None:
-        """Note that nothing came, or that no connection could be made."""
+        """Record that no answer arrived or no connection was established."""
         if place:
             known = self.places.setdefault(place, PlaceHealth())
             known.note_silence(target_id, now)
@@ -166,9 +170,9 @@
         *,
         small: bool = True,
     ) -> bool:
-        """Whether a target, or all of its data centre, should be left alone.
+        """Return whether a target, or its whole data centre, should be avoided.
 
-        A `small` request is no great loss where it finds that out.
+        Losing a `small` request to find out is acceptable.
         """
         around = self.places.get(place)
         if around is not None and around.is_suspect(now, small=small):
@@ -177,14 +181,14 @@
         return known is not None and now < known.suspect_until
 
     def is_silent(self, target_id: str) -> bool:
-        """Whether a target was silent and has not answered since."""
+        """Return whether a target was silent and has not answered since."""
         known = self.targets.get(target_id)
         return known is not None and known.silences > 0
 
     def note_quiet(self, place: str, now: float) -> bool:
-        """Note that all instances of a data centre are silent.
+        """Record that all instances of a data centre are silent.
 
-        Return whether that is news.
+        Return whether they were not silent before.
         """
         known = self.places.setdefault(place, PlaceHealth())
         if known.quiet:
@@ -193,17 +197,17 @@
         return True
 
     def note_heard(self, place: str) -> None:
-        """Note that an instance of a data centre has spoken.
+        """Record a message from an instance of a data centre.
 
-        That ends the suspicion only where silence of the instances was its
-        cause: words may come through where requests don't.
+        It ends a suspicion only if silence of the instances was its cause:
+        messages may get through where requests don't.
         """
         known = self.places.get(place)
         if known and known.quiet:
             self.places.pop(place)
 
     def note_sent(self, place: str, now: float) -> None:
-        """Note that a request goes to a target of a data centre."""
+        """Record a request that is sent to a target of a data centre."""
         known = self.places.get(place)
         if known:
             known.note_sent(now)
--- a/trestledock/relay/_listed.py
+++ b/trestledock/relay/_listed.py
@@ -1,25 +1,25 @@
 """
-Entries of targets
-==================
+Target records
+==============
 
-One incarnation of a target, as the platform's directory lists it.  A target
-may start again under the id that it had, and then holds and knows nothing of
-before; whatever is believed of a target belongs to one incarnation of it.
+One incarnation of a target, as listed by the platform's directory. A target may
+restart under the same id, and has lost its memory and all its requests then;
+all knowledge about a target therefore belongs to one incarnation.
 """
 
 from dataclasses import dataclass
 from enum import Enum
 from functools import cached_property
 
-#: What orders the words on one id: the birth of the incarnation that says
-#: them, then its own count.
+#: The order of the records of an id: the birth of the incarnation, then its own
+#: sequence.
 Order = tuple[int, int]
-#: What stands for the birth where a target does not tell it.
+#: The birth of a target that does not report it.
 UNTOLD = 0
 
 
 class Standing(str, Enum):
-    """What the directory says of a target."""
+    """The status of a target in the directory."""
 
     ready = 'ready'
     leaving = 'leaving'
@@ -29,8 +29,8 @@
 class Listed:
     """One incarnation of a target, as listed.
 
-    `born` is the Unix time of its start in milliseconds; `sequence` counts its
-    words and begins anew with each incarnation.
+    `born` is the Unix time of its start in milliseconds. `sequence` counts its
+    records and starts again with each incarnation.
 
     >>> old = Listed('t', 's', 'a', sequence=90, born=1_000)
     >>> new = Listed('t', 's', 'a', sequence=1, born=2_000)
@@ -49,16 +49,16 @@
 
     @cached_property
     def incarnation(self) -> str:
-        """The name that all that is believed of this incarnation goes by."""
+        """The name of the incarnation, to which all knowledge of it belongs."""
         if self.born == UNTOLD:
             return self.target_id
         return f'{self.target_id}@{self.born}'
 
     def is_named(self, name: str) -> bool:
-        """Whether a target's id, or its address, is a name."""
+        """Return whether a name is the target's id or address."""
         return name in (self.target_id, self.address)
 
     @property
     def order(self) -> Order:
-        """The place of this word among all words on the same id."""
+        """The order of this record among all records of the same id."""
         return self.born, self.sequence
--- a/trestledock/relay/_notices.py
+++ b/trestledock/relay/_notices.py
@@ -2,9 +2,9 @@
 Notices of targets
 ==================
 
-What a target says of itself in its answers, kept by incarnation and by kind.
-Each kind of notice is a type of its own, with a rule that says which of two
-notices to believe; the rest is the same for all.
+What targets announce about themselves in their answers, by incarnation and
+kind. Each kind is a type with a rule that decides between two notices;
+everything else is shared.
 """
 
 from dataclasses import dataclass, field
@@ -14,7 +14,7 @@
 
 
 class Change(str, Enum):
-    """What a notice changed of what is believed."""
+    """How a notice changed what is known."""
 
     nothing = 'nothing'
     learnt = 'learnt'
@@ -23,27 +23,28 @@
 
 
 class Notice(Protocol):
-    """What a target said between two instants, whatever it is about.
+    """An announcement of a target, made between two instants.
 
-    The request that it answers left at `asked_at`, the answer came at
-    `heard_at`; with `is_told` the other entries hear it without this one.
+    The request that it answers was sent at `asked_at`, and the answer arrived
+    at `heard_at`. If `is_told` is set, other instances learn of it without this
+    one.
     """
 
     @property
     def asked_at(self) -> float:
-        """The instant at which the request left that was answered."""
+        """The instant at which the answered request was sent."""
 
     @property
     def heard_at(self) -> float:
-        """The instant at which the answer came."""
+        """The instant at which the answer arrived."""
 
     @property
     def is_told(self) -> bool:
-        """Whether the other entries hear it without this one."""
+        """Whether other instances learn of it without this one."""
 
     @property
     def asks_for(self) -> float | None:
-        """What is asked for as a number, None where nothing is any more."""
+        """The requested value as a number, or None if nothing is requested."""
 
 
 Kind = TypeVar('Kind', bound=Notice)
@@ -51,13 +52,13 @@
 
 @singledispatch
 def believe(notice: Any, before: Any) -> Any:
-    """Return what to believe of a notice and the one before it."""
+    """Return the notice that holds after a new one and the one before it."""
     raise TypeError(f'no notice: {notice!r}')
 
 
 @dataclass(frozen=True)
 class Leave:
-    """A target takes nothing new; that is final for its incarnation."""
+    """A target drains; this is final for its incarnation."""
 
     asked_at: float
     heard_at: float
@@ -65,7 +66,7 @@
 
     @property
     def asks_for(self) -> float:
-        """Nothing beside the notice itself."""
+        """A constant: the notice has no value of its own."""
         return 0
 
 
@@ -76,7 +77,7 @@
 
 @dataclass(frozen=True)
 class Rest:
-    """A target wants nothing from this entry until an instant."""
+    """A target wants no requests from this instance until an instant."""
 
     until: float
     asked_at: float
@@ -85,11 +86,11 @@
 
     @property
     def asks_for(self) -> float:
-        """The instant until which nothing is wanted."""
+        """The instant until which no requests are wanted."""
         return self.until
 
     def is_over(self, now: float) -> bool:
-        """Whether the target may be asked again."""
+        """Return whether the back-off has ended."""
         return now >= self.until
 
 
@@ -100,12 +101,12 @@
 
 @dataclass(frozen=True)
 class RestElsewhere(Rest):
-    """A target wants nothing from another entry until an instant."""
+    """A target wants no requests from another instance until an instant."""
 
 
 @dataclass
 class Notices:
-    """What is believed of each kind of notice, by incarnation.
+    """The notices that hold, by kind and incarnation.
 
     >>> notices = Notices()
     >>> notices.note('t1', Rest(until=4, asked_at=0, heard_at=1)).value
@@ -119,7 +120,7 @@
     known: dict[type, dict[str, Any]] = field(default_factory=dict)
 
     def note(self, target: str, notice: Notice) -> Change:
-        """Take a notice of a target; return what it changed."""
+        """Process a notice of a target; return what it changed."""
         of_kind = self.known.setdefault(type(notice), {})
         before = of_kind.get(target)
         if before is None and notice.asks_for is None:
@@ -129,16 +130,16 @@
         return _get_change(before, after)
 
     def get(self, kind: type[Kind], target: str) -> Kind | None:
-        """Return what a target asks for, if it asks for anything."""
+        """Return a target's notice of a kind, if it requests anything."""
         found = self.known.get(kind, {}).get(target)
         return found if found and found.asks_for is not None else None
 
     def get_all(self, kind: type[Kind]) -> dict[str, Kind]:
-        """Return the newest notices of a kind, by target."""
+        """Return the newest notices of a kind by target, withdrawn ones too."""
         return self.known.get(kind, {})
 
     def get_in_force(self, kind: type[Kind]) -> dict[str, Kind]:
-        """Return what targets ask for, by target."""
+        """Return the notices of a kind that request something, by target."""
         return {
             target: notice
             for target, notice in self.get_all(kind).items()
@@ -146,13 +147,13 @@
         }
 
     def drop(self, kind: type[Notice], target: str) -> None:
-        """Believe a notice no more."""
+        """Discard a notice of a target."""
         self.known.get(kind, {}).pop(target, None)
 
     def forget(self, target: str) -> None:
-        """Forget a target that is gone, but not that it leaves.
+        """Forget a removed target, except that it drains.
 
-        A record of it that is written late must not bring it back.
+        A record of it that arrives late must not bring it back.
         """
         for kind in self.known.keys() - {Leave}:
             self.drop(kind, target)
--- a/trestledock/relay/_open_ends.py
+++ b/trestledock/relay/_open_ends.py
@@ -1,10 +1,10 @@
 """
-Open ends
-=========
+Unconfirmed crashes
+===================
 
-Targets that may have ended under a request: their connection ended, but that
-they are gone is known only as another start of them, or another target at their
-address, is listed.
+Targets that may have crashed while they ran a request. The connection was
+closed, but the crash is confirmed only when the list shows a new incarnation of
+the target or another target at its address.
 """
 
 from dataclasses import dataclass
@@ -12,16 +12,16 @@
 from trestledock.relay._listed import Listed
 from trestledock.relay._quarantine import End
 
-#: For how long it may be told by a list that a target had ended, in seconds:
-#: three heartbeats, and the time that a process takes to start.
+#: How long a list can confirm a crash, in seconds: three heartbeats, and the
+#: time that a process takes to start.
 OPEN_S = 10.0
-#: Targets whose end may be open at once.
+#: The maximum number of targets with unconfirmed crashes.
 MOST_OPEN = 500
 
 
 @dataclass(frozen=True)
 class _Open:
-    """An end that may be one, with the address of its target."""
+    """A possible crash, with the address of its target."""
 
     end: End
     address: str
@@ -29,7 +29,7 @@
 
 
 class OpenEnds:
-    """What may have been the end of a target.
+    """Possible crashes that wait for confirmation.
 
     >>> found = OpenEnds()
     >>> found.keep('f', Listed('t1', 's', 'a:1'), now=0)
@@ -38,11 +38,11 @@
     """
 
     def __init__(self) -> None:
-        """Begin with none."""
+        """Create an empty collection."""
         self._by_target: dict[str, list[_Open]] = {}
 
     def keep(self, fingerprint: str, target: Listed, now: float) -> None:
-        """Keep that a target may have ended under a request."""
+        """Record that a target may have crashed while it ran a request."""
         self._drop_old(now)
         if len(self._by_target) >= MOST_OPEN:
             return
@@ -51,12 +51,12 @@
         found.append(_Open(end, target.address, now + OPEN_S))
 
     def take(self, incarnation: str, now: float) -> list[End]:
-        """Return the ends of a target that is known to have ended."""
+        """Remove and return the crashes of a target that has crashed."""
         found = self._by_target.pop(incarnation, [])
         return [one.end for one in found if now < one.until]
 
     def take_replaced_by(self, listed: Listed, now: float) -> list[End]:
-        """Return the ends of what had the address of a target before it."""
+        """Remove and return the crashes of other targets at its address."""
         before = [
             incarnation
             for incarnation, found in self._by_target.items()
--- a/trestledock/relay/_outcome.py
+++ b/trestledock/relay/_outcome.py
@@ -1,10 +1,10 @@
 """
-Outcomes of sendings
+Outcomes of attempts
 ====================
 
-How one sending of a relayed request ended, and what may be done next.  The
-rule is the only place that may promise that a request has not run: none of its
-sendings may have left this process, or every target said that it did not run.
+How an attempt of a relayed request ended, and what may be done next. Only this
+module decides that a request has not run: none of its attempts may have left
+this process, or every target must have said that it did not run the request.
 """
 
 from dataclasses import dataclass
@@ -15,7 +15,7 @@
 
 
 class Ending(str, Enum):
-    """How a sending ended."""
+    """The outcome of an attempt."""
 
     answered = 'answered'
     not_sent = 'not_sent'
@@ -24,13 +24,13 @@
     failed = 'failed'
 
 
-#: Endings after which the target has certainly not run the request.
+#: Outcomes after which the target has certainly not run the request.
 NOT_RUN = frozenset((Ending.not_sent, Ending.rejected))
 
 
 @dataclass(frozen=True)
 class Sending:
-    """One sending with the step and the peer at which it ended."""
+    """A finished attempt, with the step and the peer at which it ended."""
 
     ending: Ending
     step: str
@@ -40,51 +40,51 @@
 
     @property
     def may_have_run(self) -> bool:
-        """Whether the target may have begun to work on the request."""
+        """Whether the target may have begun to process the request."""
         return self.ending not in NOT_RUN
 
 
 @dataclass(frozen=True)
 class History:
-    """All sendings of one request, oldest first."""
+    """All attempts of a request, oldest first."""
 
     sendings: tuple[Sending, ...] = ()
 
     @property
     def may_have_run(self) -> bool:
-        """Whether any target may have begun to work on the request."""
+        """Whether any target may have begun to process the request."""
         return any(one.may_have_run for one in self.sendings)
 
     @property
     def runs(self) -> int:
-        """How many targets may have run it."""
+        """The number of targets that may have run the request."""
         return sum(one.may_have_run for one in self.sendings)
 
     def add(self, sending: Sending) -> 'History':
-        """Return the history with one more sending."""
+        """Return the history with another attempt."""
         return History((*self.sendings, sending))
 
     def may_repeat(self, route: Route) -> bool:
-        """Whether another target may get the request.
+        """Return whether another target may get the request.
 
-        What may have run is repeated only where the route allows it.
+        A request that may have run is repeated only if the route allows it.
         """
         if len(self.sendings) >= MAX_SENDINGS:
             return False
         return self.may_run_again(route)
 
     def may_run_again(self, route: Route) -> bool:
-        """Whether another target may run the request, as its route allows."""
+        """Return whether the route allows another target to run the request."""
         if not self.may_have_run:
             return True
         return route.repeatable and self.runs < route.max_attempts
 
     def is_last_run(self, route: Route) -> bool:
-        """Whether no other target may go on with what one works on now."""
+        """Return whether no other target may continue the current attempt."""
         return not self.add(_LOST_NOW).may_repeat(route)
 
 
-#: What the sending under way would end as if its target were left.
+#: The outcome of the current attempt if its target were given up now.
 _LOST_NOW = Sending(Ending.lost, 'answer', '')
-#: Bound on sendings of one request, those that were not run included.
+#: The maximum number of attempts of a request, including those not run.
 MAX_SENDINGS = 6
--- a/trestledock/relay/_pacing.py
+++ b/trestledock/relay/_pacing.py
@@ -1,6 +1,6 @@
 """
-Pacing
-======
+Token bucket
+============
 
 Spreads requests evenly over time, at a rate that may change at any moment.
 """
@@ -8,14 +8,13 @@
 from dataclasses import dataclass
 from math import inf
 
-#: For how long what was not used may be used later, beside one request, in
-#: seconds.
+#: The time, in seconds, for which unused tokens accumulate, beyond one request.
 BURST_S = 0.5
 
 
 @dataclass
 class Bucket:
-    """A token bucket; `tokens` is what it held at the instant `filled_at`.
+    """A token bucket that held `tokens` at the instant `filled_at`.
 
     >>> bucket = Bucket(tokens=1, filled_at=0)
     >>> bucket.take(now=0, per_s=2), bucket.take(now=0, per_s=2)
@@ -28,16 +27,16 @@
     filled_at: float
 
     def get_tokens(self, now: float, per_s: float) -> float:
-        """Return how many requests may leave; parts count as well."""
+        """Return the number of requests that may be sent, as a fraction."""
         gained = max(0, now - self.filled_at) * per_s
         return min(self.tokens + gained, 1 + per_s * BURST_S)
 
     def is_free(self, now: float, per_s: float) -> bool:
-        """Whether a request may leave now."""
+        """Return whether a request may be sent now."""
         return per_s > 0 and self.get_tokens(now, per_s) >= 1
 
     def take(self, now: float, per_s: float) -> bool:
-        """Have a request leave now; return whether it may."""
+        """Take a token for a request; return whether there was one."""
         if not self.is_free(now, per_s):
             return False
         self.tokens = self.get_tokens(now, per_s) - 1
@@ -45,7 +44,7 @@
         return True
 
     def get_wait_s(self, count: int, now: float, per_s: float) -> float:
-        """Return when so many more requests will have been able to leave."""
+        """Return after how many seconds `count` more requests can be sent."""
         if per_s <= 0:
             return inf
         return max(0, (count - self.get_tokens(now, per_s)) / per_s)
--- a/trestledock/relay/_parts.py
+++ b/trestledock/relay/_parts.py
@@ -1,9 +1,9 @@
 """
-Plans of prompts that are read in parts
-=======================================
+Chunked prefill plans
+=====================
 
-A prompt's first engine with the helpers that read parts of it.  The first
-token follows the last part, so the slowest engine decides.
+A primary engine with helpers that prefill chunks of a prompt. The first token
+follows the last chunk, so the slowest engine decides.
 """
 
 from dataclasses import replace
@@ -16,13 +16,15 @@
 )
 from trestledock.relay._view import View
 
-#: Numbers of helpers that are weighed; an engine takes 16 at most.
+#: The numbers of helpers that are compared; an engine takes at most 16.
 HELPER_COUNTS = (0, 1, 2, 3, 4, 5, 6, 8, 10, 12, 14, 16)
-#: The cost of each further helper, in units of worth: one more that may fail.
+#: The cost of each additional helper, which is one more that may fail, in units
+#: of worth.
 HELPER_COST = 0.05
 
 
 def plan_parts(problem: Problem, helper_count: int) -> Placement:
+    """Return the best plan with a given number of helpers."""
     part_s = problem.read_s / (helper_count + 1)
     first = min(
         problem.views,
@@ -39,7 +41,7 @@
     helpers: list[View],
     part_s: float,
 ) -> Placement:
-    """Return the plan of a first engine with helpers; the slowest decides."""
+    """Return the plan of a primary engine with helpers."""
     first_s = first.predict_first_s(part_s)
     ends = [view.predict_part_s(part_s) + first.base_s for view in helpers]
     last_s = max([first_s, *ends])
@@ -63,7 +65,7 @@
     taken: tuple[View, ...],
     part_s: float,
 ) -> list[View]:
-    """Return the other engines, those that lose least first."""
+    """Return the other engines, the cheapest helpers first."""
     taken_ids = {view.listed.incarnation for view in taken}
 
     def cost_of(view: View) -> float:  # noqa: WPS430 - a sort key
--- a/trestledock/relay/_patience.py
+++ b/trestledock/relay/_patience.py
@@ -1,15 +1,15 @@
 """
-Patience
+Timeouts
 ========
 
-How long a target may be silent before another one is asked.  Predictions of
-the first token are close (95 of 100 within twice the time), so silence beyond
-them means that a target, or the way to it, has failed: whoever asks another one
-soon enough is still in time.
+How long a target may be silent before another one is tried. Predictions of the
+time to the first token are accurate (95 of 100 within twice the time), so a
+longer silence means that the target or the network path has failed, and a
+timely retry can still meet the objective.
 
-Targets that are merely crowded are late as well, and repeats crowd them more.
-So only a few requests in a window may be given up early; all others wait as
-long as it takes to be sure.
+Overloaded targets are late as well, and retries increase their load. So only a
+few requests in a window may time out early; all others wait as long as it takes
+to be certain.
 """
 
 from typing import Iterable
@@ -18,31 +18,31 @@
 from trestledock.relay._budget import BudgetTerms
 from trestledock.relay._catalog import Route, RouteKind
 
-#: How many times the predicted time to its first token a target may take, and
-#: at least, in seconds: some 1 in 100 of sound targets take longer (first_event
-#: in the logs of days with trouble, prompts up to 24,000 tokens).
+#: The early timeout to the first token as a multiple of the prediction, and its
+#: minimum in seconds: about 1 in 100 requests at healthy targets takes longer
+#: (first_event in the logs of days with trouble, prompts up to 24,000 tokens).
 EARLY_FACTOR = 2.5
 EARLY_LEAST_S = 0.2
-#: How many requests may be given up early: a share of those of the last
-#: seconds, and some besides, over all instances.  With 1 in 4 repeated, crowded
-#: targets did not recover for ten seconds (answers lost at half of the targets
-#: while the traffic doubles).
+#: The early timeouts allowed, over all instances: a ratio of the requests of
+#: the last seconds, and a fixed slack. With 1 in 4 retried, overloaded targets
+#: did not recover for ten seconds (answers lost at half of the targets while
+#: the traffic doubles).
 EARLY_TERMS = BudgetTerms(ratio=0.1, window_s=10, slack=10)
-#: The same for the last target that may be asked, and for all others.
+#: The same for the last target that may be tried, and for all other requests.
 LATE_FACTOR = 2.0
 LATE_LEAST_S = 0.8
-#: What is added for a prompt with helpers, in seconds: an engine whose helper
-#: is dead says so after 1.5 s (`stall_ms`).
+#: The time added for a prompt with helpers, in seconds: an engine reports a
+#: dead helper after 1.5 s (`stall_ms`).
 HELPED_S = 1.7
-#: How many times the objective a plain target may take: the first one, and the
-#: last one.
+#: The timeout of a plain target as a multiple of the objective, for the first
+#: target and for the last one.
 PLAIN_EARLY_FACTOR = 0.6
 PLAIN_LATE_FACTOR = 3.0
-#: How many times the allowed pause a stream may be silent, and at least, in
-#: seconds.
+#: The timeout between events as a multiple of the allowed pause, and its
+#: minimum in seconds.
 PAUSE_FACTOR = 4.0
 PAUSE_LEAST_S = 0.8
-#: Where no other target may be asked.
+#: No timeout, for requests that no other target may run.
 FOREVER_S = float('inf')
 
 
@@ -53,7 +53,7 @@
     early: bool,
     helped: bool = False,
 ) -> float:
-    """Return how long to wait for the first part of an answer.
+    """Return the timeout for the first part of an answer.
 
     `early` is for a request that another target may still answer in time.
 
@@ -80,11 +80,12 @@
     flights: Iterable[Flight],
     capacity_tokens: int,
 ) -> bool:
-    """Whether an engine has no memory for a prompt until others have ended.
+    """Return whether a prompt waits for the memory of older requests.
 
-    It admits in the order in which prompts came, so what is older goes first.
-    Its silence says nothing then: a prompt that was given up after 5.9 s, and
-    sent elsewhere, was 0.1 s from its first event.
+    An engine admits prompts in the order of their arrival, so older ones go
+    first. Its silence proves nothing in this case: a prompt that timed out
+    after 5.9 s and was sent to another target had been 0.1 s from its first
+    event.
     """
     name = own.target
     held = sum(
@@ -96,7 +97,7 @@
 
 
 def get_pause_patience_s(route: Route) -> float:
-    """Return how long a stream may be silent between events."""
+    """Return the timeout between events of a stream."""
     if not route.repeatable:
         return FOREVER_S
     return max(PAUSE_LEAST_S, route.pause_s * PAUSE_FACTOR)
--- a/trestledock/relay/_placing.py
+++ b/trestledock/relay/_placing.py
@@ -1,12 +1,13 @@
 """
-Placing requests of unlike lengths
-==================================
-
-Chooses the target of a request, and for a long prompt the helpers that read
-parts of it.  Short requests are packed on few engines, so that others stay
-free for long prompts; a long prompt is cut into as many parts as make it
-early without making the pauses of others too long.  Everything is compared in
-worth: what this request would lose by being late, and what others would.
+Request placement
+=================
+
+Chooses the target of a request, and the helpers that prefill chunks of a long
+prompt. Short requests are packed on few engines, so that others stay free for
+long prompts. A long prompt is split into as many chunks as bring its first
+token forward without making the pauses of other requests too long. All options
+are compared in worth: the expected loss of this request by being late, and the
+loss of others.
 """
 
 from dataclasses import replace
@@ -33,10 +34,10 @@
 from trestledock.relay._terms import TERMS, Terms
 from trestledock.relay._view import MEMORY_SHARE, View, Viewer
 
-#: A prompt that an engine reads in less is short: it may be read in the
-#: passes of others, in seconds (pauses of short answers are 0.25 s).
+#: A prompt with a shorter prefill, in seconds, is short: it may be prefilled in
+#: passes that decode other requests (pauses of short answers are 0.25 s).
 SHORT_READ_S = 0.17
-#: A cost below this is nobody's loss.
+#: The cost below which no request loses anything.
 EASY_COST = 0.1
 
 Planner = Callable[[Problem], Placement | None]
@@ -45,8 +46,8 @@
 class Placer:
     """Chooses among the engines of a service.
 
-    Equal engines are taken in an order of this instance's own, so that
-    instances that choose at the same moment choose differently.
+    Equal engines are ordered differently by each instance, so that instances
+    that choose at the same moment choose different engines.
     """
 
     def __init__(
@@ -57,7 +58,7 @@
         data_centre: str = '',
         terms: Terms = TERMS,
     ) -> None:
-        """Keep what the choice is made from."""
+        """Store the inputs of the choice."""
         self.terms = terms
         self.viewer = Viewer(board, health, data_centre)
         self.member = member
@@ -69,7 +70,7 @@
         targets: Sequence[Listed],
         now: float,
     ) -> Placement | None:
-        """Return the best placement; None where nothing can take the work."""
+        """Return the best placement, or None if no engine can take the work."""
         if not targets:
             return None
         ordered = sorted(targets, key=self._get_order)
@@ -102,7 +103,7 @@
 
 
 def _get_ideal_s(problem: Problem) -> float:
-    """Return when the first token would come on an idle fleet."""
+    """Return the time to the first token on an idle fleet."""
     parts = min(len(problem.views), HELPER_COUNTS[-1] + 1)
     return problem.read_s / parts + get_write_pass_s(
         problem.engine, PassLoad(1)
@@ -110,7 +111,7 @@
 
 
 def _place_short(problem: Problem) -> Placement:
-    """Pack: the fullest engine on which nobody loses anything."""
+    """Choose the fullest engine on which no request loses anything."""
     read_s = problem.read_s
     costs = {
         view.listed.incarnation: problem.get_whole_cost(view, read_s)
@@ -142,7 +143,10 @@
 
 
 def _place_long(problem: Problem) -> Placement:
-    """Weigh numbers of parts; each number takes the engines it harms least."""
+    """Choose the cheapest plan among different numbers of chunks.
+
+    Each number takes the engines at which the prefill costs others least.
+    """
     counts = HELPER_COUNTS if problem.terms.helpers else (0,)
     options = [
         plan_parts(problem, count)
--- a/trestledock/relay/_plain.py
+++ b/trestledock/relay/_plain.py
@@ -1,9 +1,9 @@
 """
-Choosing a plain target
-=======================
+Choice of a plain target
+========================
 
-Calls of plain services go to the target with the least to do; nothing else is
-known of them in advance.
+A request to a plain service goes to the least busy target, since its duration
+is not known in advance.
 """
 
 from typing import Callable, Sequence
@@ -12,8 +12,8 @@
 from trestledock.relay._listed import Listed
 from trestledock.relay._health import Health
 
-#: How many slots' share of work a failing and a remote plain target seem to
-#: have more than they do.
+#: The load, in requests per slot, that is added to a target that always fails,
+#: and to a target in another data centre.
 FAILURE_LOAD = 2.0
 REMOTE_LOAD = 0.15
 
@@ -28,8 +28,8 @@
 ) -> Listed | None:
     """Return the plain target with the fewest requests per slot.
 
-    A target that fails or is in another data centre counts as busier; equals
-    are drawn among.
+    A target that fails or is in another data centre counts as busier; ties are
+    broken at random.
     """
 
     def load_of(listed: Listed) -> tuple[float, float]:  # noqa: WPS430
--- a/trestledock/relay/_problem.py
+++ b/trestledock/relay/_problem.py
@@ -1,10 +1,10 @@
 """
-The problem of a placement
-==========================
+Placement costs
+===============
 
-One request with all engines that may take it, and the prices by which its
-plans are compared.  Everything is in worth: what the request would lose by
-being late, and what others would, who are there already or come next.
+A request with all engines that can take it, and the costs by which its plans
+are compared. Costs are in units of worth: the expected loss of the request by
+being late, and the loss of requests that are already there or come next.
 """
 
 from dataclasses import dataclass
@@ -16,34 +16,36 @@
 from trestledock.relay._terms import TERMS, Terms
 from trestledock.relay._view import LATE_LOSS, PAUSE_SHARE, View
 
-#: Places of an engine that are left free where others have room.
+#: Batch places of an engine that are left free if other engines have room.
 SPARE_PLACES = 1
 #: The cost of a second before the first token, in units of worth.
 SECOND_COST = 0.3
-#: Part of the objective that a prediction should stay within.
+#: The share of the objective that a prediction should stay within.
 OBJECTIVE_SHARE = 0.75
-#: What a prediction beyond that loses at least, as a part of `LATE_LOSS`.
+#: The least loss of a prediction beyond that, as a share of `LATE_LOSS`.
 LATE_AT_LEAST = 0.5
-#: Part of the time until a caller leaves that a prediction must stay within.
+#: The share of the time until a caller leaves that a prediction must stay
+#: within.
 GONE_SHARE = 0.8
-#: What a request costs that is read though its caller will have left, as a part
-#: of its worth: more than one that is refused, which may come back.
+#: The cost of a request whose caller leaves before its first token, as a share
+#: of its worth. It is higher than that of a refused request, which may be
+#: retried.
 LOST_SHARE = 2.0
 #: The least objective that lateness is measured against, in seconds.
 LEAST_OBJECTIVE_S = 0.05
-#: The cost of a place beyond those that an engine works on at once.
+#: The cost of each place beyond the batch size of an engine.
 QUEUED_COST = 3.0
-#: The cost of a target in another data centre, in units of worth: the way
-#: there may be cut while the request is on it.
+#: The cost of a target in another data centre, in units of worth: the network
+#: path may be cut while the request is in flight.
 REMOTE_COST = 0.05
 
 
 @dataclass(frozen=True)
 class Work:
-    """What is to be placed: sizes, times left, and what it is worth.
+    """A request to be placed: its size, its time limits and its worth.
 
-    Its first token is late after `objective_s`, and nobody waits for it any
-    more after `gone_s`.
+    The first token is late after `objective_s`, and the caller has left after
+    `gone_s`.
     """
 
     size: PromptSize
@@ -55,14 +57,14 @@
 
 @dataclass(frozen=True)
 class Placement:
-    """Where a request goes; `cost` is what all are expected to lose.
+    """The targets of a request; `cost` is the expected loss of all requests.
 
-    `harm` is the part of it that others lose who are at the engines already,
-    and `gain` what the request itself is expected to earn.
+    `harm` is the part of the cost that falls on other requests at these
+    engines, and `gain` the worth that the request itself is expected to yield.
 
-    `first_s` predicts the first token, `ideal_s` what an idle fleet would do;
-    after `clear_s` everything that is being read now will have been.
-    `tickets` are the tokens to be reserved at helpers, by their ids.
+    `first_s` is the predicted time to the first token, and `ideal_s` that on an
+    idle fleet. All prefill in progress ends within `clear_s`. `tickets` are the
+    tokens to reserve at helpers, by their ids.
     """
 
     target: Listed
@@ -78,13 +80,13 @@
 
     @property
     def engaged(self) -> tuple[Listed, ...]:
-        """The target and those that help it to read the prompt."""
+        """The target and its helpers."""
         return (self.target, *self.helpers)
 
 
 @dataclass(frozen=True)
 class Problem:
-    """One request with all engines that may take it, and its reading time."""
+    """A request, all engines that can take it, and its prefill time."""
 
     work: Work
     engine: EngineModel
@@ -93,11 +95,11 @@
     terms: Terms = TERMS
 
     def get_lateness(self, first_s: float) -> float:
-        """Return what the work loses by a first token after `first_s`.
+        """Return the loss of the request by a first token after `first_s`.
 
-        Beyond the objective the rest of its worth is lost bit by bit until
-        its caller leaves, since predictions of long reads are too short where
-        newer prompts go before them.
+        Beyond the objective, the rest of the worth is lost gradually until the
+        caller leaves, since predictions of long prefills are too short if newer
+        prompts go before them.
         """
         limit_s = self.work.objective_s * OBJECTIVE_SHARE
         if first_s <= limit_s:
@@ -110,11 +112,11 @@
         return self.work.worth * (share + (1 - LATE_LOSS) * first_s / left_s)
 
     def get_gain(self, first_s: float) -> float:
-        """Return what the work earns by a first token after `first_s`."""
+        """Return the yield of the request by a first token after `first_s`."""
         return max(0, self.work.worth - self.get_lateness(first_s))
 
     def get_harm(self, view: View, part_s: float) -> float:
-        """Return what others lose when an engine reads `part_s` more."""
+        """Return the loss of others if an engine prefills `part_s` more."""
         return view.get_harm(part_s) if self.terms.harm else 0
 
     def get_remoteness(self, view: View) -> float:
@@ -122,7 +124,7 @@
         return REMOTE_COST * (view.remote and self.terms.near_first)
 
     def get_cost(self, view: View, part_s: float) -> float:
-        """Return what all lose when an engine reads `part_s` and writes."""
+        """Return the loss of all if an engine prefills `part_s` and decodes."""
         first_s = view.predict_first_s(part_s)
         own_pause = view.base_s > self.work.pause_s * PAUSE_SHARE
         risk = view.failure_share + own_pause * LATE_LOSS
@@ -135,7 +137,7 @@
         )
 
     def get_crowding(self, view: View) -> float:
-        """Return the cost of places and memory that are not there yet."""
+        """Return the cost of batch places and memory that are not free yet."""
         over = view.count - self.engine.batch + SPARE_PLACES + 1
         cost = QUEUED_COST * max(0, over)
         if self.work.size.total_tokens > view.free_tokens:
@@ -148,9 +150,9 @@
         part_s: float,
         first_s: float,
     ) -> float:
-        """Return what a late plan costs by the idle engines that it takes.
+        """Return the cost of the idle engines that a late plan takes.
 
-        The last idle ones count most: whatever comes next needs them.
+        The last idle engines cost most, since the next requests need them.
         """
         if first_s <= self.work.objective_s:
             return 0
@@ -163,5 +165,5 @@
         )
 
     def get_whole_cost(self, view: View, part_s: float) -> float:
-        """Return the cost of an engine as the first target."""
+        """Return the cost of an engine as the primary engine."""
         return self.get_cost(view, part_s) + self.get_crowding(view)
--- a/trestledock/relay/_proof.py
+++ b/trestledock/relay/_proof.py
@@ -1,29 +1,29 @@
 """
-Proof of freshness
-==================
+Freshness of the configuration
+==============================
 
-How old this instance's knowledge of the configuration is.  A key that was
-taken away must not be served for long, also where the store can't be reached,
-so requests with keys are refused once the proof is too old.  A proof counts
-from when its question was sent, on a clock that runs on while the process is
-frozen.
+The age of this instance's configuration. A revoked key must not be accepted for
+long, even if the store can't be reached, so requests with keys are refused once
+the last proof of freshness is too old. The age of a proof counts from the
+instant at which its query was sent, on a clock that keeps running while the
+process is frozen.
 """
 
 from dataclasses import dataclass
 
-#: The part of the time allowed for a revoked key that a proof may be old.
+#: The share of the time allowed for a revoked key up to which a proof is fresh.
 PROOF_SHARE = 0.75
-#: Below this part of it an instance still counts as ready.
+#: The share of that time up to which an instance counts as ready.
 READY_SHARE = 0.6
 
 
 @dataclass
 class Proof:
-    """The newest proof; `bound_s` of zero asks for none.
+    """The newest proof; with a `bound_s` of zero none is required.
 
-    `read_at` is when the configuration was read for the last time, by this
-    instance or the one it asks: a read need not prove anything, and where it
-    doesn't, more reads would not either.
+    `read_at` is the instant of the last read of the configuration, by this
+    instance or by the one that it asks. A read need not prove freshness, and if
+    it doesn't, further reads would not either.
 
     >>> proof = Proof(bound_s=4.0)
     >>> proof.renew(asked_at=1.0)
@@ -36,30 +36,30 @@
     read_at: float = float('-inf')
 
     def renew(self, asked_at: float) -> None:
-        """Take an answer to a question that was sent at `asked_at`."""
+        """Record a proof by the answer to a query sent at `asked_at`."""
         self.proven_at = max(self.proven_at, asked_at)
         self.note_read(asked_at)
 
     def note_read(self, asked_at: float) -> None:
-        """Take an answer that may lack something newer."""
+        """Record an answer that may lack newer changes."""
         self.read_at = max(self.read_at, asked_at)
 
     def get_read_age_s(self, now: float) -> float:
-        """Return how long ago the configuration was read, in seconds."""
+        """Return the time since the last read in seconds."""
         return now - self.read_at
 
     def get_age_s(self, now: float) -> float:
-        """Return the age of the newest proof in seconds."""
+        """Return the age of the newest proof, in seconds."""
         return now - self.proven_at
 
     def is_fresh(self, now: float) -> bool:
-        """Whether requests with keys may be served."""
+        """Return whether requests with keys may be served."""
         return not self.bound_s or (
             self.get_age_s(now) <= self.bound_s * PROOF_SHARE
         )
 
     def is_ready(self, now: float) -> bool:
-        """Whether new connections should come here."""
+        """Return whether new connections should be sent to this instance."""
         return not self.bound_s or (
             self.get_age_s(now) <= self.bound_s * READY_SHARE
         )
--- a/trestledock/relay/_proven.py
+++ b/trestledock/relay/_proven.py
@@ -1,28 +1,28 @@
 """
-Proven requests
-===============
+Recently answered requests
+==========================
 
-Requests that targets have answered lately.  What many callers ask for is at
-each target that ends, and would be blamed for all of them; that others have
-answered it meanwhile is the stronger word.
+Requests that targets have answered lately. A popular request is in flight at
+every target that crashes, and would be blamed for all of these crashes; an
+answer by another target in the meantime outweighs them.
 """
 
 from dataclasses import dataclass
 
-#: For how long an answer speaks for a request, in seconds: what has become
-#: deadly since, by another version of its targets, is known after that.
+#: How long an answer speaks for a request, in seconds: if a new version of its
+#: targets has made it deadly since, that is known after this time.
 PROVEN_S = 60.0
-#: How many ends it outweighs at most, until there is another answer: as many as
-#: hold a request that nobody has answered.
+#: The maximum number of crashes that an answer excuses: as many as quarantine a
+#: request without any answer.
 MOST_EXCUSED = 3
-#: How many requests are known by their answers, some 150 bytes each; the oldest
-#: answers are forgotten first.
+#: The maximum number of answered requests that are kept, some 150 bytes each;
+#: the oldest answers are dropped first.
 MOST_ANSWERED = 2_000
 
 
 @dataclass
 class _Answer:
-    """When a request was answered last, and how many ends that excused."""
+    """The time of a request's last answer, and the crashes that it excused."""
 
     answered_at: float
     excused: int = 0
@@ -38,18 +38,18 @@
     """
 
     def __init__(self) -> None:
-        """Begin with no answer."""
+        """Create an empty collection."""
         self._answers: dict[str, _Answer] = {}
 
     def note_answered(self, fingerprint: str, now: float) -> None:
-        """Note that a target has answered a request."""
+        """Record that a target has answered a request."""
         self._answers.pop(fingerprint, None)
         self._answers[fingerprint] = _Answer(now)
         if len(self._answers) > MOST_ANSWERED:
             self._answers.pop(next(iter(self._answers)))
 
     def excuses(self, fingerprint: str, now: float) -> bool:
-        """Whether the end of a target is not put down to a request."""
+        """Count a crash; return whether an answer excuses the request."""
         answer = self._answers.get(fingerprint)
         if answer is None or now - answer.answered_at > PROVEN_S:
             return False
--- a/trestledock/relay/_quarantine.py
+++ b/trestledock/relay/_quarantine.py
@@ -2,11 +2,11 @@
 Quarantine
 ==========
 
-Requests that end the targets that run them: queries of death.  What is known is
-a set of ends, each a target that ended while it ran a request, and a set grows
-in the same way in whichever order its parts are heard.  Whether a request is
-quarantined follows from the set alone, so that all instances come to the same
-answer.
+Requests that crash the targets that run them (queries of death). The state is a
+set of crashes, each an incarnation that crashed while it ran a request, which
+grows to the same result in whichever order its elements arrive. Whether a
+request is quarantined depends on this set alone, so that all instances come to
+the same decision.
 """
 
 from collections import Counter
@@ -15,36 +15,38 @@
 
 from trestledock.relay._proven import Proven
 
-#: So many targets have to end under a request before no other one gets it.  An
-#: end says little, since it is shared by all that the target ran, some seven
-#: requests.  Three catch each request that ends whatever runs it; of others
-#: that are sent four times they hold 0.08% where a tenth of the targets ends by
-#: itself in each round, 4% where a third does, and 0.03% beside a deadly one
-#: (simulated: 18 targets, 300 times each).  To put ends down to whichever
-#: request was at more of them halves that, but let one in two deadly ones go on
-#: beside crashes of a third of the targets.
+#: The number of targets that must crash under a request before no other target
+#: gets it. A crash proves little, since all requests that the target ran, some
+#: seven, share it. Three detect every request that crashes each target it runs
+#: on. Of other requests that are sent four times, they quarantine 0.08% if a
+#: tenth of the targets crashes independently in each round, 4% if a third does,
+#: and 0.03% beside a deadly request (simulated: 18 targets, 300 times each).
+#: Blaming each crash on the request with most crashes halves these rates, but
+#: lets one in two deadly requests pass if a third of the targets crashes as
+#: well.
 MOST_ENDS = 3
-#: A quarantined request is given to one target again so long after the last
-#: target that ended under it, or after the last such trial, in seconds, and
-#: each time later.  Whoever is quarantined by mistake, as what many ask for may
-#: be where all targets of a service end at once, is free after the first trial,
-#: or after the second where targets still end.  A deadly request costs two
-#: targets more on its first day and one on each day after, in case they were
-#: mended.
+#: The delays, in seconds, after which a quarantined request is sent to one
+#: target again as a probe: since the last crash under it or the last probe,
+#: increasing with each probe. A request that is quarantined by mistake, as a
+#: popular one may be when all targets of a service crash at once, is released
+#: by the first probe, or by the second if targets still crash. A deadly request
+#: costs two more targets on its first day and one on each day after, in case
+#: the targets were repaired.
 TRIALS_S = (10.0, 300.0, 86_400.0)
-#: When a caller should come back with a quarantined request at the earliest, in
-#: seconds: after the first trial of it, which somebody else may make.
+#: The least time, in seconds, after which a caller should retry a quarantined
+#: request: after its first probe, which another caller may trigger.
 COME_BACK_S = 15.0
-#: How many requests are kept of which a target ended, some 300 bytes each.  A
-#: flood of different ones pushes out those with the fewest ends first.
+#: The maximum number of suspect requests, some 300 bytes each. A flood of
+#: different requests evicts those with the fewest crashes first.
 MOST_KNOWN = 1_000
-#: How many cleared ends of a request are kept, the newest: words of them come
-#: late by seconds, and what many ask for is cleared of some with each crash.
+#: The maximum number of cleared crashes that are kept of a request, newest
+#: first: messages about them arrive seconds late, and a popular request is
+#: cleared of some with each crash.
 MOST_CLEARED = 50
 
 
 def get_trial_s(trials: int) -> float:
-    """Return how long after an end or a trial the next trial may be.
+    """Return the least delay after a crash or a probe until the next probe.
 
     >>> [get_trial_s(trials) for trials in (0, 1, 2, 9)]
     [10.0, 300.0, 86400.0, 86400.0]
@@ -54,7 +56,7 @@
 
 @dataclass(frozen=True)
 class End:
-    """A target's incarnation that ended while it ran a request."""
+    """An incarnation of a target that crashed while it ran a request."""
 
     fingerprint: str
     incarnation: str
@@ -62,10 +64,10 @@
 
 @dataclass(frozen=True)
 class Quarantined:
-    """A request in quarantine, as it is kept and handed on.
+    """The state of a request as it is stored and sent to other instances.
 
-    `age_s` is the time since its last end or trial: instants are told as ages,
-    since clocks differ.  `cleared` are the ends before it was answered.
+    `age_s` is the time since its last crash or probe: instants are sent as
+    ages, since clocks differ. `cleared` are the crashes before it was answered.
     """
 
     fingerprint: str
@@ -76,18 +78,18 @@
 
     @property
     def is_due(self) -> bool:
-        """Whether it may be tried again."""
+        """Whether the next probe may be sent."""
         return self.age_s >= get_trial_s(self.trials)
 
 
 @dataclass
 class Suspect:
-    """A request with the targets that ended under it.
+    """A request and the targets that crashed under it.
 
-    One was given the request again, on purpose, `trials` times; `since` is when
-    that was, or the last one ended.  What an answer has `cleared` is kept: some
-    instances hear of it late, and tell the old ends on meanwhile.  It is in the
-    order in which it was cleared.
+    It was sent again as a probe `trials` times; `since` is the instant of the
+    last probe or crash. Crashes that were `cleared` by an answer are kept, in
+    the order in which they were cleared: other instances learn of the answer
+    late, and still report the old crashes.
     """
 
     incarnations: set[str] = field(default_factory=set)
@@ -96,12 +98,12 @@
     trials: int = 0
 
     def get_due_in_s(self, now: float) -> float:
-        """Return after how many seconds it may be tried again."""
+        """Return after how many seconds the next probe may be sent."""
         return max(0, self.since + get_trial_s(self.trials) - now)
 
 
 class Quarantine:
-    """The requests under which targets have ended.
+    """The requests under which targets have crashed.
 
     >>> known = Quarantine()
     >>> for name in ('t1', 't2', 't3'):
@@ -113,17 +115,17 @@
     """
 
     def __init__(self) -> None:
-        """Begin with no end."""
+        """Create a quarantine without any crash."""
         self.suspects: dict[str, Suspect] = {}
         self._ended: Counter[str] = Counter()
         self._proven = Proven()
 
     def blames(self, end: End, now: float) -> bool:
-        """Whether an end that was seen here is put down to its request."""
+        """Return whether a crash seen here is attributed to its request."""
         return not self._proven.excuses(end.fingerprint, now)
 
     def note_end(self, end: End, now: float) -> bool:
-        """Note an end; return whether it was new."""
+        """Record a crash; return whether it is new."""
         suspect = self.suspects.setdefault(end.fingerprint, Suspect())
         if end.incarnation in suspect.incarnations:
             return False
@@ -135,37 +137,37 @@
         return True
 
     def count_ends(self, fingerprint: str) -> int:
-        """Return how many targets have ended under a request."""
+        """Return the number of targets that crashed under a request."""
         suspect = self.suspects.get(fingerprint)
         return len(suspect.incarnations) if suspect else 0
 
     def is_quarantined(self, fingerprint: str) -> bool:
-        """Whether a request is known for ending its targets."""
+        """Return whether a request is known for crashing its targets."""
         return self.count_ends(fingerprint) >= MOST_ENDS
 
     def is_due(self, fingerprint: str, now: float) -> bool:
-        """Whether a quarantined request may be given to one target again."""
+        """Return whether a quarantined request may be sent as a probe."""
         return not self.get_due_in_s(fingerprint, now)
 
     def get_due_in_s(self, fingerprint: str, now: float) -> float:
-        """Return after how many seconds a request may be tried again."""
+        """Return after how many seconds a request may be sent as a probe."""
         suspect = self.suspects.get(fingerprint, Suspect())
         return suspect.get_due_in_s(now)
 
     def get_come_back_s(self, fingerprint: str, now: float) -> float:
-        """Return when a refused caller should come back, in seconds."""
+        """Return after how many seconds a refused caller should retry."""
         return max(COME_BACK_S, self.get_due_in_s(fingerprint, now))
 
     def note_trial(self, fingerprint: str, now: float) -> None:
-        """Note that a quarantined request is given to one target."""
+        """Record that a quarantined request is sent as a probe."""
         suspect = self.suspects[fingerprint]
         suspect.trials += 1
         suspect.since = now
 
     def note_answered(self, fingerprint: str, now: float) -> tuple[str, ...]:
-        """Clear a request that was answered here; return the ends it had.
+        """Clear a request that was answered here; return its crashes.
 
-        What a target has run to its end does not end targets.
+        A request that a target has answered completely does not crash targets.
         """
         self._proven.note_answered(fingerprint, now)
         suspect = self.suspects.get(fingerprint, Suspect())
@@ -174,7 +176,7 @@
         return ends
 
     def clear_ends(self, fingerprint: str, ends: Iterable[str]) -> int:
-        """Clear a request of some ends; return how many were known."""
+        """Clear a request of some crashes; return how many were known."""
         if not ends:
             return 0
         suspect = self.suspects.setdefault(fingerprint, Suspect())
@@ -188,7 +190,7 @@
         return len(known)
 
     def take(self, record: Quarantined, now: float) -> None:
-        """Take what another instance knows of a request."""
+        """Merge the state of a request that another instance knows."""
         self.clear_ends(record.fingerprint, record.cleared)
         since = now - record.age_s
         for incarnation in record.incarnations:
@@ -199,14 +201,14 @@
             suspect.trials = max(suspect.trials, record.trials)
 
     def get_records(self, now: float) -> Iterator[Quarantined]:
-        """Yield what is in quarantine or was, to be handed on."""
+        """Yield the state of all requests that are or were in quarantine."""
         for fingerprint, suspect in self.suspects.items():
             known = max(len(suspect.incarnations), len(suspect.cleared))
             if known >= MOST_ENDS:
                 yield self.make_record(fingerprint, now)
 
     def make_record(self, fingerprint: str, now: float) -> Quarantined:
-        """Return a request with its ends, to be kept or handed on."""
+        """Return the state of a request, to be stored or sent."""
         suspect = self.suspects[fingerprint]
         return Quarantined(
             fingerprint,
@@ -217,11 +219,11 @@
         )
 
     def was_ended(self, incarnation: str) -> bool:
-        """Whether a target ended while it ran a request."""
+        """Return whether a target crashed while it ran a request."""
         return incarnation in self._ended
 
     def trim(self) -> list[str]:
-        """Forget what is too much, least ends first; return fingerprints."""
+        """Evict excess requests, fewest crashes first; return fingerprints."""
         surplus = len(self.suspects) - MOST_KNOWN
         if surplus <= 0:
             return []
--- a/trestledock/relay/_quotas.py
+++ b/trestledock/relay/_quotas.py
@@ -2,29 +2,29 @@
 Quotas of a target's rate limit
 ===============================
 
-What a target takes from all entries together is shared without anybody who
-grants it: by what each entry knows of the others, a few of them have the right
-to send to that target, and each has an equal part.  Entries that hear only some
-of the others share no more than the part of those that they hear, so that both
-sides of a cut together stay within the limit.
+A target's limit applies to all instances together and is divided without a
+central coordinator. From its own view of the others, each instance derives the
+same few holders, which may send to the target at equal rates. Instances that
+receive messages from only some of the others share no more than the part of
+those, so that both sides of a network partition together stay within the limit.
 """
 
 from dataclasses import dataclass, field
 
 from trestledock.relay._rendezvous import rank_by_key
 
-#: A target that takes less than this is treated as if it took as much, in
-#: requests a second: nobody would hear that it takes more again.
+#: The least rate that is assumed for a target, in requests a second: at zero,
+#: no request would reveal that the target accepts more again.
 LEAST_PER_S = 0.1
-#: So many entries hold a quota beside one for each request a second.  More use
-#: a small limit better, since each has its own callers, and each may be one
-#: request early.
+#: The number of quota holders beyond one for each request a second. More
+#: holders use a small limit better, since each has its own callers, but each
+#: may send one request early.
 SPARE_HOLDERS = 2
 
 
 @dataclass(frozen=True)
 class Member:
-    """An entry by its address."""
+    """An instance, named by its address."""
 
     name: str
     data_centre: str
@@ -32,7 +32,9 @@
 
 @dataclass(frozen=True)
 class Members:
-    """An entry and the others that it hears; `known` counts the unheard, too.
+    """An instance and the peers that it receives messages from.
+
+    `known` counts all known instances, silent ones included.
 
     >>> own, other = Member('a', 'dc'), Member('b', 'dc')
     >>> Members(own, (other,), known=4).heard_share
@@ -45,14 +47,15 @@
 
     @property
     def heard_share(self) -> float:
-        """The part of all entries that this one hears, itself included."""
+        """The share of known instances that send messages, with this one."""
         heard = len(self.others) + 1
         return heard / max(heard, self.known)
 
     def rank(self, target: str, data_centre: str) -> tuple[str, ...]:
-        """Return the entries that are heard in the order of their right.
+        """Return the active instances in order of precedence for a target.
 
-        Those of the target's own data centre go first: they send there most.
+        Instances of the target's own data centre come first, since they send
+        most requests there.
         """
         everyone = (self.own, *self.others)
         near = [one.name for one in everyone if one.data_centre == data_centre]
@@ -62,7 +65,7 @@
 
 @dataclass(frozen=True)
 class Demand:
-    """What a target in a data centre takes from all entries, per second."""
+    """The rate at which a target accepts requests of all instances together."""
 
     target: str
     data_centre: str
@@ -70,7 +73,7 @@
 
 
 def get_quota(members: Members, demand: Demand) -> float:
-    """Return how many requests a second an entry may send to a target.
+    """Return the rate at which an instance may send to a target.
 
     >>> alone = Members(Member('a', 'dc'))
     >>> get_quota(alone, Demand('t', 'dc', per_s=3))
@@ -85,19 +88,19 @@
 
 @dataclass
 class Quotas:
-    """The quotas of one entry, kept until what they rest on changes."""
+    """The quotas of one instance, cached until its peers change."""
 
     members: Members
     _kept: dict[Demand, float] = field(default_factory=dict)
 
     def set_members(self, members: Members) -> None:
-        """Take who is heard now."""
+        """Set the active instances."""
         if members != self.members:
             self.members = members
             self._kept.clear()
 
     def get(self, demand: Demand) -> float:
-        """Return how many requests a second the entry may send to a target."""
+        """Return the rate at which this instance may send to a target."""
         if demand not in self._kept:
             self._kept[demand] = get_quota(self.members, demand)
         return self._kept[demand]
--- a/trestledock/relay/_rate_limits.py
+++ b/trestledock/relay/_rate_limits.py
@@ -2,10 +2,10 @@
 Rate limits of targets
 ======================
 
-What a target asks for in its answers: how many requests a second it takes from
-all entries together.  Answers on different connections overtake each other, so
-each notice is believed with the instants between which it was said, and only
-one that was asked for after another one was heard is surely newer.
+The rate that a target asks for in its answers, for all instances together.
+Answers on different connections overtake each other, so each notice has the
+instants between which it was made, and is certainly newer than another one only
+if its request was sent after the other answer arrived.
 """
 
 from dataclasses import dataclass, replace
@@ -15,10 +15,10 @@
 
 @dataclass(frozen=True)
 class RateLimit:
-    """A target takes `per_s` requests a second, None for any number.
+    """A target accepts `per_s` requests a second, or any number for None.
 
-    That was said between `asked_at`, when the request left that it answers, and
-    `heard_at`; with `is_told` another instance heard it.
+    The notice was made between `asked_at`, when the answered request was sent,
+    and `heard_at`. If `is_told` is set, another instance received it.
 
     >>> from trestledock.relay import Notices
     >>> notices = Notices()
@@ -41,11 +41,11 @@
         return self.per_s
 
     def follows(self, other: 'RateLimit') -> bool:
-        """Whether this was surely said after another notice."""
+        """Return whether this was certainly made after another notice."""
         return self.asked_at >= other.heard_at
 
     def is_below(self, other: 'RateLimit') -> bool:
-        """Whether this allows less than another notice."""
+        """Return whether this allows less than another notice."""
         if self.per_s is None:
             return False
         return other.per_s is None or self.per_s < other.per_s
@@ -53,7 +53,7 @@
 
 @believe.register
 def _(notice: RateLimit, before: RateLimit) -> RateLimit:
-    """Of those whose order nobody can tell the lowest limit counts."""
+    """Return the newer notice, or the lower limit if their order is unknown."""
     if notice.follows(before):
         return notice
     if before.follows(notice):
--- a/trestledock/relay/_reach.py
+++ b/trestledock/relay/_reach.py
@@ -1,34 +1,34 @@
 """
-Reach of data centres
-=====================
+Reachability of data centres
+============================
 
-Whether another data centre can be reached, as its instances tell by speaking.
-Each of them says something several times a second; when all are silent at
-once, the way there is cut, and targets there need not be tried one by one.  A
-cut that is noticed so costs the streams across it half a second, where each
-target's own silence takes one to four.
+Whether another data centre can be reached, judged by the messages of its
+instances. Each instance sends several messages a second; if all of a data
+centre fall silent at once, the network path is cut, and its targets need not be
+tried one by one. Detecting a cut this way delays the streams across it by half
+a second, while the silence of each target takes one to four seconds to detect.
 """
 
 from dataclasses import dataclass, field
 from typing import Iterable
 
-#: How often an instance lets those elsewhere hear it, in seconds; sixty bytes
-#: each.
+#: The interval at which an instance sends a message to other data centres, in
+#: seconds; sixty bytes each.
 BEAT_S = 0.2
-#: For how long all instances of a data centre must be silent, in seconds: two
-#: beats that are lost and half a beat of delay.
+#: How long all instances of a data centre must be silent, in seconds: two lost
+#: messages and a delay of half an interval.
 QUIET_S = 0.5
-#: A look that comes later than this after the one before it says nothing, in
-#: seconds: this process stood still, and words for it wait to be heard.
+#: A check that comes later than this after the previous check has no result, in
+#: seconds: this process was stalled, and messages wait to be received.
 LATE_LOOK_S = 0.4
-#: Instances that were heard within this time are expected to speak, in
-#: seconds; one that was silent for longer has been taken away.
+#: Instances that sent a message within this time are expected to send more, in
+#: seconds; one that was silent for longer has been removed.
 EXPECTED_S = 1.7
 
 
 @dataclass
 class Reach:
-    """When each instance of another data centre was last heard.
+    """The time of the last message of each instance in other data centres.
 
     >>> reach = Reach()
     >>> reach.note_heard('dc-2', 'entry-1', now=0)
@@ -40,15 +40,15 @@
     looked_at: float = float('-inf')
 
     def note_heard(self, place: str, name: str, now: float) -> None:
-        """Note that an instance of a data centre has spoken."""
+        """Record a message from an instance of a data centre."""
         self.heard.setdefault(place, {})[name] = now
 
     def note_left(self, place: str, name: str) -> None:
-        """Note that an instance is ending, and will be silent as planned."""
+        """Remove an instance that is ending, whose silence is expected."""
         self.heard.get(place, {}).pop(name, None)
 
     def look(self, now: float) -> set[str]:
-        """Return the data centres that are silent; to be asked each beat."""
+        """Return the silent data centres; to be called at each interval."""
         is_late = now - self.looked_at > LATE_LOOK_S
         self.looked_at = now
         return set() if is_late else self.get_quiet(now)
@@ -63,7 +63,7 @@
 
 
 def _is_quiet(heard: Iterable[float], now: float) -> bool:
-    """Whether some instances spoke lately, and none just now."""
+    """Return whether instances sent messages lately, but none just now."""
     ages = [now - at for at in heard]
     expected = [age for age in ages if age <= EXPECTED_S]
     return bool(expected) and min(expected) > QUIET_S
--- a/trestledock/relay/_readers.py
+++ b/trestledock/relay/_readers.py
@@ -1,37 +1,37 @@
 """
-Readers of the store
-====================
-
-Which instance reads the platform's store for the others.  Calls of the store
-are dear and limited, so one instance reads and the others ask it.  Whoever has
-read lately comes first; among equals the order of names decides, so that all
-who hear each other choose alike.  Where nobody has read lately, everyone
-tries, the later in the order the more rarely.
+Election of the store's reader
+==============================
+
+Which instance reads the platform's store for the others. Calls of the store are
+expensive and limited, so one instance reads and the others ask it. The instance
+that has read most recently is preferred, and names break ties, so that all
+instances that know each other make the same choice. If no instance has read
+lately, all try, at intervals that grow with their position in this order.
 """
 
 from dataclasses import dataclass
 from typing import Iterable
 
-#: The part of the time within which a change must be in force everywhere after
-#: which the store is read again; the rest is for the way to the others, and for
-#: noticing that a reader is gone.
+#: The share of the time within which a change must take effect everywhere after
+#: which the store is read again. The rest is left for passing the change on,
+#: and for detecting that a reader has failed.
 READ_SHARE = 0.2
-#: The part of that time after which the reader is asked again, and the longest
-#: pause, in seconds: a fifth of the age up to which keys are served.
+#: The share of that time after which the reader is asked again, and the longest
+#: interval, in seconds: a fifth of the age up to which keys are accepted.
 ASK_SHARE = 0.15
 ASK_MOST_S = 0.6
-#: A proof up to this age makes an instance fit to be asked, in pauses between
-#: reads.
+#: The age of its proof up to which an instance may be asked, in read intervals.
 FRESH_PAUSES = 2.0
-#: A proof above this age makes an instance read itself, in pauses between
-#: reads, the later in the order the later: what is added for each place, and at
-#: most, in seconds.
+#: The age of its proof above which an instance reads the store itself, in read
+#: intervals; and the delay that each position in the order adds, and its
+#: maximum, in seconds.
 SELF_PAUSES = 2.25
 SELF_PLACE_S = 0.03
 SELF_MOST_S = 0.35
-#: How often an instance tries to read while nobody has read lately, in
-#: seconds: the first in order, what is added for each place, and at most.  All
-#: calls are priced, refused ones too; whoever is served first tells the others.
+#: The interval at which an instance tries to read while no instance has read
+#: lately, in seconds: of the first in the order, what each position adds, and
+#: the maximum. All calls are charged, refused ones too; the first that succeeds
+#: informs the others.
 RETRY_FIRST_S = 0.45
 RETRY_PLACE_S = 0.4
 RETRY_MOST_S = 6.0
@@ -39,10 +39,10 @@
 
 @dataclass(frozen=True)
 class ReadPace:
-    """How often one instance reads for all.
+    """The intervals at which one instance reads for all.
 
-    `settle_s` is the time within which a change must be in force everywhere,
-    in seconds.
+    `settle_s` is the time within which a change must take effect everywhere, in
+    seconds.
 
     >>> round(ReadPace(settle_s=3).read_s, 2)
     0.6
@@ -52,32 +52,32 @@
 
     @property
     def read_s(self) -> float:
-        """The pause between two reads in seconds."""
+        """The interval between two reads, in seconds."""
         return self.settle_s * READ_SHARE
 
     @property
     def ask_s(self) -> float:
-        """The pause between two questions to the reader in seconds."""
+        """The interval between two queries to the reader, in seconds."""
         return min(ASK_MOST_S, self.settle_s * ASK_SHARE)
 
     @property
     def fresh_s(self) -> float:
-        """Up to what age of its proof an instance is fit to be asked."""
+        """The age of its proof up to which an instance may be asked."""
         return self.read_s * FRESH_PAUSES
 
     @property
     def self_s(self) -> float:
-        """Above what age of its proof the first in order reads itself."""
+        """The age of its proof above which the first instance reads itself."""
         return self.read_s * SELF_PAUSES
 
 
-#: The pace for a bound of two seconds.
+#: The schedule for a bound of two seconds.
 DEFAULT_PACE = ReadPace()
 
 
 @dataclass(frozen=True)
 class Candidate:
-    """An instance with the age of what it knows of the store, in seconds."""
+    """An instance with the age of its knowledge of the store, in seconds."""
 
     name: str
     age_s: float
@@ -103,9 +103,9 @@
     age_s: float,
     pace: ReadPace = DEFAULT_PACE,
 ) -> float:
-    """Return in how many seconds an instance should read itself.
+    """Return after how many seconds an instance should read itself.
 
-    By then, asking has not helped for too long.
+    By then, queries to the reader have failed for too long.
 
     >>> round(get_own_read_in_s('b', ['a', 'b'], age_s=0.92), 2)
     0.01
@@ -115,7 +115,7 @@
 
 
 def get_retry_s(me: str, names: Iterable[str]) -> float:
-    """Return how long an instance waits between tries when all are stale.
+    """Return the interval at which an instance tries to read if all are stale.
 
     >>> get_retry_s('b', ['a', 'b', 'c'])
     0.85
--- a/trestledock/relay/_rendezvous.py
+++ b/trestledock/relay/_rendezvous.py
@@ -2,9 +2,9 @@
 Rendezvous hashing
 ==================
 
-Ranks candidates for a key so that every instance that knows the same
-candidates reaches the same order, and a change of one candidate moves only
-the keys that it wins or loses.
+Ranks candidates for a key so that all instances that know the same candidates
+compute the same order, and a change of one candidate moves only the keys that
+it wins or loses.
 """
 
 import hashlib
@@ -17,7 +17,7 @@
 
 
 def rank_by_key(key: str, candidates: Iterable[str]) -> tuple[str, ...]:
-    """Return the candidates in the order of the key's preference.
+    """Return the candidates in the key's order of preference.
 
     >>> rank_by_key('k', ['a', 'b']) == rank_by_key('k', ['b', 'a'])
     True
--- a/trestledock/relay/_resting.py
+++ b/trestledock/relay/_resting.py
@@ -1,27 +1,28 @@
 """
-Resting targets
-===============
+Back-off of targets
+===================
 
-When a target that asked for rest gets requests again: none until its rest is
-over, then one at a time until it has answered one, as it may still be in need.
-Entries that were asked at the same moment come back at different ones.
+When a target that asked for a back-off gets requests again: none until it ends,
+then one at a time until the target has answered one, since it may still be
+overloaded. Instances that were asked at the same moment resume at different
+times.
 """
 
 from dataclasses import dataclass, field
 
 from trestledock.relay._notices import Notices, Rest
 
-#: By which part of it a rest is made longer at most, and by how much, in
-#: seconds: each entry draws its own.
+#: The longest random extension of a back-off, as a share of it and in seconds;
+#: each instance draws its own.
 SPREAD_SHARE = 0.2
 SPREAD_MOST_S = 1.0
-#: How long a request after a rest may be unanswered until another one may go,
-#: in seconds.
+#: How long the first request after a back-off may be unanswered until another
+#: request is sent, in seconds.
 TRIAL_S = 0.4
 
 
 def get_spread_s(rest_s: float, drawn: float) -> float:
-    """Return by how much a rest is made longer, for a draw from 0 to 1.
+    """Return the extension of a back-off for a random number from 0 to 1.
 
     >>> get_spread_s(2, 0.5), get_spread_s(60, 1)
     (0.2, 1.0)
@@ -31,7 +32,7 @@
 
 @dataclass
 class Resting:
-    """Keeps requests from targets that asked this entry for rest.
+    """Holds back requests to targets that asked this instance for a back-off.
 
     >>> resting = Resting(Notices())
     >>> _ = resting.notices.note('t', Rest(until=3, asked_at=0, heard_at=0))
@@ -46,20 +47,20 @@
     _tried_until: dict[str, float] = field(default_factory=dict)
 
     def is_known(self, target: str) -> bool:
-        """Whether a target rests, or has not answered since it did."""
+        """Return whether a target backs off, or has not answered since."""
         return self.notices.get(Rest, target) is not None
 
     def is_resting(self, target: str, now: float) -> bool:
-        """Whether a target wants nothing now."""
+        """Return whether a target wants no requests now."""
         rest = self.notices.get(Rest, target)
         return rest is not None and not rest.is_over(now)
 
     def is_free(self, target: str, now: float) -> bool:
-        """Whether a request may go to a target now."""
+        """Return whether a request may be sent to a target now."""
         return self.get_wait_s(target, now) <= 0
 
     def get_wait_s(self, target: str, now: float) -> float:
-        """Return in how many seconds the next request may go to a target."""
+        """Return after how many seconds the next request may be sent."""
         rest = self.notices.get(Rest, target)
         if rest is None:
             return 0
@@ -67,11 +68,11 @@
         return max(0, max(rest.until, tried_until) - now)
 
     def take(self, target: str, now: float) -> None:
-        """Have a request go to a target."""
+        """Record that a request is sent to a target."""
         if self.is_known(target):
             self._tried_until[target] = now + TRIAL_S
 
     def forget(self, target: str) -> None:
-        """Forget that a target has rested."""
+        """Forget the back-off of a target."""
         self.notices.drop(Rest, target)
         self._tried_until.pop(target, None)
--- a/trestledock/relay/_restores.py
+++ b/trestledock/relay/_restores.py
@@ -2,29 +2,30 @@
 Restores of the store
 =====================
 
-The platform's store may come back from a copy that is some seconds old.  What
-was acknowledged since is missing there until its writers have written it again,
-so for that long the copy's word that nothing newer exists proves nothing.
+The platform's store may be restored from a backup that is some seconds old.
+Later records are missing until their writers have written them again; for that
+long, the store's statement that it has nothing newer proves nothing.
 """
 
 from dataclasses import dataclass
 
-#: For how long after the first word of an epoch its copy may still lack what
-#: was lost, in seconds: targets write again within two seconds of the store's
-#: return, and the operator is taken to be no slower.
+#: How long after the first read of an epoch its records may be incomplete, in
+#: seconds: targets write again within two seconds of the store's return, and
+#: operators are assumed to be no slower.
 REWRITE_S = 2.2
-#: The epoch of a store that was never restored, at most.
+#: The highest epoch of a store that was never restored.
 FIRST_EPOCH = 1
 
 
 @dataclass
 class Restores:
-    """Which copy of the store this instance knows, and what its word is worth.
+    """The epoch of the store, and whether its records are complete.
 
-    An `epoch` is the number of one copy; a store without any is never restored.
-    `told` is the newest one that another instance knew, `recorded` the newest
-    one of which the store says that somebody has waited there for what was
-    lost, and `settled_epoch` the newest one of which that is known.
+    An `epoch` is the number of one copy of the store; a store without epochs is
+    never restored. `told` is the newest epoch that another instance reported.
+    `recorded` is the newest epoch of which the store says that an instance
+    waited there for missing records, and `settled_epoch` the newest one known
+    to be complete for that reason.
 
     >>> restores = Restores()
     >>> restores.note(3, now=0), restores.is_settled(0)
@@ -44,7 +45,7 @@
     has_lived_through: bool = False
 
     def note(self, epoch: int | None, now: float) -> bool:
-        """Take the epoch of what was read; return whether it is another one."""
+        """Record the epoch of a read; return whether the store was restored."""
         if epoch == self.epoch:
             return False
         is_restored = self.epoch is not None
@@ -54,9 +55,10 @@
         return is_restored and epoch != self.told
 
     def note_told(self, epoch: int | None) -> bool:
-        """Take what another instance knows; return whether that is newer.
+        """Record an epoch known to a peer; return whether it is new.
 
-        It never keeps this one from serving: only what was read does.
+        It never keeps this instance from serving: only epochs that it read
+        itself do.
         """
         known = max(_rank(self.epoch), _rank(self.told))
         if known < 0 or _rank(epoch) <= known:
@@ -65,11 +67,11 @@
         return True
 
     def note_recorded(self, recorded: int | None) -> None:
-        """Take the store's record of the newest epoch that was waited in.
+        """Record the newest epoch that some instance has waited in, as stored.
 
-        Where there is none nobody has ever waited: in the first epoch that is
-        the first start, and nothing was lost.  In a later one the record itself
-        may be among what was lost.
+        If there is none, no instance has ever waited. In the first epoch this
+        is the first start, and nothing was lost. In a later epoch the record
+        itself may be among the lost ones.
         """
         self.recorded = recorded
         if recorded is not None:
@@ -78,12 +80,12 @@
             self.settled_epoch = self.epoch
 
     def needs_record(self, now: float) -> bool:
-        """Whether the store is to know that this epoch was waited in."""
+        """Return whether to store that an instance has waited in this epoch."""
         is_recorded = _rank(self.recorded) >= _rank(self.epoch)
         return not is_recorded and self.is_settled(now)
 
     def is_settled(self, now: float) -> bool:
-        """Whether the copy's word is whole again."""
+        """Return whether the store has all records again."""
         if self.epoch is None:
             return True
         if _rank(self.settled_epoch) >= self.epoch:
@@ -92,5 +94,5 @@
 
 
 def _rank(epoch: int | None) -> int:
-    """Return the place of an epoch; none comes before all."""
+    """Return the position of an epoch; None comes before all."""
     return -1 if epoch is None else epoch
--- a/trestledock/relay/_signs.py
+++ b/trestledock/relay/_signs.py
@@ -1,19 +1,19 @@
 """
-Signs of a connection's end
-===========================
+Failure kinds
+=============
 
-What was seen of a target where a sending ended without its answer.
+How the connection to a target failed when an attempt ended without an answer.
 """
 
 from enum import Enum
 
 
 class Sign(str, Enum):
-    """How the way to a target ended.
+    """How the connection to a target failed.
 
-    `closed` is a close or a reset by the other side, `silent` a wait that was
-    given up here, `refused` that nobody listens at the address, `unreachable`
-    that no connection came about, `garbled` bytes that are no answer.
+    `closed` is a close or a reset by the target, `silent` a timeout on this
+    side, `refused` a closed port, `unreachable` a connection that was not
+    established, and `garbled` bytes that are no valid answer.
     """
 
     none = ''
@@ -24,17 +24,17 @@
     garbled = 'garbled'
 
 
-#: The errors of a connection that the other side has ended.
+#: The errors of a connection that the target has closed.
 ENDED_BY_PEER = (ConnectionResetError, BrokenPipeError)
 
 
 def get_connect_sign(exc: Exception) -> Sign:
-    """Tell a port where nobody listens from an address that is not reached."""
+    """Distinguish a closed port from an unreachable address."""
     is_refused = isinstance(exc.__cause__, ConnectionRefusedError)
     return Sign.refused if is_refused else Sign.unreachable
 
 
 def get_end_sign(exc: Exception) -> Sign:
-    """Tell the end by the other side from one by our own time-outs."""
+    """Distinguish a close by the target from a timeout on this side."""
     is_ended = isinstance(exc.__cause__, ENDED_BY_PEER)
     return Sign.closed if is_ended else Sign.silent
--- a/trestledock/relay/_terms.py
+++ b/trestledock/relay/_terms.py
@@ -1,10 +1,10 @@
 """
-Terms of placement
-==================
+Placement policy
+================
 
-The mechanisms of placement and of the decisions on it, one field each, so that
-each can be switched off alone and its worth be measured
-(`make ablation`).  The defaults are what runs.
+The mechanisms of placement and admission, one field each, so that each can be
+disabled alone and its benefit be measured (`make ablation`). The defaults are
+used in production.
 """
 
 from dataclasses import dataclass
@@ -12,28 +12,31 @@
 
 @dataclass(frozen=True)
 class Terms:
-    """What placements are chosen and decided by.
+    """The mechanisms that placement and admission use.
 
     `packing`: short requests share few engines, so that others stay free for
-    long prompts.  `helpers`: long prompts are read in parts.  `near_first`: the
-    own data centre goes first, since the way to others may be cut.  `harm`:
-    what those lose who are at an engine counts.  `departure`: nobody waits
-    longer than its patience.  `waiting`: what costs much waits for a better
-    place while it can still be in time.  `queueing`: what can't waits for
-    others.  `elsewhere`: what finds no good place in the own data centre, where
-    instances are many, asks the others for what their targets have to do.
-
-    `claims`: a long prompt is told to the others before it is sent.
-
-    `engine_cost` is the cost of a second of the last idle engine for a request
-    that is late anyway, in units of worth: an engine that is packed with short
-    requests answers 3.5 of them a second, which lose 1 each by lateness.
-    Without it, a giant that takes all idle engines meets the next burst: the
-    worst of 24 simulated days earns 0.81 instead of 0.87.
-
-    `harm_limit` is what a request may cost others at most, as a part of what it
-    earns itself.  Where long prompts and bursts of short ones meet, the mean of
-    24 simulated days is 0.3 in 100 higher with 0.7 than with 1.
+    long prompts. `helpers`: long prompts are prefilled in chunks by several
+    engines. `near_first`: the own data centre is preferred, since the network
+    path to others may be cut. `harm`: the loss of other requests at an engine
+    counts. `departure`: callers leave when their patience ends. `waiting`: a
+    request with an expensive placement waits for a better one while it can
+    still be in time. `queueing`: a request that can't be in time waits for
+    others. `elsewhere`: in a large deployment, a request without a good
+    placement in its own data centre asks the others for the load of their
+    targets.
+
+    `claims`: a long prompt is announced to other instances before it is sent.
+
+    `engine_cost` is the cost, in units of worth, of a second of the last idle
+    engine to a request that is late in any case: an engine that is packed with
+    short requests answers 3.5 of them a second, which lose 1 each by being
+    late. Without this cost, a giant prompt that takes all idle engines collides
+    with the next burst: the worst of 24 simulated days yields 0.81 instead of
+    0.87.
+
+    `harm_limit` is the largest cost of a request to others, as a share of its
+    own yield. If long prompts and bursts of short ones coincide, the mean of 24
+    simulated days is 0.3 in 100 higher with 0.7 than with 1.
     """
 
     packing: bool = True
@@ -49,5 +52,5 @@
     harm_limit: float = 0.7
 
 
-#: What runs.
+#: The policy that is used in production.
 TERMS = Terms()
--- a/trestledock/relay/_throttle.py
+++ b/trestledock/relay/_throttle.py
@@ -2,8 +2,9 @@
 Throttle
 ========
 
-Whether a request may go to a target that takes only so many a second from all
-entries together, or that wants rest from this one.  All others are free.
+Whether a request may be sent to a target with a rate limit for all instances
+together, or with a back-off for this instance. All other targets accept
+requests at any time.
 """
 
 from heapq import nsmallest
@@ -29,17 +30,17 @@
 
 
 class Throttle:
-    """Limits what one entry sends to targets.
+    """Limits the requests that one instance sends to targets.
 
-    `get_members` returns which entries there are.  A quota begins with a part
-    of a request that `draw` gives: entries that learn of a limit at the same
-    moment don't send at the same moment.
+    `get_members` returns the active instances. A token bucket starts with the
+    fraction of a token that `draw` returns, so that instances that learn of a
+    limit at the same moment don't send at the same moment.
     """
 
     def __init__(
         self, own: Member, notices: Notices, draw: Callable[[], float]
     ) -> None:
-        """Begin without other entries."""
+        """Create a throttle without other instances."""
         self.notices = notices
         self.resting = Resting(notices)
         self.get_members: Callable[[], Members] = lambda: Members(own)
@@ -53,26 +54,26 @@
         return any(map(self.notices.known.get, RESTRAINTS))
 
     def is_restrained(self, target: Listed) -> bool:
-        """Whether a target takes only so many requests, or rests."""
+        """Return whether a target has a rate limit or a back-off."""
         return self.is_limited(target) or self.resting.is_known(
             target.incarnation
         )
 
     def is_limited(self, target: Listed) -> bool:
-        """Whether a target takes only so many requests a second."""
+        """Return whether a target has a rate limit."""
         return self._get_rate_limit(target) is not None
 
     def is_spared(self, target: Listed, now: float) -> bool:
-        """Whether a target wants nothing from another entry now."""
+        """Return whether a target has a back-off for another instance now."""
         rest = self.notices.get(RestElsewhere, target.incarnation)
         return rest is not None and not rest.is_over(now)
 
     def is_resting(self, target: Listed, now: float) -> bool:
-        """Whether a target wants nothing from this entry now."""
+        """Return whether a target has a back-off for this instance now."""
         return self.resting.is_resting(target.incarnation, now)
 
     def is_free(self, target: Listed, now: float) -> bool:
-        """Whether a request may go to a target now."""
+        """Return whether a request may be sent to a target now."""
         if not self.resting.is_free(target.incarnation, now):
             return False
         if not self.is_limited(target):
@@ -81,7 +82,7 @@
         return self._get_bucket(target, now).is_free(now, quota)
 
     def get_quota(self, target: Listed) -> float:
-        """Return how many requests a second this entry may send to a target."""
+        """Return the rate at which this instance may send to a target."""
         limit = self._get_rate_limit(target)
         if limit is None or limit.per_s is None:
             return inf
@@ -91,9 +92,9 @@
         )
 
     def take(self, targets: Sequence[Listed], now: float) -> Listed | None:
-        """Have a request go to some targets; return the one that has no room.
+        """Send a request to all given targets or to none.
 
-        It goes to all of them or to none.
+        Return the first target that doesn't accept it, or None if all do.
         """
         for target in targets:
             if not self.is_free(target, now):
@@ -108,9 +109,9 @@
     def get_wait_s(
         self, targets: Sequence[Listed], ahead: int, now: float
     ) -> float:
-        """Return when a request may go to one of some restrained targets.
+        """Return after how many seconds one of some restrained targets is free.
 
-        As many as are `ahead` of it go first.
+        The `ahead` requests before it in the queue go first.
         """
         waits = [
             self._get_wait_s(target, count, now)
@@ -120,22 +121,22 @@
         return max(nsmallest(ahead + 1, waits), default=inf)
 
     def get_limit(self, targets: Sequence[Listed]) -> float:
-        """Return what some limited targets take a second, from all entries."""
+        """Return the total rate that some limited targets accept."""
         found = map(self._get_rate_limit, targets)
         return sum(
             max(limit.per_s or 0, LEAST_PER_S) for limit in found if limit
         )
 
     def forget(self, target: str) -> None:
-        """Forget a target that is gone, with what it asked for."""
+        """Forget a removed target and its notices."""
         self.notices.forget(target)
         self.resting.forget(target)
         self._buckets.pop(target, None)
 
     def _get_wait_s(self, target: Listed, count: int, now: float) -> float:
-        """Return when the last of so many requests may go to a target.
+        """Return after how many seconds `count` requests have been sent.
 
-        Once it has rested, they follow the first one within moments.
+        After a back-off, they follow the first one within moments.
         """
         wait_s = self.resting.get_wait_s(target.incarnation, now)
         if not self.is_limited(target):
--- a/trestledock/relay/_turns.py
+++ b/trestledock/relay/_turns.py
@@ -1,16 +1,16 @@
 """
-Turns of those that wait
-========================
+Wait queue
+==========
 
-Where all targets of a service take only so many requests, those that wait go
-by urgency, then team by team, each team's in the order of their arrival.
+If all targets of a service limit their rate, waiting requests are sent by
+priority, then alternate between teams, in the order of arrival within a team.
 """
 
 from collections import Counter
 from dataclasses import dataclass, field
 from math import inf
 
-#: The rank of a request that has none, from 0 (first) to 9.
+#: The rank of a request without a priority, from 0 (first) to 9.
 USUAL_PRIORITY = 5
 
 
@@ -26,31 +26,31 @@
 
     @property
     def rank(self) -> int:
-        """Its urgency, 0 first."""
+        """The priority, 0 first."""
         return USUAL_PRIORITY if self.priority is None else self.priority
 
 
 @dataclass
 class Turns:
-    """The requests that wait, and when each team had its last turn."""
+    """The waiting requests, and when each team was last served."""
 
     waiting: dict[str, Turn] = field(default_factory=dict)
     served_at: dict[tuple[str, str], float] = field(default_factory=dict)
 
     def join(self, turn: Turn) -> None:
-        """Have a request wait."""
+        """Add a waiting request."""
         self.waiting[turn.req_id] = turn
 
     def leave(self, req_id: str) -> None:
-        """Have a request wait no more."""
+        """Remove a request."""
         self.waiting.pop(req_id, None)
 
     def note_served(self, turn: Turn, now: float) -> None:
-        """Note that a request has had its turn."""
+        """Record that a request was served."""
         self.served_at[(turn.service, turn.team)] = now
 
     def count_ahead(self, turn: Turn) -> int:
-        """Return how many of those that wait go before a request."""
+        """Return the number of waiting requests that go before a request."""
         others = [
             one
             for one in self.waiting.values()
@@ -70,7 +70,7 @@
         )
 
     def _goes_first(self, team: str, turn: Turn) -> bool:
-        """Whether another team's turn comes before that of a request's team."""
+        """Return whether another team is served before that of a request."""
         return self._get_order(turn.service, team) < self._get_order(
             turn.service, turn.team
         )
@@ -80,7 +80,7 @@
 
 
 def _is_earlier_mate(one: Turn, turn: Turn) -> bool:
-    """Whether a request of the same team came before another."""
+    """Return whether another request of the same team arrived earlier."""
     if one.team != turn.team:
         return False
     return (one.arrived_at, one.req_id) < (turn.arrived_at, turn.req_id)
--- a/trestledock/relay/_view.py
+++ b/trestledock/relay/_view.py
@@ -1,9 +1,9 @@
 """
-Views of engines
-================
+Engine load
+===========
 
-What one engine has to do now, and what more work there would cost: when its
-first token would come, and what the requests lose that are there already.
+The current work of an engine, and what more work there would cost: the time to
+its first token, and the loss of the requests that are already there.
 """
 
 from dataclasses import dataclass
@@ -19,27 +19,28 @@
 from trestledock.relay._listed import Listed
 from trestledock.relay._health import Health
 
-#: What a late answer loses of its worth, as callers value it.
+#: The share of its worth that a late answer loses, as callers value it.
 LATE_LOSS = 0.75
-#: The part of an allowed pause that a pass may fill.
+#: The share of an allowed pause that a pass may fill.
 PAUSE_SHARE = 0.8
-#: The parts of its time left that a prediction may fill to be surely in time,
-#: and from which on it is surely late.
+#: The shares of the time left up to which a prediction is certainly in time,
+#: and from which on it is certainly late.
 SAFE_SHARE = 0.75
 LATE_SHARE = 1.05
-#: What a prompt that is being read loses by a second's delay, as a part of its
-#: worth, though it would still be in time.
+#: The loss of a prompt in prefill by a delay of one second, as a share of its
+#: worth, even if it would still be in time.
 READER_LOSS = 0.15
-#: Largest share of an engine's memory that is planned for.
+#: The largest share of an engine's memory that placements use.
 MEMORY_SHARE = 0.97
 
 
 @dataclass(frozen=True)
 class View:
-    """What one engine has to do at the instant `now`.
+    """The work of an engine at the instant `now`.
 
-    `base_s` is the length of a pass without reading, `pending_s` the reading
-    that is left, `count` the requests of which it is the first target.
+    `base_s` is the duration of a pass without prefill, `pending_s` the prefill
+    that is left, and `count` the number of requests with this engine as their
+    primary.
     """
 
     listed: Listed
@@ -55,24 +56,24 @@
 
     @property
     def helper_wait_s(self) -> float:
-        """Until a helper's part begins: it goes ahead of all other reading."""
+        """The time until a helper's chunk begins, before all other prefill."""
         return self.base_s / 2 if self.writers else 0
 
     @property
     def wait_s(self) -> float:
-        """Until own reading begins: half a pass and what is being read."""
+        """The time until own prefill begins: half a pass and pending work."""
         return self.helper_wait_s + self.pending_s
 
     def predict_first_s(self, part_s: float) -> float:
-        """Return when the first token comes after reading for `part_s`."""
+        """Return the time to the first token after a prefill of `part_s`."""
         return self.wait_s + part_s + self.base_s
 
     def predict_part_s(self, part_s: float) -> float:
-        """Return when a helper's part of `part_s` has been read."""
+        """Return the time until a helper's chunk of `part_s` is prefilled."""
         return self.helper_wait_s + part_s
 
     def get_harm(self, part_s: float) -> float:
-        """Return what others lose when `part_s` more is read here."""
+        """Return the loss of others if `part_s` more is prefilled here."""
         before_s = self.base_s + self.pending_s
         return sum(
             _get_loss(one, before_s + part_s, self.now)
@@ -86,16 +87,16 @@
 
 
 class Viewer:
-    """Makes views from the board and the health of targets."""
+    """Derives the load of engines from the requests in flight."""
 
     def __init__(self, board: Board, health: Health, data_centre: str) -> None:
-        """Keep what views are made from."""
+        """Store the inputs."""
         self.board = board
         self.health = health
         self.data_centre = data_centre
 
     def view(self, engine: EngineModel, listed: Listed, now: float) -> View:
-        """Return what an engine has to do now."""
+        """Return the load of an engine now."""
         name = listed.incarnation
         flights = tuple(self.board.get_flights(name))
         own = [one for one in flights if one.target == name]
@@ -121,7 +122,7 @@
     flights: Iterable[Flight],
     now: float,
 ) -> float:
-    """Return the seconds of reading that an engine still has to do."""
+    """Return the seconds of prefill that an engine still has to do."""
     left_s: float = 0
     at = now
     reading = [one for one in flights if one.phase is Phase.reading]
@@ -133,10 +134,10 @@
 
 
 def _get_loss(flight: Flight, pass_s: float, now: float) -> float:
-    """Return what a flight loses by a pass that ends after `pass_s`.
+    """Return the loss of a request by a pass that ends after `pass_s`.
 
-    To a writer that is a pause, to a reader its first token: newer parts go
-    before older ones.
+    To a decoding request the pass is a pause; to one in prefill it delays the
+    first token, since newer chunks go before older ones.
     """
     if flight.phase is Phase.writing:
         late: float = pass_s > flight.pause_s * PAUSE_SHARE
@@ -151,9 +152,9 @@
 
 
 def _get_late_share(first_s: float, left_s: float) -> float:
-    """Return how likely a prediction that fills a part of its time is late.
+    """Return the probability that a prediction for a part of its time is late.
 
-    Whoever has hardly time left is not safe from what comes next.
+    A request with hardly any time left may still be delayed by the next one.
     """
     if left_s <= 0:
         return 1
--- a/trestledock/relay/_watch.py
+++ b/trestledock/relay/_watch.py
@@ -1,43 +1,43 @@
 """
-Watch over the list of targets
-==============================
+Monitoring of the target list
+=============================
 
 How closely the platform's directory has been followed, which decides what a
-missing entry means.  Entries of live targets lapse only where these can't
-reach the directory for seconds; whoever followed it all the while knows that a
-missing target has gone.
+missing record means. Leases of live targets lapse only if the targets can't
+reach the directory for seconds; an instance that followed it without a gap
+knows that a missing target has been removed.
 """
 
 from dataclasses import dataclass
 
-#: How long a missing entry counts after a disturbance of the directory, in
-#: seconds; lapsed entries of live targets are back within about two.
+#: How long a missing record is retained after a disturbance of the directory,
+#: in seconds; lapsed records of live targets are back within about two.
 LAPSE_GRACE_S = 2.2
-#: The same from the last read that failed, in seconds, since the directory may
-#: have been back from that moment on: after three seconds without a disturbance
-#: a target that left before must get nothing, and the end is looked for each
+#: The same since the last failed read, in seconds, as the directory may have
+#: been back from that moment on. Three seconds after a disturbance, a target
+#: that was removed earlier must get no requests, and the end is checked every
 #: 0.2 s.
 RETURN_GRACE_S = 2.7
-#: A gap between two lists above this leaves room for entries to lapse, in
-#: seconds: leases last three heartbeats, of which the last one may have been
-#: written up to one before the gap.
+#: A longer gap between two lists, in seconds, lets records lapse: leases last
+#: three heartbeats, the last of which may have been written up to one heartbeat
+#: before the gap.
 GAP_S = 1.8
 
 
 @dataclass
 class Watch:
-    """When the list was read, and when a gap between two reads ended.
+    """The times of reads of the list and of gaps between them.
 
-    A gap alone is no disturbance: whoever reads for all may have stood still,
-    and holding what left meanwhile would send work to it for as long as the gap
-    and the grace together.  A disturbance is a gap in which the directory was
-    asked in vain, for the last time at `troubled_at`.  `resumed_at` is the end
-    of the last gap of any kind, `disturbed_at` that of the last disturbance,
-    after which a missing entry is held until `grace_end`.
+    A gap alone is no disturbance: the reading instance may have been stalled,
+    and retaining what was removed meanwhile would send requests to it for as
+    long as the gap and the grace together. A disturbance is a gap in which
+    reads failed, the last of them at `troubled_at`. `resumed_at` is the end of
+    the last gap of any kind, and `disturbed_at` that of the last disturbance,
+    after which a missing record is retained until `grace_end`.
 
-    What is known was true at `read_at`, and may be as young as `latest_at`,
-    since a list was on its way for some time: only one that is surely younger
-    may replace it.
+    The list was true at `read_at`, and may be as recent as `latest_at`, since
+    it took some time to arrive: only a list that is certainly newer may replace
+    it.
 
     >>> watch = Watch()
     >>> watch.note_read(0, 0)
@@ -60,9 +60,9 @@
         now: float,
         latest_at: float | None = None,
     ) -> None:
-        """Note a list of what the directory held at the instant `as_of`.
+        """Record a list of the directory's contents at the instant `as_of`.
 
-        It is no younger than `latest_at`; that is now where it is not known.
+        It is no newer than `latest_at`, or now if this is not known.
         """
         youngest_at = now if latest_at is None else latest_at
         self.latest_at = max(self.latest_at, youngest_at)
@@ -76,22 +76,22 @@
         self.read_at = max(self.read_at, as_of)
 
     def note_restore(self, now: float) -> None:
-        """Note that the directory came back from an older copy.
+        """Record that the directory was restored from an older copy.
 
-        What came since is missing there until it is written again.
+        Later records are missing until they are written again.
         """
         self.resumed_at = now
         self.disturbed_at = now
         self.grace_end = now + LAPSE_GRACE_S
 
     def note_trouble(self, began_at: float) -> None:
-        """Note a read that failed, or the end of a time without any."""
+        """Record a failed read, or the end of a time without reads."""
         self.troubled_at = began_at
 
     def is_disturbed(self, now: float) -> bool:
-        """Whether live targets may still be missing after a disturbance."""
+        """Return whether live targets may be missing after a disturbance."""
         return now - self.disturbed_at < LAPSE_GRACE_S
 
     def is_settled(self, now: float) -> bool:
-        """Whether what is missing from this list is missing for good."""
+        """Return whether targets missing from this list were really removed."""
         return now - self.resumed_at >= LAPSE_GRACE_S
--- a/trestledock/relay/_worth.py
+++ b/trestledock/relay/_worth.py
@@ -2,22 +2,21 @@
 Worth of requests
 =================
 
-What requests are worth to their callers, beside one another.  The wire does
-not say it; what callers lose is nearly linear in the tokens of a request, so
-its size stands for it.
+The relative value of requests to their callers. Requests don't state it, but
+what callers lose is nearly linear in a request's tokens, so it is estimated
+from the size.
 """
 
 from trestledock.relay._call import PromptSize
 
-#: Prompt and output tokens that count as one unit of worth, that of a plain
-#: call; an output token weighs as much as ten of the prompt, as callers value
-#: both.
+#: The weighted tokens in one unit of worth, which is that of a plain call. An
+#: output token weighs as much as ten prompt tokens, as callers value both.
 TOKENS_PER_WORTH = 14_000
 OUTPUT_WEIGHT = 10
 
 
 def get_worth(size: PromptSize) -> float:
-    """Return what a request is worth, in units of a plain call.
+    """Return the worth of a request, in units of a plain call.
 
     A plain call has no tokens.
 
