--- a/tests/crashing.py
+++ b/tests/crashing.py
@@ -1,8 +1,8 @@
-"""Entries before targets that crash under a request that is marked so.
+"""Entries and targets that crash under a marked request.
 
-A target that begins to run such a request ends with all its connections, and
-another start of it is listed at all entries: under its id with a new birth, or
-under a new id.  What entries tell one another arrives at once.
+A target that starts to run such a request closes all its connections and stops.
+It is listed again at all entries after a restart, either under its id with a
+new birth or under a new id. Messages between entries arrive at once.
 """
 
 from contextlib import suppress
@@ -40,12 +40,12 @@
     TeamKey,
 )
 
-#: The body that ends whatever runs it, and what a sound one has.
+#: The body that crashes any target, and the body of a harmless request.
 DEADLY = b'deadly'
 SOUND = b'sound'
-#: What runs beside it takes so long, in seconds.
+#: The duration of a harmless request, in seconds.
 WORK_S = 0.05
-#: After a crash the next start is listed so much later, in seconds.
+#: The time from a crash until the restarted target is listed, in seconds.
 AGAIN_S = 0.01
 
 
@@ -55,7 +55,7 @@
 
 @dataclass(frozen=True)
 class Crash:
-    """How much is written of the answer before the end, and how it ends."""
+    """How much of the answer is written before a crash, and how it ends."""
 
     get_written: Callable = _write_nothing
     resets: bool = True
@@ -76,7 +76,7 @@
     return answer
 
 
-#: The ways in which a crash is seen by whoever waits for the answer.
+#: The ways in which a crash is observed by the receiver of the answer.
 CRASHES = {
     'reset before the head': Crash(),
     'closed before the head': Crash(resets=False),
@@ -89,7 +89,7 @@
 
 @dataclass(eq=False)
 class Target:
-    """One start of a target."""
+    """One incarnation of a target."""
 
     fleet: 'Fleet'
     target_id: str
@@ -120,7 +120,7 @@
         )
 
     async def crash(self):
-        """End with all connections, as a process does."""
+        """Close all connections, as the end of a process does."""
         for stream in tuple(self.streams):
             if self.fleet.crash.resets:
                 reset(stream)
@@ -161,7 +161,7 @@
 
 @dataclass
 class Fleet:
-    """Some entries, and the targets that they share."""
+    """Some entries and the targets that they share."""
 
     route: object
     crash: Crash
@@ -174,7 +174,7 @@
     numbers: int = 0
 
     def add_entry(self):
-        """Start an entry that knows the others."""
+        """Start an entry that knows all others."""
         number = len(self.entries)
         state = EntryState(
             SETTINGS, f'entry-{number}', Random(number), self.group
@@ -207,7 +207,7 @@
         return world
 
     async def add_target(self, target_id='', born=1):
-        """Start a target, and list it everywhere."""
+        """Start a target and list it at all entries."""
         self.numbers += 1
         name = target_id or f't{self.numbers}'
         target = Target(self, name, born)
@@ -218,13 +218,13 @@
             entry.state.notify()
 
     def note_end(self, target):
-        """Note that a target ends; it starts again."""
+        """Record the crash of a target and restart it."""
         self.ended.append(target)
         self.targets.remove(target)
         self.group.start_soon(self._start_again, target)
 
     async def ask_in_turn(self, tries, body=DEADLY):
-        """Ask once after the other, each time at the next entry."""
+        """Send a request repeatedly, each time to the next entry."""
         return [
             await self.entries[number % len(self.entries)].ask(
                 f'r{number}', body=body
--- a/tests/engines.py
+++ b/tests/engines.py
@@ -1,12 +1,12 @@
-"""Engines and fleets that tests of placement share."""
+"""Engines and fleets shared by placement tests."""
 
 from trestledock.bench.ablation import ENGINE
 from trestledock.relay import EngineModel, Listed, Standing
 
-#: Engines with memory for 405,000 tokens: 182,000 are read in 3.9 s, 790,000
-#: in 55 s.
+#: Engines with memory for 405,000 tokens; prefill takes 3.9 s for 182,000 and
+#: 55 s for 790,000.
 LARGE_ENGINE = ENGINE
-#: Engines with memory for 232,000 tokens: 133,000 are read in 1.9 s.
+#: Engines with memory for 232,000 tokens; prefill of 133,000 takes 1.9 s.
 SMALL_ENGINE = EngineModel(
     batch=8,
     capacity_tokens=232_000,
--- a/tests/test_query_of_death.py
+++ b/tests/test_query_of_death.py
@@ -1,20 +1,21 @@
-"""A request that ends whatever runs it reaches few targets, and then none.
+"""A request that crashes its targets reaches few of them, then none.
 
-What was seen: a request under which three targets had ended was sent to targets
-ten times more, and 32 of 36 targets ended under it within nine seconds; other
-requests, which were beside it, were cut or refused.
+Guards against unlimited retries of a query of death. A request under which
+three targets had crashed was sent to targets ten more times, and 32 of 36
+targets crashed under it within nine seconds; other requests at these targets
+were cut or refused.
 
-How it came about: each attempt of a caller goes to one target, and to a second
-one as the first has ended; both end.  The caller, or another one with the same
-request, comes again at another entry.
+Each attempt of a caller goes to one target, and to a second one when the first
+has crashed; both crash. Then the same or another caller sends the request
+again, to another entry.
 
-The cause: what an entry knew of a request lived as long as one attempt, and an
-end was put down to the target alone.  Nobody knew how many targets had ended
+Entries kept what they knew of a request only for one attempt, and attributed
+each crash to the target alone, so no entry counted the targets that had crashed
 under the same request.
 
-What proved it: the log of each target that ended shows one request in common,
-by its fingerprint; and with as few as three entries, ten attempts of one
-request end twenty targets here.
+The logs of the crashed targets had one request in common, by its fingerprint;
+and with as few as three entries, ten attempts of one request crash twenty
+targets here.
 """
 
 import unittest
@@ -31,16 +32,17 @@
 STREAM = make_route(
     RouteKind.streaming, resumable=True, objective_s=0.3, pause_s=0.2
 )
-#: So many targets may end under a request before it is known for that.
+#: The number of targets that may crash under a request before it is
+#: quarantined.
 MOST_ENDS = 3
 TRIES = 10
 OK = 200
 NOT_RUN = 503
-#: Requests beside the deadly one in each turn.
+#: Harmless requests beside the deadly one in each round.
 BESIDE = 6
 
 
-#: Routes, with the ways in which a crash of their targets is seen.
+#: Routes, with the ways in which a crash of their targets is observed.
 CASES = [
     *(
         (PLAIN, name)
@@ -55,34 +57,34 @@
 
 
 class QueryOfDeathTest(unittest.TestCase):
-    """However a crash is seen, and wherever the request comes again."""
+    """All kinds of crashes, with retries at any entry."""
 
     def check(self, route, crash, **how):
-        """Ask for it again and again, at one entry after the other."""
+        """Send the request repeatedly, at one entry after the other."""
 
         async def scenario(fleet):
             fleet.found = await fleet.ask_in_turn(TRIES)
 
         fleet = run_fleet(scenario, route, crash, **how)
-        # Fewer would refuse whoever was beside it.
+        # A lower threshold would refuse harmless requests beside it.
         self.assertEqual(len(fleet.ended), MOST_ENDS)
         return fleet
 
     def test_few_targets_end(self):
-        """Whether they come back under their ids or under new ones."""
+        """Targets restart under their ids or under new ones."""
         for (route, name), new_ids in product(CASES, (False, True)):
             with self.subTest(kind=route.kind, crash=name, new_ids=new_ids):
                 self.check(route, CRASHES[name], new_ids=new_ids)
 
     def test_last_word_is_true_and_invites_nobody(self):
-        """Refused as not run, at once, and with a long time to come back."""
+        """The refusal says that it was not run, with a long Retry-After."""
         fleet = self.check(STREAM, CRASHES['reset before the head'])
         last = fleet.found[-1]
         self.assertEqual(last.status, NOT_RUN)
         self.assertGreater(float(last.headers['retry-after']), 10)
 
     def test_caller_leaves_as_the_target_ends(self):
-        """The end counts all the same."""
+        """The crash counts even if the caller leaves at that moment."""
 
         async def scenario(fleet):
             entry = fleet.entries[0]
@@ -101,7 +103,7 @@
         self.assertEqual(len(fleet.found), 1)
 
     def test_entry_that_starts_later(self):
-        """It is told by the first that hears it."""
+        """Its first peer sends it the quarantine."""
 
         async def scenario(fleet):
             await fleet.ask_in_turn(TRIES)
@@ -114,7 +116,7 @@
         self.assertEqual(len(fleet.ended), MOST_ENDS)
 
     def test_others_are_served_meanwhile(self):
-        """Whoever runs beside it may lose a target, and is not refused."""
+        """A harmless request may lose a target, but is not refused."""
         found = []
 
         async def scenario(fleet):
@@ -126,13 +128,13 @@
         )
         self.assertEqual(len(fleet.ended), MOST_ENDS)
         self.assertNotIn(NOT_RUN, {one.status for one in found})
-        # Each end may cost those beside it, as any end does.
+        # Each crash may fail the requests beside it, as any crash does.
         served = sum(one.status == OK and one.whole for one in found)
         self.assertGreaterEqual(served, len(found) - MOST_ENDS * BESIDE)
 
 
 async def _ask_beside(fleet, turn):
-    """Ask for the deadly request once, beside others; return their outcomes."""
+    """Send the deadly request beside others; return their outcomes."""
     found = []
 
     async def ask(number):
--- a/tests/test_relay_asking.py
+++ b/tests/test_relay_asking.py
@@ -1,4 +1,4 @@
-"""Asking for a place: giants, callers who leave, and what is refused."""
+"""Placement requests: giant prompts, callers that leave, refusals."""
 
 import unittest
 from dataclasses import replace
@@ -32,7 +32,7 @@
 
 
 def read_by(name, numbers, *, due, gone, tokens=300_000):
-    """Return a long prompt that is being read by some of the engines."""
+    """Return a long prompt in prefill at some of the engines."""
     names = [TARGETS[one].target_id for one in numbers]
     return Flight(
         name,
@@ -65,16 +65,17 @@
     """A prompt that needs most of the fleet, alone and beside others."""
 
     def test_in_time_for_its_caller(self):
-        """A giant on an idle fleet is read well before its caller leaves."""
+        """On an idle fleet the prefill ends well before the caller leaves."""
         found = self.choose(make_ask(790_000))
         self.assertIsInstance(found, Placement)
         self.assertLess(found.first_s, 9.6)
 
     def test_never_for_nobody(self):
-        """Beside others' reading it isn't read for longer than anyone waits.
+        """Beside other prompts the prefill never outlasts its caller.
 
-        With a flat price of lateness, two helpers read it for 18 s, while its
-        caller leaves after 12: three engines taken for nothing.
+        Guards against a flat cost of lateness, by which two helpers prefilled
+        it for 18 s although its caller left after 12: three engines occupied in
+        vain.
         """
         self.board.put(read_by('a', range(9), due=3, gone=12))
         self.board.put(read_by('b', range(9, 15), due=3, gone=12))
@@ -86,18 +87,18 @@
             self.assertLess(found.first_s, 9.6)
 
     def test_goes_when_others_have_finished(self):
-        """Once they are done, it goes over many engines at once."""
+        """Once the other prompts are done, it is split over many engines."""
         found = self.choose(make_ask(790_000), now=2.0)
         self.assertIsInstance(found, Placement)
         self.assertGreater(len(found.helpers), 4)
 
     def test_refused_where_it_cannot_be_in_time(self):
-        """A caller that comes back with too little time is refused at once."""
+        """A caller that retries with too little time is refused at once."""
         found = self.choose(make_ask(790_000, deadline=2.9))
         self.assertIs(found.decision, Decision.no_time)
 
     def test_answer_must_be_written_too(self):
-        """The first event is of no use if the rest comes after the deadline."""
+        """The first event is useless if the rest comes after the deadline."""
         ask = make_ask(182_000, deadline=2.2)
         self.assertIsInstance(self.choose(ask), Placement)
         ask = make_ask(182_000, deadline=2.2, output=4_500)
@@ -105,10 +106,10 @@
 
 
 class WritingTest(Fixture):
-    """Answers are mostly much shorter than they may be."""
+    """Most answers are much shorter than their maximum."""
 
     def test_not_refused_for_what_it_may_write_at_most(self):
-        """A caller that comes back with 4.5 s left gets a short prompt read.
+        """A short prompt is accepted from a caller with 4.5 s left.
 
         3,000 tokens take 3.9 s, but most answers use a third of that.
         """
@@ -118,10 +119,10 @@
 
 
 class HarmTest(Fixture):
-    """What a new part costs those whose parts it goes before."""
+    """The cost of a new chunk to the requests that it goes before."""
 
     def test_late_reader_is_not_pushed_beyond_its_caller(self):
-        """A giant that is late already keeps what time its caller has left."""
+        """A late giant prompt keeps the time until its caller leaves."""
         flight = read_by('a', range(17), due=-1, gone=1.2, tokens=600_000)
         self.board.put(flight)
         found = self.choose(make_ask(300_000))
@@ -152,24 +153,24 @@
         self.assertGreater(harms[0], harms[1])
 
     def test_harm_is_done_once(self):
-        """Who is late anyway loses nothing more by another part."""
+        """A request that is late anyway loses nothing more by another chunk."""
         self.board.put(read_by('a', (0,), due=0.5, gone=12, tokens=182_000))
         view = self.placer.viewer.view(ENGINE, TARGETS[0], 0)
         self.assertLess(view.get_harm(1.0), 5)
 
 
 class WaitingTest(Fixture):
-    """Who waits for others, and who is refused."""
+    """Which requests wait for others, and which are refused."""
 
     def test_waits_as_long_as_it_may_be_in_time(self):
-        """A long prompt waits for a giant that will soon have been read."""
+        """A long prompt waits for a giant prompt whose prefill ends soon."""
         flight = read_by('a', range(18), due=2.2, gone=12, tokens=600_000)
         self.board.put(flight)
         found = self.choose(make_ask(160_000), now=0.95)
         self.assertIs(found.decision, Decision.wait)
 
     def test_begun_stream_goes_on(self):
-        """What others would lose is no reason to cut a stream midway."""
+        """The cost to others is no reason to cut a stream that has begun."""
         for number in range(18):
             self.board.put(
                 read_by(
@@ -183,7 +184,7 @@
         self.assertIsInstance(self.choose(begun), Placement)
 
     def test_come_back_when_there_is_room(self):
-        """A refusal says when the reading in progress will have ended.
+        """A refusal says when the prefill in progress will have ended.
 
         Callers don't wait for longer than a third of their time.
         """
@@ -202,15 +203,15 @@
 
 
 class SmallTest(Fixture):
-    """Prompts that fit are placed as before."""
+    """Prompts that fit into one engine."""
 
     def test_in_time(self):
-        """A long prompt on an idle fleet comes within its objective."""
+        """On an idle fleet a long prompt meets its objective."""
         found = self.choose(make_ask(182_000))
         self.assertLess(found.first_s, 2.25)
 
     def test_no_target(self):
-        """Without any target it waits a little, then says so."""
+        """Without any target a request waits briefly, then is refused."""
         ask = make_ask(5_000)
         found = self.choose(ask, targets=())
         self.assertIs(found.decision, Decision.wait)
--- a/tests/test_relay_board.py
+++ b/tests/test_relay_board.py
@@ -1,4 +1,4 @@
-"""The board of flights, with messages that are lost or come twice."""
+"""The load table, with messages that are lost or duplicated."""
 
 import unittest
 
@@ -23,10 +23,10 @@
 
 
 class BoardTest(unittest.TestCase):
-    """What counts as in flight at a target."""
+    """The requests in flight at a target."""
 
     def test_helpers_count(self):
-        """A flight stands at its target and at all helpers."""
+        """A request is listed at its target and at all helpers."""
         board = Board()
         board.put(make_flight('a', helpers=('t2', 't3')))
         for target in ('t1', 't2', 't3'):
@@ -35,13 +35,13 @@
         self.assertEqual(get_ids(board, 't2'), [])
 
     def test_memory_by_tickets(self):
-        """Tickets hold their part; the rest is at the first target."""
+        """Reservations hold their share; the rest is at the primary engine."""
         flight = make_flight('a', helpers=('t2', 't3'), tickets=(('t2', 400),))
         held = [flight.get_held_tokens(one) for one in ('t1', 't2', 't3')]
         self.assertEqual(held, [700, 400, 0])
 
     def test_whole_replaces(self):
-        """A whole message makes good what was lost."""
+        """A whole message makes up for lost ones."""
         board = Board()
         changes = [('a', make_flight('a')), ('b', make_flight('b'))]
         board.hear('peer', 1, changes, whole=False)
@@ -49,14 +49,14 @@
         self.assertEqual(get_ids(board, 't1'), ['b'])
 
     def test_late_message_is_dropped(self):
-        """A message that was overtaken changes nothing."""
+        """A message that was overtaken by a newer one changes nothing."""
         board = Board()
         board.hear('peer', 2, [('a', None)], whole=False)
         board.hear('peer', 1, [('a', make_flight('a'))], whole=False)
         self.assertEqual(get_ids(board, 't1'), [])
 
     def test_silent_peer_is_forgotten(self):
-        """The flights of a peer that died end with it."""
+        """The requests of a peer are removed with it."""
         board = Board()
         board.put(make_flight('own'))
         board.hear('peer', 1, [('a', make_flight('a'))], whole=True)
@@ -64,7 +64,7 @@
         self.assertEqual(get_ids(board, 't1'), ['own'])
 
     def test_restarted_peer_is_heard(self):
-        """A peer that counts from the start again is believed once gone."""
+        """The sequence of a removed peer may start again."""
         board = Board()
         board.hear('peer', 900, [], whole=True)
         board.drop_sender('peer')
@@ -72,7 +72,7 @@
         self.assertEqual(get_ids(board, 't1'), ['a'])
 
     def test_changes_are_taken_once(self):
-        """Each change is told once; the newest of a flight wins."""
+        """Each change is returned once, the newest of a request."""
         board = Board()
         board.put(make_flight('a'))
         board.advance('a', 1)
--- a/tests/test_relay_claims.py
+++ b/tests/test_relay_claims.py
@@ -1,8 +1,8 @@
-"""Two entries that give the same engine to two long prompts at one moment.
+"""Two entries that place long prompts at the same engine at one moment.
 
-They chose 20 and 35 ms apart, each before the other's word had come: 279,967
-and 260,922 tokens at an engine that holds 382,500, so that the second prompt
-waited for the first one's memory, was given up as silent, and refused.
+They chose 20 and 35 ms apart, each before the other's message had arrived:
+279,967 and 260,922 tokens at an engine that holds 382,500. The second prompt
+waited for the memory of the first, timed out as silent, and was refused.
 """
 
 import unittest
@@ -23,7 +23,7 @@
 
 
 class NeedTest(unittest.TestCase):
-    """Only what takes long is worth a moment's wait."""
+    """Only prompts with a long prefill are worth the delay."""
 
     def test_which(self):
         long = Placement(TARGETS[0], first_s=2.1)
@@ -34,7 +34,7 @@
 
 
 class PriorTest(unittest.TestCase):
-    """Which of two goes first is the same for both."""
+    """Both entries agree on which of two prompts goes first."""
 
     def test_one_of_two_at_the_same_moment(self):
         for gap_s in (0, 0.02, -0.02, CLAIM_S, 0.1, -0.1):
@@ -47,12 +47,12 @@
                 self.assertEqual(found.count(None), 1)
 
     def test_what_is_under_way_goes_first(self):
-        """Its sender has seen nobody in time, whatever the ids say."""
+        """A prompt that was announced long before is already being sent."""
         other = replace(LONG, flight_id='z', since=LONG.since - 0.05)
         self.assertEqual(find_prior(LONG, [other], ()), other)
 
     def test_what_was_known_at_the_choice(self):
-        """It was reckoned with: the prompt fits beside it, or after it."""
+        """The placement took it into account: the prompts fit together."""
         self.assertIsNone(find_prior(LONG, [OTHER], {'a'}))
 
     def test_what_takes_no_time_there(self):
--- a/tests/test_relay_elsewhere.py
+++ b/tests/test_relay_elsewhere.py
@@ -1,8 +1,9 @@
-"""Callers come in waves that reach one data centre after the other.
+"""Waves of callers that reach one data centre after the other.
 
-For seconds the engines of one are all taken by long prompts, while half of the
-next one's are idle: 42 of 110 engine-seconds against 5 were measured.  A prompt
-of a million tokens waited for 5.6 s of its 4 s there.
+For seconds all engines of one data centre are occupied by long prompts, while
+half of the next one's are idle: 42 of 110 engine-seconds against 5 were
+measured. A prompt of a million tokens with an objective of 4 s waited for 5.6 s
+there.
 """
 
 import unittest
@@ -25,7 +26,7 @@
 NEAR, FAR = 'near', 'far'
 LONG = Work(PromptSize(200_000, 700), 4.0, 0.8, 15)
 SHORT = Work(PromptSize(5_000, 700), 0.3, 0.2, 0.9)
-#: Half of the engines are in each data centre.
+#: Each data centre has half of the engines.
 HALF = len(TARGETS) // 2
 PLACED = tuple(
     replace(one, data_centre=NEAR if number < HALF else FAR)
@@ -35,7 +36,7 @@
 
 
 def make_reading(number, target, *helpers, tickets=()):
-    """Return a prompt that has just begun to be read."""
+    """Return a prompt whose prefill has just begun."""
     return Flight(
         f'f{number}',
         target.incarnation,
@@ -52,7 +53,7 @@
 
 
 def make_writing(number, target, pause_s=0.2):
-    """Return a short answer that is being written."""
+    """Return a short answer that is being decoded."""
     return Flight(
         f'w{number}',
         target.incarnation,
@@ -66,7 +67,7 @@
 
 
 class WaveTest(unittest.TestCase):
-    """All engines nearby read long prompts, all others are idle."""
+    """All nearby engines prefill long prompts, all others are idle."""
 
     def setUp(self):
         self.board = Board()
@@ -83,7 +84,7 @@
         self.assertTrue(is_worth_asking(LONG.worth, cost))
 
     def test_it_is_early_elsewhere(self):
-        """With all engines in sight it takes idle ones, and is in time."""
+        """With all engines to choose from, it takes idle ones in time."""
         chosen = self.place(LONG, PLACED)
         self.assertLess(chosen.first_s, LONG.objective_s)
         places = {one.data_centre for one in (chosen.target, *chosen.helpers)}
@@ -91,7 +92,7 @@
         self.assertFalse(is_worth_asking(LONG.worth, chosen.cost))
 
     def test_short_one_is_not(self):
-        """A question costs it more than it gains."""
+        """A query costs a short prompt more than it gains."""
         self.assertFalse(is_worth_asking(SHORT.worth, None))
 
     def test_idle_engines_nearby_suffice(self):
@@ -102,10 +103,10 @@
 
 
 class SummaryTest(unittest.TestCase):
-    """What is told of targets says as much of them as all flights would."""
+    """Summarized load yields the same placements as all requests."""
 
     def compare(self, *flights):
-        """Return views of all far targets, by the flights and by summary."""
+        """Return the load of all remote targets, in full and summarized."""
         told = Board()
         names = {one.incarnation for one in FAR_TARGETS}
         told.set_elsewhere(FAR, summarize(flights, names, now=0.5))
@@ -121,7 +122,7 @@
         ]
 
     def test_reading_and_memory(self):
-        """Parts, what is left of them, and tickets are the same."""
+        """Chunks, what is left of them, and reservations are the same."""
         one, two, three, *_ = FAR_TARGETS
         ticket = ((two.incarnation, 90_500),)
         for known, told in zip(
@@ -136,7 +137,7 @@
             self.assertEqual(told.free_tokens, known.free_tokens)
 
     def test_answers_that_are_written(self):
-        """They stand together for the one that bears the least pause."""
+        """They are merged with the shortest allowed pause among them."""
         one, two, *_ = FAR_TARGETS
         flights = [make_writing(number, one) for number in range(4)]
         flights.append(make_writing(4, two, pause_s=0.8))
--- a/tests/test_relay_fingerprint.py
+++ b/tests/test_relay_fingerprint.py
@@ -1,4 +1,4 @@
-"""What makes two attempts the same request."""
+"""Which attempts count as the same request."""
 
 import unittest
 from dataclasses import replace
@@ -16,7 +16,7 @@
 
 
 def get_fingerprint(call):
-    """Return the fingerprint with which an entry admits a call."""
+    """Return the fingerprint that an entry computes for a call."""
     state = EntryState(SETTINGS, 'e#a', Random(1), None)
     state.catalog = Catalog(
         1, {HOST: (make_route(),)}, {'svc': Service('svc')}, KEYS
@@ -26,17 +26,17 @@
 
 
 class FingerprintTest(unittest.TestCase):
-    """Repeats share it, and nothing else does."""
+    """Retries share a fingerprint, and different requests don't."""
 
     def test_a_repeat_shares_it(self):
-        """Id, time, key and event of an attempt are its own."""
+        """Id, time, key and last event of an attempt don't matter."""
         again = replace(
             CALL, req_id='r2', arrived_at=90, key='new', resume_after='4'
         )
         self.assertEqual(get_fingerprint(again), get_fingerprint(CALL))
 
     def test_another_request_does_not(self):
-        """Each thing that a target works by counts, and where it stands."""
+        """Each part that a target acts on counts, and so does its position."""
         others = [
             replace(CALL, method='PUT'),
             replace(CALL, key='o'),
--- a/tests/test_relay_fleet.py
+++ b/tests/test_relay_fleet.py
@@ -1,4 +1,4 @@
-"""What the directory's entries mean for new work."""
+"""The effect of directory records on new requests."""
 
 import unittest
 
@@ -26,12 +26,12 @@
 
 
 def drop(fleet, name, now):
-    """Drop a target by what the fleet knows of the directory."""
+    """Remove a target according to the fleet's view of the directory."""
     return fleet.drop(name, fleet.watch.grace_end, now)
 
 
 def disturb(fleet, began_at, ended_at):
-    """Have the directory be asked in vain until a read at `ended_at`."""
+    """Let reads of the directory fail until one succeeds at `ended_at`."""
     fleet.watch.note_trouble(began_at)
     fleet.watch.note_read(ended_at, ended_at)
 
@@ -40,20 +40,20 @@
     """Records of a target, in order and late."""
 
     def test_leaving_is_final(self):
-        """A target that was leaving stays out, whatever is read later."""
+        """A draining target gets no requests, whatever is read later."""
         fleet = make_fleet()
         fleet.put(make_target(1, Standing.leaving, 2))
         fleet.put(make_target(1, Standing.ready, 3))
         self.assertEqual(get_ids(fleet), ['t2'])
 
     def test_old_record_changes_nothing(self):
-        """Records that arrive late don't bring back what was."""
+        """Records that arrive late don't restore an older state."""
         fleet = make_fleet()
         fleet.put(make_target(1, sequence=9))
         self.assertFalse(fleet.put(make_target(1, sequence=3)))
 
     def test_old_record_brings_nothing_back(self):
-        """A heartbeat that is written after the removal is not a return."""
+        """A heartbeat that is written after the removal is no return."""
         fleet = make_fleet()
         fleet.put(make_target(1, sequence=9))
         drop(fleet, 't1', 0.5)
@@ -62,7 +62,7 @@
         self.assertEqual(get_ids(fleet), ['t2'])
 
     def test_newer_record_is_a_return(self):
-        """A target whose entry had lapsed writes a newer one."""
+        """A target whose lease had lapsed writes a newer record."""
         fleet = make_fleet()
         drop(fleet, 't1', 0.5)
         self.assertTrue(fleet.put(make_target(1, sequence=2)))
@@ -70,17 +70,17 @@
 
 
 class MissingTest(unittest.TestCase):
-    """Entries that vanish."""
+    """Records that vanish."""
 
     def test_missing_in_calm_is_gone(self):
-        """An entry that vanishes while all is calm is gone at once."""
+        """Without a disturbance, a missing target is removed at once."""
         fleet = make_fleet()
         fleet.watch.note_read(0.5, 0.5)
         self.assertTrue(drop(fleet, 't2', 0.5))
         self.assertEqual(get_ids(fleet), ['t1'])
 
     def test_missing_after_an_outage_may_come_back(self):
-        """After an outage a missing entry counts for about two seconds."""
+        """After an outage a missing target is retained for about 2 s."""
         fleet = make_fleet()
         disturb(fleet, 8.6, 9)
         self.assertFalse(drop(fleet, 't2', 9))
@@ -90,30 +90,30 @@
         self.assertEqual(get_ids(fleet), ['t1'])
 
     def test_missing_after_a_mere_gap_is_gone(self):
-        """A list that came late, though nobody asked in vain, is no outage.
+        """A list that came late without a failed read is no outage.
 
-        The gap and the time for which entries are held would add up to more
-        than a target may take to be left alone.
+        Otherwise the gap and the grace would add up to more than the time
+        within which a removed target must get no more requests.
         """
         fleet = make_fleet()
         fleet.watch.note_read(2.5, 2.5)
         self.assertTrue(drop(fleet, 't2', 2.5))
 
     def test_one_failed_read_is_no_outage(self):
-        """A read that fails once, between two that don't, changes nothing."""
+        """One failed read between two successful ones changes nothing."""
         fleet = make_fleet()
         disturb(fleet, 0.4, 0.8)
         self.assertTrue(drop(fleet, 't2', 0.8))
 
     def test_missing_at_a_settled_instance_is_gone(self):
-        """Who followed the directory all the while knows better."""
+        """An instance that followed the directory without a gap decides."""
         fleet = make_fleet()
         disturb(fleet, 8.6, 9)
         self.assertTrue(fleet.drop('t2', 9.1, 9.1))
         self.assertEqual(get_ids(fleet), ['t1'])
 
     def test_back_after_an_outage(self):
-        """An entry that comes back in time was never away."""
+        """A record that returns in time was never removed."""
         fleet = make_fleet()
         disturb(fleet, 8.6, 9)
         drop(fleet, 't2', 9)
@@ -121,7 +121,7 @@
         self.assertEqual(fleet.expire(20), [])
 
     def test_back_with_the_same_record(self):
-        """What is listed again is held no longer, and others are told."""
+        """A target that is listed again is reported to other instances."""
         fleet = make_fleet()
         disturb(fleet, 8.6, 9)
         drop(fleet, 't2', 9)
@@ -132,10 +132,10 @@
 
 
 class HeldTest(unittest.TestCase):
-    """Targets that are missing but may have lapsed."""
+    """Targets that are missing but may only have lapsed."""
 
     def test_held_is_not_listed(self):
-        """Others are told that it is missing, and that this is new."""
+        """Other instances are told that it is missing, as a change."""
         fleet = make_fleet()
         revision = fleet.revision
         disturb(fleet, 8.6, 9)
@@ -146,14 +146,14 @@
         self.assertGreater(fleet.revision, revision)
 
     def test_held_elsewhere(self):
-        """Whoever never knew a target may hold it for as long as others do."""
+        """An unknown target is retained for as long as other instances do."""
         fleet = make_fleet()
         self.assertTrue(fleet.hold(make_target(3), 2))
         self.assertIn('t3', get_ids(fleet))
         self.assertEqual(fleet.expire(2), ['t3'])
 
     def test_gone_here_is_not_held_for_others(self):
-        """What is known to have gone is not brought back by a doubt."""
+        """A target known to be removed is not retained for others."""
         fleet = make_fleet()
         drop(fleet, 't1', 0.5)
         self.assertFalse(fleet.hold(make_target(1), 2))
--- a/tests/test_relay_open_ends.py
+++ b/tests/test_relay_open_ends.py
@@ -1,4 +1,4 @@
-"""Targets that may have ended, until a list tells."""
+"""Possible crashes of targets until the list confirms them."""
 
 import unittest
 
@@ -11,7 +11,7 @@
 
 
 def make_open(*fingerprints):
-    """Return what is open of the first start of a target."""
+    """Return the unconfirmed crashes of a target's first incarnation."""
     found = OpenEnds()
     for fingerprint in fingerprints:
         found.keep(fingerprint, FIRST, now=0)
@@ -19,12 +19,12 @@
 
 
 def get_names(ends):
-    """Return the fingerprints of ends."""
+    """Return the fingerprints of crashes."""
     return [end.fingerprint for end in ends]
 
 
 class OpenEndsTest(unittest.TestCase):
-    """By whom an end is told, for how long, and how many are kept."""
+    """What confirms a crash, for how long, and how many are kept."""
 
     def test_all_that_ran_there(self):
         found = make_open('f', 'g')
--- a/tests/test_relay_pacing.py
+++ b/tests/test_relay_pacing.py
@@ -1,4 +1,4 @@
-"""Requests spread over time, at rates that change."""
+"""Requests spread over time, at changing rates."""
 
 import unittest
 from math import inf
@@ -13,7 +13,7 @@
 
 
 class BucketTest(unittest.TestCase):
-    """How many requests leave."""
+    """The number of requests that are sent."""
 
     @given(RATES, st.floats(0, 1), st.lists(st.floats(0, 0.5), max_size=300))
     def test_no_stretch_has_more(self, per_s, tokens, pauses):
--- a/tests/test_relay_parts.py
+++ b/tests/test_relay_parts.py
@@ -1,4 +1,4 @@
-"""The small parts of relaying: events, outcomes, proof, budget, health."""
+"""Event streams, attempt outcomes, freshness, retry budget and health."""
 
 import unittest
 from itertools import repeat
@@ -33,11 +33,11 @@
 
 
 class SplitterTest(unittest.TestCase):
-    """Streams are cut into whole events, wherever the bytes are cut."""
+    """Streams are split into whole events, wherever reads end."""
 
     @given(st.lists(st.integers(0, len(EVENTS)), max_size=20))
     def test_any_cut(self, cuts):
-        """However the bytes arrive, the same events come out."""
+        """Any division of the bytes yields the same events."""
         splitter = Splitter()
         ends = [0, *sorted(cuts), len(EVENTS)]
         found = []
@@ -48,19 +48,19 @@
         self.assertEqual(splitter.rest, b'')
 
     def test_half_an_event_is_kept_back(self):
-        """What is not whole is not given out."""
+        """A partial event is not returned."""
         splitter = Splitter()
         self.assertEqual(splitter.push(b'id: 1\ndata: a'), [])
         self.assertEqual(splitter.rest, b'id: 1\ndata: a')
 
     def test_line_ends_of_two_bytes(self):
-        """Events may end their lines either way."""
+        """Events may end their lines with CRLF."""
         found = Splitter().push(b'id: 1\r\ndata: a\r\n\r\n')
         self.assertEqual(found[0].event_id, '1')
 
 
 class HistoryTest(unittest.TestCase):
-    """Which endings allow another sending."""
+    """Which outcomes allow another attempt."""
 
     cases = (
         (NON_IDEMPOTENT, (Ending.not_sent,), True),
@@ -78,19 +78,19 @@
     )
 
     def test_table(self):
-        """Only what has certainly not run, or may be repeated, is sent on."""
+        """Only requests that have not run or may be repeated are retried."""
         for route, endings, expected in self.cases:
             with self.subTest(kind=route.kind, endings=endings):
                 history = make_history(*endings)
                 self.assertEqual(history.may_repeat(route), expected)
 
     def test_promise(self):
-        """A promise that nothing ran needs proof from every sending."""
+        """Only if no attempt may have run, the request certainly has not."""
         self.assertFalse(make_history(Ending.rejected).may_have_run)
         self.assertTrue(make_history(Ending.rejected, Ending.lost).may_have_run)
 
     def test_last_run(self):
-        """The last target is the one after which nobody else may run it."""
+        """The last target is the one after which no other may run it."""
         lost = make_history(Ending.lost)
         for route, history, expected in (
             (RESUMABLE, make_history(), False),
@@ -105,33 +105,33 @@
 
 
 class ProofTest(unittest.TestCase):
-    """Keys are served only while the configuration is known to be recent."""
+    """Keys are accepted only with a recent configuration."""
 
     def test_ages_through_a_freeze(self):
-        """A process that stood still serves no key when it wakes."""
+        """A process that was frozen accepts no key when it resumes."""
         proof = Proof(bound_s=5)
         proof.renew(asked_at=10)
         self.assertTrue(proof.is_fresh(13))
         self.assertFalse(proof.is_fresh(20))
 
     def test_late_answer_proves_its_question(self):
-        """An answer read late proves no more than when it was asked for."""
+        """A late answer proves no more than when its query was sent."""
         proof = Proof(bound_s=5)
         proof.renew(asked_at=10)
         proof.renew(asked_at=4)
         self.assertEqual(proof.get_age_s(11), 1)
 
     def test_no_bound(self):
-        """Without a bound no proof is asked for."""
+        """Without a maximum age no proof is required."""
         self.assertTrue(Proof().is_fresh(1e9))
 
 
 class BudgetTest(unittest.TestCase):
-    """Repeats stay within the bound over all instances."""
+    """Retries stay within the bound over all instances."""
 
     @given(st.integers(1, 20), st.integers(0, 300))
     def test_sum_over_instances(self, instances, requests):
-        """However many instances spend at once, the bound is kept."""
+        """The bound holds however many instances retry at once."""
         terms = BudgetTerms(ratio=0.2, window_s=10, slack=100)
         spent = 0
         for _ in range(instances):
@@ -143,7 +143,7 @@
         self.assertLessEqual(spent, 0.2 * requests * instances + 100)
 
     def test_window_slides(self):
-        """What was spent long ago is available again."""
+        """Budget that was used long ago is available again."""
         window = RetryWindow(BudgetTerms(ratio=0, window_s=10, slack=2))
         self.assertTrue(window.spend(0, 1))
         self.assertFalse(window.spend(9, 1))
@@ -154,7 +154,7 @@
     """Suspicion doubles with silence and ends with an answer."""
 
     def test_doubles(self):
-        """A target that stays silent is tried ever less often."""
+        """A target that stays silent is tried less and less often."""
         health = Health()
         health.note_silence('t', 0)
         health.note_silence('t', 0.1)
@@ -163,14 +163,14 @@
         self.assertTrue(health.is_suspect('t', 3.1))
 
     def test_answer_clears(self):
-        """One good answer ends the suspicion."""
+        """A correct answer ends the suspicion."""
         health = Health()
         health.note_silence('t', 0)
         health.note_success('t', 0.5)
         self.assertFalse(health.is_suspect('t', 0.5))
 
     def test_cut_data_centre(self):
-        """Two silent targets of a data centre make all of it suspect."""
+        """Two silent targets make their whole data centre suspect."""
         health = Health()
         health.note_silence('t1', 0, 'dc2')
         self.assertFalse(health.is_suspect('t3', 0.1, 'dc2'))
@@ -181,14 +181,14 @@
         self.assertFalse(health.is_suspect('t3', 0.7, 'dc2'))
 
     def test_silences_long_apart(self):
-        """Targets that fall silent now and then say nothing of the others."""
+        """Targets that fall silent long apart don't affect the others."""
         health = Health()
         health.note_silence('t1', 0, 'dc2')
         health.note_silence('t2', 5, 'dc2')
         self.assertFalse(health.is_suspect('t3', 5.1, 'dc2'))
 
     def test_failures_fade(self):
-        """A failure counts for less as time passes."""
+        """The weight of a failure decays with time."""
         health = Health()
         health.note_failure('t', 0)
         share = health.get('t').get_failure_share
--- a/tests/test_relay_patience.py
+++ b/tests/test_relay_patience.py
@@ -1,4 +1,4 @@
-"""How long targets may be silent."""
+"""Timeouts of targets."""
 
 import unittest
 
@@ -29,10 +29,10 @@
 
 
 class FirstTest(unittest.TestCase):
-    """Until the first part of an answer."""
+    """Timeouts until the first part of an answer."""
 
     def test_second_target_can_be_in_time(self):
-        """A lost answer leaves time for another one within the objective."""
+        """A lost answer leaves time for a retry within the objective."""
         wait_s = get_first_patience_s(STREAM, 0.06, early=True)
         self.assertLess(wait_s + 0.06, STREAM.objective_s)
         self.assertLess(
@@ -40,25 +40,25 @@
         )
 
     def test_prediction_is_waited_for(self):
-        """Twice the predicted time is never too long."""
+        """A timeout is never below twice the predicted time."""
         for predicted_s in (0.05, 0.2, 0.5, 2, 9):
             wait_s = get_first_patience_s(STREAM, predicted_s, early=True)
             self.assertGreaterEqual(wait_s, 2 * predicted_s)
 
     def test_longer_where_it_must_be_sure(self):
-        """A target is not given up lightly where that may do harm."""
+        """The last target gets more time than the first."""
         for route in (STREAM, PLAIN):
             first_s = get_first_patience_s(route, 0.06, early=True)
             last_s = get_first_patience_s(route, 0.06, early=False)
             self.assertGreater(last_s, first_s)
 
     def test_helpers(self):
-        """A dead helper is named after a stall, which is waited for."""
+        """A dead helper is reported after a stall, which is waited for."""
         wait_s = get_first_patience_s(STREAM, 0.5, early=False, helped=True)
         self.assertGreater(wait_s, 0.5 + 1.5)
 
     def test_once_only(self):
-        """What must not be repeated is waited for."""
+        """A request that must not be repeated has no timeout."""
         self.assertEqual(
             get_first_patience_s(BOOKING, 0, early=False), float('inf')
         )
@@ -66,7 +66,7 @@
 
 
 class PauseTest(unittest.TestCase):
-    """Between events."""
+    """Timeouts between events."""
 
     def test_beyond_what_callers_take(self):
         """A pause that is merely late is no failure."""
@@ -74,10 +74,10 @@
 
 
 class EarlyTest(unittest.TestCase):
-    """Giving up early must not crowd targets that are merely busy."""
+    """Early timeouts must not overload targets that are only busy."""
 
     def test_few_in_a_window(self):
-        """Of many requests that are all late, few are given up early."""
+        """If many requests are late, few of them time out early."""
         window = RetryWindow(EARLY_TERMS)
         left = 0
         for number in range(1000):
@@ -88,27 +88,27 @@
         self.assertGreater(left, 0)
 
     def test_asking_spends_nothing(self):
-        """What is left stays left until it is spent."""
+        """Checking the budget does not use it."""
         window = RetryWindow(EARLY_TERMS)
         answers = [window.is_left(0, 1) for _ in range(100)]
         self.assertTrue(all(answers))
 
     def test_one_doubt_is_no_silence(self):
-        """A target that was late once is used on."""
+        """A target stays in use after one early timeout."""
         health = Health()
         health.note_doubt('t', 0)
         self.assertFalse(health.is_suspect('t', 0.1))
         self.assertGreater(health.get('t').get_failure_share(0.1), 0)
 
     def test_two_doubts_in_a_row_are(self):
-        """A target that says nothing again is left alone."""
+        """Two early timeouts in a row make a target suspect."""
         health = Health()
         health.note_doubt('t', 0)
         health.note_doubt('t', 0.5)
         self.assertTrue(health.is_suspect('t', 0.6))
 
     def test_answer_between_two_doubts(self):
-        """An answer shows that the target works."""
+        """An answer in between shows that the target works."""
         health = Health()
         health.note_doubt('t', 0)
         health.note_success('t', 0.3)
@@ -119,8 +119,8 @@
 class MemoryTest(unittest.TestCase):
     """Two prompts at an engine that has memory for one of them.
 
-    The second one begins once the first has been answered, some seconds later
-    than predicted: 540,889 tokens at an engine with 382,500.
+    The second one begins after the answer of the first, some seconds later than
+    predicted: 540,889 tokens at an engine with 382,500.
     """
 
     def setUp(self):
--- a/tests/test_relay_placing.py
+++ b/tests/test_relay_placing.py
@@ -1,4 +1,4 @@
-"""Placement of unlike lengths, on engines like those of the platform."""
+"""Placement of prompts of different lengths on engines like the platform's."""
 
 import unittest
 from dataclasses import replace
@@ -23,7 +23,7 @@
 
 
 class Fixture(unittest.TestCase):
-    """An empty fleet of 18 engines."""
+    """An idle fleet of 18 engines."""
 
     def setUp(self):
         self.board = Board()
@@ -57,7 +57,7 @@
     """Short requests share engines and leave others free."""
 
     def test_packed(self):
-        """Thirty short requests take no more engines than they need."""
+        """Thirty short requests use no more engines than necessary."""
         for _ in range(30):
             self.put(SHORT, self.place(SHORT))
         used = {
@@ -77,7 +77,7 @@
         self.assertEqual(found.target, near)
 
     def test_not_behind_a_long_read(self):
-        """A short request keeps away from engines that read a long prompt."""
+        """A short request avoids engines that prefill a long prompt."""
         placement = self.place(LONG)
         self.put(LONG, placement, Phase.reading)
         busy = {placement.target, *placement.helpers}
@@ -85,7 +85,7 @@
             self.assertNotIn(self.place(SHORT).target, busy)
 
     def test_failing_engine_is_avoided(self):
-        """An engine that fails is left to others."""
+        """A failing engine is avoided."""
         self.put(SHORT, self.place(SHORT))
         for _ in range(4):
             self.health.note_failure(self.place(SHORT).target.target_id, 0)
@@ -95,16 +95,16 @@
 
 
 class LongTest(Fixture):
-    """Long prompts are cut into parts where that helps."""
+    """Long prompts are split into chunks if that helps."""
 
     def test_read_in_parts(self):
-        """A long prompt on an idle fleet comes well within its objective."""
+        """On an idle fleet a long prompt is well within its objective."""
         placement = self.place(LONG)
         self.assertGreater(len(placement.helpers), 1)
         self.assertLess(placement.first_s, 1.2)
 
     def test_short_pauses_are_kept(self):
-        """Parts on engines with short answers stay within their pauses."""
+        """Chunks beside short answers stay within their allowed pauses."""
         for _ in range(40):
             self.put(SHORT, self.place(SHORT))
         placement = self.place(LONG)
@@ -124,10 +124,10 @@
 
 
 class OverlapTest(Fixture):
-    """Newer parts go before older ones at an engine (seen in reports)."""
+    """Newer chunks go before older ones at an engine (seen in reports)."""
 
     def test_long_prompts_keep_apart(self):
-        """A second long prompt leaves the engines of the first alone."""
+        """A second long prompt avoids the engines of the first."""
         first = self.place(LONG)
         self.put(LONG, first, Phase.reading)
         second = self.place(LONG, now=0.1)
@@ -135,13 +135,13 @@
         self.assertFalse(taken & {second.target, *second.helpers})
 
     def test_giant_shares_with_one_that_has_time(self):
-        """A second giant takes engines of the first rather than be late."""
+        """A second giant prompt shares engines with the first to be in time."""
         self.put(GIANT, self.place(GIANT), Phase.reading)
         second = self.place(GIANT, now=0.2)
         self.assertLess(second.first_s, GIANT.objective_s)
 
     def test_instances_choose_differently(self):
-        """Two instances that choose at once rarely take the same engine."""
+        """Instances that choose at once rarely take the same engine."""
         firsts = {
             Placer(self.board, self.health, f'entry-{one}')
             .place(LONG, ENGINE, TARGETS, 0)
@@ -152,10 +152,10 @@
 
 
 class GiantTest(Fixture):
-    """Prompts beyond one engine's memory."""
+    """Prompts that exceed the memory of one engine."""
 
     def test_tickets_hold_the_rest(self):
-        """The tickets and the first engine hold the whole prompt."""
+        """The reservations and the primary engine hold the whole prompt."""
         placement = self.place(GIANT)
         held = sum(tokens for _, tokens in placement.tickets)
         first = GIANT.size.total_tokens - held
@@ -164,7 +164,7 @@
             self.assertLessEqual(tokens, ENGINE.capacity_tokens)
 
     def test_none_without_memory(self):
-        """While the memory is taken a giant is not placed at all."""
+        """While the memory is occupied a giant prompt is not placed."""
         for target in TARGETS:
             self.board.put(
                 Flight(
--- a/tests/test_relay_proven.py
+++ b/tests/test_relay_proven.py
@@ -1,4 +1,4 @@
-"""Requests that were answered lately."""
+"""Recently answered requests."""
 
 import unittest
 
@@ -11,7 +11,7 @@
 
 
 class ProvenTest(unittest.TestCase):
-    """What an answer excuses, for how long, and how many are known."""
+    """What an answer excuses, for how long, and how many are kept."""
 
     def test_answer_excuses_some_ends(self):
         proven = Proven()
--- a/tests/test_relay_quarantine.py
+++ b/tests/test_relay_quarantine.py
@@ -1,4 +1,4 @@
-"""Which requests are quarantined for ending their targets, and which not."""
+"""Which requests are quarantined for crashing their targets."""
 
 import unittest
 from itertools import permutations
@@ -16,20 +16,20 @@
 
 
 def note(quarantine, fingerprint, *targets, now=0):
-    """Note that targets ended while they ran a request."""
+    """Record that targets crashed while they ran a request."""
     for target in targets:
         quarantine.note_end(End(fingerprint, target), now)
 
 
 def make_quarantine(*targets):
-    """Return a quarantine with one request under which targets ended."""
+    """Return a quarantine with one request under which targets crashed."""
     quarantine = Quarantine()
     note(quarantine, DEADLY, *targets)
     return quarantine
 
 
 class EndTest(unittest.TestCase):
-    """Ends that count, and those that another request explains."""
+    """Which crashes count."""
 
     def test_held_from_the_third_on(self):
         known = [
@@ -41,7 +41,7 @@
         self.assertEqual(known, [False, False, False, True, True])
 
     def test_the_same_end_counts_once(self):
-        """It is told by words that are repeated, and by the store."""
+        """Duplicated messages and the store report the same crash again."""
         quarantine = make_quarantine('t1', 't2')
         note(quarantine, DEADLY, 't1', 't2')
         self.assertFalse(quarantine.is_quarantined(DEADLY))
@@ -52,13 +52,13 @@
         )
 
     def test_who_was_beside_does_not_hide_it(self):
-        """What was at more ends, by crashes of other causes, explains none."""
+        """A request with more crashes, by other causes, excuses no other."""
         quarantine = make_quarantine('t1', 't2', 't3')
         note(quarantine, BESIDE, 't1', 't2', 't3', 't4')
         self.assertTrue(quarantine.is_quarantined(DEADLY))
 
     def test_order_does_not_matter(self):
-        """Each instance hears of the same ends in an order of its own."""
+        """Each instance learns of the same crashes in its own order."""
         ends = [End(DEADLY, f't{one}') for one in range(4)]
         ends.extend(End(BESIDE, f't{one}') for one in range(1, 4))
         found = set()
@@ -82,7 +82,7 @@
 
 
 class TrialTest(unittest.TestCase):
-    """When a quarantined request is given to one target again."""
+    """When a quarantined request is sent as a probe."""
 
     def test_each_trial_later_than_the_last(self):
         quarantine = make_quarantine('t1', 't2', 't3')
@@ -96,7 +96,7 @@
             note(quarantine, DEADLY, f'u{number}', now=now)
 
     def test_handed_on_with_its_age(self):
-        """A later start knows as much as who was there."""
+        """An instance that starts later has the same state."""
         known = make_quarantine('t1', 't2', 't3')
         known.note_trial(DEADLY, 70)
         later = Quarantine()
@@ -109,10 +109,10 @@
 
 
 class ClearedTest(unittest.TestCase):
-    """What an answer has cleared stays so, however late others hear of it."""
+    """Crashes cleared by an answer stay cleared, however late others learn."""
 
     def test_late_words_bring_nothing_back(self):
-        """Whoever has not heard of the answer tells the old ends on."""
+        """An instance that missed the answer still reports the old crashes."""
         known = make_quarantine('t1', 't2', 't3')
         stale = list(known.get_records(now=0))
         known.note_answered(DEADLY, 0)
@@ -128,7 +128,7 @@
         self.assertTrue(known.is_quarantined(DEADLY))
 
     def test_handed_on(self):
-        """Who missed the word learns of it with the list of another."""
+        """An instance that missed the answer learns of it from a peer."""
         known = make_quarantine('t1', 't2', 't3')
         known.note_answered(DEADLY, 0)
         other = make_quarantine('t1', 't2', 't3', 't4')
@@ -137,7 +137,7 @@
         self.assertEqual(other.count_ends(DEADLY), 1)
 
     def test_newest_are_kept(self):
-        """What many ask for is cleared of some ends with each crash."""
+        """A popular request is cleared of some crashes again and again."""
         known = Quarantine()
         for number in range(MOST_CLEARED * 2):
             note(known, DEADLY, f't{number}')
@@ -155,7 +155,7 @@
 
 
 class BoundTest(unittest.TestCase):
-    """A flood of different requests, each of which ends targets."""
+    """A flood of different requests, each of which crashes targets."""
 
     def test_fewest_ends_are_forgotten_first(self):
         quarantine = make_quarantine('t1', 't2', 't3')
@@ -175,10 +175,10 @@
 
 
 class BlameTest(unittest.TestCase):
-    """How often who ends nothing is quarantined, and who does is not.
+    """How often harmless and deadly requests are quarantined.
 
-    Eighteen targets with seven requests each.  A request goes to one target and
-    to a second one if that ends, and its caller tries once more.
+    Eighteen targets run seven requests each. A request is sent to one target,
+    and to a second one if that crashes; its caller retries once.
     """
 
     targets = 18
@@ -186,10 +186,10 @@
     sends = 4
 
     def play(self, rng, *, ending_share, deadly_rounds=0):
-        """Return the quarantined ones of 126, and whether the deadly one is.
+        """Return how many of 126 harmless requests are quarantined.
 
-        In each round a share of the targets end by themselves; the deadly
-        request ends one more.
+        Also return whether the deadly one is. In each round a share of the
+        targets crash by themselves; the deadly request crashes one more.
         """
         quarantine = Quarantine()
         waiting = {f'r{one}': 0 for one in range(self.targets * self.beside)}
@@ -216,7 +216,7 @@
         return blamed, quarantine.is_quarantined(DEADLY)
 
     def count(self, **how):
-        """Return the share of others in quarantine, and of deadly ones."""
+        """Return the quarantined shares of harmless and of deadly requests."""
         rng = Random(7)
         days = [self.play(rng, **how) for _ in range(300)]
         others = sum(blamed for blamed, _ in days)
@@ -224,20 +224,20 @@
         return share, sum(found for _, found in days) / len(days)
 
     def test_crashes_alone(self):
-        """A tenth, or a third, of all targets ends in each of four rounds."""
+        """A tenth, or a third, of all targets crash in each of four rounds."""
         share, _ = self.count(ending_share=0.1)
         self.assertLess(share, 0.001)
         share, _ = self.count(ending_share=0.33)
         self.assertLess(share, 0.05)
 
     def test_deadly_request_alone(self):
-        """It is known at its third end, and hardly anybody else suffers."""
+        """It is detected at its third crash, with hardly any false positive."""
         share, found = self.count(ending_share=0, deadly_rounds=3)
         self.assertEqual(found, 1)
         self.assertLess(share, 0.0005)
 
     def test_both(self):
-        """However many others end beside it, it is known at its third end."""
+        """It is detected at its third crash, however many others crash."""
         share, found = self.count(ending_share=0.1, deadly_rounds=3)
         self.assertEqual(found, 1)
         self.assertLess(share, 0.005)
--- a/tests/test_relay_quotas.py
+++ b/tests/test_relay_quotas.py
@@ -1,4 +1,4 @@
-"""Who may send how much to a target that takes only so many requests."""
+"""Quotas of entries for a rate-limited target."""
 
 import unittest
 
@@ -18,12 +18,12 @@
 
 
 def make_members(count):
-    """Return so many entries in three data centres."""
+    """Return `count` entries in three data centres."""
     return [Member(f'10.0.0.{one}:1', PLACES[one % 3]) for one in range(count)]
 
 
 def get_quotas(groups, per_s, known, target='t1'):
-    """Return the quotas of all entries; those of a group hear one another."""
+    """Return the quotas of all entries, which know only their group."""
     demand = Demand(target, 'dc-0', per_s)
     return [
         get_quota(
@@ -38,11 +38,11 @@
 
 
 class QuotaTest(unittest.TestCase):
-    """Quotas of entries that agree, and of those that don't."""
+    """Quotas of entries with the same and with different views."""
 
     @given(st.integers(1, 200), st.floats(0, 1000))
     def test_all_together(self, count, per_s):
-        """They add up to the limit, and none is above the others."""
+        """The quotas add up to the limit, and all holders' are equal."""
         quotas = get_quotas([make_members(count)], per_s, count)
         self.assertAlmostEqual(sum(quotas), max(per_s, LEAST_PER_S))
         self.assertLessEqual(len({one for one in quotas if one}), 1)
@@ -53,7 +53,7 @@
         st.lists(st.integers(0, 3), min_size=60, max_size=60),
     )
     def test_cut_in_any_groups(self, count, per_s, sides):
-        """No group takes the part of those that it does not hear."""
+        """No group uses the share of entries that it can't reach."""
         everyone = make_members(count)
         groups = [
             [
@@ -86,7 +86,7 @@
         self.assertGreater(len(set(holders)), 8)
 
     def test_restart_keeps_its_place(self):
-        """An entry is known by its address, whichever start it is."""
+        """An entry is known by its address, through all restarts."""
         own, *others = make_members(9)
         before = get_quota(Members(own, tuple(others), 9), Demand('t', '', 2))
         again = Member(own.name, own.data_centre)
--- a/tests/test_relay_rate_limits.py
+++ b/tests/test_relay_rate_limits.py
@@ -1,4 +1,4 @@
-"""Which word of a target on its limit is believed."""
+"""Which rate limit notice of a target holds."""
 
 import unittest
 
@@ -8,14 +8,14 @@
 
 
 def note(*words):
-    """Return what each of some words changes, and what is believed then."""
+    """Return what each notice changes, and which one holds in the end."""
     limits = Notices()
     changes = [limits.note(TARGET, RateLimit(*word)) for word in words]
     return changes, limits.get(RateLimit, TARGET)
 
 
 class OrderTest(unittest.TestCase):
-    """Words in the order in which they were said, and out of it."""
+    """Notices in the order in which they were made, and out of it."""
 
     def test_learnt_changed_lifted(self):
         changes, last = note((2, 0, 1), (3, 1, 2), (None, 2, 3), (1, 3, 4))
@@ -31,7 +31,7 @@
         self.assertEqual(limits.get_all(RateLimit), {})
 
     def test_answer_to_what_was_asked_before_lifts_nothing(self):
-        """It may have been said before the limit was."""
+        """Its order relative to the limit is unknown."""
         changes, last = note((2, 5, 6), (None, 5.5, 7))
         self.assertEqual(changes[1], Change.nothing)
         self.assertEqual(last.per_s, 2)
@@ -42,7 +42,7 @@
             self.assertEqual(last.per_s, 2)
 
     def test_what_followed_neither_of_two_lifts_nothing(self):
-        """The belief is as young as the last word that agreed with it."""
+        """A limit is as recent as the last notice that agreed with it."""
         _, last = note((2, 5, 6), (2, 5.5, 8), (None, 7, 9))
         self.assertEqual(last.per_s, 2)
 
@@ -52,7 +52,7 @@
         self.assertEqual(last.per_s, 5)
 
     def test_word_that_was_overtaken_by_its_end_holds_until_the_next(self):
-        """Nobody can tell their order, and the target may be in need."""
+        """Their order is unknown, and the target may be overloaded."""
         changes, last = note((2, 0, 1), (None, 4, 5), (2, 4.5, 6), (None, 6, 7))
         self.assertEqual(changes[1], Change.lifted)
         self.assertEqual(changes[2], Change.learnt)
--- a/tests/test_relay_reach.py
+++ b/tests/test_relay_reach.py
@@ -1,4 +1,4 @@
-"""A data centre that is cut off, as its instances and its targets tell."""
+"""Detection of a data centre that is cut off."""
 
 import unittest
 
@@ -8,7 +8,7 @@
 
 
 class ReachTest(unittest.TestCase):
-    """What the silence of instances says."""
+    """Silence of a data centre's instances."""
 
     def make(self, names=('a', 'b')):
         reach = Reach()
@@ -18,27 +18,27 @@
         return reach
 
     def test_cut(self):
-        """A cut is known half a second after the last word."""
+        """A cut is detected half a second after the last message."""
         reach = self.make()
         self.assertEqual(reach.get_quiet(CUT_AT + 0.4), set())
         self.assertEqual(reach.get_quiet(CUT_AT + 0.6), {'far'})
 
     def test_one_instance_ended(self):
-        """Others of the data centre still speak: nothing is cut."""
+        """Other instances of the data centre still send messages."""
         reach = self.make()
         reach.note_heard('far', 'b', CUT_AT + 0.6)
         self.assertEqual(reach.get_quiet(CUT_AT + 0.7), set())
 
     def test_all_replaced_long_ago(self):
-        """Instances that were taken away are not expected to speak."""
+        """Instances that were removed are not expected to send messages."""
         self.assertEqual(self.make().get_quiet(CUT_AT + 9), set())
 
     def test_never_heard(self):
-        """Of a data centre without instances nothing can be said."""
+        """Nothing is known of a data centre without instances."""
         self.assertEqual(Reach().get_quiet(CUT_AT), set())
 
     def test_own_pause_is_no_silence(self):
-        """A process that stood still has not yet heard what was said."""
+        """A process that was stalled has unread messages."""
         reach = self.make()
         for now in (CUT_AT - 0.2, CUT_AT):
             self.assertEqual(reach.look(now), set())
@@ -47,10 +47,10 @@
 
 
 class SuspicionTest(unittest.TestCase):
-    """What is done with the targets there."""
+    """Avoidance of the targets there."""
 
     def test_left_at_once(self):
-        """All targets are left alone, those not tried yet included."""
+        """All targets are avoided, including those not tried yet."""
         health = Health()
         self.assertTrue(health.note_quiet('far', CUT_AT))
         self.assertFalse(health.note_quiet('far', CUT_AT + 0.2))
@@ -58,14 +58,14 @@
         self.assertFalse(health.is_suspect('t1', CUT_AT + 0.3, 'near'))
 
     def test_back_with_the_first_word(self):
-        """Nothing is left of it once an instance speaks again."""
+        """The suspicion ends with the first message of an instance."""
         health = Health()
         health.note_quiet('far', CUT_AT)
         health.note_heard('far')
         self.assertFalse(health.is_suspect('t7', CUT_AT + 0.1, 'far'))
 
     def test_words_alone_do_not_clear_silent_targets(self):
-        """Targets that let requests time out stay suspect."""
+        """Targets whose requests timed out stay suspect."""
         health = Health()
         health.note_silence('t1', CUT_AT, 'far')
         health.note_silence('t2', CUT_AT, 'far')
@@ -73,13 +73,13 @@
         self.assertTrue(health.is_suspect('t7', CUT_AT + 0.1, 'far'))
 
     def test_left_while_silent(self):
-        """Instances that are still silent say that nothing has changed."""
+        """The suspicion lasts while the instances are silent."""
         health = Health()
         health.note_quiet('far', CUT_AT)
         self.assertTrue(health.is_suspect('t1', CUT_AT + 6, 'far'))
 
     def test_one_request_at_a_time_finds_out(self):
-        """After a suspicion has lapsed, not all that waits tries at once."""
+        """After a suspicion has lapsed, only one request at a time probes."""
         health = Health()
         health.note_silence('t1', CUT_AT, 'far')
         health.note_silence('t2', CUT_AT, 'far')
@@ -95,7 +95,7 @@
         self.assertFalse(health.is_suspect('t3', now + 2.6, 'far'))
 
     def test_long_prompts_wait_for_an_answer(self):
-        """What would be lost with any of its parts doesn't find out."""
+        """A prompt that is lost with any of its chunks does not probe."""
         health = Health()
         health.note_silence('t1', CUT_AT, 'far')
         health.note_silence('t2', CUT_AT, 'far')
--- a/tests/test_relay_readers.py
+++ b/tests/test_relay_readers.py
@@ -1,4 +1,4 @@
-"""Who reads the store for the others."""
+"""Election of the store's reader."""
 
 import unittest
 
@@ -12,7 +12,7 @@
 
 
 class ReadersTest(unittest.TestCase):
-    """The choice, and what happens when readers fail."""
+    """The choice of a reader, and the failure of readers."""
 
     def test_all_choose_alike(self):
         """The order in which candidates are known does not matter."""
@@ -21,31 +21,31 @@
         self.assertEqual(choose_reader(reversed(known)), 'a')
 
     def test_reader_cut_from_the_store(self):
-        """A reader whose proof grows old hands over to a fresh one."""
+        """A reader whose proof grows old is replaced by a fresh one."""
         known = [Candidate('a', 2.0), Candidate('b', 0.7)]
         self.assertEqual(choose_reader(known), 'b')
 
     def test_two_readers_cut(self):
-        """With two cut off, the third in order reads."""
+        """If two are cut off, the third in the order reads."""
         known = [Candidate('a', 2), Candidate('b', 3), Candidate('c', 0.5)]
         self.assertEqual(choose_reader(known), 'c')
 
     def test_reader_that_is_lost_is_made_good_in_time(self):
-        """Everyone reads itself well before the bound on drains (2 s)."""
+        """Every instance reads itself well before the bound on drains (2 s)."""
         names = [f'e{one}' for one in range(8)]
         for name in names:
             self.assertGreater(get_own_read_in_s(name, names, 0.8), 0)
             self.assertLess(get_own_read_in_s(name, names, 1.2), 0)
 
     def test_delays_add_up_within_the_bound(self):
-        """A read, a question and an answer later a change is known."""
+        """A change is known after a read, a query and an answer."""
         for settle_s in (2, 3, 4, 10):
             pace = ReadPace(settle_s)
             self.assertLess(pace.read_s + pace.ask_s, settle_s / 2)
             self.assertLessEqual(pace.ask_s, 0.6)
 
     def test_own_reads_are_spread(self):
-        """Not all of many instances read at the same moment."""
+        """Many instances don't all read at the same moment."""
         names = [f'e{one:03}' for one in range(90)]
         waits = [get_own_read_in_s(name, names, 1) for name in names]
         self.assertLess(sum(wait < 0 for wait in waits), 6)
--- a/tests/test_relay_resting.py
+++ b/tests/test_relay_resting.py
@@ -1,4 +1,4 @@
-"""When targets that asked for rest get requests again."""
+"""When targets that asked for a back-off get requests again."""
 
 import unittest
 
@@ -19,7 +19,7 @@
 
 
 def make_throttle(**untils):
-    """Return the throttle of an entry that was asked for some rests."""
+    """Return the throttle of an entry that was asked for back-offs."""
     throttle = Throttle(Member('e', 'dc'), Notices(), lambda: 1)
     for name, until in untils.items():
         throttle.notices.note(name, Rest(until, asked_at=0, heard_at=0))
@@ -27,14 +27,14 @@
 
 
 class BelievedTest(unittest.TestCase):
-    """Which of several notices counts."""
+    """Which of several notices holds."""
 
     def note(self, *notices):
         known = Notices()
         changes = [known.note('t', one) for one in notices]
         return changes, known
 
-    # Guards against a short rest that cuts an earlier, longer one.
+    # Guards against a short back-off that replaces an earlier, longer one.
     def test_later_end_counts(self):
         changes, known = self.note(Rest(9, 0, 1), Rest(4, 1, 2), Rest(12, 3, 4))
         self.assertEqual(
@@ -56,7 +56,7 @@
 
 
 class ThrottleTest(unittest.TestCase):
-    """Requests before, at and after the end of a rest."""
+    """Requests before, at and after the end of a back-off."""
 
     def test_none_before_the_end(self):
         throttle = make_throttle(t1=3)
@@ -65,7 +65,7 @@
         self.assertFalse(throttle.is_resting(ONE, now=3))
         self.assertIsNone(throttle.take([TWO], now=2.99))
 
-    # Guards against a trial that a request to another target uses up.
+    # Guards against a probe that is used up by a request to another target.
     def test_all_or_none_of_several(self):
         throttle = make_throttle(t1=3, t2=9)
         self.assertIs(throttle.take([ONE, TWO], now=4), TWO)
@@ -82,12 +82,12 @@
         self.assertFalse(throttle.is_restrained(ONE))
 
     def test_waits(self):
-        """The shorter rest is waited for, by those behind as well."""
+        """The shorter back-off decides, also for requests further behind."""
         throttle = make_throttle(t1=3, t2=9)
         waits = [throttle.get_wait_s([ONE, TWO], one, 1) for one in range(3)]
         self.assertEqual(waits, [2, 2, 2])
 
-    # Guards against a rate limit that a rest hides, and the other way about.
+    # Guards against a back-off that hides a rate limit, and the reverse.
     def test_rest_and_rate_limit_both_bind(self):
         throttle = make_throttle(t1=3)
         throttle.notices.note('t1', RateLimit(0.5, 0, 1))
--- a/tests/test_relay_throttle.py
+++ b/tests/test_relay_throttle.py
@@ -1,4 +1,4 @@
-"""Whether a request may go to targets, and when."""
+"""Whether and when a request may be sent to rate-limited targets."""
 
 import unittest
 from math import inf
@@ -11,7 +11,7 @@
 
 
 def make_throttle(draw=lambda: 1, **per_s):
-    """Return the throttle of the only entry, and limits of some targets."""
+    """Return the throttle of the only entry, with limits of some targets."""
     limits = Notices()
     for name, number in per_s.items():
         limits.note(name, RateLimit(number, 0, 0))
@@ -27,7 +27,7 @@
             self.assertIsNone(throttle.take([FREE], now=0))
 
     def test_all_or_none(self):
-        """Where a helper has no room, the target keeps its own."""
+        """If a helper has no token, the target keeps its own."""
         throttle = make_throttle(t1=1, t2=1)
         self.assertIsNone(throttle.take([TWO], now=0))
         self.assertIs(throttle.take([ONE, FREE, TWO], now=0), TWO)
@@ -53,7 +53,7 @@
         self.assertTrue(throttle.is_free(ONE, now=0))
 
     def test_limit_of_nothing_lets_few_through(self):
-        """Else nobody would hear that it is over."""
+        """Otherwise no request would reveal that the limit has ended."""
         throttle = make_throttle(t1=0)
         left = [now for now in range(100) if throttle.take([ONE], now) is None]
         self.assertEqual(len(left), 10)
--- a/tests/test_relay_turns.py
+++ b/tests/test_relay_turns.py
@@ -1,4 +1,4 @@
-"""Who goes first where requests wait for their turn."""
+"""The order of waiting requests."""
 
 import unittest
 
@@ -14,7 +14,7 @@
 
 
 def make_turns(drawn):
-    """Return requests that wait, in the order of their arrival."""
+    """Return waiting requests in the order of their arrival."""
     found = Turns()
     for number, (team, priority) in enumerate(drawn):
         found.join(Turn(f'r{number}', 'svc', team, number, priority))
@@ -22,7 +22,7 @@
 
 
 def serve_all(turns):
-    """Return the requests in the order in which they go."""
+    """Return the requests in the order in which they are served."""
     served = []
     while turns.waiting:
         waiting = turns.waiting.values()
@@ -35,18 +35,18 @@
 
 
 class TurnsTest(unittest.TestCase):
-    """Urgency, then teams, then arrival."""
+    """Priority first, then teams in turn, then arrival."""
 
     @given(TURNS)
     def test_one_is_first(self, drawn):
-        """Always exactly one, and the more urgent ones before the others."""
+        """Exactly one request is first, and priorities are in order."""
         served = serve_all(make_turns(drawn))
         ranks = [one.rank for one in served]
         self.assertEqual(ranks, sorted(ranks))
 
     @given(TURNS)
     def test_known_in_advance(self, drawn):
-        """Where nobody comes, each goes when it was told."""
+        """If no request arrives, each keeps its predicted position."""
         turns = make_turns(drawn)
         told = [(turns.count_ahead(one), one) for one in turns.waiting.values()]
         order = serve_all(turns)
--- a/tests/test_relay_watch.py
+++ b/tests/test_relay_watch.py
@@ -1,4 +1,4 @@
-"""How closely the list was followed, and what follows from it."""
+"""Monitoring of the target list, and what it implies."""
 
 import unittest
 
@@ -11,7 +11,7 @@
 
 
 class WatchTest(unittest.TestCase):
-    """Gaps, disturbances, and what may be vouched for."""
+    """Gaps and disturbances between reads of the list."""
 
     def make(self, *reads):
         watch = Watch()
@@ -20,13 +20,13 @@
         return watch
 
     def test_first_list_is_not_settled(self):
-        """Who has just begun can't say what has only lapsed."""
+        """An instance that has just started can't tell which leases lapsed."""
         watch = self.make(0)
         self.assertFalse(watch.is_settled(1))
         self.assertTrue(watch.is_settled(LAPSE_GRACE_S))
 
     def test_gap_unsettles_and_disturbs_nothing(self):
-        """A gap of one's own making holds nothing, and vouches for nothing."""
+        """A gap without failed reads retains nothing, and confirms nothing."""
         watch = self.make(0, 5)
         self.assertFalse(watch.is_settled(6))
         self.assertLess(watch.grace_end, 5)
@@ -39,14 +39,14 @@
         self.assertTrue(watch.is_disturbed(6))
 
     def test_directory_may_have_been_back_for_a_while(self):
-        """The grace ends in time for what left just before the outage."""
+        """The grace ends in time for targets removed before the outage."""
         watch = self.make(0)
         watch.note_trouble(4)
         watch.note_read(5, 5)
         self.assertEqual(watch.grace_end, 4 + RETURN_GRACE_S)
 
     def test_trouble_before_the_last_read_is_over(self):
-        """A failure that a read has followed is no reason any more."""
+        """A failure that a successful read has followed does not count."""
         watch = self.make(0)
         watch.note_trouble(0.1)
         watch.note_read(0.2, 0.2)
@@ -54,7 +54,7 @@
         self.assertLess(watch.grace_end, 5)
 
     def test_gap_is_between_what_lists_are_true_for(self):
-        """A slow answer makes no gap where the question came in time."""
+        """A slow answer makes no gap if its query was sent in time."""
         watch = self.make(0)
         watch.note_trouble(1)
         watch.note_read(GAP_S, GAP_S + 1)
