--- a/trestledock/relay/_asking.py
+++ b/trestledock/relay/_asking.py
@@ -45,8 +45,10 @@
     options: Sequence[Placement | NoPlace],
 ) -> Placement | NoPlace:
     """Return the cheapest placement, or the first refusal if there is none."""
-    placements = [one for one in options if isinstance(one, Placement)]
-    return min(placements, key=lambda one: one.cost, default=options[0])
+    placements = [option for option in options if isinstance(option, Placement)]
+    return min(
+        placements, key=lambda placement: placement.cost, default=options[0]
+    )
 
 
 @dataclass(frozen=True)
@@ -86,8 +88,10 @@
         work = self._make_work(timing, now)
         placement = placer.place(work, engine, targets, now)
         if placement is None:
-            found = bool(targets)
-            return NoPlace(decide_without_place(timing, now, any_target=found))
+            any_target = bool(targets)
+            return NoPlace(
+                decide_without_place(timing, now, any_target=any_target)
+            )
         decision = decide(timing, work.worth, placement, now, placer.terms)
         if decision is Decision.send:
             return placement
@@ -112,7 +116,7 @@
             pause_s=self.pause_s,
             worth=get_worth(self.size),
             due=self.timing.due,
-            helpers=tuple(one.incarnation for one in placement.helpers),
+            helpers=tuple(helper.incarnation for helper in placement.helpers),
             tickets=placement.tickets,
             gone=self.timing.gone,
             patience_s=self.patience_s,
--- a/trestledock/relay/_board.py
+++ b/trestledock/relay/_board.py
@@ -169,17 +169,19 @@
 
     def get_flights(self, target: str) -> Iterator[Flight]:
         """Return all requests in flight at a target."""
-        told = [
+        remote = [
             flight
             for by_target in self._elsewhere.values()
             for flight in by_target.get(target, ())
         ]
-        return iter((*self._by_target.get(target, {}).values(), *told))
+        return iter((*self._by_target.get(target, {}).values(), *remote))
 
     def get_beside(self, flight: Flight) -> list[Flight]:
         """Return all requests at the targets of a request, itself included."""
         return [
-            one for name in flight.engaged for one in self.get_flights(name)
+            neighbour
+            for name in flight.engaged
+            for neighbour in self.get_flights(name)
         ]
 
     def set_elsewhere(self, place: str, flights: Iterable[Flight]) -> None:
--- a/trestledock/relay/_elsewhere.py
+++ b/trestledock/relay/_elsewhere.py
@@ -64,7 +64,7 @@
     loss by delaying it affect placements. All answers that a target decodes are
     merged into one request with the shortest allowed pause among them.
     """
-    writing: dict[str, list[Flight]] = {}
+    decoding: dict[str, list[Flight]] = {}
     for flight in flights:
         for name in flight.engaged:
             if name not in targets:
@@ -72,9 +72,9 @@
             if flight.phase is Phase.reading:
                 yield _take_part(flight, name)
             else:
-                writing.setdefault(name, []).append(flight)
-    for name, found in writing.items():
-        yield _put_together(name, found, now)
+                decoding.setdefault(name, []).append(flight)
+    for name, answers in decoding.items():
+        yield _put_together(name, answers, now)
 
 
 def _take_part(flight: Flight, name: str) -> Flight:
@@ -90,16 +90,16 @@
     )
 
 
-def _put_together(name: str, found: list[Flight], now: float) -> Flight:
+def _put_together(name: str, flights: list[Flight], now: float) -> Flight:
     """Return one request that stands for all answers that a target decodes."""
     return Flight(
         flight_id=name,
         target=name,
-        prompt_tokens=sum(one.get_held_tokens(name) for one in found),
+        prompt_tokens=sum(flight.get_held_tokens(name) for flight in flights),
         output_tokens=0,
         phase=Phase.writing,
         since=now,
-        pause_s=min(one.pause_s for one in found),
-        worth=sum(one.worth for one in found),
-        patience_s=min(one.patience_s for one in found),
+        pause_s=min(flight.pause_s for flight in flights),
+        worth=sum(flight.worth for flight in flights),
+        patience_s=min(flight.patience_s for flight in flights),
     )
--- a/trestledock/relay/_events.py
+++ b/trestledock/relay/_events.py
@@ -35,8 +35,8 @@
         """Add bytes; return the events that they complete."""
         buffered = b''.join((self.rest, raw))
         end = END_CRLF if b'\r' in buffered else END
-        *whole, self.rest = buffered.split(end)
-        return [_make_event(b''.join((one, end))) for one in whole]
+        *events, self.rest = buffered.split(end)
+        return [_make_event(b''.join((event, end))) for event in events]
 
 
 def _make_event(raw: bytes) -> Event:
--- a/trestledock/relay/_fingerprint.py
+++ b/trestledock/relay/_fingerprint.py
@@ -37,9 +37,9 @@
     >>> len(get_fingerprint(traits, sha256(b'').digest()))
     24
     """
-    found = sha256(body_digest)
+    digest = sha256(body_digest)
     for part in traits:
         raw = part.encode()
-        found.update(b'%d:' % len(raw))
-        found.update(raw)
-    return found.hexdigest()[:DIGITS]
+        digest.update(b'%d:' % len(raw))
+        digest.update(raw)
+    return digest.hexdigest()[:DIGITS]
--- a/trestledock/relay/_fleet.py
+++ b/trestledock/relay/_fleet.py
@@ -147,10 +147,14 @@
 
         Return their incarnations.
         """
-        over = [one for one, until in self.held.items() if now >= until]
-        for incarnation in over:
+        expired = [
+            incarnation
+            for incarnation, until in self.held.items()
+            if now >= until
+        ]
+        for incarnation in expired:
             self._remove(self.targets[incarnation])
-        return over
+        return expired
 
     def get_listed(self) -> Iterator[Listed]:
         """Return the targets that the directory lists."""
@@ -176,16 +180,16 @@
 
         Return the incarnations that were removed here, known by older records.
         """
-        dropped = []
-        for one in gone:
-            known = self.get_by_id(one.target_id)
-            if known and known.order <= one.order:
+        removed = []
+        for target in gone:
+            known = self.get_by_id(target.target_id)
+            if known and known.order <= target.order:
                 self._remove(known)
-                dropped.append(known.incarnation)
-            if known is None or known.order <= one.order:
-                last = self.gone.get(one.target_id, BEFORE_ALL)
-                self.gone[one.target_id] = max(last, one.order)
-        return dropped
+                removed.append(known.incarnation)
+            if known is None or known.order <= target.order:
+                last = self.gone.get(target.target_id, BEFORE_ALL)
+                self.gone[target.target_id] = max(last, target.order)
+        return removed
 
     def get_usable(self, service: str) -> Iterator[Listed]:
         """Return the targets of a service that accept new requests."""
--- a/trestledock/relay/_health.py
+++ b/trestledock/relay/_health.py
@@ -130,10 +130,10 @@
         """Record a correct answer."""
         self.places.pop(place, None)
         self._learn(target_id, 0, now)
-        one = self.get(target_id)
-        one.silences = 0
-        one.doubts = 0
-        one.suspect_until = float('-inf')
+        target = self.get(target_id)
+        target.silences = 0
+        target.doubts = 0
+        target.suspect_until = float('-inf')
 
     def note_failure(self, target_id: str, now: float) -> None:
         """Record an answer that failed, was cut short or was invalid."""
@@ -145,22 +145,22 @@
         Another early timeout without an answer in between counts as silence.
         """
         self._learn(target_id, 1, now)
-        one = self.get(target_id)
-        one.doubts += 1
-        if one.doubts >= DOUBTS:
+        target = self.get(target_id)
+        target.doubts += 1
+        if target.doubts >= DOUBTS:
             self.note_silence(target_id, now, place)
 
     def note_silence(self, target_id: str, now: float, place: str = '') -> None:
         """Record that no answer arrived or no connection was established."""
         if place:
-            known = self.places.setdefault(place, PlaceHealth())
-            known.note_silence(target_id, now)
-        one = self.get(target_id)
-        if now < one.suspect_until:
+            centre_health = self.places.setdefault(place, PlaceHealth())
+            centre_health.note_silence(target_id, now)
+        target = self.get(target_id)
+        if now < target.suspect_until:
             return
-        wait_s = min(SUSPECT_CAP_S, SUSPECT_BASE_S * 2**one.silences)
-        one.silences += 1
-        one.suspect_until = now + wait_s
+        wait_s = min(SUSPECT_CAP_S, SUSPECT_BASE_S * 2**target.silences)
+        target.silences += 1
+        target.suspect_until = now + wait_s
 
     def is_suspect(
         self,
@@ -174,8 +174,10 @@
 
         Losing a `small` request to find out is acceptable.
         """
-        around = self.places.get(place)
-        if around is not None and around.is_suspect(now, small=small):
+        centre_health = self.places.get(place)
+        if centre_health is not None and centre_health.is_suspect(
+            now, small=small
+        ):
             return True
         known = self.targets.get(target_id)
         return known is not None and now < known.suspect_until
@@ -190,10 +192,10 @@
 
         Return whether they were not silent before.
         """
-        known = self.places.setdefault(place, PlaceHealth())
-        if known.quiet:
+        centre_health = self.places.setdefault(place, PlaceHealth())
+        if centre_health.quiet:
             return False
-        known.note_quiet(now)
+        centre_health.note_quiet(now)
         return True
 
     def note_heard(self, place: str) -> None:
@@ -202,18 +204,18 @@
         It ends a suspicion only if silence of the instances was its cause:
         messages may get through where requests don't.
         """
-        known = self.places.get(place)
-        if known and known.quiet:
+        centre_health = self.places.get(place)
+        if centre_health and centre_health.quiet:
             self.places.pop(place)
 
     def note_sent(self, place: str, now: float) -> None:
         """Record a request that is sent to a target of a data centre."""
-        known = self.places.get(place)
-        if known:
-            known.note_sent(now)
+        centre_health = self.places.get(place)
+        if centre_health:
+            centre_health.note_sent(now)
 
     def _learn(self, target_id: str, failed: int, now: float) -> None:
-        one = self.get(target_id)
-        known = one.get_failure_share(now)
-        one.failures = known + LEARN * (failed - known)
-        one.noted_at = now
+        target = self.get(target_id)
+        average = target.get_failure_share(now)
+        target.failures = average + LEARN * (failed - average)
+        target.noted_at = now
--- a/trestledock/relay/_notices.py
+++ b/trestledock/relay/_notices.py
@@ -96,7 +96,7 @@
 
 @believe.register
 def _(notice: Rest, before: Rest) -> Rest:
-    return max(notice, before, key=lambda one: one.until)
+    return max(notice, before, key=lambda backoff: backoff.until)
 
 
 @dataclass(frozen=True)
@@ -131,8 +131,8 @@
 
     def get(self, kind: type[Kind], target: str) -> Kind | None:
         """Return a target's notice of a kind, if it requests anything."""
-        found = self.known.get(kind, {}).get(target)
-        return found if found and found.asks_for is not None else None
+        notice = self.known.get(kind, {}).get(target)
+        return notice if notice and notice.asks_for is not None else None
 
     def get_all(self, kind: type[Kind]) -> dict[str, Kind]:
         """Return the newest notices of a kind by target, withdrawn ones too."""
@@ -160,9 +160,9 @@
 
 
 def _get_change(before: Notice | None, after: Notice) -> Change:
-    asked = None if before is None else before.asks_for
-    if asked == after.asks_for:
+    requested_before = None if before is None else before.asks_for
+    if requested_before == after.asks_for:
         return Change.nothing
-    if asked is None:
+    if requested_before is None:
         return Change.learnt
     return Change.lifted if after.asks_for is None else Change.changed
--- a/trestledock/relay/_open_ends.py
+++ b/trestledock/relay/_open_ends.py
@@ -46,28 +46,32 @@
         self._drop_old(now)
         if len(self._by_target) >= MOST_OPEN:
             return
-        end = End(fingerprint, target.incarnation)
-        found = self._by_target.setdefault(target.incarnation, [])
-        found.append(_Open(end, target.address, now + OPEN_S))
+        crash = End(fingerprint, target.incarnation)
+        crashes = self._by_target.setdefault(target.incarnation, [])
+        crashes.append(_Open(crash, target.address, now + OPEN_S))
 
     def take(self, incarnation: str, now: float) -> list[End]:
         """Remove and return the crashes of a target that has crashed."""
-        found = self._by_target.pop(incarnation, [])
-        return [one.end for one in found if now < one.until]
+        crashes = self._by_target.pop(incarnation, [])
+        return [crash.end for crash in crashes if now < crash.until]
 
     def take_replaced_by(self, listed: Listed, now: float) -> list[End]:
         """Remove and return the crashes of other targets at its address."""
-        before = [
+        predecessors = [
             incarnation
-            for incarnation, found in self._by_target.items()
-            if found[0].address == listed.address
+            for incarnation, crashes in self._by_target.items()
+            if crashes[0].address == listed.address
             and incarnation != listed.incarnation
         ]
-        return [end for one in before for end in self.take(one, now)]
+        return [
+            crash
+            for predecessor in predecessors
+            for crash in self.take(predecessor, now)
+        ]
 
     def _drop_old(self, now: float) -> None:
         self._by_target = {
-            incarnation: found
-            for incarnation, found in self._by_target.items()
-            if now < found[-1].until
+            incarnation: crashes
+            for incarnation, crashes in self._by_target.items()
+            if now < crashes[-1].until
         }
--- a/trestledock/relay/_outcome.py
+++ b/trestledock/relay/_outcome.py
@@ -53,12 +53,12 @@
     @property
     def may_have_run(self) -> bool:
         """Whether any target may have begun to process the request."""
-        return any(one.may_have_run for one in self.sendings)
+        return any(attempt.may_have_run for attempt in self.sendings)
 
     @property
     def runs(self) -> int:
         """The number of targets that may have run the request."""
-        return sum(one.may_have_run for one in self.sendings)
+        return sum(attempt.may_have_run for attempt in self.sendings)
 
     def add(self, sending: Sending) -> 'History':
         """Return the history with another attempt."""
--- a/trestledock/relay/_pacing.py
+++ b/trestledock/relay/_pacing.py
@@ -28,8 +28,8 @@
 
     def get_tokens(self, now: float, per_s: float) -> float:
         """Return the number of requests that may be sent, as a fraction."""
-        gained = max(0, now - self.filled_at) * per_s
-        return min(self.tokens + gained, 1 + per_s * BURST_S)
+        refilled = max(0, now - self.filled_at) * per_s
+        return min(self.tokens + refilled, 1 + per_s * BURST_S)
 
     def is_free(self, now: float, per_s: float) -> bool:
         """Return whether a request may be sent now."""
--- a/trestledock/relay/_parts.py
+++ b/trestledock/relay/_parts.py
@@ -43,12 +43,14 @@
 ) -> Placement:
     """Return the plan of a primary engine with helpers."""
     first_s = first.predict_first_s(part_s)
-    ends = [view.predict_part_s(part_s) + first.base_s for view in helpers]
-    last_s = max([first_s, *ends])
-    late = problem.get_lateness(last_s) - problem.get_lateness(first_s)
+    helper_ends = [
+        view.predict_part_s(part_s) + first.base_s for view in helpers
+    ]
+    last_s = max([first_s, *helper_ends])
+    lateness = problem.get_lateness(last_s) - problem.get_lateness(first_s)
     helpers_harm = sum(problem.get_harm(view, part_s) for view in helpers)
     cost = problem.get_cost(first, part_s) + helpers_harm
-    cost += late + (last_s - first_s) * SECOND_COST
+    cost += lateness + (last_s - first_s) * SECOND_COST
     cost += problem.get_scarcity([first, *helpers], part_s, last_s)
     return Placement(
         first.listed,
@@ -62,11 +64,11 @@
 
 def pick_helpers(
     problem: Problem,
-    taken: tuple[View, ...],
+    excluded: tuple[View, ...],
     part_s: float,
 ) -> list[View]:
     """Return the other engines, the cheapest helpers first."""
-    taken_ids = {view.listed.incarnation for view in taken}
+    excluded_ids = {view.listed.incarnation for view in excluded}
 
     def cost_of(view: View) -> float:  # noqa: WPS430 - a sort key
         return (
@@ -76,9 +78,9 @@
             + problem.get_remoteness(view)
         )
 
-    others = [
+    candidates = [
         view
         for view in problem.views
-        if view.listed.incarnation not in taken_ids
+        if view.listed.incarnation not in excluded_ids
     ]
-    return sorted(others, key=cost_of)
+    return sorted(candidates, key=cost_of)
--- a/trestledock/relay/_patience.py
+++ b/trestledock/relay/_patience.py
@@ -87,13 +87,13 @@
     after 5.9 s and was sent to another target had been 0.1 s from its first
     event.
     """
-    name = own.target
+    target = own.target
     held = sum(
-        one.get_held_tokens(name)
-        for one in flights
-        if one.since < own.since and one.flight_id != own.flight_id
+        flight.get_held_tokens(target)
+        for flight in flights
+        if flight.since < own.since and flight.flight_id != own.flight_id
     )
-    return held + own.get_held_tokens(name) > capacity_tokens
+    return held + own.get_held_tokens(target) > capacity_tokens
 
 
 def get_pause_patience_s(route: Route) -> float:
--- a/trestledock/relay/_placing.py
+++ b/trestledock/relay/_placing.py
@@ -77,7 +77,9 @@
         problem = Problem(
             work=work,
             engine=engine,
-            views=tuple(self.viewer.view(engine, one, now) for one in ordered),
+            views=tuple(
+                self.viewer.view(engine, target, now) for target in ordered
+            ),
             read_s=get_read_s(engine, work.size.prompt_tokens),
             terms=self.terms,
         )
@@ -121,15 +123,15 @@
     def cost_of(view: View) -> float:  # noqa: WPS430 - a sort key
         return costs[view.listed.incarnation]
 
-    easy = [
+    uncrowded = [
         view
         for view in problem.views
         if cost_of(view) - view.predict_first_s(read_s) * SECOND_COST
         < EASY_COST
     ]
-    near = [view for view in easy if not view.remote]
-    if easy and problem.terms.packing:
-        best = max(near or easy, key=lambda view: view.count)
+    local = [view for view in uncrowded if not view.remote]
+    if uncrowded and problem.terms.packing:
+        best = max(local or uncrowded, key=lambda view: view.count)
     else:
         best = min(problem.views, key=cost_of)
     first_s = best.predict_first_s(read_s)
--- a/trestledock/relay/_plain.py
+++ b/trestledock/relay/_plain.py
@@ -34,9 +34,9 @@
 
     def load_of(listed: Listed) -> tuple[float, float]:  # noqa: WPS430
         count = sum(1 for _ in board.get_flights(listed.incarnation))
-        known = health.get(listed.incarnation)
+        target_health = health.get(listed.incarnation)
         busy = (count + 1) / max(1, listed.slots)
-        busy += known.get_failure_share(now) * FAILURE_LOAD
+        busy += target_health.get_failure_share(now) * FAILURE_LOAD
         busy += REMOTE_LOAD * (listed.data_centre != data_centre)
         return busy, draw()
 
--- a/trestledock/relay/_problem.py
+++ b/trestledock/relay/_problem.py
@@ -104,12 +104,14 @@
         limit_s = self.work.objective_s * OBJECTIVE_SHARE
         if first_s <= limit_s:
             return 0
-        over = (first_s - limit_s) / max(limit_s, LEAST_OBJECTIVE_S)
-        share = LATE_LOSS * min(1, LATE_AT_LEAST + over)
+        excess = (first_s - limit_s) / max(limit_s, LEAST_OBJECTIVE_S)
+        lost_share = LATE_LOSS * min(1, LATE_AT_LEAST + excess)
         left_s = max(self.work.gone_s * GONE_SHARE, LEAST_OBJECTIVE_S)
         if first_s > left_s:
             return self.work.worth * LOST_SHARE
-        return self.work.worth * (share + (1 - LATE_LOSS) * first_s / left_s)
+        return self.work.worth * (
+            lost_share + (1 - LATE_LOSS) * first_s / left_s
+        )
 
     def get_gain(self, first_s: float) -> float:
         """Return the yield of the request by a first token after `first_s`."""
@@ -138,8 +140,8 @@
 
     def get_crowding(self, view: View) -> float:
         """Return the cost of batch places and memory that are not free yet."""
-        over = view.count - self.engine.batch + SPARE_PLACES + 1
-        cost = QUEUED_COST * max(0, over)
+        excess = view.count - self.engine.batch + SPARE_PLACES + 1
+        cost = QUEUED_COST * max(0, excess)
         if self.work.size.total_tokens > view.free_tokens:
             cost += QUEUED_COST * 2
         return cost
--- a/trestledock/relay/_quarantine.py
+++ b/trestledock/relay/_quarantine.py
@@ -203,8 +203,8 @@
     def get_records(self, now: float) -> Iterator[Quarantined]:
         """Yield the state of all requests that are or were in quarantine."""
         for fingerprint, suspect in self.suspects.items():
-            known = max(len(suspect.incarnations), len(suspect.cleared))
-            if known >= MOST_ENDS:
+            crash_count = max(len(suspect.incarnations), len(suspect.cleared))
+            if crash_count >= MOST_ENDS:
                 yield self.make_record(fingerprint, now)
 
     def make_record(self, fingerprint: str, now: float) -> Quarantined:
@@ -227,10 +227,10 @@
         surplus = len(self.suspects) - MOST_KNOWN
         if surplus <= 0:
             return []
-        least = sorted(self.suspects, key=self._get_rank)[:surplus]
-        for fingerprint in least:
+        evicted = sorted(self.suspects, key=self._get_rank)[:surplus]
+        for fingerprint in evicted:
             self._forget_ends(self.suspects.pop(fingerprint).incarnations)
-        return least
+        return evicted
 
     def _get_rank(self, fingerprint: str) -> tuple[int, float]:
         suspect = self.suspects[fingerprint]
--- a/trestledock/relay/_quotas.py
+++ b/trestledock/relay/_quotas.py
@@ -57,10 +57,18 @@
         Instances of the target's own data centre come first, since they send
         most requests there.
         """
-        everyone = (self.own, *self.others)
-        near = [one.name for one in everyone if one.data_centre == data_centre]
-        far = [one.name for one in everyone if one.data_centre != data_centre]
-        return rank_by_key(target, near) + rank_by_key(target, far)
+        members = (self.own, *self.others)
+        local = [
+            member.name
+            for member in members
+            if member.data_centre == data_centre
+        ]
+        remote = [
+            member.name
+            for member in members
+            if member.data_centre != data_centre
+        ]
+        return rank_by_key(target, local) + rank_by_key(target, remote)
 
 
 @dataclass(frozen=True)
--- a/trestledock/relay/_reach.py
+++ b/trestledock/relay/_reach.py
@@ -62,8 +62,8 @@
         }
 
 
-def _is_quiet(heard: Iterable[float], now: float) -> bool:
+def _is_quiet(times: Iterable[float], now: float) -> bool:
     """Return whether instances sent messages lately, but none just now."""
-    ages = [now - at for at in heard]
+    ages = [now - at for at in times]
     expected = [age for age in ages if age <= EXPECTED_S]
     return bool(expected) and min(expected) > QUIET_S
--- a/trestledock/relay/_readers.py
+++ b/trestledock/relay/_readers.py
@@ -93,8 +93,10 @@
     'b'
     """
     known = tuple(candidates)
-    fresh = [one.name for one in known if one.age_s <= pace.fresh_s]
-    return min(fresh or [one.name for one in known])
+    fresh = [
+        candidate.name for candidate in known if candidate.age_s <= pace.fresh_s
+    ]
+    return min(fresh or [candidate.name for candidate in known])
 
 
 def get_own_read_in_s(
--- a/trestledock/relay/_restores.py
+++ b/trestledock/relay/_restores.py
@@ -60,8 +60,8 @@
         It never keeps this instance from serving: only epochs that it read
         itself do.
         """
-        known = max(_rank(self.epoch), _rank(self.told))
-        if known < 0 or _rank(epoch) <= known:
+        newest = max(_rank(self.epoch), _rank(self.told))
+        if newest < 0 or _rank(epoch) <= newest:
             return False
         self.told = epoch
         return True
--- a/trestledock/relay/_throttle.py
+++ b/trestledock/relay/_throttle.py
@@ -122,9 +122,9 @@
 
     def get_limit(self, targets: Sequence[Listed]) -> float:
         """Return the total rate that some limited targets accept."""
-        found = map(self._get_rate_limit, targets)
+        limits = map(self._get_rate_limit, targets)
         return sum(
-            max(limit.per_s or 0, LEAST_PER_S) for limit in found if limit
+            max(limit.per_s or 0, LEAST_PER_S) for limit in limits if limit
         )
 
     def forget(self, target: str) -> None:
--- a/trestledock/relay/_turns.py
+++ b/trestledock/relay/_turns.py
@@ -52,19 +52,21 @@
     def count_ahead(self, turn: Turn) -> int:
         """Return the number of waiting requests that go before a request."""
         others = [
-            one
-            for one in self.waiting.values()
-            if one.service == turn.service and one.req_id != turn.req_id
+            waiting
+            for waiting in self.waiting.values()
+            if waiting.service == turn.service and waiting.req_id != turn.req_id
         ]
-        ahead = sum(one.rank < turn.rank for one in others)
-        equals = [one for one in others if one.rank == turn.rank]
-        mates = sum(_is_earlier_mate(one, turn) for one in equals)
-        teams = Counter(one.team for one in equals if one.team != turn.team)
+        urgent = sum(waiting.rank < turn.rank for waiting in others)
+        equals = [waiting for waiting in others if waiting.rank == turn.rank]
+        teammates = sum(_is_earlier_mate(waiting, turn) for waiting in equals)
+        teams = Counter(
+            waiting.team for waiting in equals if waiting.team != turn.team
+        )
         return (
-            ahead
-            + mates
+            urgent
+            + teammates
             + sum(
-                min(count, mates + self._goes_first(team, turn))
+                min(count, teammates + self._goes_first(team, turn))
                 for team, count in teams.items()
             )
         )
@@ -79,8 +81,8 @@
         return self.served_at.get((service, team), -inf), team
 
 
-def _is_earlier_mate(one: Turn, turn: Turn) -> bool:
+def _is_earlier_mate(other: Turn, turn: Turn) -> bool:
     """Return whether another request of the same team arrived earlier."""
-    if one.team != turn.team:
+    if other.team != turn.team:
         return False
-    return (one.arrived_at, one.req_id) < (turn.arrived_at, turn.req_id)
+    return (other.arrived_at, other.req_id) < (turn.arrived_at, turn.req_id)
--- a/trestledock/relay/_view.py
+++ b/trestledock/relay/_view.py
@@ -76,13 +76,13 @@
         """Return the loss of others if `part_s` more is prefilled here."""
         before_s = self.base_s + self.pending_s
         return sum(
-            _get_loss(one, before_s + part_s, self.now)
-            - _get_loss(one, before_s, self.now)
-            for one in self.flights
+            _get_loss(flight, before_s + part_s, self.now)
+            - _get_loss(flight, before_s, self.now)
+            for flight in self.flights
         ) + sum(
-            one.worth * LATE_LOSS * READER_LOSS * min(1, part_s)
-            for one in self.flights
-            if one.phase is Phase.reading
+            flight.worth * LATE_LOSS * READER_LOSS * min(1, part_s)
+            for flight in self.flights
+            if flight.phase is Phase.reading
         )
 
 
@@ -99,14 +99,14 @@
         """Return the load of an engine now."""
         name = listed.incarnation
         flights = tuple(self.board.get_flights(name))
-        own = [one for one in flights if one.target == name]
-        held = sum(one.get_held_tokens(name) for one in flights)
+        own = [flight for flight in flights if flight.target == name]
+        held = sum(flight.get_held_tokens(name) for flight in flights)
         health = self.health.get(name)
         base_s = get_write_pass_s(engine, PassLoad(len(own) + 1, held))
         return View(
             listed=listed,
             count=len(own),
-            writers=sum(one.phase is Phase.writing for one in own),
+            writers=sum(flight.phase is Phase.writing for flight in own),
             base_s=base_s,
             pending_s=_get_pending_s(engine, flights, now),
             free_tokens=engine.capacity_tokens * MEMORY_SHARE - held,
@@ -125,8 +125,8 @@
     """Return the seconds of prefill that an engine still has to do."""
     left_s: float = 0
     at = now
-    reading = [one for one in flights if one.phase is Phase.reading]
-    for flight in sorted(reading, key=lambda one: one.since):
+    prefilling = [flight for flight in flights if flight.phase is Phase.reading]
+    for flight in sorted(prefilling, key=lambda request: request.since):
         part_s = get_read_s(engine, flight.prompt_tokens) / flight.parts
         left_s = max(0, left_s - max(0, flight.since - at)) + part_s
         at = flight.since
@@ -158,5 +158,5 @@
     """
     if left_s <= 0:
         return 1
-    over = first_s / left_s - SAFE_SHARE
-    return min(1, max(0, over / (LATE_SHARE - SAFE_SHARE)))
+    excess = first_s / left_s - SAFE_SHARE
+    return min(1, max(0, excess / (LATE_SHARE - SAFE_SHARE)))
