--- a/tests/crashing.py
+++ b/tests/crashing.py
@@ -2,7 +2,7 @@
 
 A target that starts to run such a request closes all its connections and stops.
 It is listed again at all entries after a restart, either under its id with a
-new birth or under a new id. Messages between entries arrive at once.
+new birth or under a new id.  Messages between entries arrive at once.
 """
 
 from contextlib import suppress
--- a/tests/test_query_of_death.py
+++ b/tests/test_query_of_death.py
@@ -1,12 +1,12 @@
 """A request that crashes its targets reaches few of them, then none.
 
-Guards against unlimited retries of a query of death. A request under which
+Guards against unlimited retries of a query of death.  A request under which
 three targets had crashed was sent to targets ten more times, and 32 of 36
 targets crashed under it within nine seconds; other requests at these targets
 were cut or refused.
 
 Each attempt of a caller goes to one target, and to a second one when the first
-has crashed; both crash. Then the same or another caller sends the request
+has crashed; both crash.  Then the same or another caller sends the request
 again, to another entry.
 
 Entries kept what they knew of a request only for one attempt, and attributed
--- a/tests/test_relay_claims.py
+++ b/tests/test_relay_claims.py
@@ -1,7 +1,7 @@
 """Two entries that place long prompts at the same engine at one moment.
 
 They chose 20 and 35 ms apart, each before the other's message had arrived:
-279,967 and 260,922 tokens at an engine that holds 382,500. The second prompt
+279,967 and 260,922 tokens at an engine that holds 382,500.  The second prompt
 waited for the memory of the first, timed out as silent, and was refused.
 """
 
--- a/tests/test_relay_elsewhere.py
+++ b/tests/test_relay_elsewhere.py
@@ -2,8 +2,8 @@
 
 For seconds all engines of one data centre are occupied by long prompts, while
 half of the next one's are idle: 42 of 110 engine-seconds against 5 were
-measured. A prompt of a million tokens with an objective of 4 s waited for 5.6 s
-there.
+measured.  A prompt of a million tokens with an objective of 4 s waited for 5.6
+s there.
 """
 
 import unittest
--- a/tests/test_relay_quarantine.py
+++ b/tests/test_relay_quarantine.py
@@ -177,7 +177,7 @@
 class BlameTest(unittest.TestCase):
     """How often harmless and deadly requests are quarantined.
 
-    Eighteen targets run seven requests each. A request is sent to one target,
+    Eighteen targets run seven requests each.  A request is sent to one target,
     and to a second one if that crashes; its caller retries once.
     """
 
@@ -188,7 +188,7 @@
     def play(self, rng, *, ending_share, deadly_rounds=0):
         """Return how many of 126 harmless requests are quarantined.
 
-        Also return whether the deadly one is. In each round a share of the
+        Also return whether the deadly one is.  In each round a share of the
         targets crash by themselves; the deadly request crashes one more.
         """
         quarantine = Quarantine()
--- a/trestledock/relay/__init__.py
+++ b/trestledock/relay/__init__.py
@@ -4,7 +4,7 @@
 
 Routes and keys, the fleet of targets and its passive health, placement of
 prompts of different lengths, the load table, the outcome of attempts and the
-shared retry budget. The package opens no sockets and reads no clock.
+shared retry budget.  The package opens no sockets and reads no clock.
 """
 
 from trestledock.relay._arithmetic import (
--- a/trestledock/relay/_arithmetic.py
+++ b/trestledock/relay/_arithmetic.py
@@ -54,7 +54,7 @@
     """Return how long an idle engine usually takes to decode an answer.
 
     >>> engine = EngineModel(8, 232_000, 0.001, 200_000)
-    >>> get_write_s(engine, PromptSize(1_000, 1_000))
+    >>> round(get_write_s(engine, PromptSize(1_000, 1_000)), 2)
     0.35
     """
     step_s = engine.step_s + engine.step_context_s * size.total_tokens
--- a/trestledock/relay/_board.py
+++ b/trestledock/relay/_board.py
@@ -3,7 +3,7 @@
 ==========
 
 The requests in flight at every target: exact for this instance, and as last
-reported for all others. Each request is owned by the instance that sent it;
+reported for all others.  Each request is owned by the instance that sent it;
 peers hold copies until the caller of this module drops that instance.
 """
 
@@ -24,12 +24,12 @@
 class Flight:
     """A request in flight at a target.
 
-    `since` is when its phase began, on the clock of this process. `helpers`
+    `since` is when its phase began, on the clock of this process.  `helpers`
     prefill equal chunks of the prompt beside the target; `tickets` are the
-    tokens reserved at other targets. `pause_s` is the longest pause between
+    tokens reserved at other targets.  `pause_s` is the longest pause between
     events that the caller accepts as timely, and `patience_s` the pause at
-    which it leaves. The first token is late after `due`, the caller has left at
-    `gone`, and `worth` is lost if the request fails.
+    which it leaves.  The first token is late after `due`, the caller has left
+    at `gone`, and `worth` is lost if the request fails.
     """
 
     flight_id: str
--- a/trestledock/relay/_budget.py
+++ b/trestledock/relay/_budget.py
@@ -3,7 +3,7 @@
 ============
 
 Retries to a service are bounded, over all instances together, by a ratio of its
-requests in a sliding window plus a fixed slack. No messages are needed: each
+requests in a sliding window plus a fixed slack.  No messages are needed: each
 instance keeps to its part of the slack and to the ratio of its own requests.
 """
 
--- a/trestledock/relay/_call.py
+++ b/trestledock/relay/_call.py
@@ -2,7 +2,7 @@
 Calls
 =====
 
-A relayed request. The body and the headers are passed to the target unchanged;
+A relayed request.  The body and the headers are passed to the target unchanged;
 only what the decisions need is parsed.
 """
 
@@ -45,7 +45,7 @@
     """One attempt of a caller, received completely.
 
     `arrived_at` and `deadline` are monotonic instants of this process.
-    `headers` are those passed to the target. `resume_after` is the id of the
+    `headers` are those passed to the target.  `resume_after` is the id of the
     last event that the caller has received, or empty at the start of a stream.
     """
 
--- a/trestledock/relay/_catalog.py
+++ b/trestledock/relay/_catalog.py
@@ -3,7 +3,7 @@
 ===============
 
 One version of the operators' configuration of relayed requests: routes, their
-services, the keys of teams and the limits on callers. Routes are looked up by
+services, the keys of teams and the limits on callers.  Routes are looked up by
 host and path, keys by their text; a version is never modified.
 """
 
@@ -35,9 +35,9 @@
 
     `timeout_s` bounds the whole request, `objective_s` is the intended time to
     the first byte or event, and `pause_s` the longest allowed pause between
-    events. Callers leave after a silence of `patience_s`, also before the first
-    event. `max_attempts` bounds the number of targets that may run a request,
-    and `priority` is its rank in a queue, 0 first.
+    events.  Callers leave after a silence of `patience_s`, also before the
+    first event.  `max_attempts` bounds the number of targets that may run a
+    request, and `priority` is its rank in a queue, 0 first.
     """
 
     name: str
@@ -74,7 +74,7 @@
     """The timing model of an engine, as measured by its operators.
 
     An engine works in passes of `stride` steps while any request decodes, and
-    of single steps otherwise. A step takes `step_s`, plus `step_request_s` for
+    of single steps otherwise.  A step takes `step_s`, plus `step_request_s` for
     each decoding request and `step_context_s` for each token of its context.
     Prompts are prefilled at `read_rate` tokens a second, plus `pair_s` for each
     pair of a token and an earlier token.
--- a/trestledock/relay/_claims.py
+++ b/trestledock/relay/_claims.py
@@ -4,7 +4,7 @@
 
 Two instances that place long prompts at the same moment don't know of each
 other, and may choose the same engines: the prompts then need more memory than
-an engine has, or twice the time. A long prompt is therefore announced to the
+an engine has, or twice the time.  A long prompt is therefore announced to the
 other instances first, and sent a moment later unless another instance has
 claimed one of its engines in the meantime.
 """
@@ -15,7 +15,7 @@
 from trestledock.relay._deciding import SMALL_WORTH
 from trestledock.relay._problem import Placement
 
-#: How long to wait for claims of other instances, in seconds. When two
+#: How long to wait for claims of other instances, in seconds.  When two
 #: instances chose the same engines, the second choice came up to 35 ms after
 #: the first: the choice took a few milliseconds on half a core, and the message
 #: waited behind the bytes of the prompt (30 KB take 12 ms at 20 Mbit/s).
@@ -39,8 +39,8 @@
 ) -> Flight | None:
     """Return a long prompt that precedes the own one at an engine, if any.
 
-    Prompts in `known` were taken into account by the placement. A prompt that
-    was announced longer ago than the wait is already being sent. Among prompts
+    Prompts in `known` were taken into account by the placement.  A prompt that
+    was announced longer ago than the wait is already being sent.  Among prompts
     of the same moment the ids decide, so that all instances that know both
     agree.
     """
--- a/trestledock/relay/_deciding.py
+++ b/trestledock/relay/_deciding.py
@@ -3,9 +3,9 @@
 =========
 
 Whether a request takes the best placement that exists now, waits for a better
-one, or is refused. A request whose caller would leave before the first event is
-refused at once: an engine would prefill its prompt in vain and delay requests
-that can still be in time.
+one, or is refused.  A request whose caller would leave before the first event
+is refused at once: an engine would prefill its prompt in vain and delay
+requests that can still be in time.
 """
 
 from dataclasses import dataclass
@@ -24,14 +24,14 @@
 LATE_HARM_SHARE = 0.1
 #: A request that will be late in any case queues for at most this share of the
 #: time until its caller leaves, provided that its prefill on an idle fleet fits
-#: into `IDEAL_SHARE` of the time left. Only prompts above a worth of 2 (some
+#: into `IDEAL_SHARE` of the time left.  Only prompts above a worth of 2 (some
 #: 14,000 tokens) queue: a short request that waits would delay requests that
 #: may be in time.
 LATE_PATIENCE_SHARE = 0.4
 IDEAL_SHARE = 0.6
 SMALL_WORTH = 2.0
 #: The largest share of the remaining time that a refused caller is told to wait
-#: before it retries. Callers don't wait for longer than a third.
+#: before it retries.  Callers don't wait for longer than a third.
 COME_BACK_SHARE = 0.3
 #: The share of its total time that a request may wait for memory.
 MEMORY_PATIENCE_SHARE = 0.4
@@ -61,9 +61,9 @@
     """The instants that decide on a request.
 
     The first event is late after `due`, the caller has left at `gone`, and the
-    whole answer must be finished by `deadline`. `write_s` is the time to decode
-    the answer after the first event. A request that has `begun` may have been
-    run, or answered in part.
+    whole answer must be finished by `deadline`.  `write_s` is the time to
+    decode the answer after the first event.  A request that has `begun` may
+    have been run, or answered in part.
     """
 
     arrived_at: float
@@ -144,7 +144,7 @@
 ) -> bool:
     """Return whether a better placement may appear while there is time.
 
-    A placement with a high cost is put off until it would soon be late. A
+    A placement with a high cost is put off until it would soon be late.  A
     placement that is late already is put off as long as an idle fleet could
     still be in time.
     """
--- a/trestledock/relay/_elsewhere.py
+++ b/trestledock/relay/_elsewhere.py
@@ -3,7 +3,7 @@
 ======================
 
 In a large deployment each instance knows the load of its own data centre's
-targets at once, and little of the others. A long prompt without a good
+targets at once, and little of the others.  A long prompt without a good
 placement nearby asks an instance of another data centre for the load of its
 targets, and can be placed on these as well while the answer is fresh.
 """
@@ -15,9 +15,9 @@
 from trestledock.relay._deciding import SMALL_WORTH
 
 #: Other data centres are asked if the best nearby placement costs more than
-#: this share of the prompt's worth. Late prompts cost about two thirds of their
-#: worth, prompts that wait for others or spoil their pauses a fifth or more,
-#: and a prompt alone on idle engines a fiftieth.
+#: this share of the prompt's worth.  Late prompts cost about two thirds of
+#: their worth, prompts that wait for others or spoil their pauses a fifth or
+#: more, and a prompt alone on idle engines a fiftieth.
 NEAR_COST_SHARE = 0.1
 #: How long an answer is used, in seconds: half of the time that a prompt of
 #: 100,000 tokens keeps an engine busy.
@@ -61,8 +61,8 @@
     """Yield the load of some targets as few requests.
 
     Each prompt in prefill is kept at each of its targets, since its end and the
-    loss by delaying it affect placements. All answers that a target decodes are
-    merged into one request with the shortest allowed pause among them.
+    loss by delaying it affect placements.  All answers that a target decodes
+    are merged into one request with the shortest allowed pause among them.
     """
     decoding: dict[str, list[Flight]] = {}
     for flight in flights:
--- a/trestledock/relay/_fingerprint.py
+++ b/trestledock/relay/_fingerprint.py
@@ -2,7 +2,7 @@
 Request fingerprints
 ====================
 
-Identifies retries of the same request. The request id can't: each attempt of a
+Identifies retries of the same request.  The request id can't: each attempt of a
 caller has its own.
 """
 
--- a/trestledock/relay/_fleet.py
+++ b/trestledock/relay/_fleet.py
@@ -3,9 +3,9 @@
 ================
 
 The targets that requests may be relayed to, as listed by the platform's
-directory. Draining is final for an incarnation, and so is the removal of its
-record, unless the record vanished while the directory was disturbed. Its lease
-may only have lapsed then, so the target is retained for a little longer. Only
+directory.  Draining is final for an incarnation, and so is the removal of its
+record, unless the record vanished while the directory was disturbed.  Its lease
+may only have lapsed then, so the target is retained for a little longer.  Only
 the newest incarnation of each id is kept; records of older ones change nothing.
 """
 
@@ -32,13 +32,13 @@
 class Fleet:
     """The targets by incarnation, and how long missing ones are retained.
 
-    `newest` maps each id to its incarnation. `gone` has the order of the last
+    `newest` maps each id to its incarnation.  `gone` has the order of the last
     record of each removed id, so that a record that arrives late does not bring
-    the target back. `revision` grows with every change that concerns other
-    instances. That a target is only retained concerns them too, since they must
-    decide for themselves whether to retain it. `births` counts the targets with
-    a known birth. `notices` has what targets announced about themselves, here
-    or to others.
+    the target back.  `revision` grows with every change that concerns other
+    instances.  That a target is only retained concerns them too, since they
+    must decide for themselves whether to retain it.  `births` counts the
+    targets with a known birth.  `notices` has what targets announced about
+    themselves, here or to others.
     """
 
     targets: dict[str, Listed] = field(default_factory=dict)
@@ -222,7 +222,7 @@
     def _are_births_told(self) -> bool:
         """Return whether the targets here report their birth, as most do.
 
-        A record without a birth then has another origin and is no target. On a
+        A record without a birth then has another origin and is no target.  On a
         platform where no target reports its birth, all count as born at the
         same time.
         """
--- a/trestledock/relay/_giants.py
+++ b/trestledock/relay/_giants.py
@@ -21,7 +21,7 @@
     """Spread the memory of a prompt over reservations at several engines.
 
     The engines with the most free memory hold it in equal shares; other engines
-    only prefill. Return None while the free memory does not suffice.
+    only prefill.  Return None while the free memory does not suffice.
     """
     holders = _pick_holders(problem)
     if not holders:
--- a/trestledock/relay/_health.py
+++ b/trestledock/relay/_health.py
@@ -2,10 +2,10 @@
 Passive health checks
 =====================
 
-What the instance's own requests reveal about a target. Silence and refused
+What the instance's own requests reveal about a target.  Silence and refused
 connections make a target suspect for a time that doubles; failures go into an
-average that weights the newest outcomes most. No probes are sent: real requests
-serve as probes.
+average that weights the newest outcomes most.  No probes are sent: real
+requests serve as probes.
 """
 
 from dataclasses import dataclass, field
@@ -28,8 +28,8 @@
 #: The least interval between requests that try a data centre that was suspect,
 #: in seconds: more than connecting may take.
 PROBE_S = 0.4
-#: How long a data centre whose instances are silent is avoided, in seconds. Its
-#: targets may be alive even if all its instances have ended.
+#: How long a data centre whose instances are silent is avoided, in seconds.
+#: Its targets may be alive even if all its instances have ended.
 QUIET_MOST_S = 8.0
 #: How long after a suspicion only small requests go to a data centre, in
 #: seconds, unless a request was answered there: a prompt that is prefilled in
@@ -61,7 +61,7 @@
 
     If several targets fall silent within a short time, or all instances there
     do, the network path is cut, and the remaining targets need not be tried one
-    by one. After the suspicion has lapsed, one request at a time tests whether
+    by one.  After the suspicion has lapsed, one request at a time tests whether
     the path is back; otherwise all waiting requests would try, and fail, at
     once.
     """
--- a/trestledock/relay/_listed.py
+++ b/trestledock/relay/_listed.py
@@ -2,9 +2,9 @@
 Target records
 ==============
 
-One incarnation of a target, as listed by the platform's directory. A target may
-restart under the same id, and has lost its memory and all its requests then;
-all knowledge about a target therefore belongs to one incarnation.
+One incarnation of a target, as listed by the platform's directory.  A target
+may restart under the same id, and has lost its memory and all its requests
+then; all knowledge about a target therefore belongs to one incarnation.
 """
 
 from dataclasses import dataclass
@@ -29,7 +29,7 @@
 class Listed:
     """One incarnation of a target, as listed.
 
-    `born` is the Unix time of its start in milliseconds. `sequence` counts its
+    `born` is the Unix time of its start in milliseconds.  `sequence` counts its
     records and starts again with each incarnation.
 
     >>> old = Listed('t', 's', 'a', sequence=90, born=1_000)
--- a/trestledock/relay/_notices.py
+++ b/trestledock/relay/_notices.py
@@ -3,7 +3,7 @@
 ==================
 
 What targets announce about themselves in their answers, by incarnation and
-kind. Each kind is a type with a rule that decides between two notices;
+kind.  Each kind is a type with a rule that decides between two notices;
 everything else is shared.
 """
 
@@ -26,8 +26,8 @@
     """An announcement of a target, made between two instants.
 
     The request that it answers was sent at `asked_at`, and the answer arrived
-    at `heard_at`. If `is_told` is set, other instances learn of it without this
-    one.
+    at `heard_at`.  If `is_told` is set, other instances learn of it without
+    this one.
     """
 
     @property
--- a/trestledock/relay/_open_ends.py
+++ b/trestledock/relay/_open_ends.py
@@ -2,7 +2,7 @@
 Unconfirmed crashes
 ===================
 
-Targets that may have crashed while they ran a request. The connection was
+Targets that may have crashed while they ran a request.  The connection was
 closed, but the crash is confirmed only when the list shows a new incarnation of
 the target or another target at its address.
 """
--- a/trestledock/relay/_outcome.py
+++ b/trestledock/relay/_outcome.py
@@ -2,7 +2,7 @@
 Outcomes of attempts
 ====================
 
-How an attempt of a relayed request ended, and what may be done next. Only this
+How an attempt of a relayed request ended, and what may be done next.  Only this
 module decides that a request has not run: none of its attempts may have left
 this process, or every target must have said that it did not run the request.
 """
--- a/trestledock/relay/_parts.py
+++ b/trestledock/relay/_parts.py
@@ -2,7 +2,7 @@
 Chunked prefill plans
 =====================
 
-A primary engine with helpers that prefill chunks of a prompt. The first token
+A primary engine with helpers that prefill chunks of a prompt.  The first token
 follows the last chunk, so the slowest engine decides.
 """
 
--- a/trestledock/relay/_patience.py
+++ b/trestledock/relay/_patience.py
@@ -2,12 +2,12 @@
 Timeouts
 ========
 
-How long a target may be silent before another one is tried. Predictions of the
+How long a target may be silent before another one is tried.  Predictions of the
 time to the first token are accurate (95 of 100 within twice the time), so a
 longer silence means that the target or the network path has failed, and a
 timely retry can still meet the objective.
 
-Overloaded targets are late as well, and retries increase their load. So only a
+Overloaded targets are late as well, and retries increase their load.  So only a
 few requests in a window may time out early; all others wait as long as it takes
 to be certain.
 """
@@ -24,7 +24,7 @@
 EARLY_FACTOR = 2.5
 EARLY_LEAST_S = 0.2
 #: The early timeouts allowed, over all instances: a ratio of the requests of
-#: the last seconds, and a fixed slack. With 1 in 4 retried, overloaded targets
+#: the last seconds, and a fixed slack.  With 1 in 4 retried, overloaded targets
 #: did not recover for ten seconds (answers lost at half of the targets while
 #: the traffic doubles).
 EARLY_TERMS = BudgetTerms(ratio=0.1, window_s=10, slack=10)
@@ -83,7 +83,7 @@
     """Return whether a prompt waits for the memory of older requests.
 
     An engine admits prompts in the order of their arrival, so older ones go
-    first. Its silence proves nothing in this case: a prompt that timed out
+    first.  Its silence proves nothing in this case: a prompt that timed out
     after 5.9 s and was sent to another target had been 0.1 s from its first
     event.
     """
--- a/trestledock/relay/_placing.py
+++ b/trestledock/relay/_placing.py
@@ -3,9 +3,9 @@
 =================
 
 Chooses the target of a request, and the helpers that prefill chunks of a long
-prompt. Short requests are packed on few engines, so that others stay free for
-long prompts. A long prompt is split into as many chunks as bring its first
-token forward without making the pauses of other requests too long. All options
+prompt.  Short requests are packed on few engines, so that others stay free for
+long prompts.  A long prompt is split into as many chunks as bring its first
+token forward without making the pauses of other requests too long.  All options
 are compared in worth: the expected loss of this request by being late, and the
 loss of others.
 """
--- a/trestledock/relay/_problem.py
+++ b/trestledock/relay/_problem.py
@@ -3,7 +3,7 @@
 ===============
 
 A request with all engines that can take it, and the costs by which its plans
-are compared. Costs are in units of worth: the expected loss of the request by
+are compared.  Costs are in units of worth: the expected loss of the request by
 being late, and the loss of requests that are already there or come next.
 """
 
@@ -28,7 +28,7 @@
 #: within.
 GONE_SHARE = 0.8
 #: The cost of a request whose caller leaves before its first token, as a share
-#: of its worth. It is higher than that of a refused request, which may be
+#: of its worth.  It is higher than that of a refused request, which may be
 #: retried.
 LOST_SHARE = 2.0
 #: The least objective that lateness is measured against, in seconds.
@@ -63,8 +63,8 @@
     engines, and `gain` the worth that the request itself is expected to yield.
 
     `first_s` is the predicted time to the first token, and `ideal_s` that on an
-    idle fleet. All prefill in progress ends within `clear_s`. `tickets` are the
-    tokens to reserve at helpers, by their ids.
+    idle fleet.  All prefill in progress ends within `clear_s`.  `tickets` are
+    the tokens to reserve at helpers, by their ids.
     """
 
     target: Listed
--- a/trestledock/relay/_proof.py
+++ b/trestledock/relay/_proof.py
@@ -2,9 +2,9 @@
 Freshness of the configuration
 ==============================
 
-The age of this instance's configuration. A revoked key must not be accepted for
-long, even if the store can't be reached, so requests with keys are refused once
-the last proof of freshness is too old. The age of a proof counts from the
+The age of this instance's configuration.  A revoked key must not be accepted
+for long, even if the store can't be reached, so requests with keys are refused
+once the last proof of freshness is too old.  The age of a proof counts from the
 instant at which its query was sent, on a clock that keeps running while the
 process is frozen.
 """
@@ -22,8 +22,8 @@
     """The newest proof; with a `bound_s` of zero none is required.
 
     `read_at` is the instant of the last read of the configuration, by this
-    instance or by the one that it asks. A read need not prove freshness, and if
-    it doesn't, further reads would not either.
+    instance or by the one that it asks.  A read need not prove freshness, and
+    if it doesn't, further reads would not either.
 
     >>> proof = Proof(bound_s=4.0)
     >>> proof.renew(asked_at=1.0)
--- a/trestledock/relay/_proven.py
+++ b/trestledock/relay/_proven.py
@@ -2,7 +2,7 @@
 Recently answered requests
 ==========================
 
-Requests that targets have answered lately. A popular request is in flight at
+Requests that targets have answered lately.  A popular request is in flight at
 every target that crashes, and would be blamed for all of these crashes; an
 answer by another target in the meantime outweighs them.
 """
--- a/trestledock/relay/_quarantine.py
+++ b/trestledock/relay/_quarantine.py
@@ -2,9 +2,9 @@
 Quarantine
 ==========
 
-Requests that crash the targets that run them (queries of death). The state is a
-set of crashes, each an incarnation that crashed while it ran a request, which
-grows to the same result in whichever order its elements arrive. Whether a
+Requests that crash the targets that run them (queries of death).  The state is
+a set of crashes, each an incarnation that crashed while it ran a request, which
+grows to the same result in whichever order its elements arrive.  Whether a
 request is quarantined depends on this set alone, so that all instances come to
 the same decision.
 """
@@ -16,9 +16,9 @@
 from trestledock.relay._proven import Proven
 
 #: The number of targets that must crash under a request before no other target
-#: gets it. A crash proves little, since all requests that the target ran, some
-#: seven, share it. Three detect every request that crashes each target it runs
-#: on. Of other requests that are sent four times, they quarantine 0.08% if a
+#: gets it.  A crash proves little, since all requests that the target ran, some
+#: seven, share it.  Three detect every request that crashes each target it runs
+#: on.  Of other requests that are sent four times, they quarantine 0.08% if a
 #: tenth of the targets crashes independently in each round, 4% if a third does,
 #: and 0.03% beside a deadly request (simulated: 18 targets, 300 times each).
 #: Blaming each crash on the request with most crashes halves these rates, but
@@ -27,16 +27,16 @@
 MOST_ENDS = 3
 #: The delays, in seconds, after which a quarantined request is sent to one
 #: target again as a probe: since the last crash under it or the last probe,
-#: increasing with each probe. A request that is quarantined by mistake, as a
+#: increasing with each probe.  A request that is quarantined by mistake, as a
 #: popular one may be when all targets of a service crash at once, is released
-#: by the first probe, or by the second if targets still crash. A deadly request
-#: costs two more targets on its first day and one on each day after, in case
-#: the targets were repaired.
+#: by the first probe, or by the second if targets still crash.  A deadly
+#: request costs two more targets on its first day and one on each day after, in
+#: case the targets were repaired.
 TRIALS_S = (10.0, 300.0, 86_400.0)
 #: The least time, in seconds, after which a caller should retry a quarantined
 #: request: after its first probe, which another caller may trigger.
 COME_BACK_S = 15.0
-#: The maximum number of suspect requests, some 300 bytes each. A flood of
+#: The maximum number of suspect requests, some 300 bytes each.  A flood of
 #: different requests evicts those with the fewest crashes first.
 MOST_KNOWN = 1_000
 #: The maximum number of cleared crashes that are kept of a request, newest
@@ -67,7 +67,8 @@
     """The state of a request as it is stored and sent to other instances.
 
     `age_s` is the time since its last crash or probe: instants are sent as
-    ages, since clocks differ. `cleared` are the crashes before it was answered.
+    ages, since clocks differ.  `cleared` are the crashes before it was
+    answered.
     """
 
     fingerprint: str
@@ -87,7 +88,7 @@
     """A request and the targets that crashed under it.
 
     It was sent again as a probe `trials` times; `since` is the instant of the
-    last probe or crash. Crashes that were `cleared` by an answer are kept, in
+    last probe or crash.  Crashes that were `cleared` by an answer are kept, in
     the order in which they were cleared: other instances learn of the answer
     late, and still report the old crashes.
     """
--- a/trestledock/relay/_quotas.py
+++ b/trestledock/relay/_quotas.py
@@ -3,8 +3,8 @@
 ===============================
 
 A target's limit applies to all instances together and is divided without a
-central coordinator. From its own view of the others, each instance derives the
-same few holders, which may send to the target at equal rates. Instances that
+central coordinator.  From its own view of the others, each instance derives the
+same few holders, which may send to the target at equal rates.  Instances that
 receive messages from only some of the others share no more than the part of
 those, so that both sides of a network partition together stay within the limit.
 """
@@ -16,7 +16,7 @@
 #: The least rate that is assumed for a target, in requests a second: at zero,
 #: no request would reveal that the target accepts more again.
 LEAST_PER_S = 0.1
-#: The number of quota holders beyond one for each request a second. More
+#: The number of quota holders beyond one for each request a second.  More
 #: holders use a small limit better, since each has its own callers, but each
 #: may send one request early.
 SPARE_HOLDERS = 2
--- a/trestledock/relay/_reach.py
+++ b/trestledock/relay/_reach.py
@@ -3,9 +3,9 @@
 ============================
 
 Whether another data centre can be reached, judged by the messages of its
-instances. Each instance sends several messages a second; if all of a data
+instances.  Each instance sends several messages a second; if all of a data
 centre fall silent at once, the network path is cut, and its targets need not be
-tried one by one. Detecting a cut this way delays the streams across it by half
+tried one by one.  Detecting a cut this way delays the streams across it by half
 a second, while the silence of each target takes one to four seconds to detect.
 """
 
--- a/trestledock/relay/_readers.py
+++ b/trestledock/relay/_readers.py
@@ -2,18 +2,18 @@
 Election of the store's reader
 ==============================
 
-Which instance reads the platform's store for the others. Calls of the store are
-expensive and limited, so one instance reads and the others ask it. The instance
-that has read most recently is preferred, and names break ties, so that all
-instances that know each other make the same choice. If no instance has read
-lately, all try, at intervals that grow with their position in this order.
+Which instance reads the platform's store for the others.  Calls of the store
+are expensive and limited, so one instance reads and the others ask it.  The
+instance that has read most recently is preferred, and names break ties, so that
+all instances that know each other make the same choice.  If no instance has
+read lately, all try, at intervals that grow with their position in this order.
 """
 
 from dataclasses import dataclass
 from typing import Iterable
 
 #: The share of the time within which a change must take effect everywhere after
-#: which the store is read again. The rest is left for passing the change on,
+#: which the store is read again.  The rest is left for passing the change on,
 #: and for detecting that a reader has failed.
 READ_SHARE = 0.2
 #: The share of that time after which the reader is asked again, and the longest
@@ -30,8 +30,8 @@
 SELF_MOST_S = 0.35
 #: The interval at which an instance tries to read while no instance has read
 #: lately, in seconds: of the first in the order, what each position adds, and
-#: the maximum. All calls are charged, refused ones too; the first that succeeds
-#: informs the others.
+#: the maximum.  All calls are charged, refused ones too; the first that
+#: succeeds informs the others.
 RETRY_FIRST_S = 0.45
 RETRY_PLACE_S = 0.4
 RETRY_MOST_S = 6.0
@@ -119,7 +119,7 @@
 def get_retry_s(me: str, names: Iterable[str]) -> float:
     """Return the interval at which an instance tries to read if all are stale.
 
-    >>> get_retry_s('b', ['a', 'b', 'c'])
+    >>> round(get_retry_s('b', ['a', 'b', 'c']), 2)
     0.85
     """
     place = sum(name < me for name in names)
--- a/trestledock/relay/_resting.py
+++ b/trestledock/relay/_resting.py
@@ -4,7 +4,7 @@
 
 When a target that asked for a back-off gets requests again: none until it ends,
 then one at a time until the target has answered one, since it may still be
-overloaded. Instances that were asked at the same moment resume at different
+overloaded.  Instances that were asked at the same moment resume at different
 times.
 """
 
--- a/trestledock/relay/_restores.py
+++ b/trestledock/relay/_restores.py
@@ -22,7 +22,7 @@
     """The epoch of the store, and whether its records are complete.
 
     An `epoch` is the number of one copy of the store; a store without epochs is
-    never restored. `told` is the newest epoch that another instance reported.
+    never restored.  `told` is the newest epoch that another instance reported.
     `recorded` is the newest epoch of which the store says that an instance
     waited there for missing records, and `settled_epoch` the newest one known
     to be complete for that reason.
@@ -69,8 +69,8 @@
     def note_recorded(self, recorded: int | None) -> None:
         """Record the newest epoch that some instance has waited in, as stored.
 
-        If there is none, no instance has ever waited. In the first epoch this
-        is the first start, and nothing was lost. In a later epoch the record
+        If there is none, no instance has ever waited.  In the first epoch this
+        is the first start, and nothing was lost.  In a later epoch the record
         itself may be among the lost ones.
         """
         self.recorded = recorded
--- a/trestledock/relay/_throttle.py
+++ b/trestledock/relay/_throttle.py
@@ -3,7 +3,7 @@
 ========
 
 Whether a request may be sent to a target with a rate limit for all instances
-together, or with a back-off for this instance. All other targets accept
+together, or with a back-off for this instance.  All other targets accept
 requests at any time.
 """
 
@@ -32,7 +32,7 @@
 class Throttle:
     """Limits the requests that one instance sends to targets.
 
-    `get_members` returns the active instances. A token bucket starts with the
+    `get_members` returns the active instances.  A token bucket starts with the
     fraction of a token that `draw` returns, so that instances that learn of a
     limit at the same moment don't send at the same moment.
     """
--- a/trestledock/relay/_watch.py
+++ b/trestledock/relay/_watch.py
@@ -3,7 +3,7 @@
 =============================
 
 How closely the platform's directory has been followed, which decides what a
-missing record means. Leases of live targets lapse only if the targets can't
+missing record means.  Leases of live targets lapse only if the targets can't
 reach the directory for seconds; an instance that followed it without a gap
 knows that a missing target has been removed.
 """
@@ -14,7 +14,7 @@
 #: in seconds; lapsed records of live targets are back within about two.
 LAPSE_GRACE_S = 2.2
 #: The same since the last failed read, in seconds, as the directory may have
-#: been back from that moment on. Three seconds after a disturbance, a target
+#: been back from that moment on.  Three seconds after a disturbance, a target
 #: that was removed earlier must get no requests, and the end is checked every
 #: 0.2 s.
 RETURN_GRACE_S = 2.7
@@ -30,8 +30,8 @@
 
     A gap alone is no disturbance: the reading instance may have been stalled,
     and retaining what was removed meanwhile would send requests to it for as
-    long as the gap and the grace together. A disturbance is a gap in which
-    reads failed, the last of them at `troubled_at`. `resumed_at` is the end of
+    long as the gap and the grace together.  A disturbance is a gap in which
+    reads failed, the last of them at `troubled_at`.  `resumed_at` is the end of
     the last gap of any kind, and `disturbed_at` that of the last disturbance,
     after which a missing record is retained until `grace_end`.
 
--- a/trestledock/relay/_worth.py
+++ b/trestledock/relay/_worth.py
@@ -2,14 +2,14 @@
 Worth of requests
 =================
 
-The relative value of requests to their callers. Requests don't state it, but
+The relative value of requests to their callers.  Requests don't state it, but
 what callers lose is nearly linear in a request's tokens, so it is estimated
 from the size.
 """
 
 from trestledock.relay._call import PromptSize
 
-#: The weighted tokens in one unit of worth, which is that of a plain call. An
+#: The weighted tokens in one unit of worth, which is that of a plain call.  An
 #: output token weighs as much as ten prompt tokens, as callers value both.
 TOKENS_PER_WORTH = 14_000
 OUTPUT_WEIGHT = 10
