--- a/tests/crashing.py
+++ b/tests/crashing.py
@@ -195,8 +195,8 @@
         world = World(state, Relayer(state, dialect, sender))
         world.gossip = gossip
         self.entries.append(world)
-        for one in self.entries:
-            one.gossip.meet(
+        for entry in self.entries:
+            entry.gossip.meet(
                 {
                     other.state.member: f'127.0.0.1:{port}'
                     for port, other in enumerate(self.entries)
@@ -250,12 +250,12 @@
 
 def run_fleet(scenario, route, crash, *, entries=3, targets=6, new_ids=False):
     """Run `scenario(fleet)`; return the fleet."""
-    found = []
+    fleets = []
 
     async def main():
         async with anyio.create_task_group() as group:
             fleet = Fleet(route, crash, group, new_ids)
-            found.append(fleet)
+            fleets.append(fleet)
             for _ in range(entries):
                 fleet.add_entry()
             for _ in range(targets):
@@ -264,7 +264,7 @@
             group.cancel_scope.cancel()
 
     anyio.run(main)
-    return found[0]
+    return fleets[0]
 
 
 def _make_keys():
@@ -284,7 +284,7 @@
 
 def _get_header(head, name):
     for line in head.decode().split('\r\n'):
-        found, _, text = line.partition(':')
-        if found.lower() == name:
+        key, _, text = line.partition(':')
+        if key.lower() == name:
             return text.strip()
     return ''
--- a/tests/engines.py
+++ b/tests/engines.py
@@ -19,6 +19,6 @@
 )
 #: A fleet of 18 in one data centre.
 TARGETS = tuple(
-    Listed(f't{one:02}', 's', f'10.0.0.{one}:80', 'dc', Standing.ready, 8)
-    for one in range(18)
+    Listed(f't{number:02}', 's', f'10.0.0.{number}:80', 'dc', Standing.ready, 8)
+    for number in range(18)
 )
--- a/tests/test_query_of_death.py
+++ b/tests/test_query_of_death.py
@@ -59,13 +59,13 @@
 class QueryOfDeathTest(unittest.TestCase):
     """All kinds of crashes, with retries at any entry."""
 
-    def check(self, route, crash, **how):
+    def check(self, route, crash, **options):
         """Send the request repeatedly, at one entry after the other."""
 
         async def scenario(fleet):
             fleet.found = await fleet.ask_in_turn(TRIES)
 
-        fleet = run_fleet(scenario, route, crash, **how)
+        fleet = run_fleet(scenario, route, crash, **options)
         # A lower threshold would refuse harmless requests beside it.
         self.assertEqual(len(fleet.ended), MOST_ENDS)
         return fleet
@@ -109,43 +109,45 @@
             await fleet.ask_in_turn(TRIES)
             later = fleet.add_entry()
             for number in range(TRIES):
-                found = await later.ask(f'later{number}', body=DEADLY)
-                self.assertEqual(found.status, NOT_RUN)
+                outcome = await later.ask(f'later{number}', body=DEADLY)
+                self.assertEqual(outcome.status, NOT_RUN)
 
         fleet = run_fleet(scenario, STREAM, CRASHES['reset before the head'])
         self.assertEqual(len(fleet.ended), MOST_ENDS)
 
     def test_others_are_served_meanwhile(self):
         """A harmless request may lose a target, but is not refused."""
-        found = []
+        outcomes = []
 
         async def scenario(fleet):
-            for turn in range(TRIES):
-                found.extend(await _ask_beside(fleet, turn))
+            for round_number in range(TRIES):
+                outcomes.extend(await _ask_beside(fleet, round_number))
 
         fleet = run_fleet(
             scenario, STREAM, CRASHES['closed in the middle of a stream']
         )
         self.assertEqual(len(fleet.ended), MOST_ENDS)
-        self.assertNotIn(NOT_RUN, {one.status for one in found})
+        self.assertNotIn(NOT_RUN, {outcome.status for outcome in outcomes})
         # Each crash may fail the requests beside it, as any crash does.
-        served = sum(one.status == OK and one.whole for one in found)
-        self.assertGreaterEqual(served, len(found) - MOST_ENDS * BESIDE)
+        served = sum(
+            outcome.status == OK and outcome.whole for outcome in outcomes
+        )
+        self.assertGreaterEqual(served, len(outcomes) - MOST_ENDS * BESIDE)
 
 
-async def _ask_beside(fleet, turn):
+async def _ask_beside(fleet, round_number):
     """Send the deadly request beside others; return their outcomes."""
-    found = []
+    outcomes = []
 
     async def ask(number):
         entry = fleet.entries[number % len(fleet.entries)]
-        body = SOUND + b'%d-%d' % (turn, number)
-        found.append(await entry.ask(f's{turn}-{number}', body=body))
+        body = SOUND + b'%d-%d' % (round_number, number)
+        outcomes.append(await entry.ask(f's{round_number}-{number}', body=body))
 
     async with anyio.create_task_group() as group:
         for number in range(BESIDE):
             group.start_soon(ask, number)
-        await fleet.entries[turn % len(fleet.entries)].ask(
-            f'r{turn}', body=DEADLY
+        await fleet.entries[round_number % len(fleet.entries)].ask(
+            f'r{round_number}', body=DEADLY
         )
-    return found
+    return outcomes
--- a/tests/test_relay_asking.py
+++ b/tests/test_relay_asking.py
@@ -20,7 +20,7 @@
 )
 
 
-def make_ask(tokens, *, arrived_at=0.0, deadline=15.0, output=600):
+def make_ask(tokens, *, arrived_at=0.0, deadline=15.0, output_tokens=600):
     """Return a long prompt whose caller leaves after a silence of 12 s."""
     timing = Timing(
         arrived_at=arrived_at,
@@ -28,12 +28,12 @@
         gone=min(deadline, arrived_at + 12.0),
         deadline=deadline,
     )
-    return Ask('r1', PromptSize(tokens, output), timing, 1.0, 12.0)
+    return Ask('r1', PromptSize(tokens, output_tokens), timing, 1.0, 12.0)
 
 
 def read_by(name, numbers, *, due, gone, tokens=300_000):
     """Return a long prompt in prefill at some of the engines."""
-    names = [TARGETS[one].target_id for one in numbers]
+    names = [TARGETS[number].target_id for number in numbers]
     return Flight(
         name,
         names[0],
@@ -66,9 +66,9 @@
 
     def test_in_time_for_its_caller(self):
         """On an idle fleet the prefill ends well before the caller leaves."""
-        found = self.choose(make_ask(790_000))
-        self.assertIsInstance(found, Placement)
-        self.assertLess(found.first_s, 9.6)
+        result = self.choose(make_ask(790_000))
+        self.assertIsInstance(result, Placement)
+        self.assertLess(result.first_s, 9.6)
 
     def test_never_for_nobody(self):
         """Beside other prompts the prefill never outlasts its caller.
@@ -79,29 +79,29 @@
         """
         self.board.put(read_by('a', range(9), due=3, gone=12))
         self.board.put(read_by('b', range(9, 15), due=3, gone=12))
-        found = self.choose(make_ask(790_000))
-        self.assertIsInstance(found, NoPlace)
-        self.assertIs(found.decision, Decision.wait)
-        found = self.choose(make_ask(790_000), now=5)
-        if isinstance(found, Placement):
-            self.assertLess(found.first_s, 9.6)
+        result = self.choose(make_ask(790_000))
+        self.assertIsInstance(result, NoPlace)
+        self.assertIs(result.decision, Decision.wait)
+        result = self.choose(make_ask(790_000), now=5)
+        if isinstance(result, Placement):
+            self.assertLess(result.first_s, 9.6)
 
     def test_goes_when_others_have_finished(self):
         """Once the other prompts are done, it is split over many engines."""
-        found = self.choose(make_ask(790_000), now=2.0)
-        self.assertIsInstance(found, Placement)
-        self.assertGreater(len(found.helpers), 4)
+        result = self.choose(make_ask(790_000), now=2.0)
+        self.assertIsInstance(result, Placement)
+        self.assertGreater(len(result.helpers), 4)
 
     def test_refused_where_it_cannot_be_in_time(self):
         """A caller that retries with too little time is refused at once."""
-        found = self.choose(make_ask(790_000, deadline=2.9))
-        self.assertIs(found.decision, Decision.no_time)
+        result = self.choose(make_ask(790_000, deadline=2.9))
+        self.assertIs(result.decision, Decision.no_time)
 
     def test_answer_must_be_written_too(self):
         """The first event is useless if the rest comes after the deadline."""
         ask = make_ask(182_000, deadline=2.2)
         self.assertIsInstance(self.choose(ask), Placement)
-        ask = make_ask(182_000, deadline=2.2, output=4_500)
+        ask = make_ask(182_000, deadline=2.2, output_tokens=4_500)
         self.assertIs(self.choose(ask).decision, Decision.no_time)
 
 
@@ -125,11 +125,11 @@
         """A late giant prompt keeps the time until its caller leaves."""
         flight = read_by('a', range(17), due=-1, gone=1.2, tokens=600_000)
         self.board.put(flight)
-        found = self.choose(make_ask(300_000))
-        if isinstance(found, Placement):
-            names = {one.target_id for one in found.helpers}
-            taken = names & set(flight.engaged)
-            self.assertEqual(taken, set())
+        result = self.choose(make_ask(300_000))
+        if isinstance(result, Placement):
+            names = {helper.target_id for helper in result.helpers}
+            shared = names & set(flight.engaged)
+            self.assertEqual(shared, set())
 
     def test_stream_whose_caller_would_leave(self):
         """A pause at which callers leave costs more than a late answer."""
@@ -147,10 +147,11 @@
                     patience_s=patience_s,
                 )
             )
-        harms = [
-            viewer.view(ENGINE, TARGETS[one], 0).get_harm(2.5) for one in (0, 1)
+        costs = [
+            viewer.view(ENGINE, TARGETS[number], 0).get_harm(2.5)
+            for number in (0, 1)
         ]
-        self.assertGreater(harms[0], harms[1])
+        self.assertGreater(costs[0], costs[1])
 
     def test_harm_is_done_once(self):
         """A request that is late anyway loses nothing more by another chunk."""
@@ -166,8 +167,8 @@
         """A long prompt waits for a giant prompt whose prefill ends soon."""
         flight = read_by('a', range(18), due=2.2, gone=12, tokens=600_000)
         self.board.put(flight)
-        found = self.choose(make_ask(160_000), now=0.95)
-        self.assertIs(found.decision, Decision.wait)
+        result = self.choose(make_ask(160_000), now=0.95)
+        self.assertIs(result.decision, Decision.wait)
 
     def test_begun_stream_goes_on(self):
         """The cost to others is no reason to cut a stream that has begun."""
@@ -178,8 +179,8 @@
                 )
             )
         ask = make_ask(160_000, arrived_at=-5)
-        found = self.choose(ask)
-        self.assertIs(found.decision, Decision.no_room)
+        result = self.choose(ask)
+        self.assertIs(result.decision, Decision.no_room)
         begun = replace(ask, timing=replace(ask.timing, begun=True))
         self.assertIsInstance(self.choose(begun), Placement)
 
@@ -188,7 +189,7 @@
 
         Callers don't wait for longer than a third of their time.
         """
-        for tokens, least, most in (
+        for tokens, min_s, max_s in (
             (300_000, 0.2, 1.0),
             (790_000, 1.5, 3.2),
             (2_000_000, 4.4, 4.6),
@@ -197,9 +198,9 @@
             self.board.put(
                 read_by('a', range(18), due=3, gone=12, tokens=tokens)
             )
-            found = self.choose(make_ask(789_000))
-            self.assertGreater(found.come_back_s, least)
-            self.assertLess(found.come_back_s, most)
+            result = self.choose(make_ask(789_000))
+            self.assertGreater(result.come_back_s, min_s)
+            self.assertLess(result.come_back_s, max_s)
 
 
 class SmallTest(Fixture):
@@ -207,13 +208,13 @@
 
     def test_in_time(self):
         """On an idle fleet a long prompt meets its objective."""
-        found = self.choose(make_ask(182_000))
-        self.assertLess(found.first_s, 2.25)
+        result = self.choose(make_ask(182_000))
+        self.assertLess(result.first_s, 2.25)
 
     def test_no_target(self):
         """Without any target a request waits briefly, then is refused."""
         ask = make_ask(5_000)
-        found = self.choose(ask, targets=())
-        self.assertIs(found.decision, Decision.wait)
-        found = self.choose(ask, now=0.5, targets=())
-        self.assertIs(found.decision, Decision.no_target)
+        result = self.choose(ask, targets=())
+        self.assertIs(result.decision, Decision.wait)
+        result = self.choose(ask, now=0.5, targets=())
+        self.assertIs(result.decision, Decision.no_target)
--- a/tests/test_relay_board.py
+++ b/tests/test_relay_board.py
@@ -19,7 +19,7 @@
 
 
 def get_ids(board, target):
-    return sorted(one.flight_id for one in board.get_flights(target))
+    return sorted(flight.flight_id for flight in board.get_flights(target))
 
 
 class BoardTest(unittest.TestCase):
@@ -37,8 +37,10 @@
     def test_memory_by_tickets(self):
         """Reservations hold their share; the rest is at the primary engine."""
         flight = make_flight('a', helpers=('t2', 't3'), tickets=(('t2', 400),))
-        held = [flight.get_held_tokens(one) for one in ('t1', 't2', 't3')]
-        self.assertEqual(held, [700, 400, 0])
+        tokens = [
+            flight.get_held_tokens(target) for target in ('t1', 't2', 't3')
+        ]
+        self.assertEqual(tokens, [700, 400, 0])
 
     def test_whole_replaces(self):
         """A whole message makes up for lost ones."""
--- a/tests/test_relay_claims.py
+++ b/tests/test_relay_claims.py
@@ -40,11 +40,11 @@
         for gap_s in (0, 0.02, -0.02, CLAIM_S, 0.1, -0.1):
             with self.subTest(gap_s=gap_s):
                 other = replace(OTHER, since=LONG.since + gap_s)
-                found = (
+                priors = (
                     find_prior(LONG, [LONG, other], ()),
                     find_prior(other, [LONG, other], ()),
                 )
-                self.assertEqual(found.count(None), 1)
+                self.assertEqual(priors.count(None), 1)
 
     def test_what_is_under_way_goes_first(self):
         """A prompt that was announced long before is already being sent."""
--- a/tests/test_relay_elsewhere.py
+++ b/tests/test_relay_elsewhere.py
@@ -29,8 +29,8 @@
 #: Each data centre has half of the engines.
 HALF = len(TARGETS) // 2
 PLACED = tuple(
-    replace(one, data_centre=NEAR if number < HALF else FAR)
-    for number, one in enumerate(TARGETS)
+    replace(target, data_centre=NEAR if number < HALF else FAR)
+    for number, target in enumerate(TARGETS)
 )
 NEAR_TARGETS, FAR_TARGETS = PLACED[:HALF], PLACED[HALF:]
 
@@ -47,7 +47,7 @@
         pause_s=0.8,
         worth=20,
         due=4.0,
-        helpers=tuple([one.incarnation for one in helpers]),
+        helpers=tuple([helper.incarnation for helper in helpers]),
         tickets=tickets,
     )
 
@@ -72,8 +72,8 @@
     def setUp(self):
         self.board = Board()
         self.placer = Placer(self.board, Health(), data_centre=NEAR)
-        for number, one in enumerate(NEAR_TARGETS):
-            self.board.put(make_reading(number, one))
+        for number, target in enumerate(NEAR_TARGETS):
+            self.board.put(make_reading(number, target))
 
     def place(self, work, targets):
         return self.placer.place(work, ENGINE, targets, now=0.0)
@@ -87,8 +87,10 @@
         """With all engines to choose from, it takes idle ones in time."""
         chosen = self.place(LONG, PLACED)
         self.assertLess(chosen.first_s, LONG.objective_s)
-        places = {one.data_centre for one in (chosen.target, *chosen.helpers)}
-        self.assertEqual(places, {FAR})
+        data_centres = {
+            target.data_centre for target in (chosen.target, *chosen.helpers)
+        }
+        self.assertEqual(data_centres, {FAR})
         self.assertFalse(is_worth_asking(LONG.worth, chosen.cost))
 
     def test_short_one_is_not(self):
@@ -107,53 +109,53 @@
 
     def compare(self, *flights):
         """Return the load of all remote targets, in full and summarized."""
-        told = Board()
-        names = {one.incarnation for one in FAR_TARGETS}
-        told.set_elsewhere(FAR, summarize(flights, names, now=0.5))
-        known = Board()
+        summarized = Board()
+        names = {target.incarnation for target in FAR_TARGETS}
+        summarized.set_elsewhere(FAR, summarize(flights, names, now=0.5))
+        full = Board()
         for flight in flights:
-            known.put(flight)
+            full.put(flight)
         return [
             [
-                Placer(board, Health()).viewer.view(ENGINE, one, 0.5)
-                for one in FAR_TARGETS
+                Placer(board, Health()).viewer.view(ENGINE, target, 0.5)
+                for target in FAR_TARGETS
             ]
-            for board in (known, told)
+            for board in (full, summarized)
         ]
 
     def test_reading_and_memory(self):
         """Chunks, what is left of them, and reservations are the same."""
-        one, two, three, *_ = FAR_TARGETS
-        ticket = ((two.incarnation, 90_500),)
-        for known, told in zip(
+        first, second, third, *_ = FAR_TARGETS
+        ticket = ((second.incarnation, 90_500),)
+        for full, summarized in zip(
             *self.compare(
-                make_reading(1, one, two, tickets=ticket),
-                make_reading(2, three),
-                make_reading(3, NEAR_TARGETS[0], one),
+                make_reading(1, first, second, tickets=ticket),
+                make_reading(2, third),
+                make_reading(3, NEAR_TARGETS[0], first),
             ),
             strict=True,
         ):
-            self.assertEqual(told.pending_s, known.pending_s)
-            self.assertEqual(told.free_tokens, known.free_tokens)
+            self.assertEqual(summarized.pending_s, full.pending_s)
+            self.assertEqual(summarized.free_tokens, full.free_tokens)
 
     def test_answers_that_are_written(self):
         """They are merged with the shortest allowed pause among them."""
-        one, two, *_ = FAR_TARGETS
-        flights = [make_writing(number, one) for number in range(4)]
-        flights.append(make_writing(4, two, pause_s=0.8))
-        for known, told in zip(*self.compare(*flights), strict=True):
-            self.assertEqual(told.free_tokens, known.free_tokens)
-            self.assertEqual(told.writers > 0, known.writers > 0)
-            harms = (told.get_harm(1.0), known.get_harm(1.0))
-            self.assertAlmostEqual(*harms)
+        first, second, *_ = FAR_TARGETS
+        flights = [make_writing(number, first) for number in range(4)]
+        flights.append(make_writing(4, second, pause_s=0.8))
+        for full, summarized in zip(*self.compare(*flights), strict=True):
+            self.assertEqual(summarized.free_tokens, full.free_tokens)
+            self.assertEqual(summarized.writers > 0, full.writers > 0)
+            costs = (summarized.get_harm(1.0), full.get_harm(1.0))
+            self.assertAlmostEqual(*costs)
 
     def test_targets_elsewhere_are_left_out(self):
-        found = summarize(
+        flights = summarize(
             [make_reading(1, NEAR_TARGETS[0])],
-            {one.incarnation for one in FAR_TARGETS},
+            {target.incarnation for target in FAR_TARGETS},
             now=0.0,
         )
-        self.assertEqual(tuple(found), ())
+        self.assertEqual(tuple(flights), ())
 
     def test_what_is_told_replaces_what_was(self):
         board = Board()
--- a/tests/test_relay_fingerprint.py
+++ b/tests/test_relay_fingerprint.py
@@ -30,10 +30,10 @@
 
     def test_a_repeat_shares_it(self):
         """Id, time, key and last event of an attempt don't matter."""
-        again = replace(
+        retry = replace(
             CALL, req_id='r2', arrived_at=90, key='new', resume_after='4'
         )
-        self.assertEqual(get_fingerprint(again), get_fingerprint(CALL))
+        self.assertEqual(get_fingerprint(retry), get_fingerprint(CALL))
 
     def test_another_request_does_not(self):
         """Each part that a target acts on counts, and so does its position."""
@@ -45,5 +45,5 @@
             replace(CALL, body=Body.of(b'text2')),
             replace(CALL, path='/p/7?a', query='=1'),
         ]
-        found = {get_fingerprint(one) for one in (CALL, *others)}
-        self.assertEqual(len(found), len(others) + 1)
+        fingerprints = {get_fingerprint(call) for call in (CALL, *others)}
+        self.assertEqual(len(fingerprints), len(others) + 1)
--- a/tests/test_relay_fleet.py
+++ b/tests/test_relay_fleet.py
@@ -22,7 +22,7 @@
 
 
 def get_ids(fleet):
-    return [one.target_id for one in fleet.get_usable('s')]
+    return [target.target_id for target in fleet.get_usable('s')]
 
 
 def drop(fleet, name, now):
@@ -140,9 +140,13 @@
         revision = fleet.revision
         disturb(fleet, 8.6, 9)
         drop(fleet, 't2', 9)
-        self.assertEqual([one.target_id for one in fleet.get_listed()], ['t1'])
-        held = [(one.target_id, until) for one, until in fleet.get_held()]
-        self.assertEqual(held, [('t2', 11.2)])
+        self.assertEqual(
+            [target.target_id for target in fleet.get_listed()], ['t1']
+        )
+        retained = [
+            (target.target_id, until) for target, until in fleet.get_held()
+        ]
+        self.assertEqual(retained, [('t2', 11.2)])
         self.assertGreater(fleet.revision, revision)
 
     def test_held_elsewhere(self):
--- a/tests/test_relay_pacing.py
+++ b/tests/test_relay_pacing.py
@@ -19,16 +19,18 @@
     def test_no_stretch_has_more(self, per_s, tokens, pauses):
         bucket = Bucket(tokens, filled_at=0)
         now = 0
-        left = []
+        sent = []
         for pause in pauses:
             now += pause
             if bucket.take(now, per_s):
-                left.append(now)
-        most = max(
-            (sum(at <= one <= at + STRETCH_S for one in left) for at in left),
+                sent.append(now)
+        max_count = max(
+            (sum(at <= time <= at + STRETCH_S for time in sent) for at in sent),
             default=0,
         )
-        self.assertLessEqual(most, 1 + per_s * (STRETCH_S + BURST_S) + 1e-6)
+        self.assertLessEqual(
+            max_count, 1 + per_s * (STRETCH_S + BURST_S) + 1e-6
+        )
 
     def test_steady_rate_is_used(self):
         bucket = Bucket(0, filled_at=0)
--- a/tests/test_relay_parts.py
+++ b/tests/test_relay_parts.py
@@ -25,11 +25,15 @@
 RESUMABLE = Route(
     'r', 'h', '/', RouteKind.streaming, (), max_attempts=2, resumable=True
 )
-EVENTS = b''.join(b'id: %d\ndata: x%d\n\n' % (one, one) for one in range(9))
+EVENTS = b''.join(
+    b'id: %d\ndata: x%d\n\n' % (number, number) for number in range(9)
+)
 
 
-def make_history(*endings):
-    return History(tuple(Sending(one, 'step', 'peer') for one in endings))
+def make_history(*outcomes):
+    return History(
+        tuple(Sending(outcome, 'step', 'peer') for outcome in outcomes)
+    )
 
 
 class SplitterTest(unittest.TestCase):
@@ -40,11 +44,13 @@
         """Any division of the bytes yields the same events."""
         splitter = Splitter()
         ends = [0, *sorted(cuts), len(EVENTS)]
-        found = []
+        events = []
         for start, end in zip(ends, ends[1:]):
-            found.extend(splitter.push(EVENTS[start:end]))
-        self.assertEqual(b''.join(one.raw for one in found), EVENTS)
-        self.assertEqual([one.event_id for one in found], list('012345678'))
+            events.extend(splitter.push(EVENTS[start:end]))
+        self.assertEqual(b''.join(event.raw for event in events), EVENTS)
+        self.assertEqual(
+            [event.event_id for event in events], list('012345678')
+        )
         self.assertEqual(splitter.rest, b'')
 
     def test_half_an_event_is_kept_back(self):
@@ -55,8 +61,8 @@
 
     def test_line_ends_of_two_bytes(self):
         """Events may end their lines with CRLF."""
-        found = Splitter().push(b'id: 1\r\ndata: a\r\n\r\n')
-        self.assertEqual(found[0].event_id, '1')
+        events = Splitter().push(b'id: 1\r\ndata: a\r\n\r\n')
+        self.assertEqual(events[0].event_id, '1')
 
 
 class HistoryTest(unittest.TestCase):
@@ -79,9 +85,9 @@
 
     def test_table(self):
         """Only requests that have not run or may be repeated are retried."""
-        for route, endings, expected in self.cases:
-            with self.subTest(kind=route.kind, endings=endings):
-                history = make_history(*endings)
+        for route, outcomes, expected in self.cases:
+            with self.subTest(kind=route.kind, endings=outcomes):
+                history = make_history(*outcomes)
                 self.assertEqual(history.may_repeat(route), expected)
 
     def test_promise(self):
@@ -132,22 +138,22 @@
     @given(st.integers(1, 20), st.integers(0, 300))
     def test_sum_over_instances(self, instances, requests):
         """The bound holds however many instances retry at once."""
-        terms = BudgetTerms(ratio=0.2, window_s=10, slack=100)
+        limits = BudgetTerms(ratio=0.2, window_s=10, slack=100)
         spent = 0
         for _ in range(instances):
-            window = RetryWindow(terms)
+            budget = RetryWindow(limits)
             for _ in range(requests):
-                window.earn(now=0)
-            while window.spend(now=1, instances=instances):
+                budget.earn(now=0)
+            while budget.spend(now=1, instances=instances):
                 spent += 1
         self.assertLessEqual(spent, 0.2 * requests * instances + 100)
 
     def test_window_slides(self):
         """Budget that was used long ago is available again."""
-        window = RetryWindow(BudgetTerms(ratio=0, window_s=10, slack=2))
-        self.assertTrue(window.spend(0, 1))
-        self.assertFalse(window.spend(9, 1))
-        self.assertTrue(window.spend(10.1, 1))
+        budget = RetryWindow(BudgetTerms(ratio=0, window_s=10, slack=2))
+        self.assertTrue(budget.spend(0, 1))
+        self.assertFalse(budget.spend(9, 1))
+        self.assertTrue(budget.spend(10.1, 1))
 
 
 class HealthTest(unittest.TestCase):
--- a/tests/test_relay_patience.py
+++ b/tests/test_relay_patience.py
@@ -78,19 +78,19 @@
 
     def test_few_in_a_window(self):
         """If many requests are late, few of them time out early."""
-        window = RetryWindow(EARLY_TERMS)
-        left = 0
+        budget = RetryWindow(EARLY_TERMS)
+        timeouts = 0
         for number in range(1000):
             now = number / 100
-            window.earn(now)
-            left += window.spend(now, instances=8)
-        self.assertLess(left, 1000 * EARLY_TERMS.ratio)
-        self.assertGreater(left, 0)
+            budget.earn(now)
+            timeouts += budget.spend(now, instances=8)
+        self.assertLess(timeouts, 1000 * EARLY_TERMS.ratio)
+        self.assertGreater(timeouts, 0)
 
     def test_asking_spends_nothing(self):
         """Checking the budget does not use it."""
-        window = RetryWindow(EARLY_TERMS)
-        answers = [window.is_left(0, 1) for _ in range(100)]
+        budget = RetryWindow(EARLY_TERMS)
+        answers = [budget.is_left(0, 1) for _ in range(100)]
         self.assertTrue(all(answers))
 
     def test_one_doubt_is_no_silence(self):
--- a/tests/test_relay_placing.py
+++ b/tests/test_relay_placing.py
@@ -47,7 +47,7 @@
                 work.pause_s,
                 work.worth,
                 now + work.objective_s,
-                tuple(one.target_id for one in placement.helpers),
+                tuple(helper.target_id for helper in placement.helpers),
                 placement.tickets,
             )
         )
@@ -61,20 +61,20 @@
         for _ in range(30):
             self.put(SHORT, self.place(SHORT))
         used = {
-            one.target_id
-            for one in TARGETS
-            if tuple(self.board.get_flights(one.target_id))
+            target.target_id
+            for target in TARGETS
+            if tuple(self.board.get_flights(target.target_id))
         }
         self.assertLessEqual(len(used), 6)
 
     def test_own_data_centre_first(self):
         """Short requests stay in their data centre while it has room."""
-        near = replace(TARGETS[3], data_centre='near')
-        targets = [*TARGETS[:3], near, *TARGETS[4:]]
+        local = replace(TARGETS[3], data_centre='near')
+        targets = [*TARGETS[:3], local, *TARGETS[4:]]
         self.put(SHORT, self.place(SHORT))
         placer = Placer(self.board, self.health, 'e', 'near')
-        found = placer.place(SHORT, ENGINE, targets, 0)
-        self.assertEqual(found.target, near)
+        placement = placer.place(SHORT, ENGINE, targets, 0)
+        self.assertEqual(placement.target, local)
 
     def test_not_behind_a_long_read(self):
         """A short request avoids engines that prefill a long prompt."""
@@ -131,8 +131,8 @@
         first = self.place(LONG)
         self.put(LONG, first, Phase.reading)
         second = self.place(LONG, now=0.1)
-        taken = {first.target, *first.helpers}
-        self.assertFalse(taken & {second.target, *second.helpers})
+        engaged = {first.target, *first.helpers}
+        self.assertFalse(engaged & {second.target, *second.helpers})
 
     def test_giant_shares_with_one_that_has_time(self):
         """A second giant prompt shares engines with the first to be in time."""
@@ -143,10 +143,10 @@
     def test_instances_choose_differently(self):
         """Instances that choose at once rarely take the same engine."""
         firsts = {
-            Placer(self.board, self.health, f'entry-{one}')
+            Placer(self.board, self.health, f'entry-{number}')
             .place(LONG, ENGINE, TARGETS, 0)
             .target
-            for one in range(8)
+            for number in range(8)
         }
         self.assertGreater(len(firsts), 3)
 
@@ -157,8 +157,8 @@
     def test_tickets_hold_the_rest(self):
         """The reservations and the primary engine hold the whole prompt."""
         placement = self.place(GIANT)
-        held = sum(tokens for _, tokens in placement.tickets)
-        first = GIANT.size.total_tokens - held
+        reserved = sum(tokens for _, tokens in placement.tickets)
+        first = GIANT.size.total_tokens - reserved
         self.assertLessEqual(first, ENGINE.capacity_tokens)
         for _, tokens in placement.tickets:
             self.assertLessEqual(tokens, ENGINE.capacity_tokens)
@@ -184,9 +184,11 @@
 
     def test_least_busy(self):
         """The target with the fewest requests is chosen."""
-        for one in TARGETS[1:]:
+        for target in TARGETS[1:]:
             self.board.put(
-                Flight(one.target_id, one.target_id, 0, 0, Phase.reading, 0)
+                Flight(
+                    target.target_id, target.target_id, 0, 0, Phase.reading, 0
+                )
             )
         chosen = choose_least_busy(
             self.board, self.health, TARGETS, 0, lambda: 0.5
--- a/tests/test_relay_quarantine.py
+++ b/tests/test_relay_quarantine.py
@@ -32,13 +32,13 @@
     """Which crashes count."""
 
     def test_held_from_the_third_on(self):
-        known = [
+        quarantined = [
             make_quarantine(
-                *(f't{one}' for one in range(count))
+                *(f't{number}' for number in range(count))
             ).is_quarantined(DEADLY)
             for count in range(MOST_ENDS + 2)
         ]
-        self.assertEqual(known, [False, False, False, True, True])
+        self.assertEqual(quarantined, [False, False, False, True, True])
 
     def test_the_same_end_counts_once(self):
         """Duplicated messages and the store report the same crash again."""
@@ -59,20 +59,20 @@
 
     def test_order_does_not_matter(self):
         """Each instance learns of the same crashes in its own order."""
-        ends = [End(DEADLY, f't{one}') for one in range(4)]
-        ends.extend(End(BESIDE, f't{one}') for one in range(1, 4))
-        found = set()
-        for order in permutations(ends):
+        crashes = [End(DEADLY, f't{number}') for number in range(4)]
+        crashes.extend(End(BESIDE, f't{number}') for number in range(1, 4))
+        results = set()
+        for order in permutations(crashes):
             quarantine = Quarantine()
-            for end in order:
-                quarantine.note_end(end, 0)
-            found.add(
+            for crash in order:
+                quarantine.note_end(crash, 0)
+            results.add(
                 (
                     quarantine.is_quarantined(DEADLY),
                     quarantine.is_quarantined(BESIDE),
                 )
             )
-        self.assertEqual(found, {(True, True)})
+        self.assertEqual(results, {(True, True)})
 
     def test_an_answer_clears(self):
         quarantine = make_quarantine('t1', 't2', 't3')
@@ -97,14 +97,14 @@
 
     def test_handed_on_with_its_age(self):
         """An instance that starts later has the same state."""
-        known = make_quarantine('t1', 't2', 't3')
-        known.note_trial(DEADLY, 70)
+        quarantine = make_quarantine('t1', 't2', 't3')
+        quarantine.note_trial(DEADLY, 70)
         later = Quarantine()
-        for record in known.get_records(now=100):
+        for record in quarantine.get_records(now=100):
             later.take(record, now=0)
         self.assertTrue(later.is_quarantined(DEADLY))
         self.assertEqual(
-            later.get_due_in_s(DEADLY, 0), known.get_due_in_s(DEADLY, 100)
+            later.get_due_in_s(DEADLY, 0), quarantine.get_due_in_s(DEADLY, 100)
         )
 
 
@@ -113,45 +113,45 @@
 
     def test_late_words_bring_nothing_back(self):
         """An instance that missed the answer still reports the old crashes."""
-        known = make_quarantine('t1', 't2', 't3')
-        stale = list(known.get_records(now=0))
-        known.note_answered(DEADLY, 0)
+        quarantine = make_quarantine('t1', 't2', 't3')
+        stale = list(quarantine.get_records(now=0))
+        quarantine.note_answered(DEADLY, 0)
         for record in stale:
-            known.take(record, now=1)
-        note(known, DEADLY, 't1', 't2', 't3')
-        self.assertFalse(known.is_quarantined(DEADLY))
+            quarantine.take(record, now=1)
+        note(quarantine, DEADLY, 't1', 't2', 't3')
+        self.assertFalse(quarantine.is_quarantined(DEADLY))
 
     def test_new_ends_count(self):
-        known = make_quarantine('t1', 't2', 't3')
-        known.note_answered(DEADLY, 0)
-        note(known, DEADLY, 't4', 't5', 't6')
-        self.assertTrue(known.is_quarantined(DEADLY))
+        quarantine = make_quarantine('t1', 't2', 't3')
+        quarantine.note_answered(DEADLY, 0)
+        note(quarantine, DEADLY, 't4', 't5', 't6')
+        self.assertTrue(quarantine.is_quarantined(DEADLY))
 
     def test_handed_on(self):
         """An instance that missed the answer learns of it from a peer."""
-        known = make_quarantine('t1', 't2', 't3')
-        known.note_answered(DEADLY, 0)
+        quarantine = make_quarantine('t1', 't2', 't3')
+        quarantine.note_answered(DEADLY, 0)
         other = make_quarantine('t1', 't2', 't3', 't4')
-        for record in known.get_records(now=0):
+        for record in quarantine.get_records(now=0):
             other.take(record, now=0)
         self.assertEqual(other.count_ends(DEADLY), 1)
 
     def test_newest_are_kept(self):
         """A popular request is cleared of some crashes again and again."""
-        known = Quarantine()
+        quarantine = Quarantine()
         for number in range(MOST_CLEARED * 2):
-            note(known, DEADLY, f't{number}')
-            known.note_answered(DEADLY, 0)
-        cleared = known.make_record(DEADLY, 0).cleared
+            note(quarantine, DEADLY, f't{number}')
+            quarantine.note_answered(DEADLY, 0)
+        cleared = quarantine.make_record(DEADLY, 0).cleared
         self.assertEqual(len(cleared), MOST_CLEARED)
         self.assertEqual(cleared[-1], f't{MOST_CLEARED * 2 - 1}')
 
     def test_first_forgotten(self):
-        known = make_quarantine('t1', 't2', 't3')
-        known.note_answered(DEADLY, 0)
+        quarantine = make_quarantine('t1', 't2', 't3')
+        quarantine.note_answered(DEADLY, 0)
         for number in range(MOST_KNOWN):
-            note(known, f'f{number}', f'u{number}')
-        self.assertEqual(known.trim(), [DEADLY])
+            note(quarantine, f'f{number}', f'u{number}')
+        self.assertEqual(quarantine.trim(), [DEADLY])
 
 
 class BoundTest(unittest.TestCase):
@@ -185,61 +185,63 @@
     beside = 7
     sends = 4
 
-    def play(self, rng, *, ending_share, deadly_rounds=0):
+    def play(self, rng, *, crash_share, deadly_rounds=0):
         """Return how many of 126 harmless requests are quarantined.
 
         Also return whether the deadly one is.  In each round a share of the
         targets crash by themselves; the deadly request crashes one more.
         """
         quarantine = Quarantine()
-        waiting = {f'r{one}': 0 for one in range(self.targets * self.beside)}
-        for turn in range(self.sends):
-            places = {
+        waiting = {
+            f'r{number}': 0 for number in range(self.targets * self.beside)
+        }
+        for round_number in range(self.sends):
+            assigned = {
                 name: rng.randrange(self.targets)
                 for name, sends in waiting.items()
-                if sends == turn
+                if sends == round_number
             }
-            ended = {
+            crashed = {
                 target
                 for target in range(self.targets)
-                if rng.random() < ending_share
+                if rng.random() < crash_share
             }
-            if turn < deadly_rounds:
+            if round_number < deadly_rounds:
                 target = rng.randrange(self.targets)
-                ended.add(target)
-                note(quarantine, DEADLY, f't{target}@{turn}')
-            for name, target in places.items():
-                if target in ended:
-                    note(quarantine, name, f't{target}@{turn}')
+                crashed.add(target)
+                note(quarantine, DEADLY, f't{target}@{round_number}')
+            for name, target in assigned.items():
+                if target in crashed:
+                    note(quarantine, name, f't{target}@{round_number}')
                     waiting[name] += 1
         blamed = sum(map(quarantine.is_quarantined, waiting))
         return blamed, quarantine.is_quarantined(DEADLY)
 
-    def count(self, **how):
+    def count(self, **settings):
         """Return the quarantined shares of harmless and of deadly requests."""
         rng = Random(7)
-        days = [self.play(rng, **how) for _ in range(300)]
+        days = [self.play(rng, **settings) for _ in range(300)]
         others = sum(blamed for blamed, _ in days)
         share = others / len(days) / self.targets / self.beside
-        return share, sum(found for _, found in days) / len(days)
+        return share, sum(deadly for _, deadly in days) / len(days)
 
     def test_crashes_alone(self):
         """A tenth, or a third, of all targets crash in each of four rounds."""
-        share, _ = self.count(ending_share=0.1)
+        share, _ = self.count(crash_share=0.1)
         self.assertLess(share, 0.001)
-        share, _ = self.count(ending_share=0.33)
+        share, _ = self.count(crash_share=0.33)
         self.assertLess(share, 0.05)
 
     def test_deadly_request_alone(self):
         """It is detected at its third crash, with hardly any false positive."""
-        share, found = self.count(ending_share=0, deadly_rounds=3)
-        self.assertEqual(found, 1)
+        share, detected = self.count(crash_share=0, deadly_rounds=3)
+        self.assertEqual(detected, 1)
         self.assertLess(share, 0.0005)
 
     def test_both(self):
         """It is detected at its third crash, however many others crash."""
-        share, found = self.count(ending_share=0.1, deadly_rounds=3)
-        self.assertEqual(found, 1)
+        share, detected = self.count(crash_share=0.1, deadly_rounds=3)
+        self.assertEqual(detected, 1)
         self.assertLess(share, 0.005)
-        _, found = self.count(ending_share=0.33, deadly_rounds=3)
-        self.assertEqual(found, 1)
+        _, detected = self.count(crash_share=0.33, deadly_rounds=3)
+        self.assertEqual(detected, 1)
--- a/tests/test_relay_quotas.py
+++ b/tests/test_relay_quotas.py
@@ -19,7 +19,10 @@
 
 def make_members(count):
     """Return `count` entries in three data centres."""
-    return [Member(f'10.0.0.{one}:1', PLACES[one % 3]) for one in range(count)]
+    return [
+        Member(f'10.0.0.{number}:1', PLACES[number % 3])
+        for number in range(count)
+    ]
 
 
 def get_quotas(groups, per_s, known, target='t1'):
@@ -28,12 +31,12 @@
     return [
         get_quota(
             Members(
-                one, tuple(other for other in group if other != one), known
+                member, tuple(peer for peer in group if peer != member), known
             ),
             demand,
         )
         for group in groups
-        for one in group
+        for member in group
     ]
 
 
@@ -45,43 +48,47 @@
         """The quotas add up to the limit, and all holders' are equal."""
         quotas = get_quotas([make_members(count)], per_s, count)
         self.assertAlmostEqual(sum(quotas), max(per_s, LEAST_PER_S))
-        self.assertLessEqual(len({one for one in quotas if one}), 1)
+        self.assertLessEqual(len({quota for quota in quotas if quota}), 1)
 
     @given(
         st.integers(2, 60),
         st.floats(0, 100),
         st.lists(st.integers(0, 3), min_size=60, max_size=60),
     )
-    def test_cut_in_any_groups(self, count, per_s, sides):
+    def test_cut_in_any_groups(self, count, per_s, group_numbers):
         """No group uses the share of entries that it can't reach."""
-        everyone = make_members(count)
+        members = make_members(count)
         groups = [
             [
-                one
-                for one, at in zip(everyone, sides, strict=False)
-                if at == side
+                member
+                for member, group_number in zip(
+                    members, group_numbers, strict=False
+                )
+                if group_number == group
             ]
-            for side in range(4)
+            for group in range(4)
         ]
         quotas = get_quotas(groups, per_s, count)
         self.assertAlmostEqual(sum(quotas), max(per_s, LEAST_PER_S))
 
     def test_few_hold_a_small_limit(self):
         quotas = get_quotas([make_members(195)], 1, 195)
-        self.assertEqual(sum(1 for one in quotas if one), 1 + SPARE_HOLDERS)
+        self.assertEqual(sum(1 for quota in quotas if quota), 1 + SPARE_HOLDERS)
 
     def test_own_data_centre_first(self):
-        everyone = make_members(12)
-        quotas = get_quotas([everyone], 1, 12)
+        members = make_members(12)
+        quotas = get_quotas([members], 1, 12)
         holders = [
-            one for one, quota in zip(everyone, quotas, strict=True) if quota
+            member
+            for member, quota in zip(members, quotas, strict=True)
+            if quota
         ]
-        self.assertEqual({one.data_centre for one in holders}, {'dc-0'})
+        self.assertEqual({member.data_centre for member in holders}, {'dc-0'})
 
     def test_targets_have_different_holders(self):
         holders = [
-            tuple(get_quotas([make_members(60)], 1, 60, target=f't{one}'))
-            for one in range(10)
+            tuple(get_quotas([make_members(60)], 1, 60, target=f't{number}'))
+            for number in range(10)
         ]
         self.assertGreater(len(set(holders)), 8)
 
@@ -89,8 +96,10 @@
         """An entry is known by its address, through all restarts."""
         own, *others = make_members(9)
         before = get_quota(Members(own, tuple(others), 9), Demand('t', '', 2))
-        again = Member(own.name, own.data_centre)
-        after = get_quota(Members(again, tuple(others), 9), Demand('t', '', 2))
+        restarted = Member(own.name, own.data_centre)
+        after = get_quota(
+            Members(restarted, tuple(others), 9), Demand('t', '', 2)
+        )
         self.assertEqual(before, after)
 
     def test_kept_until_the_members_change(self):
--- a/tests/test_relay_rate_limits.py
+++ b/tests/test_relay_rate_limits.py
@@ -7,11 +7,11 @@
 TARGET = 't1@5'
 
 
-def note(*words):
+def note(*arguments):
     """Return what each notice changes, and which one holds in the end."""
-    limits = Notices()
-    changes = [limits.note(TARGET, RateLimit(*word)) for word in words]
-    return changes, limits.get(RateLimit, TARGET)
+    notices = Notices()
+    changes = [notices.note(TARGET, RateLimit(*args)) for args in arguments]
+    return changes, notices.get(RateLimit, TARGET)
 
 
 class OrderTest(unittest.TestCase):
@@ -26,9 +26,9 @@
         self.assertEqual(last.per_s, 1)
 
     def test_unlimited_from_the_start_is_nothing(self):
-        limits = Notices()
-        limits.note(TARGET, RateLimit(None, 0, 1))
-        self.assertEqual(limits.get_all(RateLimit), {})
+        notices = Notices()
+        notices.note(TARGET, RateLimit(None, 0, 1))
+        self.assertEqual(notices.get_all(RateLimit), {})
 
     def test_answer_to_what_was_asked_before_lifts_nothing(self):
         """Its order relative to the limit is unknown."""
@@ -37,8 +37,8 @@
         self.assertEqual(last.per_s, 2)
 
     def test_lowest_of_those_without_an_order(self):
-        for words in (((2, 5, 6), (9, 5, 7)), ((9, 5, 7), (2, 5, 6))):
-            _, last = note(*words)
+        for arguments in (((2, 5, 6), (9, 5, 7)), ((9, 5, 7), (2, 5, 6))):
+            _, last = note(*arguments)
             self.assertEqual(last.per_s, 2)
 
     def test_what_followed_neither_of_two_lifts_nothing(self):
@@ -60,7 +60,7 @@
         self.assertIsNone(last)
 
     def test_forgotten_with_its_target(self):
-        limits = Notices()
-        limits.note(TARGET, RateLimit(2, 0, 1))
-        limits.forget(TARGET)
-        self.assertIsNone(limits.get(RateLimit, TARGET))
+        notices = Notices()
+        notices.note(TARGET, RateLimit(2, 0, 1))
+        notices.forget(TARGET)
+        self.assertIsNone(notices.get(RateLimit, TARGET))
--- a/tests/test_relay_readers.py
+++ b/tests/test_relay_readers.py
@@ -16,23 +16,23 @@
 
     def test_all_choose_alike(self):
         """The order in which candidates are known does not matter."""
-        known = [Candidate(one, 0.3) for one in 'cab']
-        self.assertEqual(choose_reader(known), 'a')
-        self.assertEqual(choose_reader(reversed(known)), 'a')
+        candidates = [Candidate(name, 0.3) for name in 'cab']
+        self.assertEqual(choose_reader(candidates), 'a')
+        self.assertEqual(choose_reader(reversed(candidates)), 'a')
 
     def test_reader_cut_from_the_store(self):
         """A reader whose proof grows old is replaced by a fresh one."""
-        known = [Candidate('a', 2.0), Candidate('b', 0.7)]
-        self.assertEqual(choose_reader(known), 'b')
+        candidates = [Candidate('a', 2.0), Candidate('b', 0.7)]
+        self.assertEqual(choose_reader(candidates), 'b')
 
     def test_two_readers_cut(self):
         """If two are cut off, the third in the order reads."""
-        known = [Candidate('a', 2), Candidate('b', 3), Candidate('c', 0.5)]
-        self.assertEqual(choose_reader(known), 'c')
+        candidates = [Candidate('a', 2), Candidate('b', 3), Candidate('c', 0.5)]
+        self.assertEqual(choose_reader(candidates), 'c')
 
     def test_reader_that_is_lost_is_made_good_in_time(self):
         """Every instance reads itself well before the bound on drains (2 s)."""
-        names = [f'e{one}' for one in range(8)]
+        names = [f'e{number}' for number in range(8)]
         for name in names:
             self.assertGreater(get_own_read_in_s(name, names, 0.8), 0)
             self.assertLess(get_own_read_in_s(name, names, 1.2), 0)
@@ -46,13 +46,13 @@
 
     def test_own_reads_are_spread(self):
         """Many instances don't all read at the same moment."""
-        names = [f'e{one:03}' for one in range(90)]
+        names = [f'e{number:03}' for number in range(90)]
         waits = [get_own_read_in_s(name, names, 1) for name in names]
         self.assertLess(sum(wait < 0 for wait in waits), 6)
 
     def test_outage(self):
         """While all are stale, tries are spread out and bounded."""
-        names = [f'e{one:03}' for one in range(90)]
+        names = [f'e{number:03}' for number in range(90)]
         waits = [get_retry_s(name, names) for name in names]
         self.assertEqual(waits, sorted(waits))
         tries_per_s = sum(1 / wait for wait in waits)
--- a/tests/test_relay_resting.py
+++ b/tests/test_relay_resting.py
@@ -29,30 +29,32 @@
 class BelievedTest(unittest.TestCase):
     """Which of several notices holds."""
 
-    def note(self, *notices):
-        known = Notices()
-        changes = [known.note('t', one) for one in notices]
-        return changes, known
+    def note(self, *received):
+        notices = Notices()
+        changes = [notices.note('t', notice) for notice in received]
+        return changes, notices
 
     # Guards against a short back-off that replaces an earlier, longer one.
     def test_later_end_counts(self):
-        changes, known = self.note(Rest(9, 0, 1), Rest(4, 1, 2), Rest(12, 3, 4))
+        changes, notices = self.note(
+            Rest(9, 0, 1), Rest(4, 1, 2), Rest(12, 3, 4)
+        )
         self.assertEqual(
             changes, [Change.learnt, Change.nothing, Change.changed]
         )
-        self.assertEqual(known.get(Rest, 't').until, 12)
+        self.assertEqual(notices.get(Rest, 't').until, 12)
 
     def test_nothing_takes_a_leave_back(self):
-        changes, known = self.note(Leave(0, 1), Leave(5, 6), Rest(9, 0, 1))
+        changes, notices = self.note(Leave(0, 1), Leave(5, 6), Rest(9, 0, 1))
         self.assertEqual(changes[1], Change.nothing)
-        known.forget('t')
-        self.assertIsNotNone(known.get(Leave, 't'))
-        self.assertIsNone(known.get(Rest, 't'))
+        notices.forget('t')
+        self.assertIsNotNone(notices.get(Leave, 't'))
+        self.assertIsNone(notices.get(Rest, 't'))
 
     def test_kinds_stand_beside_each_other(self):
-        _, known = self.note(RateLimit(2, 0, 1), Rest(9, 0, 1))
-        self.assertEqual(known.get(RateLimit, 't').per_s, 2)
-        self.assertEqual(known.get(Rest, 't').until, 9)
+        _, notices = self.note(RateLimit(2, 0, 1), Rest(9, 0, 1))
+        self.assertEqual(notices.get(RateLimit, 't').per_s, 2)
+        self.assertEqual(notices.get(Rest, 't').until, 9)
 
 
 class ThrottleTest(unittest.TestCase):
@@ -73,10 +75,10 @@
 
     def test_one_at_a_time_until_an_answer(self):
         throttle = make_throttle(t1=3)
-        taken = [
+        sent = [
             now for now in range(12, 20) if not throttle.take([ONE], now / 4)
         ]
-        self.assertEqual(taken, [12, 14, 16, 18])
+        self.assertEqual(sent, [12, 14, 16, 18])
         throttle.resting.forget('t1')
         self.assertIsNone(throttle.take([ONE], now=4.7))
         self.assertFalse(throttle.is_restrained(ONE))
@@ -84,7 +86,9 @@
     def test_waits(self):
         """The shorter back-off decides, also for requests further behind."""
         throttle = make_throttle(t1=3, t2=9)
-        waits = [throttle.get_wait_s([ONE, TWO], one, 1) for one in range(3)]
+        waits = [
+            throttle.get_wait_s([ONE, TWO], ahead, 1) for ahead in range(3)
+        ]
         self.assertEqual(waits, [2, 2, 2])
 
     # Guards against a back-off that hides a rate limit, and the reverse.
--- a/tests/test_relay_throttle.py
+++ b/tests/test_relay_throttle.py
@@ -12,10 +12,10 @@
 
 def make_throttle(draw=lambda: 1, **per_s):
     """Return the throttle of the only entry, with limits of some targets."""
-    limits = Notices()
-    for name, number in per_s.items():
-        limits.note(name, RateLimit(number, 0, 0))
-    return Throttle(Member('e', 'dc'), limits, draw)
+    notices = Notices()
+    for name, rate in per_s.items():
+        notices.note(name, RateLimit(rate, 0, 0))
+    return Throttle(Member('e', 'dc'), notices, draw)
 
 
 class ThrottleTest(unittest.TestCase):
@@ -36,7 +36,9 @@
     def test_wait_counts_those_ahead(self):
         throttle = make_throttle(t1=1, t2=2)
         throttle.take([ONE, TWO], now=0)
-        waits = [throttle.get_wait_s([ONE, TWO], one, 0) for one in range(4)]
+        waits = [
+            throttle.get_wait_s([ONE, TWO], ahead, 0) for ahead in range(4)
+        ]
         self.assertEqual(waits, [0.5, 1, 1, 1.5])
         self.assertEqual(throttle.get_wait_s([], 0, 0), inf)
 
@@ -55,5 +57,5 @@
     def test_limit_of_nothing_lets_few_through(self):
         """Otherwise no request would reveal that the limit has ended."""
         throttle = make_throttle(t1=0)
-        left = [now for now in range(100) if throttle.take([ONE], now) is None]
-        self.assertEqual(len(left), 10)
+        sent = [now for now in range(100) if throttle.take([ONE], now) is None]
+        self.assertEqual(len(sent), 10)
--- a/tests/test_relay_turns.py
+++ b/tests/test_relay_turns.py
@@ -15,21 +15,23 @@
 
 def make_turns(drawn):
     """Return waiting requests in the order of their arrival."""
-    found = Turns()
+    queue = Turns()
     for number, (team, priority) in enumerate(drawn):
-        found.join(Turn(f'r{number}', 'svc', team, number, priority))
-    return found
+        queue.join(Turn(f'r{number}', 'svc', team, number, priority))
+    return queue
 
 
-def serve_all(turns):
+def serve_all(queue):
     """Return the requests in the order in which they are served."""
     served = []
-    while turns.waiting:
-        waiting = turns.waiting.values()
-        first = [one for one in waiting if not turns.count_ahead(one)]
+    while queue.waiting:
+        waiting = queue.waiting.values()
+        first = [
+            request for request in waiting if not queue.count_ahead(request)
+        ]
         assert len(first) == 1, first
-        turns.leave(first[0].req_id)
-        turns.note_served(first[0], len(served) + 100)
+        queue.leave(first[0].req_id)
+        queue.note_served(first[0], len(served) + 100)
         served.append(first[0])
     return served
 
@@ -41,23 +43,26 @@
     def test_one_is_first(self, drawn):
         """Exactly one request is first, and priorities are in order."""
         served = serve_all(make_turns(drawn))
-        ranks = [one.rank for one in served]
+        ranks = [request.rank for request in served]
         self.assertEqual(ranks, sorted(ranks))
 
     @given(TURNS)
     def test_known_in_advance(self, drawn):
         """If no request arrives, each keeps its predicted position."""
-        turns = make_turns(drawn)
-        told = [(turns.count_ahead(one), one) for one in turns.waiting.values()]
-        order = serve_all(turns)
-        for ahead, one in told:
-            if one.rank == order[0].rank:
-                self.assertEqual(order.index(one), ahead)
+        queue = make_turns(drawn)
+        predicted = [
+            (queue.count_ahead(request), request)
+            for request in queue.waiting.values()
+        ]
+        order = serve_all(queue)
+        for ahead, request in predicted:
+            if request.rank == order[0].rank:
+                self.assertEqual(order.index(request), ahead)
 
     def test_team_by_team(self):
-        served = serve_all(make_turns([(one, None) for one in 'aaaabb']))
-        self.assertEqual(''.join(one.team for one in served), 'ababaa')
+        served = serve_all(make_turns([(team, None) for team in 'aaaabb']))
+        self.assertEqual(''.join(request.team for request in served), 'ababaa')
 
     def test_other_services_are_not_in_the_way(self):
-        turns = make_turns([('a', 0)])
-        self.assertEqual(turns.count_ahead(Turn('x', 'other', 'a', 9)), 0)
+        queue = make_turns([('a', 0)])
+        self.assertEqual(queue.count_ahead(Turn('x', 'other', 'a', 9)), 0)
