--- a/tests/test_relay_placing.py
+++ b/tests/test_relay_placing.py
@@ -108,12 +108,12 @@
         for _ in range(40):
             self.put(SHORT, self.place(SHORT))
         placement = self.place(LONG)
-        part_s = get_read_s(ENGINE, LONG.size.prompt_tokens) / (
+        chunk_s = get_read_s(ENGINE, LONG.size.prompt_tokens) / (
             len(placement.helpers) + 1
         )
         for target in (placement.target, *placement.helpers):
             if tuple(self.board.get_flights(target.target_id)):
-                self.assertLess(part_s, SHORT.pause_s)
+                self.assertLess(chunk_s, SHORT.pause_s)
 
     def test_memory_is_kept(self):
         """Two long prompts that don't fit together take two engines."""
--- a/trestledock/relay/_board.py
+++ b/trestledock/relay/_board.py
@@ -63,14 +63,14 @@
 
     def get_held_tokens(self, target: str) -> int:
         """Return the KV tokens that the request occupies at a target."""
-        ticketed = dict(self.tickets)
+        reserved = dict(self.tickets)
         if target != self.target:
-            return ticketed.get(target, 0)
-        elsewhere = sum(
+            return reserved.get(target, 0)
+        reserved_elsewhere = sum(
             tokens for name, tokens in self.tickets if name != target
         )
         total = self.prompt_tokens + self.output_tokens
-        return max(total - elsewhere, 0)
+        return max(total - reserved_elsewhere, 0)
 
 
 @dataclass
@@ -88,9 +88,9 @@
 class Board:
     """Requests in flight by target, of this instance and of its peers.
 
-    >>> board = Board()
-    >>> board.put(Flight('a', 't1', 100, 10, Phase.reading, since=0))
-    >>> [flight.flight_id for flight in board.get_flights('t1')]
+    >>> table = Board()
+    >>> table.put(Flight('a', 't1', 100, 10, Phase.reading, since=0))
+    >>> [flight.flight_id for flight in table.get_flights('t1')]
     ['a']
     """
 
--- a/trestledock/relay/_budget.py
+++ b/trestledock/relay/_budget.py
@@ -28,8 +28,8 @@
 class RetryWindow:
     """The requests and retries of a service in the sliding window.
 
-    >>> window = RetryWindow(BudgetTerms(ratio=0, slack=2))
-    >>> [window.spend(now=1.0, instances=1) for _ in range(2)]
+    >>> budget = RetryWindow(BudgetTerms(ratio=0, slack=2))
+    >>> [budget.spend(now=1.0, instances=1) for _ in range(2)]
     [True, False]
     """
 
--- a/trestledock/relay/_fleet.py
+++ b/trestledock/relay/_fleet.py
@@ -82,10 +82,10 @@
         known = self.get_by_id(listed.target_id)
         if listed.order < self._get_least_order(listed.target_id):
             return False
-        was_held = self.held.pop(listed.incarnation, None) is not None
+        was_retained = self.held.pop(listed.incarnation, None) is not None
         self._set(listed)
         same = known and replace(known, sequence=listed.sequence) == listed
-        if same and not was_held:
+        if same and not was_retained:
             return False
         self.revision += 1
         return True
@@ -127,7 +127,7 @@
         return True
 
     def drop(self, target_id: str, until: float, now: float) -> bool:
-        """Process a removal; return whether the target is gone at once.
+        """Process a removal; return whether the target is removed at once.
 
         Until the instant `until` its lease may only have lapsed.
         """
@@ -175,13 +175,13 @@
         for target_id, order in self.gone.items():
             yield GoneTarget(target_id, order)
 
-    def take_gone(self, gone: Iterable[GoneTarget]) -> list[str]:
+    def take_gone(self, removed_targets: Iterable[GoneTarget]) -> list[str]:
         """Merge the removed targets that another instance knows.
 
         Return the incarnations that were removed here, known by older records.
         """
         removed = []
-        for target in gone:
+        for target in removed_targets:
             known = self.get_by_id(target.target_id)
             if known and known.order <= target.order:
                 self._remove(known)
@@ -194,12 +194,12 @@
     def get_usable(self, service: str) -> Iterator[Listed]:
         """Return the targets of a service that accept new requests."""
         births_are_told = self._are_births_told()
-        leaving = self.leaving
+        draining = self.leaving
         return (
             listed
             for name, listed in self.targets.items()
             if listed.service == service
-            and name not in leaving
+            and name not in draining
             and (listed.born != UNTOLD or not births_are_told)
         )
 
@@ -246,13 +246,13 @@
 
     def _set(self, listed: Listed) -> None:
         """Store an incarnation and forget the previous one."""
-        before = self.get_by_id(listed.target_id)
-        if before and before.born == listed.born:
+        previous = self.get_by_id(listed.target_id)
+        if previous and previous.born == listed.born:
             self.targets[listed.incarnation] = listed
             return
-        if before:
-            self._forget(before)
-            self.held.pop(before.incarnation, None)
+        if previous:
+            self._forget(previous)
+            self.held.pop(previous.incarnation, None)
         self.targets[listed.incarnation] = listed
         self.newest[listed.target_id] = listed.incarnation
         self.births += listed.born != UNTOLD
--- a/trestledock/relay/_giants.py
+++ b/trestledock/relay/_giants.py
@@ -35,7 +35,7 @@
     if best is None:
         best = _plan_giant(problem, holders, len(holders) - 1)
     share = _get_share(problem, len(holders))
-    tickets = tuple((view.listed.incarnation, share) for view in holders[1:])
+    tickets = tuple((load.listed.incarnation, share) for load in holders[1:])
     return replace(best, tickets=tickets)
 
 
@@ -44,24 +44,24 @@
     holders: tuple[View, ...],
     helper_count: int,
 ) -> Placement:
-    part_s = problem.read_s / (helper_count + 1)
+    chunk_s = problem.read_s / (helper_count + 1)
     extra = helper_count + 1 - len(holders)
-    readers = pick_helpers(problem, holders, part_s)[:extra]
-    return finish_plan(problem, holders[0], [*holders[1:], *readers], part_s)
+    helpers = pick_helpers(problem, holders, chunk_s)[:extra]
+    return finish_plan(problem, holders[0], [*holders[1:], *helpers], chunk_s)
 
 
 def _pick_holders(problem: Problem) -> tuple[View, ...]:
     """Return the fewest engines that can hold a prompt in equal shares."""
 
-    def order_of(view: View) -> tuple[float, float]:  # noqa: WPS430
-        return view.pending_s, -view.free_tokens
+    def order_of(load: View) -> tuple[float, float]:  # noqa: WPS430
+        return load.pending_s, -load.free_tokens
 
-    room = sorted(problem.views, key=order_of)
-    for count in range(2, len(room) + 1):
+    engines = sorted(problem.views, key=order_of)
+    for count in range(2, len(engines) + 1):
         share = _get_share(problem, count)
-        fitting = [view for view in room if view.free_tokens >= share]
-        if len(fitting) >= count:
-            return tuple(fitting[:count])
+        candidates = [load for load in engines if load.free_tokens >= share]
+        if len(candidates) >= count:
+            return tuple(candidates[:count])
     return ()
 
 
--- a/trestledock/relay/_open_ends.py
+++ b/trestledock/relay/_open_ends.py
@@ -31,9 +31,9 @@
 class OpenEnds:
     """Possible crashes that wait for confirmation.
 
-    >>> found = OpenEnds()
-    >>> found.keep('f', Listed('t1', 's', 'a:1'), now=0)
-    >>> [end.fingerprint for end in found.take('t1', now=2)]
+    >>> crashes = OpenEnds()
+    >>> crashes.keep('f', Listed('t1', 's', 'a:1'), now=0)
+    >>> [end.fingerprint for end in crashes.take('t1', now=2)]
     ['f']
     """
 
--- a/trestledock/relay/_parts.py
+++ b/trestledock/relay/_parts.py
@@ -25,39 +25,39 @@
 
 def plan_parts(problem: Problem, helper_count: int) -> Placement:
     """Return the best plan with a given number of helpers."""
-    part_s = problem.read_s / (helper_count + 1)
-    first = min(
+    chunk_s = problem.read_s / (helper_count + 1)
+    primary = min(
         problem.views,
-        key=lambda view: problem.get_whole_cost(view, part_s),
+        key=lambda load: problem.get_whole_cost(load, chunk_s),
     )
-    helpers = pick_helpers(problem, (first,), part_s)[:helper_count]
-    plan = finish_plan(problem, first, helpers, part_s)
-    return replace(plan, cost=plan.cost + problem.get_crowding(first))
+    helpers = pick_helpers(problem, (primary,), chunk_s)[:helper_count]
+    plan = finish_plan(problem, primary, helpers, chunk_s)
+    return replace(plan, cost=plan.cost + problem.get_crowding(primary))
 
 
 def finish_plan(
     problem: Problem,
-    first: View,
+    primary: View,
     helpers: list[View],
-    part_s: float,
+    chunk_s: float,
 ) -> Placement:
     """Return the plan of a primary engine with helpers."""
-    first_s = first.predict_first_s(part_s)
+    first_s = primary.predict_first_s(chunk_s)
     helper_ends = [
-        view.predict_part_s(part_s) + first.base_s for view in helpers
+        load.predict_part_s(chunk_s) + primary.base_s for load in helpers
     ]
     last_s = max([first_s, *helper_ends])
     lateness = problem.get_lateness(last_s) - problem.get_lateness(first_s)
-    helpers_harm = sum(problem.get_harm(view, part_s) for view in helpers)
-    cost = problem.get_cost(first, part_s) + helpers_harm
+    helpers_harm = sum(problem.get_harm(load, chunk_s) for load in helpers)
+    cost = problem.get_cost(primary, chunk_s) + helpers_harm
     cost += lateness + (last_s - first_s) * SECOND_COST
-    cost += problem.get_scarcity([first, *helpers], part_s, last_s)
+    cost += problem.get_scarcity([primary, *helpers], chunk_s, last_s)
     return Placement(
-        first.listed,
-        tuple(view.listed for view in helpers),
+        primary.listed,
+        tuple(load.listed for load in helpers),
         first_s=last_s,
         cost=cost + HELPER_COST * len(helpers),
-        harm=problem.get_harm(first, part_s) + helpers_harm,
+        harm=problem.get_harm(primary, chunk_s) + helpers_harm,
         gain=problem.get_gain(last_s),
     )
 
@@ -65,22 +65,22 @@
 def pick_helpers(
     problem: Problem,
     excluded: tuple[View, ...],
-    part_s: float,
+    chunk_s: float,
 ) -> list[View]:
     """Return the other engines, the cheapest helpers first."""
-    excluded_ids = {view.listed.incarnation for view in excluded}
+    excluded_ids = {load.listed.incarnation for load in excluded}
 
-    def cost_of(view: View) -> float:  # noqa: WPS430 - a sort key
+    def cost_of(load: View) -> float:  # noqa: WPS430 - a sort key
         return (
-            problem.get_harm(view, part_s)
-            + view.helper_wait_s * SECOND_COST
-            + view.failure_share * QUEUED_COST
-            + problem.get_remoteness(view)
+            problem.get_harm(load, chunk_s)
+            + load.helper_wait_s * SECOND_COST
+            + load.failure_share * QUEUED_COST
+            + problem.get_remoteness(load)
         )
 
     candidates = [
-        view
-        for view in problem.views
-        if view.listed.incarnation not in excluded_ids
+        load
+        for load in problem.views
+        if load.listed.incarnation not in excluded_ids
     ]
     return sorted(candidates, key=cost_of)
--- a/trestledock/relay/_placing.py
+++ b/trestledock/relay/_placing.py
@@ -89,7 +89,7 @@
         return replace(
             placement,
             ideal_s=_get_ideal_s(problem),
-            clear_s=max(view.pending_s for view in problem.views),
+            clear_s=max(load.pending_s for load in problem.views),
             candidates=len(ordered),
         )
 
@@ -106,8 +106,8 @@
 
 def _get_ideal_s(problem: Problem) -> float:
     """Return the time to the first token on an idle fleet."""
-    parts = min(len(problem.views), HELPER_COUNTS[-1] + 1)
-    return problem.read_s / parts + get_write_pass_s(
+    chunk_count = min(len(problem.views), HELPER_COUNTS[-1] + 1)
+    return problem.read_s / chunk_count + get_write_pass_s(
         problem.engine, PassLoad(1)
     )
 
@@ -116,22 +116,22 @@
     """Choose the fullest engine on which no request loses anything."""
     read_s = problem.read_s
     costs = {
-        view.listed.incarnation: problem.get_whole_cost(view, read_s)
-        for view in problem.views
+        load.listed.incarnation: problem.get_whole_cost(load, read_s)
+        for load in problem.views
     }
 
-    def cost_of(view: View) -> float:  # noqa: WPS430 - a sort key
-        return costs[view.listed.incarnation]
+    def cost_of(load: View) -> float:  # noqa: WPS430 - a sort key
+        return costs[load.listed.incarnation]
 
     uncrowded = [
-        view
-        for view in problem.views
-        if cost_of(view) - view.predict_first_s(read_s) * SECOND_COST
+        load
+        for load in problem.views
+        if cost_of(load) - load.predict_first_s(read_s) * SECOND_COST
         < EASY_COST
     ]
-    local = [view for view in uncrowded if not view.remote]
+    local = [load for load in uncrowded if not load.remote]
     if uncrowded and problem.terms.packing:
-        best = max(local or uncrowded, key=lambda view: view.count)
+        best = max(local or uncrowded, key=lambda load: load.count)
     else:
         best = min(problem.views, key=cost_of)
     first_s = best.predict_first_s(read_s)
--- a/trestledock/relay/_plain.py
+++ b/trestledock/relay/_plain.py
@@ -35,9 +35,9 @@
     def load_of(listed: Listed) -> tuple[float, float]:  # noqa: WPS430
         count = sum(1 for _ in board.get_flights(listed.incarnation))
         target_health = health.get(listed.incarnation)
-        busy = (count + 1) / max(1, listed.slots)
-        busy += target_health.get_failure_share(now) * FAILURE_LOAD
-        busy += REMOTE_LOAD * (listed.data_centre != data_centre)
-        return busy, draw()
+        load = (count + 1) / max(1, listed.slots)
+        load += target_health.get_failure_share(now) * FAILURE_LOAD
+        load += REMOTE_LOAD * (listed.data_centre != data_centre)
+        return load, draw()
 
     return min(targets, key=load_of, default=None)
--- a/trestledock/relay/_problem.py
+++ b/trestledock/relay/_problem.py
@@ -95,7 +95,7 @@
     terms: Terms = TERMS
 
     def get_lateness(self, first_s: float) -> float:
-        """Return the loss of the request by a first token after `first_s`.
+        """Return the loss of the request by the lateness of its first token.
 
         Beyond the objective, the rest of the worth is lost gradually until the
         caller leaves, since predictions of long prefills are too short if newer
@@ -114,42 +114,42 @@
         )
 
     def get_gain(self, first_s: float) -> float:
-        """Return the yield of the request by a first token after `first_s`."""
+        """Return the worth that the request is expected to yield."""
         return max(0, self.work.worth - self.get_lateness(first_s))
 
-    def get_harm(self, view: View, part_s: float) -> float:
-        """Return the loss of others if an engine prefills `part_s` more."""
-        return view.get_harm(part_s) if self.terms.harm else 0
+    def get_harm(self, load: View, chunk_s: float) -> float:
+        """Return the loss of others if an engine prefills `chunk_s` more."""
+        return load.get_harm(chunk_s) if self.terms.harm else 0
 
-    def get_remoteness(self, view: View) -> float:
+    def get_remoteness(self, load: View) -> float:
         """Return the cost of an engine in another data centre."""
-        return REMOTE_COST * (view.remote and self.terms.near_first)
+        return REMOTE_COST * (load.remote and self.terms.near_first)
 
-    def get_cost(self, view: View, part_s: float) -> float:
-        """Return the loss of all if an engine prefills `part_s` and decodes."""
-        first_s = view.predict_first_s(part_s)
-        own_pause = view.base_s > self.work.pause_s * PAUSE_SHARE
-        risk = view.failure_share + own_pause * LATE_LOSS
+    def get_cost(self, load: View, chunk_s: float) -> float:
+        """Return the loss of all by a prefill of `chunk_s` and the answer."""
+        first_s = load.predict_first_s(chunk_s)
+        own_pause = load.base_s > self.work.pause_s * PAUSE_SHARE
+        risk = load.failure_share + own_pause * LATE_LOSS
         return (
-            self.get_harm(view, part_s)
+            self.get_harm(load, chunk_s)
             + self.get_lateness(first_s)
             + first_s * SECOND_COST
             + risk * self.work.worth
-            + self.get_remoteness(view)
+            + self.get_remoteness(load)
         )
 
-    def get_crowding(self, view: View) -> float:
+    def get_crowding(self, load: View) -> float:
         """Return the cost of batch places and memory that are not free yet."""
-        excess = view.count - self.engine.batch + SPARE_PLACES + 1
+        excess = load.count - self.engine.batch + SPARE_PLACES + 1
         cost = QUEUED_COST * max(0, excess)
-        if self.work.size.total_tokens > view.free_tokens:
+        if self.work.size.total_tokens > load.free_tokens:
             cost += QUEUED_COST * 2
         return cost
 
     def get_scarcity(
         self,
         engines: Sequence[View],
-        part_s: float,
+        chunk_s: float,
         first_s: float,
     ) -> float:
         """Return the cost of the idle engines that a late plan takes.
@@ -159,13 +159,16 @@
         if first_s <= self.work.objective_s:
             return 0
         total = len(self.views)
-        busy = sum(bool(view.flights) for view in self.views)
-        taken = sum(not view.flights for view in engines)
-        shares = [(busy + 1 + place) / total for place in range(taken)]
+        busy_count = sum(bool(load.flights) for load in self.views)
+        idle_count = sum(not load.flights for load in engines)
+        shares = [
+            (busy_count + 1 + position) / total
+            for position in range(idle_count)
+        ]
         return (
-            self.terms.engine_cost * part_s * sum(share**2 for share in shares)
+            self.terms.engine_cost * chunk_s * sum(share**2 for share in shares)
         )
 
-    def get_whole_cost(self, view: View, part_s: float) -> float:
+    def get_whole_cost(self, load: View, chunk_s: float) -> float:
         """Return the cost of an engine as the primary engine."""
-        return self.get_cost(view, part_s) + self.get_crowding(view)
+        return self.get_cost(load, chunk_s) + self.get_crowding(load)
--- a/trestledock/relay/_proven.py
+++ b/trestledock/relay/_proven.py
@@ -31,9 +31,9 @@
 class Proven:
     """The requests that were answered here lately.
 
-    >>> proven = Proven()
-    >>> proven.note_answered('f', now=0)
-    >>> [proven.excuses('f', now=1) for _ in range(4)]
+    >>> answers = Proven()
+    >>> answers.note_answered('f', now=0)
+    >>> [answers.excuses('f', now=1) for _ in range(4)]
     [True, True, True, False]
     """
 
--- a/trestledock/relay/_quarantine.py
+++ b/trestledock/relay/_quarantine.py
@@ -39,8 +39,8 @@
 #: The maximum number of suspect requests, some 300 bytes each.  A flood of
 #: different requests evicts those with the fewest crashes first.
 MOST_KNOWN = 1_000
-#: The maximum number of cleared crashes that are kept of a request, newest
-#: first: messages about them arrive seconds late, and a popular request is
+#: The maximum number of cleared crashes of a request, of which the newest are
+#: kept: messages about them arrive seconds late, and a popular request is
 #: cleared of some with each crash.
 MOST_CLEARED = 50
 
@@ -106,12 +106,12 @@
 class Quarantine:
     """The requests under which targets have crashed.
 
-    >>> known = Quarantine()
+    >>> quarantine = Quarantine()
     >>> for name in ('t1', 't2', 't3'):
-    ...     _ = known.note_end(End('f', name), now=0)
-    >>> known.is_quarantined('f'), known.is_quarantined('g')
+    ...     _ = quarantine.note_end(End('f', name), now=0)
+    >>> quarantine.is_quarantined('f'), quarantine.is_quarantined('g')
     (True, False)
-    >>> known.is_due('f', now=1), known.is_due('f', now=10)
+    >>> quarantine.is_due('f', now=1), quarantine.is_due('f', now=10)
     (False, True)
     """
 
@@ -119,11 +119,11 @@
         """Create a quarantine without any crash."""
         self.suspects: dict[str, Suspect] = {}
         self._ended: Counter[str] = Counter()
-        self._proven = Proven()
+        self._recent_answers = Proven()
 
     def blames(self, end: End, now: float) -> bool:
         """Return whether a crash seen here is attributed to its request."""
-        return not self._proven.excuses(end.fingerprint, now)
+        return not self._recent_answers.excuses(end.fingerprint, now)
 
     def note_end(self, end: End, now: float) -> bool:
         """Record a crash; return whether it is new."""
@@ -170,7 +170,7 @@
 
         A request that a target has answered completely does not crash targets.
         """
-        self._proven.note_answered(fingerprint, now)
+        self._recent_answers.note_answered(fingerprint, now)
         suspect = self.suspects.get(fingerprint, Suspect())
         ends = tuple(sorted(suspect.incarnations))
         self.clear_ends(fingerprint, ends)
--- a/trestledock/relay/_quotas.py
+++ b/trestledock/relay/_quotas.py
@@ -37,7 +37,7 @@
     `known` counts all known instances, silent ones included.
 
     >>> own, other = Member('a', 'dc'), Member('b', 'dc')
-    >>> Members(own, (other,), known=4).heard_share
+    >>> Members(own, (other,), known=4).active_share
     0.5
     """
 
@@ -46,10 +46,10 @@
     known: int = 1
 
     @property
-    def heard_share(self) -> float:
+    def active_share(self) -> float:
         """The share of known instances that send messages, with this one."""
-        heard = len(self.others) + 1
-        return heard / max(heard, self.known)
+        active_count = len(self.others) + 1
+        return active_count / max(active_count, self.known)
 
     def rank(self, target: str, data_centre: str) -> tuple[str, ...]:
         """Return the active instances in order of precedence for a target.
@@ -80,17 +80,17 @@
     per_s: float
 
 
-def get_quota(members: Members, demand: Demand) -> float:
+def get_quota(members: Members, target_rate: Demand) -> float:
     """Return the rate at which an instance may send to a target.
 
     >>> alone = Members(Member('a', 'dc'))
     >>> get_quota(alone, Demand('t', 'dc', per_s=3))
     3.0
     """
-    shared = max(demand.per_s, LEAST_PER_S) * members.heard_share
-    heard = len(members.others) + 1
-    count = min(heard, int(shared) + SPARE_HOLDERS)
-    holders = members.rank(demand.target, demand.data_centre)[:count]
+    shared = max(target_rate.per_s, LEAST_PER_S) * members.active_share
+    active_count = len(members.others) + 1
+    count = min(active_count, int(shared) + SPARE_HOLDERS)
+    holders = members.rank(target_rate.target, target_rate.data_centre)[:count]
     return shared / count if members.own.name in holders else 0
 
 
@@ -107,8 +107,8 @@
             self.members = members
             self._kept.clear()
 
-    def get(self, demand: Demand) -> float:
+    def get(self, target_rate: Demand) -> float:
         """Return the rate at which this instance may send to a target."""
-        if demand not in self._kept:
-            self._kept[demand] = get_quota(self.members, demand)
-        return self._kept[demand]
+        if target_rate not in self._kept:
+            self._kept[target_rate] = get_quota(self.members, target_rate)
+        return self._kept[target_rate]
--- a/trestledock/relay/_reach.py
+++ b/trestledock/relay/_reach.py
@@ -56,8 +56,8 @@
     def get_quiet(self, now: float) -> set[str]:
         """Return the data centres whose instances have all fallen silent."""
         return {
-            place
-            for place, names in self.heard.items()
+            data_centre
+            for data_centre, names in self.heard.items()
             if _is_quiet(names.values(), now)
         }
 
--- a/trestledock/relay/_resting.py
+++ b/trestledock/relay/_resting.py
@@ -34,12 +34,12 @@
 class Resting:
     """Holds back requests to targets that asked this instance for a back-off.
 
-    >>> resting = Resting(Notices())
-    >>> _ = resting.notices.note('t', Rest(until=3, asked_at=0, heard_at=0))
-    >>> resting.is_free('t', now=2), resting.is_free('t', now=3)
+    >>> gate = Resting(Notices())
+    >>> _ = gate.notices.note('t', Rest(until=3, asked_at=0, heard_at=0))
+    >>> gate.is_free('t', now=2), gate.is_free('t', now=3)
     (False, True)
-    >>> resting.take('t', now=3)
-    >>> resting.is_free('t', now=3.1), resting.is_free('t', now=3.5)
+    >>> gate.take('t', now=3)
+    >>> gate.is_free('t', now=3.1), gate.is_free('t', now=3.5)
     (False, True)
     """
 
--- a/trestledock/relay/_view.py
+++ b/trestledock/relay/_view.py
@@ -64,23 +64,23 @@
         """The time until own prefill begins: half a pass and pending work."""
         return self.helper_wait_s + self.pending_s
 
-    def predict_first_s(self, part_s: float) -> float:
-        """Return the time to the first token after a prefill of `part_s`."""
-        return self.wait_s + part_s + self.base_s
+    def predict_first_s(self, chunk_s: float) -> float:
+        """Return the time to the first token after a prefill of `chunk_s`."""
+        return self.wait_s + chunk_s + self.base_s
 
-    def predict_part_s(self, part_s: float) -> float:
-        """Return the time until a helper's chunk of `part_s` is prefilled."""
-        return self.helper_wait_s + part_s
+    def predict_part_s(self, chunk_s: float) -> float:
+        """Return the time until a helper's chunk of `chunk_s` is prefilled."""
+        return self.helper_wait_s + chunk_s
 
-    def get_harm(self, part_s: float) -> float:
-        """Return the loss of others if `part_s` more is prefilled here."""
+    def get_harm(self, chunk_s: float) -> float:
+        """Return the loss of others if `chunk_s` more is prefilled here."""
         before_s = self.base_s + self.pending_s
         return sum(
-            _get_loss(flight, before_s + part_s, self.now)
+            _get_loss(flight, before_s + chunk_s, self.now)
             - _get_loss(flight, before_s, self.now)
             for flight in self.flights
         ) + sum(
-            flight.worth * LATE_LOSS * READER_LOSS * min(1, part_s)
+            flight.worth * LATE_LOSS * READER_LOSS * min(1, chunk_s)
             for flight in self.flights
             if flight.phase is Phase.reading
         )
@@ -127,8 +127,8 @@
     at = now
     prefilling = [flight for flight in flights if flight.phase is Phase.reading]
     for flight in sorted(prefilling, key=lambda request: request.since):
-        part_s = get_read_s(engine, flight.prompt_tokens) / flight.parts
-        left_s = max(0, left_s - max(0, flight.since - at)) + part_s
+        chunk_s = get_read_s(engine, flight.prompt_tokens) / flight.parts
+        left_s = max(0, left_s - max(0, flight.since - at)) + chunk_s
         at = flight.since
     return max(0, left_s - max(0, now - at))
 
