--- a/tests/test_query_of_death.py
+++ b/tests/test_query_of_death.py
@@ -28,18 +28,18 @@
 from trestledock.relay import RouteKind
 
 PLAIN = make_route()
-ONCE = make_route(RouteKind.non_idempotent, max_attempts=1)
+NON_IDEMPOTENT = make_route(RouteKind.non_idempotent, max_attempts=1)
 STREAM = make_route(
     RouteKind.streaming, resumable=True, objective_s=0.3, pause_s=0.2
 )
 #: The number of targets that may crash under a request before it is
 #: quarantined.
-MOST_ENDS = 3
-TRIES = 10
+MIN_CRASHES = 3
+ATTEMPTS = 10
 OK = 200
 NOT_RUN = 503
 #: Harmless requests beside the deadly one in each round.
-BESIDE = 6
+HARMLESS_COUNT = 6
 
 
 #: Routes, with the ways in which a crash of their targets is observed.
@@ -49,7 +49,7 @@
         for name in ('reset before the head', 'closed before the head')
     ),
     *(
-        (ONCE, name)
+        (NON_IDEMPOTENT, name)
         for name in ('reset before the head', 'closed before the head')
     ),
     *((STREAM, name) for name in CRASHES),
@@ -63,27 +63,27 @@
         """Send the request repeatedly, at one entry after the other."""
 
         async def scenario(fleet):
-            fleet.found = await fleet.ask_in_turn(TRIES)
+            fleet.found = await fleet.ask_in_turn(ATTEMPTS)
 
         fleet = run_fleet(scenario, route, crash, **options)
         # A lower threshold would refuse harmless requests beside it.
-        self.assertEqual(len(fleet.ended), MOST_ENDS)
+        self.assertEqual(len(fleet.ended), MIN_CRASHES)
         return fleet
 
-    def test_few_targets_end(self):
+    def test_few_targets_crash(self):
         """Targets restart under their ids or under new ones."""
         for (route, name), new_ids in product(CASES, (False, True)):
             with self.subTest(kind=route.kind, crash=name, new_ids=new_ids):
                 self.check(route, CRASHES[name], new_ids=new_ids)
 
-    def test_last_word_is_true_and_invites_nobody(self):
+    def test_refusal(self):
         """The refusal says that it was not run, with a long Retry-After."""
         fleet = self.check(STREAM, CRASHES['reset before the head'])
         last = fleet.found[-1]
         self.assertEqual(last.status, NOT_RUN)
         self.assertGreater(float(last.headers['retry-after']), 10)
 
-    def test_caller_leaves_as_the_target_ends(self):
+    def test_caller_leaves_during_crash(self):
         """The crash counts even if the caller leaves at that moment."""
 
         async def scenario(fleet):
@@ -102,37 +102,39 @@
         fleet = run_fleet(scenario, STREAM, CRASHES['reset before the head'])
         self.assertEqual(len(fleet.found), 1)
 
-    def test_entry_that_starts_later(self):
+    def test_entry_started_later(self):
         """Its first peer sends it the quarantine."""
 
         async def scenario(fleet):
-            await fleet.ask_in_turn(TRIES)
+            await fleet.ask_in_turn(ATTEMPTS)
             later = fleet.add_entry()
-            for number in range(TRIES):
+            for number in range(ATTEMPTS):
                 outcome = await later.ask(f'later{number}', body=DEADLY)
                 self.assertEqual(outcome.status, NOT_RUN)
 
         fleet = run_fleet(scenario, STREAM, CRASHES['reset before the head'])
-        self.assertEqual(len(fleet.ended), MOST_ENDS)
+        self.assertEqual(len(fleet.ended), MIN_CRASHES)
 
-    def test_others_are_served_meanwhile(self):
+    def test_other_requests_are_served(self):
         """A harmless request may lose a target, but is not refused."""
         outcomes = []
 
         async def scenario(fleet):
-            for round_number in range(TRIES):
+            for round_number in range(ATTEMPTS):
                 outcomes.extend(await _ask_beside(fleet, round_number))
 
         fleet = run_fleet(
             scenario, STREAM, CRASHES['closed in the middle of a stream']
         )
-        self.assertEqual(len(fleet.ended), MOST_ENDS)
+        self.assertEqual(len(fleet.ended), MIN_CRASHES)
         self.assertNotIn(NOT_RUN, {outcome.status for outcome in outcomes})
         # Each crash may fail the requests beside it, as any crash does.
         served = sum(
             outcome.status == OK and outcome.whole for outcome in outcomes
         )
-        self.assertGreaterEqual(served, len(outcomes) - MOST_ENDS * BESIDE)
+        self.assertGreaterEqual(
+            served, len(outcomes) - MIN_CRASHES * HARMLESS_COUNT
+        )
 
 
 async def _ask_beside(fleet, round_number):
@@ -145,7 +147,7 @@
         outcomes.append(await entry.ask(f's{round_number}-{number}', body=body))
 
     async with anyio.create_task_group() as group:
-        for number in range(BESIDE):
+        for number in range(HARMLESS_COUNT):
             group.start_soon(ask, number)
         await fleet.entries[round_number % len(fleet.entries)].ask(
             f'r{round_number}', body=DEADLY
--- a/tests/test_relay_asking.py
+++ b/tests/test_relay_asking.py
@@ -64,13 +64,13 @@
 class GiantTest(Fixture):
     """A prompt that needs most of the fleet, alone and beside others."""
 
-    def test_in_time_for_its_caller(self):
+    def test_on_idle_fleet(self):
         """On an idle fleet the prefill ends well before the caller leaves."""
         result = self.choose(make_ask(790_000))
         self.assertIsInstance(result, Placement)
         self.assertLess(result.first_s, 9.6)
 
-    def test_never_for_nobody(self):
+    def test_not_placed_beyond_patience(self):
         """Beside other prompts the prefill never outlasts its caller.
 
         Guards against a flat cost of lateness, by which two helpers prefilled
@@ -86,18 +86,18 @@
         if isinstance(result, Placement):
             self.assertLess(result.first_s, 9.6)
 
-    def test_goes_when_others_have_finished(self):
+    def test_placed_after_other_prompts(self):
         """Once the other prompts are done, it is split over many engines."""
         result = self.choose(make_ask(790_000), now=2.0)
         self.assertIsInstance(result, Placement)
         self.assertGreater(len(result.helpers), 4)
 
-    def test_refused_where_it_cannot_be_in_time(self):
+    def test_refused_without_enough_time(self):
         """A caller that retries with too little time is refused at once."""
         result = self.choose(make_ask(790_000, deadline=2.9))
         self.assertIs(result.decision, Decision.no_time)
 
-    def test_answer_must_be_written_too(self):
+    def test_answer_must_meet_deadline(self):
         """The first event is useless if the rest comes after the deadline."""
         ask = make_ask(182_000, deadline=2.2)
         self.assertIsInstance(self.choose(ask), Placement)
@@ -105,10 +105,10 @@
         self.assertIs(self.choose(ask).decision, Decision.no_time)
 
 
-class WritingTest(Fixture):
+class OutputLengthTest(Fixture):
     """Most answers are much shorter than their maximum."""
 
-    def test_not_refused_for_what_it_may_write_at_most(self):
+    def test_not_refused_for_maximum_output(self):
         """A short prompt is accepted from a caller with 4.5 s left.
 
         3,000 tokens take 3.9 s, but most answers use a third of that.
@@ -118,10 +118,10 @@
         self.assertIsInstance(self.choose(ask), Placement)
 
 
-class HarmTest(Fixture):
+class CostToOthersTest(Fixture):
     """The cost of a new chunk to the requests that it goes before."""
 
-    def test_late_reader_is_not_pushed_beyond_its_caller(self):
+    def test_late_prompt_keeps_time_left(self):
         """A late giant prompt keeps the time until its caller leaves."""
         flight = read_by('a', range(17), due=-1, gone=1.2, tokens=600_000)
         self.board.put(flight)
@@ -131,7 +131,7 @@
             shared = names & set(flight.engaged)
             self.assertEqual(shared, set())
 
-    def test_stream_whose_caller_would_leave(self):
+    def test_pause_beyond_patience(self):
         """A pause at which callers leave costs more than a late answer."""
         viewer = self.placer.viewer
         for name, target, patience_s in (('a', 't00', 2.0), ('b', 't01', 9.0)):
@@ -153,7 +153,7 @@
         ]
         self.assertGreater(costs[0], costs[1])
 
-    def test_harm_is_done_once(self):
+    def test_late_request_loses_once(self):
         """A request that is late anyway loses nothing more by another chunk."""
         self.board.put(read_by('a', (0,), due=0.5, gone=12, tokens=182_000))
         view = self.placer.viewer.view(ENGINE, TARGETS[0], 0)
@@ -163,14 +163,14 @@
 class WaitingTest(Fixture):
     """Which requests wait for others, and which are refused."""
 
-    def test_waits_as_long_as_it_may_be_in_time(self):
+    def test_waits_while_it_may_be_in_time(self):
         """A long prompt waits for a giant prompt whose prefill ends soon."""
         flight = read_by('a', range(18), due=2.2, gone=12, tokens=600_000)
         self.board.put(flight)
         result = self.choose(make_ask(160_000), now=0.95)
         self.assertIs(result.decision, Decision.wait)
 
-    def test_begun_stream_goes_on(self):
+    def test_started_stream_is_not_refused(self):
         """The cost to others is no reason to cut a stream that has begun."""
         for number in range(18):
             self.board.put(
@@ -184,7 +184,7 @@
         begun = replace(ask, timing=replace(ask.timing, begun=True))
         self.assertIsInstance(self.choose(begun), Placement)
 
-    def test_come_back_when_there_is_room(self):
+    def test_retry_after(self):
         """A refusal says when the prefill in progress will have ended.
 
         Callers don't wait for longer than a third of their time.
--- a/tests/test_relay_board.py
+++ b/tests/test_relay_board.py
@@ -22,10 +22,10 @@
     return sorted(flight.flight_id for flight in board.get_flights(target))
 
 
-class BoardTest(unittest.TestCase):
+class LoadTableTest(unittest.TestCase):
     """The requests in flight at a target."""
 
-    def test_helpers_count(self):
+    def test_listed_at_helpers(self):
         """A request is listed at its target and at all helpers."""
         board = Board()
         board.put(make_flight('a', helpers=('t2', 't3')))
@@ -34,7 +34,7 @@
         board.remove('a')
         self.assertEqual(get_ids(board, 't2'), [])
 
-    def test_memory_by_tickets(self):
+    def test_memory_by_reservations(self):
         """Reservations hold their share; the rest is at the primary engine."""
         flight = make_flight('a', helpers=('t2', 't3'), tickets=(('t2', 400),))
         tokens = [
@@ -42,7 +42,7 @@
         ]
         self.assertEqual(tokens, [700, 400, 0])
 
-    def test_whole_replaces(self):
+    def test_whole_message_replaces(self):
         """A whole message makes up for lost ones."""
         board = Board()
         changes = [('a', make_flight('a')), ('b', make_flight('b'))]
@@ -57,7 +57,7 @@
         board.hear('peer', 1, [('a', make_flight('a'))], whole=False)
         self.assertEqual(get_ids(board, 't1'), [])
 
-    def test_silent_peer_is_forgotten(self):
+    def test_removed_peer(self):
         """The requests of a peer are removed with it."""
         board = Board()
         board.put(make_flight('own'))
@@ -65,7 +65,7 @@
         board.drop_sender('peer')
         self.assertEqual(get_ids(board, 't1'), ['own'])
 
-    def test_restarted_peer_is_heard(self):
+    def test_restarted_peer(self):
         """The sequence of a removed peer may start again."""
         board = Board()
         board.hear('peer', 900, [], whole=True)
@@ -73,7 +73,7 @@
         board.hear('peer', 1, [('a', make_flight('a'))], whole=True)
         self.assertEqual(get_ids(board, 't1'), ['a'])
 
-    def test_changes_are_taken_once(self):
+    def test_changes_are_returned_once(self):
         """Each change is returned once, the newest of a request."""
         board = Board()
         board.put(make_flight('a'))
--- a/tests/test_relay_claims.py
+++ b/tests/test_relay_claims.py
@@ -22,10 +22,10 @@
 OTHER = replace(LONG, flight_id='a')
 
 
-class NeedTest(unittest.TestCase):
+class NeedsClaimTest(unittest.TestCase):
     """Only prompts with a long prefill are worth the delay."""
 
-    def test_which(self):
+    def test_only_long_prompts(self):
         long = Placement(TARGETS[0], first_s=2.1)
         short = Placement(TARGETS[0], first_s=0.1)
         self.assertTrue(needs_claim(long, 20))
@@ -33,10 +33,10 @@
         self.assertFalse(needs_claim(long, 0.5))
 
 
-class PriorTest(unittest.TestCase):
+class PriorClaimTest(unittest.TestCase):
     """Both entries agree on which of two prompts goes first."""
 
-    def test_one_of_two_at_the_same_moment(self):
+    def test_same_moment(self):
         for gap_s in (0, 0.02, -0.02, CLAIM_S, 0.1, -0.1):
             with self.subTest(gap_s=gap_s):
                 other = replace(OTHER, since=LONG.since + gap_s)
@@ -46,16 +46,16 @@
                 )
                 self.assertEqual(priors.count(None), 1)
 
-    def test_what_is_under_way_goes_first(self):
+    def test_earlier_claim_goes_first(self):
         """A prompt that was announced long before is already being sent."""
         other = replace(LONG, flight_id='z', since=LONG.since - 0.05)
         self.assertEqual(find_prior(LONG, [other], ()), other)
 
-    def test_what_was_known_at_the_choice(self):
+    def test_known_claim_is_ignored(self):
         """The placement took it into account: the prompts fit together."""
         self.assertIsNone(find_prior(LONG, [OTHER], {'a'}))
 
-    def test_what_takes_no_time_there(self):
+    def test_short_or_decoding_is_ignored(self):
         short = replace(OTHER, worth=0.5)
         writing = replace(OTHER, phase=Phase.writing)
         self.assertIsNone(find_prior(LONG, [short, writing], ()))
--- a/tests/test_relay_elsewhere.py
+++ b/tests/test_relay_elsewhere.py
@@ -78,12 +78,12 @@
     def place(self, work, targets):
         return self.placer.place(work, ENGINE, targets, now=0.0)
 
-    def test_long_prompt_is_worth_a_question(self):
+    def test_long_prompt_queries_remote(self):
         near = self.place(LONG, NEAR_TARGETS)
         cost = near.cost if near else None
         self.assertTrue(is_worth_asking(LONG.worth, cost))
 
-    def test_it_is_early_elsewhere(self):
+    def test_remote_engines_are_chosen(self):
         """With all engines to choose from, it takes idle ones in time."""
         chosen = self.place(LONG, PLACED)
         self.assertLess(chosen.first_s, LONG.objective_s)
@@ -93,11 +93,11 @@
         self.assertEqual(data_centres, {FAR})
         self.assertFalse(is_worth_asking(LONG.worth, chosen.cost))
 
-    def test_short_one_is_not(self):
+    def test_short_prompt_does_not_query(self):
         """A query costs a short prompt more than it gains."""
         self.assertFalse(is_worth_asking(SHORT.worth, None))
 
-    def test_idle_engines_nearby_suffice(self):
+    def test_idle_local_engines_suffice(self):
         board = Board()
         placer = Placer(board, Health(), data_centre=NEAR)
         near = placer.place(LONG, ENGINE, NEAR_TARGETS, now=0.0)
@@ -123,7 +123,7 @@
             for board in (full, summarized)
         ]
 
-    def test_reading_and_memory(self):
+    def test_prefill_and_memory(self):
         """Chunks, what is left of them, and reservations are the same."""
         first, second, third, *_ = FAR_TARGETS
         ticket = ((second.incarnation, 90_500),)
@@ -138,7 +138,7 @@
             self.assertEqual(summarized.pending_s, full.pending_s)
             self.assertEqual(summarized.free_tokens, full.free_tokens)
 
-    def test_answers_that_are_written(self):
+    def test_decoding(self):
         """They are merged with the shortest allowed pause among them."""
         first, second, *_ = FAR_TARGETS
         flights = [make_writing(number, first) for number in range(4)]
@@ -149,7 +149,7 @@
             costs = (summarized.get_harm(1.0), full.get_harm(1.0))
             self.assertAlmostEqual(*costs)
 
-    def test_targets_elsewhere_are_left_out(self):
+    def test_other_targets_are_omitted(self):
         flights = summarize(
             [make_reading(1, NEAR_TARGETS[0])],
             {target.incarnation for target in FAR_TARGETS},
@@ -157,7 +157,7 @@
         )
         self.assertEqual(tuple(flights), ())
 
-    def test_what_is_told_replaces_what_was(self):
+    def test_new_load_replaces_old(self):
         board = Board()
         name = FAR_TARGETS[0].incarnation
         board.set_elsewhere(FAR, [make_reading(1, FAR_TARGETS[0])])
--- a/tests/test_relay_fingerprint.py
+++ b/tests/test_relay_fingerprint.py
@@ -28,14 +28,14 @@
 class FingerprintTest(unittest.TestCase):
     """Retries share a fingerprint, and different requests don't."""
 
-    def test_a_repeat_shares_it(self):
+    def test_retry_has_same_fingerprint(self):
         """Id, time, key and last event of an attempt don't matter."""
         retry = replace(
             CALL, req_id='r2', arrived_at=90, key='new', resume_after='4'
         )
         self.assertEqual(get_fingerprint(retry), get_fingerprint(CALL))
 
-    def test_another_request_does_not(self):
+    def test_other_requests_differ(self):
         """Each part that a target acts on counts, and so does its position."""
         others = [
             replace(CALL, method='PUT'),
--- a/tests/test_relay_fleet.py
+++ b/tests/test_relay_fleet.py
@@ -39,7 +39,7 @@
 class RecordTest(unittest.TestCase):
     """Records of a target, in order and late."""
 
-    def test_leaving_is_final(self):
+    def test_draining_is_final(self):
         """A draining target gets no requests, whatever is read later."""
         fleet = make_fleet()
         fleet.put(make_target(1, Standing.leaving, 2))
@@ -52,7 +52,7 @@
         fleet.put(make_target(1, sequence=9))
         self.assertFalse(fleet.put(make_target(1, sequence=3)))
 
-    def test_old_record_brings_nothing_back(self):
+    def test_old_record_after_removal(self):
         """A heartbeat that is written after the removal is no return."""
         fleet = make_fleet()
         fleet.put(make_target(1, sequence=9))
@@ -61,7 +61,7 @@
             self.assertFalse(fleet.put(make_target(1, sequence=sequence)))
         self.assertEqual(get_ids(fleet), ['t2'])
 
-    def test_newer_record_is_a_return(self):
+    def test_newer_record_after_removal(self):
         """A target whose lease had lapsed writes a newer record."""
         fleet = make_fleet()
         drop(fleet, 't1', 0.5)
@@ -72,14 +72,14 @@
 class MissingTest(unittest.TestCase):
     """Records that vanish."""
 
-    def test_missing_in_calm_is_gone(self):
+    def test_missing_without_disturbance_is_removed(self):
         """Without a disturbance, a missing target is removed at once."""
         fleet = make_fleet()
         fleet.watch.note_read(0.5, 0.5)
         self.assertTrue(drop(fleet, 't2', 0.5))
         self.assertEqual(get_ids(fleet), ['t1'])
 
-    def test_missing_after_an_outage_may_come_back(self):
+    def test_missing_after_outage_is_retained(self):
         """After an outage a missing target is retained for about 2 s."""
         fleet = make_fleet()
         disturb(fleet, 8.6, 9)
@@ -89,7 +89,7 @@
         self.assertEqual(fleet.expire(11.3), ['t2'])
         self.assertEqual(get_ids(fleet), ['t1'])
 
-    def test_missing_after_a_mere_gap_is_gone(self):
+    def test_missing_after_gap_is_removed(self):
         """A list that came late without a failed read is no outage.
 
         Otherwise the gap and the grace would add up to more than the time
@@ -105,14 +105,14 @@
         disturb(fleet, 0.4, 0.8)
         self.assertTrue(drop(fleet, 't2', 0.8))
 
-    def test_missing_at_a_settled_instance_is_gone(self):
+    def test_missing_at_synchronized_instance_is_removed(self):
         """An instance that followed the directory without a gap decides."""
         fleet = make_fleet()
         disturb(fleet, 8.6, 9)
         self.assertTrue(fleet.drop('t2', 9.1, 9.1))
         self.assertEqual(get_ids(fleet), ['t1'])
 
-    def test_back_after_an_outage(self):
+    def test_listed_again_after_outage(self):
         """A record that returns in time was never removed."""
         fleet = make_fleet()
         disturb(fleet, 8.6, 9)
@@ -120,7 +120,7 @@
         fleet.put(make_target(2, sequence=2))
         self.assertEqual(fleet.expire(20), [])
 
-    def test_back_with_the_same_record(self):
+    def test_listed_again_with_same_record(self):
         """A target that is listed again is reported to other instances."""
         fleet = make_fleet()
         disturb(fleet, 8.6, 9)
@@ -131,10 +131,10 @@
         self.assertGreater(fleet.revision, revision)
 
 
-class HeldTest(unittest.TestCase):
+class RetainedTest(unittest.TestCase):
     """Targets that are missing but may only have lapsed."""
 
-    def test_held_is_not_listed(self):
+    def test_retained_is_not_listed(self):
         """Other instances are told that it is missing, as a change."""
         fleet = make_fleet()
         revision = fleet.revision
@@ -149,14 +149,14 @@
         self.assertEqual(retained, [('t2', 11.2)])
         self.assertGreater(fleet.revision, revision)
 
-    def test_held_elsewhere(self):
+    def test_retained_by_other_instances(self):
         """An unknown target is retained for as long as other instances do."""
         fleet = make_fleet()
         self.assertTrue(fleet.hold(make_target(3), 2))
         self.assertIn('t3', get_ids(fleet))
         self.assertEqual(fleet.expire(2), ['t3'])
 
-    def test_gone_here_is_not_held_for_others(self):
+    def test_removed_is_not_retained(self):
         """A target known to be removed is not retained for others."""
         fleet = make_fleet()
         drop(fleet, 't1', 0.5)
--- a/tests/test_relay_parts.py
+++ b/tests/test_relay_parts.py
@@ -36,7 +36,7 @@
     )
 
 
-class SplitterTest(unittest.TestCase):
+class EventSplitterTest(unittest.TestCase):
     """Streams are split into whole events, wherever reads end."""
 
     @given(st.lists(st.integers(0, len(EVENTS)), max_size=20))
@@ -53,13 +53,13 @@
         )
         self.assertEqual(splitter.rest, b'')
 
-    def test_half_an_event_is_kept_back(self):
+    def test_partial_event_is_buffered(self):
         """A partial event is not returned."""
         splitter = Splitter()
         self.assertEqual(splitter.push(b'id: 1\ndata: a'), [])
         self.assertEqual(splitter.rest, b'id: 1\ndata: a')
 
-    def test_line_ends_of_two_bytes(self):
+    def test_crlf(self):
         """Events may end their lines with CRLF."""
         events = Splitter().push(b'id: 1\r\ndata: a\r\n\r\n')
         self.assertEqual(events[0].event_id, '1')
@@ -83,19 +83,19 @@
         (RESUMABLE, (Ending.lost, Ending.lost), False),
     )
 
-    def test_table(self):
+    def test_may_repeat(self):
         """Only requests that have not run or may be repeated are retried."""
         for route, outcomes, expected in self.cases:
             with self.subTest(kind=route.kind, endings=outcomes):
                 history = make_history(*outcomes)
                 self.assertEqual(history.may_repeat(route), expected)
 
-    def test_promise(self):
+    def test_may_have_run(self):
         """Only if no attempt may have run, the request certainly has not."""
         self.assertFalse(make_history(Ending.rejected).may_have_run)
         self.assertTrue(make_history(Ending.rejected, Ending.lost).may_have_run)
 
-    def test_last_run(self):
+    def test_last_attempt(self):
         """The last target is the one after which no other may run it."""
         lost = make_history(Ending.lost)
         for route, history, expected in (
@@ -110,29 +110,29 @@
                 self.assertEqual(history.is_last_run(route), expected)
 
 
-class ProofTest(unittest.TestCase):
+class FreshnessTest(unittest.TestCase):
     """Keys are accepted only with a recent configuration."""
 
-    def test_ages_through_a_freeze(self):
+    def test_age_during_freeze(self):
         """A process that was frozen accepts no key when it resumes."""
         proof = Proof(bound_s=5)
         proof.renew(asked_at=10)
         self.assertTrue(proof.is_fresh(13))
         self.assertFalse(proof.is_fresh(20))
 
-    def test_late_answer_proves_its_question(self):
+    def test_age_counts_from_query(self):
         """A late answer proves no more than when its query was sent."""
         proof = Proof(bound_s=5)
         proof.renew(asked_at=10)
         proof.renew(asked_at=4)
         self.assertEqual(proof.get_age_s(11), 1)
 
-    def test_no_bound(self):
+    def test_no_maximum_age(self):
         """Without a maximum age no proof is required."""
         self.assertTrue(Proof().is_fresh(1e9))
 
 
-class BudgetTest(unittest.TestCase):
+class RetryBudgetTest(unittest.TestCase):
     """Retries stay within the bound over all instances."""
 
     @given(st.integers(1, 20), st.integers(0, 300))
@@ -159,7 +159,7 @@
 class HealthTest(unittest.TestCase):
     """Suspicion doubles with silence and ends with an answer."""
 
-    def test_doubles(self):
+    def test_suspicion_doubles(self):
         """A target that stays silent is tried less and less often."""
         health = Health()
         health.note_silence('t', 0)
@@ -168,7 +168,7 @@
         health.note_silence('t', 1.2)
         self.assertTrue(health.is_suspect('t', 3.1))
 
-    def test_answer_clears(self):
+    def test_answer_ends_suspicion(self):
         """A correct answer ends the suspicion."""
         health = Health()
         health.note_silence('t', 0)
@@ -186,14 +186,14 @@
         health.note_success('t3', 0.6, 'dc2')
         self.assertFalse(health.is_suspect('t3', 0.7, 'dc2'))
 
-    def test_silences_long_apart(self):
+    def test_silent_targets_long_apart(self):
         """Targets that fall silent long apart don't affect the others."""
         health = Health()
         health.note_silence('t1', 0, 'dc2')
         health.note_silence('t2', 5, 'dc2')
         self.assertFalse(health.is_suspect('t3', 5.1, 'dc2'))
 
-    def test_failures_fade(self):
+    def test_failures_decay(self):
         """The weight of a failure decays with time."""
         health = Health()
         health.note_failure('t', 0)
--- a/tests/test_relay_patience.py
+++ b/tests/test_relay_patience.py
@@ -28,10 +28,10 @@
 BOOKING = make_route(RouteKind.non_idempotent, objective_s=0.15)
 
 
-class FirstTest(unittest.TestCase):
+class FirstEventTest(unittest.TestCase):
     """Timeouts until the first part of an answer."""
 
-    def test_second_target_can_be_in_time(self):
+    def test_retry_can_be_in_time(self):
         """A lost answer leaves time for a retry within the objective."""
         wait_s = get_first_patience_s(STREAM, 0.06, early=True)
         self.assertLess(wait_s + 0.06, STREAM.objective_s)
@@ -39,13 +39,13 @@
             get_first_patience_s(PLAIN, 0, early=True) + 0.03, PLAIN.objective_s
         )
 
-    def test_prediction_is_waited_for(self):
+    def test_prediction_fits(self):
         """A timeout is never below twice the predicted time."""
         for predicted_s in (0.05, 0.2, 0.5, 2, 9):
             wait_s = get_first_patience_s(STREAM, predicted_s, early=True)
             self.assertGreaterEqual(wait_s, 2 * predicted_s)
 
-    def test_longer_where_it_must_be_sure(self):
+    def test_last_target_gets_more_time(self):
         """The last target gets more time than the first."""
         for route in (STREAM, PLAIN):
             first_s = get_first_patience_s(route, 0.06, early=True)
@@ -57,7 +57,7 @@
         wait_s = get_first_patience_s(STREAM, 0.5, early=False, helped=True)
         self.assertGreater(wait_s, 0.5 + 1.5)
 
-    def test_once_only(self):
+    def test_no_timeout_without_retry(self):
         """A request that must not be repeated has no timeout."""
         self.assertEqual(
             get_first_patience_s(BOOKING, 0, early=False), float('inf')
@@ -68,12 +68,12 @@
 class PauseTest(unittest.TestCase):
     """Timeouts between events."""
 
-    def test_beyond_what_callers_take(self):
+    def test_longer_than_allowed_pause(self):
         """A pause that is merely late is no failure."""
         self.assertGreater(get_pause_patience_s(STREAM), STREAM.pause_s * 2)
 
 
-class EarlyTest(unittest.TestCase):
+class EarlyTimeoutTest(unittest.TestCase):
     """Early timeouts must not overload targets that are only busy."""
 
     def test_few_in_a_window(self):
@@ -87,27 +87,27 @@
         self.assertLess(timeouts, 1000 * EARLY_TERMS.ratio)
         self.assertGreater(timeouts, 0)
 
-    def test_asking_spends_nothing(self):
+    def test_check_uses_no_budget(self):
         """Checking the budget does not use it."""
         budget = RetryWindow(EARLY_TERMS)
         answers = [budget.is_left(0, 1) for _ in range(100)]
         self.assertTrue(all(answers))
 
-    def test_one_doubt_is_no_silence(self):
+    def test_one_early_timeout(self):
         """A target stays in use after one early timeout."""
         health = Health()
         health.note_doubt('t', 0)
         self.assertFalse(health.is_suspect('t', 0.1))
         self.assertGreater(health.get('t').get_failure_share(0.1), 0)
 
-    def test_two_doubts_in_a_row_are(self):
+    def test_two_early_timeouts_in_a_row(self):
         """Two early timeouts in a row make a target suspect."""
         health = Health()
         health.note_doubt('t', 0)
         health.note_doubt('t', 0.5)
         self.assertTrue(health.is_suspect('t', 0.6))
 
-    def test_answer_between_two_doubts(self):
+    def test_answer_between_early_timeouts(self):
         """An answer in between shows that the target works."""
         health = Health()
         health.note_doubt('t', 0)
@@ -130,7 +130,7 @@
     def check(self, own, capacity_tokens):
         return is_held_up(own, [self.first, self.second], capacity_tokens)
 
-    def test_younger_one_waits(self):
+    def test_newer_prompt_waits(self):
         self.assertTrue(self.check(self.second, 382_500))
         self.assertFalse(self.check(self.first, 382_500))
 
--- a/tests/test_relay_placing.py
+++ b/tests/test_relay_placing.py
@@ -76,7 +76,7 @@
         placement = placer.place(SHORT, ENGINE, targets, 0)
         self.assertEqual(placement.target, local)
 
-    def test_not_behind_a_long_read(self):
+    def test_not_beside_long_prefill(self):
         """A short request avoids engines that prefill a long prompt."""
         placement = self.place(LONG)
         self.put(LONG, placement, Phase.reading)
@@ -97,7 +97,7 @@
 class LongTest(Fixture):
     """Long prompts are split into chunks if that helps."""
 
-    def test_read_in_parts(self):
+    def test_split_into_chunks(self):
         """On an idle fleet a long prompt is well within its objective."""
         placement = self.place(LONG)
         self.assertGreater(len(placement.helpers), 1)
@@ -115,7 +115,7 @@
             if tuple(self.board.get_flights(target.target_id)):
                 self.assertLess(chunk_s, SHORT.pause_s)
 
-    def test_memory_is_kept(self):
+    def test_memory_suffices(self):
         """Two long prompts that don't fit together take two engines."""
         first = self.place(LONG)
         self.put(LONG, first)
@@ -134,7 +134,7 @@
         engaged = {first.target, *first.helpers}
         self.assertFalse(engaged & {second.target, *second.helpers})
 
-    def test_giant_shares_with_one_that_has_time(self):
+    def test_giant_prompts_share_engines(self):
         """A second giant prompt shares engines with the first to be in time."""
         self.put(GIANT, self.place(GIANT), Phase.reading)
         second = self.place(GIANT, now=0.2)
@@ -154,7 +154,7 @@
 class GiantTest(Fixture):
     """Prompts that exceed the memory of one engine."""
 
-    def test_tickets_hold_the_rest(self):
+    def test_reservations(self):
         """The reservations and the primary engine hold the whole prompt."""
         placement = self.place(GIANT)
         reserved = sum(tokens for _, tokens in placement.tickets)
--- a/tests/test_relay_proven.py
+++ b/tests/test_relay_proven.py
@@ -10,10 +10,10 @@
 )
 
 
-class ProvenTest(unittest.TestCase):
+class RecentAnswersTest(unittest.TestCase):
     """What an answer excuses, for how long, and how many are kept."""
 
-    def test_answer_excuses_some_ends(self):
+    def test_answer_excuses_some_crashes(self):
         answers = Proven()
         answers.note_answered('f', 0)
         excused = [answers.excuses('f', 1) for _ in range(MOST_EXCUSED + 1)]
@@ -21,13 +21,13 @@
         answers.note_answered('f', 2)
         self.assertTrue(answers.excuses('f', 3))
 
-    def test_not_for_ever_and_not_for_others(self):
+    def test_expiry_and_other_requests(self):
         answers = Proven()
         answers.note_answered('f', 0)
         self.assertFalse(answers.excuses('f', PROVEN_S + 1))
         self.assertFalse(answers.excuses('g', 0))
 
-    def test_oldest_answers_are_forgotten(self):
+    def test_oldest_answers_are_dropped(self):
         answers = Proven()
         for number in range(MOST_ANSWERED + 1):
             answers.note_answered(f'f{number}', 0)
--- a/tests/test_relay_quarantine.py
+++ b/tests/test_relay_quarantine.py
@@ -12,10 +12,10 @@
     TRIALS_S,
 )
 
-DEADLY, BESIDE = 'deadly', 'beside'
+DEADLY, HARMLESS = 'deadly', 'beside'
 
 
-def note(quarantine, fingerprint, *targets, now=0):
+def record_crashes(quarantine, fingerprint, *targets, now=0):
     """Record that targets crashed while they ran a request."""
     for target in targets:
         quarantine.note_end(End(fingerprint, target), now)
@@ -24,14 +24,14 @@
 def make_quarantine(*targets):
     """Return a quarantine with one request under which targets crashed."""
     quarantine = Quarantine()
-    note(quarantine, DEADLY, *targets)
+    record_crashes(quarantine, DEADLY, *targets)
     return quarantine
 
 
-class EndTest(unittest.TestCase):
+class CrashTest(unittest.TestCase):
     """Which crashes count."""
 
-    def test_held_from_the_third_on(self):
+    def test_quarantined_from_third_crash(self):
         quarantined = [
             make_quarantine(
                 *(f't{number}' for number in range(count))
@@ -40,27 +40,27 @@
         ]
         self.assertEqual(quarantined, [False, False, False, True, True])
 
-    def test_the_same_end_counts_once(self):
+    def test_same_crash_counts_once(self):
         """Duplicated messages and the store report the same crash again."""
         quarantine = make_quarantine('t1', 't2')
-        note(quarantine, DEADLY, 't1', 't2')
+        record_crashes(quarantine, DEADLY, 't1', 't2')
         self.assertFalse(quarantine.is_quarantined(DEADLY))
 
-    def test_another_start_of_a_target_is_another_end(self):
+    def test_each_incarnation_counts(self):
         self.assertTrue(
             make_quarantine('t1@1', 't1@2', 't1@3').is_quarantined(DEADLY)
         )
 
-    def test_who_was_beside_does_not_hide_it(self):
+    def test_other_request_with_more_crashes(self):
         """A request with more crashes, by other causes, excuses no other."""
         quarantine = make_quarantine('t1', 't2', 't3')
-        note(quarantine, BESIDE, 't1', 't2', 't3', 't4')
+        record_crashes(quarantine, HARMLESS, 't1', 't2', 't3', 't4')
         self.assertTrue(quarantine.is_quarantined(DEADLY))
 
     def test_order_does_not_matter(self):
         """Each instance learns of the same crashes in its own order."""
         crashes = [End(DEADLY, f't{number}') for number in range(4)]
-        crashes.extend(End(BESIDE, f't{number}') for number in range(1, 4))
+        crashes.extend(End(HARMLESS, f't{number}') for number in range(1, 4))
         results = set()
         for order in permutations(crashes):
             quarantine = Quarantine()
@@ -69,22 +69,22 @@
             results.add(
                 (
                     quarantine.is_quarantined(DEADLY),
-                    quarantine.is_quarantined(BESIDE),
+                    quarantine.is_quarantined(HARMLESS),
                 )
             )
         self.assertEqual(results, {(True, True)})
 
-    def test_an_answer_clears(self):
+    def test_answer_clears(self):
         quarantine = make_quarantine('t1', 't2', 't3')
         self.assertEqual(len(quarantine.note_answered(DEADLY, 0)), MOST_ENDS)
         self.assertFalse(quarantine.is_quarantined(DEADLY))
         self.assertFalse(quarantine.was_ended('t1'))
 
 
-class TrialTest(unittest.TestCase):
+class ProbeTest(unittest.TestCase):
     """When a quarantined request is sent as a probe."""
 
-    def test_each_trial_later_than_the_last(self):
+    def test_probe_delays_increase(self):
         quarantine = make_quarantine('t1', 't2', 't3')
         now = 0
         for number, wait_s in enumerate((*TRIALS_S, TRIALS_S[-1])):
@@ -93,9 +93,9 @@
             self.assertTrue(quarantine.is_due(DEADLY, now))
             quarantine.note_trial(DEADLY, now)
             now += 1
-            note(quarantine, DEADLY, f'u{number}', now=now)
+            record_crashes(quarantine, DEADLY, f'u{number}', now=now)
 
-    def test_handed_on_with_its_age(self):
+    def test_records_keep_age(self):
         """An instance that starts later has the same state."""
         quarantine = make_quarantine('t1', 't2', 't3')
         quarantine.note_trial(DEADLY, 70)
@@ -111,23 +111,23 @@
 class ClearedTest(unittest.TestCase):
     """Crashes cleared by an answer stay cleared, however late others learn."""
 
-    def test_late_words_bring_nothing_back(self):
+    def test_late_reports_change_nothing(self):
         """An instance that missed the answer still reports the old crashes."""
         quarantine = make_quarantine('t1', 't2', 't3')
         stale = list(quarantine.get_records(now=0))
         quarantine.note_answered(DEADLY, 0)
         for record in stale:
             quarantine.take(record, now=1)
-        note(quarantine, DEADLY, 't1', 't2', 't3')
+        record_crashes(quarantine, DEADLY, 't1', 't2', 't3')
         self.assertFalse(quarantine.is_quarantined(DEADLY))
 
-    def test_new_ends_count(self):
+    def test_new_crashes_count(self):
         quarantine = make_quarantine('t1', 't2', 't3')
         quarantine.note_answered(DEADLY, 0)
-        note(quarantine, DEADLY, 't4', 't5', 't6')
+        record_crashes(quarantine, DEADLY, 't4', 't5', 't6')
         self.assertTrue(quarantine.is_quarantined(DEADLY))
 
-    def test_handed_on(self):
+    def test_records_keep_cleared(self):
         """An instance that missed the answer learns of it from a peer."""
         quarantine = make_quarantine('t1', 't2', 't3')
         quarantine.note_answered(DEADLY, 0)
@@ -140,41 +140,41 @@
         """A popular request is cleared of some crashes again and again."""
         quarantine = Quarantine()
         for number in range(MOST_CLEARED * 2):
-            note(quarantine, DEADLY, f't{number}')
+            record_crashes(quarantine, DEADLY, f't{number}')
             quarantine.note_answered(DEADLY, 0)
         cleared = quarantine.make_record(DEADLY, 0).cleared
         self.assertEqual(len(cleared), MOST_CLEARED)
         self.assertEqual(cleared[-1], f't{MOST_CLEARED * 2 - 1}')
 
-    def test_first_forgotten(self):
+    def test_cleared_is_evicted_first(self):
         quarantine = make_quarantine('t1', 't2', 't3')
         quarantine.note_answered(DEADLY, 0)
         for number in range(MOST_KNOWN):
-            note(quarantine, f'f{number}', f'u{number}')
+            record_crashes(quarantine, f'f{number}', f'u{number}')
         self.assertEqual(quarantine.trim(), [DEADLY])
 
 
 class BoundTest(unittest.TestCase):
     """A flood of different requests, each of which crashes targets."""
 
-    def test_fewest_ends_are_forgotten_first(self):
+    def test_fewest_crashes_are_evicted_first(self):
         quarantine = make_quarantine('t1', 't2', 't3')
         for number in range(MOST_KNOWN * 2):
-            note(quarantine, f'f{number}', f'u{number}', now=number)
+            record_crashes(quarantine, f'f{number}', f'u{number}', now=number)
             quarantine.trim()
         self.assertEqual(len(quarantine.suspects), MOST_KNOWN)
         self.assertTrue(quarantine.is_quarantined(DEADLY))
         self.assertIn(f'f{MOST_KNOWN * 2 - 1}', quarantine.suspects)
 
-    def test_targets_are_forgotten_with_them(self):
+    def test_targets_are_evicted_too(self):
         quarantine = Quarantine()
         for number in range(MOST_KNOWN * 2):
-            note(quarantine, f'f{number}', f'u{number}')
+            record_crashes(quarantine, f'f{number}', f'u{number}')
             quarantine.trim()
         self.assertFalse(quarantine.was_ended('u0'))
 
 
-class BlameTest(unittest.TestCase):
+class DetectionRateTest(unittest.TestCase):
     """How often harmless and deadly requests are quarantined.
 
     Eighteen targets run seven requests each.  A request is sent to one target,
@@ -182,7 +182,7 @@
     """
 
     targets = 18
-    beside = 7
+    requests_per_target = 7
     sends = 4
 
     def play(self, rng, *, crash_share, deadly_rounds=0):
@@ -193,7 +193,8 @@
         """
         quarantine = Quarantine()
         waiting = {
-            f'r{number}': 0 for number in range(self.targets * self.beside)
+            f'r{number}': 0
+            for number in range(self.targets * self.requests_per_target)
         }
         for round_number in range(self.sends):
             assigned = {
@@ -209,10 +210,12 @@
             if round_number < deadly_rounds:
                 target = rng.randrange(self.targets)
                 crashed.add(target)
-                note(quarantine, DEADLY, f't{target}@{round_number}')
+                record_crashes(quarantine, DEADLY, f't{target}@{round_number}')
             for name, target in assigned.items():
                 if target in crashed:
-                    note(quarantine, name, f't{target}@{round_number}')
+                    record_crashes(
+                        quarantine, name, f't{target}@{round_number}'
+                    )
                     waiting[name] += 1
         blamed = sum(map(quarantine.is_quarantined, waiting))
         return blamed, quarantine.is_quarantined(DEADLY)
@@ -222,7 +225,7 @@
         rng = Random(7)
         days = [self.play(rng, **settings) for _ in range(300)]
         others = sum(blamed for blamed, _ in days)
-        share = others / len(days) / self.targets / self.beside
+        share = others / len(days) / self.targets / self.requests_per_target
         return share, sum(deadly for _, deadly in days) / len(days)
 
     def test_crashes_alone(self):
@@ -238,7 +241,7 @@
         self.assertEqual(detected, 1)
         self.assertLess(share, 0.0005)
 
-    def test_both(self):
+    def test_deadly_request_among_crashes(self):
         """It is detected at its third crash, however many others crash."""
         share, detected = self.count(crash_share=0.1, deadly_rounds=3)
         self.assertEqual(detected, 1)
--- a/tests/test_relay_quotas.py
+++ b/tests/test_relay_quotas.py
@@ -44,7 +44,7 @@
     """Quotas of entries with the same and with different views."""
 
     @given(st.integers(1, 200), st.floats(0, 1000))
-    def test_all_together(self, count, per_s):
+    def test_sum_of_quotas(self, count, per_s):
         """The quotas add up to the limit, and all holders' are equal."""
         quotas = get_quotas([make_members(count)], per_s, count)
         self.assertAlmostEqual(sum(quotas), max(per_s, LEAST_PER_S))
@@ -55,7 +55,7 @@
         st.floats(0, 100),
         st.lists(st.integers(0, 3), min_size=60, max_size=60),
     )
-    def test_cut_in_any_groups(self, count, per_s, group_numbers):
+    def test_network_partition(self, count, per_s, group_numbers):
         """No group uses the share of entries that it can't reach."""
         members = make_members(count)
         groups = [
@@ -92,7 +92,7 @@
         ]
         self.assertGreater(len(set(holders)), 8)
 
-    def test_restart_keeps_its_place(self):
+    def test_restart_keeps_quota(self):
         """An entry is known by its address, through all restarts."""
         own, *others = make_members(9)
         before = get_quota(Members(own, tuple(others), 9), Demand('t', '', 2))
@@ -102,7 +102,7 @@
         )
         self.assertEqual(before, after)
 
-    def test_kept_until_the_members_change(self):
+    def test_cached_until_members_change(self):
         own, *others = make_members(6)
         quotas = Quotas(Members(own))
         demand = Demand('t', 'dc-0', 3)
--- a/tests/test_relay_reach.py
+++ b/tests/test_relay_reach.py
@@ -7,7 +7,7 @@
 CUT_AT = 10.0
 
 
-class ReachTest(unittest.TestCase):
+class ReachabilityTest(unittest.TestCase):
     """Silence of a data centre's instances."""
 
     def make(self, names=('a', 'b')):
@@ -29,15 +29,15 @@
         reach.note_heard('far', 'b', CUT_AT + 0.6)
         self.assertEqual(reach.get_quiet(CUT_AT + 0.7), set())
 
-    def test_all_replaced_long_ago(self):
+    def test_all_removed_long_ago(self):
         """Instances that were removed are not expected to send messages."""
         self.assertEqual(self.make().get_quiet(CUT_AT + 9), set())
 
-    def test_never_heard(self):
+    def test_no_instances(self):
         """Nothing is known of a data centre without instances."""
         self.assertEqual(Reach().get_quiet(CUT_AT), set())
 
-    def test_own_pause_is_no_silence(self):
+    def test_stall_is_no_silence(self):
         """A process that was stalled has unread messages."""
         reach = self.make()
         for now in (CUT_AT - 0.2, CUT_AT):
@@ -49,7 +49,7 @@
 class SuspicionTest(unittest.TestCase):
     """Avoidance of the targets there."""
 
-    def test_left_at_once(self):
+    def test_avoided_at_once(self):
         """All targets are avoided, including those not tried yet."""
         health = Health()
         self.assertTrue(health.note_quiet('far', CUT_AT))
@@ -57,14 +57,14 @@
         self.assertTrue(health.is_suspect('t7', CUT_AT + 0.3, 'far'))
         self.assertFalse(health.is_suspect('t1', CUT_AT + 0.3, 'near'))
 
-    def test_back_with_the_first_word(self):
+    def test_message_ends_suspicion(self):
         """The suspicion ends with the first message of an instance."""
         health = Health()
         health.note_quiet('far', CUT_AT)
         health.note_heard('far')
         self.assertFalse(health.is_suspect('t7', CUT_AT + 0.1, 'far'))
 
-    def test_words_alone_do_not_clear_silent_targets(self):
+    def test_message_does_not_clear_silent_targets(self):
         """Targets whose requests timed out stay suspect."""
         health = Health()
         health.note_silence('t1', CUT_AT, 'far')
@@ -72,13 +72,13 @@
         health.note_heard('far')
         self.assertTrue(health.is_suspect('t7', CUT_AT + 0.1, 'far'))
 
-    def test_left_while_silent(self):
+    def test_avoided_while_silent(self):
         """The suspicion lasts while the instances are silent."""
         health = Health()
         health.note_quiet('far', CUT_AT)
         self.assertTrue(health.is_suspect('t1', CUT_AT + 6, 'far'))
 
-    def test_one_request_at_a_time_finds_out(self):
+    def test_one_probe_at_a_time(self):
         """After a suspicion has lapsed, only one request at a time probes."""
         health = Health()
         health.note_silence('t1', CUT_AT, 'far')
@@ -94,7 +94,7 @@
         health.note_success('t4', now + 2.55, 'far')
         self.assertFalse(health.is_suspect('t3', now + 2.6, 'far'))
 
-    def test_long_prompts_wait_for_an_answer(self):
+    def test_long_prompts_do_not_probe(self):
         """A prompt that is lost with any of its chunks does not probe."""
         health = Health()
         health.note_silence('t1', CUT_AT, 'far')
--- a/tests/test_relay_readers.py
+++ b/tests/test_relay_readers.py
@@ -14,23 +14,23 @@
 class ReadersTest(unittest.TestCase):
     """The choice of a reader, and the failure of readers."""
 
-    def test_all_choose_alike(self):
+    def test_order_does_not_matter(self):
         """The order in which candidates are known does not matter."""
         candidates = [Candidate(name, 0.3) for name in 'cab']
         self.assertEqual(choose_reader(candidates), 'a')
         self.assertEqual(choose_reader(reversed(candidates)), 'a')
 
-    def test_reader_cut_from_the_store(self):
+    def test_reader_cut_off_from_store(self):
         """A reader whose proof grows old is replaced by a fresh one."""
         candidates = [Candidate('a', 2.0), Candidate('b', 0.7)]
         self.assertEqual(choose_reader(candidates), 'b')
 
-    def test_two_readers_cut(self):
+    def test_two_readers_cut_off(self):
         """If two are cut off, the third in the order reads."""
         candidates = [Candidate('a', 2), Candidate('b', 3), Candidate('c', 0.5)]
         self.assertEqual(choose_reader(candidates), 'c')
 
-    def test_reader_that_is_lost_is_made_good_in_time(self):
+    def test_lost_reader_is_replaced_in_time(self):
         """Every instance reads itself well before the bound on drains (2 s)."""
         names = [f'e{number}' for number in range(8)]
         for name in names:
--- a/tests/test_relay_resting.py
+++ b/tests/test_relay_resting.py
@@ -18,15 +18,15 @@
 TWO = Listed('t2', 's', 'b')
 
 
-def make_throttle(**untils):
+def make_throttle(**ends):
     """Return the throttle of an entry that was asked for back-offs."""
     throttle = Throttle(Member('e', 'dc'), Notices(), lambda: 1)
-    for name, until in untils.items():
+    for name, until in ends.items():
         throttle.notices.note(name, Rest(until, asked_at=0, heard_at=0))
     return throttle
 
 
-class BelievedTest(unittest.TestCase):
+class NoticesTest(unittest.TestCase):
     """Which of several notices holds."""
 
     def note(self, *received):
@@ -44,14 +44,14 @@
         )
         self.assertEqual(notices.get(Rest, 't').until, 12)
 
-    def test_nothing_takes_a_leave_back(self):
+    def test_drain_is_final(self):
         changes, notices = self.note(Leave(0, 1), Leave(5, 6), Rest(9, 0, 1))
         self.assertEqual(changes[1], Change.nothing)
         notices.forget('t')
         self.assertIsNotNone(notices.get(Leave, 't'))
         self.assertIsNone(notices.get(Rest, 't'))
 
-    def test_kinds_stand_beside_each_other(self):
+    def test_kinds_are_independent(self):
         _, notices = self.note(RateLimit(2, 0, 1), Rest(9, 0, 1))
         self.assertEqual(notices.get(RateLimit, 't').per_s, 2)
         self.assertEqual(notices.get(Rest, 't').until, 9)
@@ -60,7 +60,7 @@
 class ThrottleTest(unittest.TestCase):
     """Requests before, at and after the end of a back-off."""
 
-    def test_none_before_the_end(self):
+    def test_no_requests_before_end(self):
         throttle = make_throttle(t1=3)
         self.assertIs(throttle.take([ONE], now=2.99), ONE)
         self.assertTrue(throttle.is_resting(ONE, now=2.99))
@@ -68,7 +68,7 @@
         self.assertIsNone(throttle.take([TWO], now=2.99))
 
     # Guards against a probe that is used up by a request to another target.
-    def test_all_or_none_of_several(self):
+    def test_all_or_none(self):
         throttle = make_throttle(t1=3, t2=9)
         self.assertIs(throttle.take([ONE, TWO], now=4), TWO)
         self.assertIsNone(throttle.take([ONE], now=4))
@@ -92,7 +92,7 @@
         self.assertEqual(waits, [2, 2, 2])
 
     # Guards against a back-off that hides a rate limit, and the reverse.
-    def test_rest_and_rate_limit_both_bind(self):
+    def test_backoff_and_rate_limit(self):
         throttle = make_throttle(t1=3)
         throttle.notices.note('t1', RateLimit(0.5, 0, 1))
         self.assertIs(throttle.take([ONE], now=2), ONE)
@@ -100,7 +100,7 @@
         throttle.resting.forget('t1')
         self.assertIs(throttle.take([ONE], now=4), ONE)
 
-    def test_spread(self):
+    def test_jitter(self):
         self.assertEqual(get_spread_s(3, 0), 0)
         self.assertAlmostEqual(get_spread_s(3, 1), 0.6)
         self.assertEqual(get_spread_s(86_400, 1), 1)
--- a/tests/test_relay_throttle.py
+++ b/tests/test_relay_throttle.py
@@ -42,19 +42,19 @@
         self.assertEqual(waits, [0.5, 1, 1, 1.5])
         self.assertEqual(throttle.get_wait_s([], 0, 0), inf)
 
-    def test_raised_limit_counts_at_once(self):
+    def test_raised_limit_applies_at_once(self):
         throttle = make_throttle(t1=0.1)
         throttle.take([ONE], now=0)
         throttle.notices.note('t1', RateLimit(10, 1, 1))
         self.assertTrue(throttle.is_free(ONE, now=1.2))
 
-    def test_gone_with_its_target(self):
+    def test_removed_with_target(self):
         throttle = make_throttle(t1=1)
         throttle.take([ONE], now=0)
         throttle.forget('t1')
         self.assertTrue(throttle.is_free(ONE, now=0))
 
-    def test_limit_of_nothing_lets_few_through(self):
+    def test_limit_of_zero(self):
         """Otherwise no request would reveal that the limit has ended."""
         throttle = make_throttle(t1=0)
         sent = [now for now in range(100) if throttle.take([ONE], now) is None]
--- a/tests/test_relay_turns.py
+++ b/tests/test_relay_turns.py
@@ -7,13 +7,13 @@
 
 from trestledock.relay import Turn, Turns
 
-TURNS = st.lists(
+REQUESTS = st.lists(
     st.tuples(st.sampled_from('abc'), st.sampled_from([None, 0, 5, 9])),
     max_size=20,
 )
 
 
-def make_turns(drawn):
+def make_queue(drawn):
     """Return waiting requests in the order of their arrival."""
     queue = Turns()
     for number, (team, priority) in enumerate(drawn):
@@ -36,20 +36,20 @@
     return served
 
 
-class TurnsTest(unittest.TestCase):
+class WaitQueueTest(unittest.TestCase):
     """Priority first, then teams in turn, then arrival."""
 
-    @given(TURNS)
-    def test_one_is_first(self, drawn):
+    @given(REQUESTS)
+    def test_exactly_one_is_first(self, drawn):
         """Exactly one request is first, and priorities are in order."""
-        served = serve_all(make_turns(drawn))
+        served = serve_all(make_queue(drawn))
         ranks = [request.rank for request in served]
         self.assertEqual(ranks, sorted(ranks))
 
-    @given(TURNS)
-    def test_known_in_advance(self, drawn):
+    @given(REQUESTS)
+    def test_predicted_position(self, drawn):
         """If no request arrives, each keeps its predicted position."""
-        queue = make_turns(drawn)
+        queue = make_queue(drawn)
         predicted = [
             (queue.count_ahead(request), request)
             for request in queue.waiting.values()
@@ -59,10 +59,10 @@
             if request.rank == order[0].rank:
                 self.assertEqual(order.index(request), ahead)
 
-    def test_team_by_team(self):
-        served = serve_all(make_turns([(team, None) for team in 'aaaabb']))
+    def test_teams_alternate(self):
+        served = serve_all(make_queue([(team, None) for team in 'aaaabb']))
         self.assertEqual(''.join(request.team for request in served), 'ababaa')
 
-    def test_other_services_are_not_in_the_way(self):
-        queue = make_turns([('a', 0)])
+    def test_other_services_are_ignored(self):
+        queue = make_queue([('a', 0)])
         self.assertEqual(queue.count_ahead(Turn('x', 'other', 'a', 9)), 0)
--- a/tests/test_relay_watch.py
+++ b/tests/test_relay_watch.py
@@ -10,7 +10,7 @@
 )
 
 
-class WatchTest(unittest.TestCase):
+class ListWatchTest(unittest.TestCase):
     """Gaps and disturbances between reads of the list."""
 
     def make(self, *reads):
@@ -19,33 +19,33 @@
             watch.note_read(at, at)
         return watch
 
-    def test_first_list_is_not_settled(self):
+    def test_first_list_is_not_synchronized(self):
         """An instance that has just started can't tell which leases lapsed."""
         watch = self.make(0)
         self.assertFalse(watch.is_settled(1))
         self.assertTrue(watch.is_settled(LAPSE_GRACE_S))
 
-    def test_gap_unsettles_and_disturbs_nothing(self):
+    def test_gap_is_no_disturbance(self):
         """A gap without failed reads retains nothing, and confirms nothing."""
         watch = self.make(0, 5)
         self.assertFalse(watch.is_settled(6))
         self.assertLess(watch.grace_end, 5)
 
-    def test_gap_with_failed_reads_disturbs(self):
+    def test_gap_with_failed_reads_is_disturbance(self):
         watch = self.make(0)
         watch.note_trouble(4.9)
         watch.note_read(5, 5)
         self.assertEqual(watch.grace_end, 5 + LAPSE_GRACE_S)
         self.assertTrue(watch.is_disturbed(6))
 
-    def test_directory_may_have_been_back_for_a_while(self):
+    def test_grace_from_last_failure(self):
         """The grace ends in time for targets removed before the outage."""
         watch = self.make(0)
         watch.note_trouble(4)
         watch.note_read(5, 5)
         self.assertEqual(watch.grace_end, 4 + RETURN_GRACE_S)
 
-    def test_trouble_before_the_last_read_is_over(self):
+    def test_failure_before_last_read(self):
         """A failure that a successful read has followed does not count."""
         watch = self.make(0)
         watch.note_trouble(0.1)
@@ -53,7 +53,7 @@
         watch.note_read(5, 5)
         self.assertLess(watch.grace_end, 5)
 
-    def test_gap_is_between_what_lists_are_true_for(self):
+    def test_gap_counts_from_query(self):
         """A slow answer makes no gap if its query was sent in time."""
         watch = self.make(0)
         watch.note_trouble(1)
