--- a/tests/crashing.py
+++ b/tests/crashing.py
@@ -42,48 +42,48 @@
 
 #: The body that crashes any target, and the body of a harmless request.
 DEADLY = b'deadly'
-SOUND = b'sound'
+HARMLESS = b'sound'
 #: The duration of a harmless request, in seconds.
-WORK_S = 0.05
+SERVICE_TIME_S = 0.05
 #: The time from a crash until the restarted target is listed, in seconds.
-AGAIN_S = 0.01
+RESTART_DELAY_S = 0.01
 
 
-def _write_nothing(_):
+def _get_nothing(_):
     return b''
 
 
 @dataclass(frozen=True)
-class Crash:
+class CrashMode:
     """How much of the answer is written before a crash, and how it ends."""
 
-    get_written: Callable = _write_nothing
-    resets: bool = True
+    get_written: Callable = _get_nothing
+    is_reset: bool = True
 
 
 HEAD_END = b'\r\n\r\n'
 
 
-def _write_part_of_head(answer):
+def _get_part_of_head(answer):
     return answer[:20]
 
 
-def _write_head(answer):
+def _get_head(answer):
     return answer[: answer.index(HEAD_END) + len(HEAD_END)]
 
 
-def _write_all(answer):
+def _get_all(answer):
     return answer
 
 
 #: The ways in which a crash is observed by the receiver of the answer.
 CRASHES = {
-    'reset before the head': Crash(),
-    'closed before the head': Crash(resets=False),
-    'closed within the head': Crash(_write_part_of_head, resets=False),
-    'reset between head and body': Crash(_write_head),
-    'closed in the middle of a stream': Crash(_write_all, resets=False),
-    'reset in the middle of a stream': Crash(_write_all),
+    'reset before the head': CrashMode(),
+    'closed before the head': CrashMode(is_reset=False),
+    'closed within the head': CrashMode(_get_part_of_head, is_reset=False),
+    'reset between head and body': CrashMode(_get_head),
+    'closed in the middle of a stream': CrashMode(_get_all, is_reset=False),
+    'reset in the middle of a stream': CrashMode(_get_all),
 }
 
 
@@ -122,7 +122,7 @@
     async def crash(self):
         """Close all connections, as the end of a process does."""
         for stream in tuple(self.streams):
-            if self.fleet.crash.resets:
+            if self.fleet.crash.is_reset:
                 reset(stream)
             with suppress(OSError, anyio.ClosedResourceError):
                 await stream.aclose()
@@ -137,13 +137,13 @@
                 anyio.ClosedResourceError,
             ):
                 while True:
-                    await self._talk(stream)
+                    await self._handle_request(stream)
 
-    async def _talk(self, stream):
+    async def _handle_request(self, stream):
         head, body = await _read(stream)
         req_id = _get_header(head, 'trestledock-request-id')
         if body == DEADLY:
-            self.fleet.note_end(self)
+            self.fleet.record_crash(self)
             with anyio.CancelScope(shield=True):
                 answer = make_stream(1, 2, end=b'', req_id=req_id)
                 written = self.fleet.crash.get_written(answer)
@@ -151,8 +151,8 @@
                     await stream.send(written)
                 await self.crash()
             return
-        self.fleet.sound_runs += 1
-        await anyio.sleep(WORK_S)
+        self.fleet.harmless_runs += 1
+        await anyio.sleep(SERVICE_TIME_S)
         if self.fleet.route.kind is RouteKind.streaming:
             await stream.send(make_stream(1, 4, req_id=req_id))
         else:
@@ -164,14 +164,14 @@
     """Some entries and the targets that they share."""
 
     route: object
-    crash: Crash
+    crash: CrashMode
     group: anyio.abc.TaskGroup
     new_ids: bool = False
     entries: list = field(default_factory=list)
     targets: list = field(default_factory=list)
-    ended: list = field(default_factory=list)
-    sound_runs: int = 0
-    numbers: int = 0
+    crashed: list = field(default_factory=list)
+    harmless_runs: int = 0
+    target_count: int = 0
 
     def add_entry(self):
         """Start an entry that knows all others."""
@@ -208,8 +208,8 @@
 
     async def add_target(self, target_id='', born=1):
         """Start a target and list it at all entries."""
-        self.numbers += 1
-        name = target_id or f't{self.numbers}'
+        self.target_count += 1
+        name = target_id or f't{self.target_count}'
         target = Target(self, name, born)
         await self.group.start(target.live)
         self.targets.append(target)
@@ -217,11 +217,11 @@
             entry.state.fleet.put(target.get_listed())
             entry.state.notify()
 
-    def note_end(self, target):
+    def record_crash(self, target):
         """Record the crash of a target and restart it."""
-        self.ended.append(target)
+        self.crashed.append(target)
         self.targets.remove(target)
-        self.group.start_soon(self._start_again, target)
+        self.group.start_soon(self._restart, target)
 
     async def ask_in_turn(self, tries, body=DEADLY):
         """Send a request repeatedly, each time to the next entry."""
@@ -232,8 +232,8 @@
             for number in range(tries)
         ]
 
-    async def _start_again(self, target):
-        await anyio.sleep(AGAIN_S)
+    async def _restart(self, target):
+        await anyio.sleep(RESTART_DELAY_S)
         if self.new_ids:
             await self.add_target()
         else:
--- a/tests/test_query_of_death.py
+++ b/tests/test_query_of_death.py
@@ -23,7 +23,7 @@
 
 import anyio
 
-from tests.crashing import CRASHES, DEADLY, SOUND, run_fleet
+from tests.crashing import CRASHES, DEADLY, HARMLESS, run_fleet
 from tests.relaying import KEY, make_route
 from trestledock.relay import RouteKind
 
@@ -63,11 +63,11 @@
         """Send the request repeatedly, at one entry after the other."""
 
         async def scenario(fleet):
-            fleet.found = await fleet.ask_in_turn(ATTEMPTS)
+            fleet.outcome = await fleet.ask_in_turn(ATTEMPTS)
 
         fleet = run_fleet(scenario, route, crash, **options)
         # A lower threshold would refuse harmless requests beside it.
-        self.assertEqual(len(fleet.ended), MIN_CRASHES)
+        self.assertEqual(len(fleet.crashed), MIN_CRASHES)
         return fleet
 
     def test_few_targets_crash(self):
@@ -79,7 +79,7 @@
     def test_refusal(self):
         """The refusal says that it was not run, with a long Retry-After."""
         fleet = self.check(STREAM, CRASHES['reset before the head'])
-        last = fleet.found[-1]
+        last = fleet.outcome[-1]
         self.assertEqual(last.status, NOT_RUN)
         self.assertGreater(float(last.headers['retry-after']), 10)
 
@@ -97,10 +97,10 @@
             entry.state.isolation.ways.look = look_late
             async with anyio.create_task_group() as group:
                 group.start_soon(entry.ask, 'r1', 'POST', KEY, (), DEADLY)
-            fleet.found = entry.state.isolation.quarantine.suspects
+            fleet.outcome = entry.state.isolation.quarantine.suspects
 
         fleet = run_fleet(scenario, STREAM, CRASHES['reset before the head'])
-        self.assertEqual(len(fleet.found), 1)
+        self.assertEqual(len(fleet.outcome), 1)
 
     def test_entry_started_later(self):
         """Its first peer sends it the quarantine."""
@@ -113,7 +113,7 @@
                 self.assertEqual(outcome.status, NOT_RUN)
 
         fleet = run_fleet(scenario, STREAM, CRASHES['reset before the head'])
-        self.assertEqual(len(fleet.ended), MIN_CRASHES)
+        self.assertEqual(len(fleet.crashed), MIN_CRASHES)
 
     def test_other_requests_are_served(self):
         """A harmless request may lose a target, but is not refused."""
@@ -126,7 +126,7 @@
         fleet = run_fleet(
             scenario, STREAM, CRASHES['closed in the middle of a stream']
         )
-        self.assertEqual(len(fleet.ended), MIN_CRASHES)
+        self.assertEqual(len(fleet.crashed), MIN_CRASHES)
         self.assertNotIn(NOT_RUN, {outcome.status for outcome in outcomes})
         # Each crash may fail the requests beside it, as any crash does.
         served = sum(
@@ -143,7 +143,7 @@
 
     async def ask(number):
         entry = fleet.entries[number % len(fleet.entries)]
-        body = SOUND + b'%d-%d' % (round_number, number)
+        body = HARMLESS + b'%d-%d' % (round_number, number)
         outcomes.append(await entry.ask(f's{round_number}-{number}', body=body))
 
     async with anyio.create_task_group() as group:
