--- a/tests/engines.py
+++ b/tests/engines.py
@@ -1,7 +1,7 @@
 """Engines and fleets shared by placement tests."""
 
 from trestledock.bench.ablation import ENGINE
-from trestledock.relay import EngineModel, Listed, Standing
+from trestledock.relay import EngineModel, ListedTarget, Standing
 
 #: Engines with memory for 405,000 tokens; prefill takes 3.9 s for 182,000 and
 #: 55 s for 790,000.
@@ -19,6 +19,6 @@
 )
 #: A fleet of 18 in one data centre.
 TARGETS = tuple(
-    Listed(f't{number:02}', 's', f'10.0.0.{number}:80', 'dc', Standing.ready, 8)
+    ListedTarget(f't{number:02}', 's', f'10.0.0.{number}:80', 'dc', Standing.ready, 8)
     for number in range(18)
 )
--- a/tests/test_relay_claims.py
+++ b/tests/test_relay_claims.py
@@ -10,15 +10,15 @@
 
 from tests.engines import TARGETS
 from trestledock.relay import (
-    CLAIM_S,
+    CLAIM_DELAY_S,
     Flight,
     Phase,
     Placement,
-    find_prior,
+    find_prior_claim,
     needs_claim,
 )
 
-LONG = Flight('b', 't1', 260_922, 600, Phase.reading, 10.0, worth=20)
+LONG = Flight('b', 't1', 260_922, 600, Phase.prefill, 10.0, worth=20)
 OTHER = replace(LONG, flight_id='a')
 
 
@@ -26,8 +26,8 @@
     """Only prompts with a long prefill are worth the delay."""
 
     def test_only_long_prompts(self):
-        long = Placement(TARGETS[0], first_s=2.1)
-        short = Placement(TARGETS[0], first_s=0.1)
+        long = Placement(TARGETS[0], first_token_s=2.1)
+        short = Placement(TARGETS[0], first_token_s=0.1)
         self.assertTrue(needs_claim(long, 20))
         self.assertFalse(needs_claim(short, 20))
         self.assertFalse(needs_claim(long, 0.5))
@@ -37,25 +37,25 @@
     """Both entries agree on which of two prompts goes first."""
 
     def test_same_moment(self):
-        for gap_s in (0, 0.02, -0.02, CLAIM_S, 0.1, -0.1):
+        for gap_s in (0, 0.02, -0.02, CLAIM_DELAY_S, 0.1, -0.1):
             with self.subTest(gap_s=gap_s):
                 other = replace(OTHER, since=LONG.since + gap_s)
                 priors = (
-                    find_prior(LONG, [LONG, other], ()),
-                    find_prior(other, [LONG, other], ()),
+                    find_prior_claim(LONG, [LONG, other], ()),
+                    find_prior_claim(other, [LONG, other], ()),
                 )
                 self.assertEqual(priors.count(None), 1)
 
     def test_earlier_claim_goes_first(self):
         """A prompt that was announced long before is already being sent."""
         other = replace(LONG, flight_id='z', since=LONG.since - 0.05)
-        self.assertEqual(find_prior(LONG, [other], ()), other)
+        self.assertEqual(find_prior_claim(LONG, [other], ()), other)
 
     def test_known_claim_is_ignored(self):
         """The placement took it into account: the prompts fit together."""
-        self.assertIsNone(find_prior(LONG, [OTHER], {'a'}))
+        self.assertIsNone(find_prior_claim(LONG, [OTHER], {'a'}))
 
     def test_short_or_decoding_is_ignored(self):
         short = replace(OTHER, worth=0.5)
-        writing = replace(OTHER, phase=Phase.writing)
-        self.assertIsNone(find_prior(LONG, [short, writing], ()))
+        writing = replace(OTHER, phase=Phase.decode)
+        self.assertIsNone(find_prior_claim(LONG, [short, writing], ()))
--- a/tests/test_relay_elsewhere.py
+++ b/tests/test_relay_elsewhere.py
@@ -12,15 +12,15 @@
 from tests.engines import SMALL_ENGINE as ENGINE
 from tests.engines import TARGETS
 from trestledock.relay import (
-    Board,
+    LoadTable,
     Flight,
     Health,
     Phase,
     Placer,
     PromptSize,
     Work,
-    is_worth_asking,
-    summarize,
+    should_query_remote,
+    summarize_load,
 )
 
 NEAR, FAR = 'near', 'far'
@@ -42,13 +42,13 @@
         target.incarnation,
         180_000,
         1_000,
-        Phase.reading,
+        Phase.prefill,
         since=0.0,
         pause_s=0.8,
         worth=20,
-        due=4.0,
+        due_at=4.0,
         helpers=tuple([helper.incarnation for helper in helpers]),
-        tickets=tickets,
+        reservations=tickets,
     )
 
 
@@ -59,7 +59,7 @@
         target.incarnation,
         5_000,
         700,
-        Phase.writing,
+        Phase.decode,
         since=0.0,
         pause_s=pause_s,
         worth=0.9,
@@ -70,7 +70,7 @@
     """All nearby engines prefill long prompts, all others are idle."""
 
     def setUp(self):
-        self.board = Board()
+        self.board = LoadTable()
         self.placer = Placer(self.board, Health(), data_centre=NEAR)
         for number, target in enumerate(NEAR_TARGETS):
             self.board.put(make_reading(number, target))
@@ -81,27 +81,27 @@
     def test_long_prompt_queries_remote(self):
         near = self.place(LONG, NEAR_TARGETS)
         cost = near.cost if near else None
-        self.assertTrue(is_worth_asking(LONG.worth, cost))
+        self.assertTrue(should_query_remote(LONG.worth, cost))
 
     def test_remote_engines_are_chosen(self):
         """With all engines to choose from, it takes idle ones in time."""
         chosen = self.place(LONG, PLACED)
-        self.assertLess(chosen.first_s, LONG.objective_s)
+        self.assertLess(chosen.first_token_s, LONG.objective_s)
         data_centres = {
             target.data_centre for target in (chosen.target, *chosen.helpers)
         }
         self.assertEqual(data_centres, {FAR})
-        self.assertFalse(is_worth_asking(LONG.worth, chosen.cost))
+        self.assertFalse(should_query_remote(LONG.worth, chosen.cost))
 
     def test_short_prompt_does_not_query(self):
         """A query costs a short prompt more than it gains."""
-        self.assertFalse(is_worth_asking(SHORT.worth, None))
+        self.assertFalse(should_query_remote(SHORT.worth, None))
 
     def test_idle_local_engines_suffice(self):
-        board = Board()
+        board = LoadTable()
         placer = Placer(board, Health(), data_centre=NEAR)
         near = placer.place(LONG, ENGINE, NEAR_TARGETS, now=0.0)
-        self.assertFalse(is_worth_asking(LONG.worth, near.cost))
+        self.assertFalse(should_query_remote(LONG.worth, near.cost))
 
 
 class SummaryTest(unittest.TestCase):
@@ -109,10 +109,10 @@
 
     def compare(self, *flights):
         """Return the load of all remote targets, in full and summarized."""
-        summarized = Board()
+        summarized = LoadTable()
         names = {target.incarnation for target in FAR_TARGETS}
-        summarized.set_elsewhere(FAR, summarize(flights, names, now=0.5))
-        full = Board()
+        summarized.set_remote_load(FAR, summarize_load(flights, names, now=0.5))
+        full = LoadTable()
         for flight in flights:
             full.put(flight)
         return [
@@ -150,7 +150,7 @@
             self.assertAlmostEqual(*costs)
 
     def test_other_targets_are_omitted(self):
-        flights = summarize(
+        flights = summarize_load(
             [make_reading(1, NEAR_TARGETS[0])],
             {target.incarnation for target in FAR_TARGETS},
             now=0.0,
@@ -158,9 +158,9 @@
         self.assertEqual(tuple(flights), ())
 
     def test_new_load_replaces_old(self):
-        board = Board()
+        board = LoadTable()
         name = FAR_TARGETS[0].incarnation
-        board.set_elsewhere(FAR, [make_reading(1, FAR_TARGETS[0])])
+        board.set_remote_load(FAR, [make_reading(1, FAR_TARGETS[0])])
         self.assertEqual(len(tuple(board.get_flights(name))), 1)
-        board.set_elsewhere(FAR, ())
+        board.set_remote_load(FAR, ())
         self.assertEqual(tuple(board.get_flights(name)), ())
--- a/tests/test_relay_fleet.py
+++ b/tests/test_relay_fleet.py
@@ -2,11 +2,11 @@
 
 import unittest
 
-from trestledock.relay import Fleet, Listed, Standing
+from trestledock.relay import Fleet, ListedTarget, Standing
 
 
 def make_target(number, standing=Standing.ready, sequence=1):
-    return Listed(
+    return ListedTarget(
         f't{number}', 's', f'10.0.0.{number}:80', 'dc', standing, 8, sequence
     )
 
@@ -14,7 +14,7 @@
 def make_fleet():
     """Return a fleet that has followed the directory until now, at 0 s."""
     fleet = Fleet()
-    fleet.watch.note_read(0, 0)
+    fleet.watch.record_read(0, 0)
     fleet.watch.resumed_at = float('-inf')
     fleet.put(make_target(1))
     fleet.put(make_target(2))
@@ -75,7 +75,7 @@
     def test_missing_without_disturbance_is_removed(self):
         """Without a disturbance, a missing target is removed at once."""
         fleet = make_fleet()
-        fleet.watch.note_read(0.5, 0.5)
+        fleet.watch.record_read(0.5, 0.5)
         self.assertTrue(drop(fleet, 't2', 0.5))
         self.assertEqual(get_ids(fleet), ['t1'])
 
@@ -85,8 +85,8 @@
         disturb(fleet, 8.6, 9)
         self.assertFalse(drop(fleet, 't2', 9))
         self.assertEqual(get_ids(fleet), ['t1', 't2'])
-        self.assertEqual(fleet.expire(10), [])
-        self.assertEqual(fleet.expire(11.3), ['t2'])
+        self.assertEqual(fleet.expire_retained(10), [])
+        self.assertEqual(fleet.expire_retained(11.3), ['t2'])
         self.assertEqual(get_ids(fleet), ['t1'])
 
     def test_missing_after_gap_is_removed(self):
@@ -96,7 +96,7 @@
         within which a removed target must get no more requests.
         """
         fleet = make_fleet()
-        fleet.watch.note_read(2.5, 2.5)
+        fleet.watch.record_read(2.5, 2.5)
         self.assertTrue(drop(fleet, 't2', 2.5))
 
     def test_one_failed_read_is_no_outage(self):
@@ -109,7 +109,7 @@
         """An instance that followed the directory without a gap decides."""
         fleet = make_fleet()
         disturb(fleet, 8.6, 9)
-        self.assertTrue(fleet.drop('t2', 9.1, 9.1))
+        self.assertTrue(fleet.record_removal('t2', 9.1, 9.1))
         self.assertEqual(get_ids(fleet), ['t1'])
 
     def test_listed_again_after_outage(self):
@@ -118,7 +118,7 @@
         disturb(fleet, 8.6, 9)
         drop(fleet, 't2', 9)
         fleet.put(make_target(2, sequence=2))
-        self.assertEqual(fleet.expire(20), [])
+        self.assertEqual(fleet.expire_retained(20), [])
 
     def test_listed_again_with_same_record(self):
         """A target that is listed again is reported to other instances."""
@@ -144,7 +144,7 @@
             [target.target_id for target in fleet.get_listed()], ['t1']
         )
         retained = [
-            (target.target_id, until) for target, until in fleet.get_held()
+            (target.target_id, until) for target, until in fleet.get_retained()
         ]
         self.assertEqual(retained, [('t2', 11.2)])
         self.assertGreater(fleet.revision, revision)
@@ -152,13 +152,13 @@
     def test_retained_by_other_instances(self):
         """An unknown target is retained for as long as other instances do."""
         fleet = make_fleet()
-        self.assertTrue(fleet.hold(make_target(3), 2))
+        self.assertTrue(fleet.retain(make_target(3), 2))
         self.assertIn('t3', get_ids(fleet))
-        self.assertEqual(fleet.expire(2), ['t3'])
+        self.assertEqual(fleet.expire_retained(2), ['t3'])
 
     def test_removed_is_not_retained(self):
         """A target known to be removed is not retained for others."""
         fleet = make_fleet()
         drop(fleet, 't1', 0.5)
-        self.assertFalse(fleet.hold(make_target(1), 2))
+        self.assertFalse(fleet.retain(make_target(1), 2))
         self.assertEqual(get_ids(fleet), ['t2'])
--- a/tests/test_relay_open_ends.py
+++ b/tests/test_relay_open_ends.py
@@ -2,19 +2,19 @@
 
 import unittest
 
-from trestledock.relay import Listed, OpenEnds
-from trestledock.relay._open_ends import MOST_OPEN, OPEN_S
+from trestledock.relay import ListedTarget, UnconfirmedCrashes
+from trestledock.relay._unconfirmed_crashes import MAX_UNCONFIRMED, UNCONFIRMED_TTL_S
 
-ORIGINAL = Listed('t1', 's', 'a:1', born=1)
-RESTARTED = Listed('t1', 's', 'a:2', born=2)
-REPLACEMENT = Listed('t2', 's', 'a:1', born=1)
+ORIGINAL = ListedTarget('t1', 's', 'a:1', born=1)
+RESTARTED = ListedTarget('t1', 's', 'a:2', born=2)
+REPLACEMENT = ListedTarget('t2', 's', 'a:1', born=1)
 
 
 def make_unconfirmed(*fingerprints):
     """Return the unconfirmed crashes of a target's first incarnation."""
-    crashes = OpenEnds()
+    crashes = UnconfirmedCrashes()
     for fingerprint in fingerprints:
-        crashes.keep(fingerprint, ORIGINAL, now=0)
+        crashes.add(fingerprint, ORIGINAL, now=0)
     return crashes
 
 
@@ -28,25 +28,25 @@
 
     def test_all_requests_of_target(self):
         crashes = make_unconfirmed('f', 'g')
-        self.assertEqual(get_fingerprints(crashes.take('t1@1', 1)), ['f', 'g'])
-        self.assertEqual(crashes.take('t1@1', 1), [])
+        self.assertEqual(get_fingerprints(crashes.pop_confirmed('t1@1', 1)), ['f', 'g'])
+        self.assertEqual(crashes.pop_confirmed('t1@1', 1), [])
 
     def test_replaced_by_other_target(self):
         crashes = make_unconfirmed('f')
-        self.assertEqual(crashes.take_replaced_by(ORIGINAL, 1), [])
-        self.assertEqual(crashes.take_replaced_by(RESTARTED, 1), [])
-        ends = crashes.take_replaced_by(REPLACEMENT, 1)
+        self.assertEqual(crashes.pop_replaced_by(ORIGINAL, 1), [])
+        self.assertEqual(crashes.pop_replaced_by(RESTARTED, 1), [])
+        ends = crashes.pop_replaced_by(REPLACEMENT, 1)
         self.assertEqual(get_fingerprints(ends), ['f'])
 
     def test_expiry(self):
-        self.assertEqual(make_unconfirmed('f').take('t1@1', OPEN_S), [])
+        self.assertEqual(make_unconfirmed('f').pop_confirmed('t1@1', UNCONFIRMED_TTL_S), [])
 
     def test_maximum(self):
-        crashes = OpenEnds()
-        for number in range(MOST_OPEN + 1):
-            crashes.keep('f', Listed(f't{number}', 's', 'a:1'), now=0)
-        self.assertEqual(crashes.take(f't{MOST_OPEN}', 1), [])
-        crashes.keep('f', ORIGINAL, now=OPEN_S + 1)
+        crashes = UnconfirmedCrashes()
+        for number in range(MAX_UNCONFIRMED + 1):
+            crashes.add('f', ListedTarget(f't{number}', 's', 'a:1'), now=0)
+        self.assertEqual(crashes.pop_confirmed(f't{MAX_UNCONFIRMED}', 1), [])
+        crashes.add('f', ORIGINAL, now=UNCONFIRMED_TTL_S + 1)
         self.assertEqual(
-            get_fingerprints(crashes.take('t1@1', OPEN_S + 2)), ['f']
+            get_fingerprints(crashes.pop_confirmed('t1@1', UNCONFIRMED_TTL_S + 2)), ['f']
         )
--- a/tests/test_relay_parts.py
+++ b/tests/test_relay_parts.py
@@ -7,16 +7,16 @@
 from hypothesis import strategies as st
 
 from trestledock.relay import (
-    BudgetTerms,
-    Ending,
+    RetryLimits,
+    AttemptOutcome,
     Health,
-    History,
-    Proof,
-    RetryWindow,
+    AttemptHistory,
+    FreshnessProof,
+    RetryBudget,
     Route,
     RouteKind,
-    Sending,
-    Splitter,
+    RelayAttempt,
+    EventSplitter,
 )
 
 NON_IDEMPOTENT = Route('r', 'h', '/', RouteKind.non_idempotent, ())
@@ -31,8 +31,8 @@
 
 
 def make_history(*outcomes):
-    return History(
-        tuple(Sending(outcome, 'step', 'peer') for outcome in outcomes)
+    return AttemptHistory(
+        tuple(RelayAttempt(outcome, 'step', 'peer') for outcome in outcomes)
     )
 
 
@@ -42,7 +42,7 @@
     @given(st.lists(st.integers(0, len(EVENTS)), max_size=20))
     def test_any_cut(self, cuts):
         """Any division of the bytes yields the same events."""
-        splitter = Splitter()
+        splitter = EventSplitter()
         ends = [0, *sorted(cuts), len(EVENTS)]
         events = []
         for start, end in zip(ends, ends[1:]):
@@ -51,17 +51,17 @@
         self.assertEqual(
             [event.event_id for event in events], list('012345678')
         )
-        self.assertEqual(splitter.rest, b'')
+        self.assertEqual(splitter.remainder, b'')
 
     def test_partial_event_is_buffered(self):
         """A partial event is not returned."""
-        splitter = Splitter()
+        splitter = EventSplitter()
         self.assertEqual(splitter.push(b'id: 1\ndata: a'), [])
-        self.assertEqual(splitter.rest, b'id: 1\ndata: a')
+        self.assertEqual(splitter.remainder, b'id: 1\ndata: a')
 
     def test_crlf(self):
         """Events may end their lines with CRLF."""
-        events = Splitter().push(b'id: 1\r\ndata: a\r\n\r\n')
+        events = EventSplitter().push(b'id: 1\r\ndata: a\r\n\r\n')
         self.assertEqual(events[0].event_id, '1')
 
 
@@ -69,18 +69,18 @@
     """Which outcomes allow another attempt."""
 
     cases = (
-        (NON_IDEMPOTENT, (Ending.not_sent,), True),
-        (NON_IDEMPOTENT, (Ending.rejected,), True),
-        (NON_IDEMPOTENT, (Ending.lost,), False),
-        (NON_IDEMPOTENT, (Ending.failed,), False),
-        (NON_IDEMPOTENT, (Ending.rejected, Ending.lost), False),
-        (IDEMPOTENT, (Ending.lost,), True),
-        (IDEMPOTENT, (Ending.failed,), True),
-        (IDEMPOTENT, (Ending.failed, Ending.lost), False),
-        (IDEMPOTENT, (Ending.rejected, Ending.lost), True),
-        (STREAM, (Ending.lost,), False),
-        (RESUMABLE, (Ending.lost,), True),
-        (RESUMABLE, (Ending.lost, Ending.lost), False),
+        (NON_IDEMPOTENT, (AttemptOutcome.not_sent,), True),
+        (NON_IDEMPOTENT, (AttemptOutcome.rejected,), True),
+        (NON_IDEMPOTENT, (AttemptOutcome.lost,), False),
+        (NON_IDEMPOTENT, (AttemptOutcome.failed,), False),
+        (NON_IDEMPOTENT, (AttemptOutcome.rejected, AttemptOutcome.lost), False),
+        (IDEMPOTENT, (AttemptOutcome.lost,), True),
+        (IDEMPOTENT, (AttemptOutcome.failed,), True),
+        (IDEMPOTENT, (AttemptOutcome.failed, AttemptOutcome.lost), False),
+        (IDEMPOTENT, (AttemptOutcome.rejected, AttemptOutcome.lost), True),
+        (STREAM, (AttemptOutcome.lost,), False),
+        (RESUMABLE, (AttemptOutcome.lost,), True),
+        (RESUMABLE, (AttemptOutcome.lost, AttemptOutcome.lost), False),
     )
 
     def test_may_repeat(self):
@@ -92,22 +92,22 @@
 
     def test_may_have_run(self):
         """Only if no attempt may have run, the request certainly has not."""
-        self.assertFalse(make_history(Ending.rejected).may_have_run)
-        self.assertTrue(make_history(Ending.rejected, Ending.lost).may_have_run)
+        self.assertFalse(make_history(AttemptOutcome.rejected).may_have_run)
+        self.assertTrue(make_history(AttemptOutcome.rejected, AttemptOutcome.lost).may_have_run)
 
     def test_last_attempt(self):
         """The last target is the one after which no other may run it."""
-        lost = make_history(Ending.lost)
+        lost = make_history(AttemptOutcome.lost)
         for route, history, expected in (
             (RESUMABLE, make_history(), False),
             (RESUMABLE, lost, True),
-            (RESUMABLE, make_history(Ending.rejected), False),
+            (RESUMABLE, make_history(AttemptOutcome.rejected), False),
             (STREAM, make_history(), True),
             (NON_IDEMPOTENT, make_history(), True),
-            (IDEMPOTENT, make_history(*repeat(Ending.not_sent, 5)), True),
+            (IDEMPOTENT, make_history(*repeat(AttemptOutcome.not_sent, 5)), True),
         ):
-            with self.subTest(route=route.kind, sendings=history.sendings):
-                self.assertEqual(history.is_last_run(route), expected)
+            with self.subTest(route=route.kind, sendings=history.attempts):
+                self.assertEqual(history.is_last_attempt(route), expected)
 
 
 class FreshnessTest(unittest.TestCase):
@@ -115,21 +115,21 @@
 
     def test_age_during_freeze(self):
         """A process that was frozen accepts no key when it resumes."""
-        proof = Proof(bound_s=5)
+        proof = FreshnessProof(max_age_s=5)
         proof.renew(asked_at=10)
         self.assertTrue(proof.is_fresh(13))
         self.assertFalse(proof.is_fresh(20))
 
     def test_age_counts_from_query(self):
         """A late answer proves no more than when its query was sent."""
-        proof = Proof(bound_s=5)
+        proof = FreshnessProof(max_age_s=5)
         proof.renew(asked_at=10)
         proof.renew(asked_at=4)
         self.assertEqual(proof.get_age_s(11), 1)
 
     def test_no_maximum_age(self):
         """Without a maximum age no proof is required."""
-        self.assertTrue(Proof().is_fresh(1e9))
+        self.assertTrue(FreshnessProof().is_fresh(1e9))
 
 
 class RetryBudgetTest(unittest.TestCase):
@@ -138,22 +138,22 @@
     @given(st.integers(1, 20), st.integers(0, 300))
     def test_sum_over_instances(self, instances, requests):
         """The bound holds however many instances retry at once."""
-        limits = BudgetTerms(ratio=0.2, window_s=10, slack=100)
+        limits = RetryLimits(ratio=0.2, window_s=10, slack=100)
         spent = 0
         for _ in range(instances):
-            budget = RetryWindow(limits)
+            budget = RetryBudget(limits)
             for _ in range(requests):
-                budget.earn(now=0)
-            while budget.spend(now=1, instances=instances):
+                budget.record_request(now=0)
+            while budget.try_spend(now=1, instances=instances):
                 spent += 1
         self.assertLessEqual(spent, 0.2 * requests * instances + 100)
 
     def test_window_slides(self):
         """Budget that was used long ago is available again."""
-        budget = RetryWindow(BudgetTerms(ratio=0, window_s=10, slack=2))
-        self.assertTrue(budget.spend(0, 1))
-        self.assertFalse(budget.spend(9, 1))
-        self.assertTrue(budget.spend(10.1, 1))
+        budget = RetryBudget(RetryLimits(ratio=0, window_s=10, slack=2))
+        self.assertTrue(budget.try_spend(0, 1))
+        self.assertFalse(budget.try_spend(9, 1))
+        self.assertTrue(budget.try_spend(10.1, 1))
 
 
 class HealthTest(unittest.TestCase):
@@ -162,40 +162,40 @@
     def test_suspicion_doubles(self):
         """A target that stays silent is tried less and less often."""
         health = Health()
-        health.note_silence('t', 0)
-        health.note_silence('t', 0.1)
+        health.record_silence('t', 0)
+        health.record_silence('t', 0.1)
         self.assertFalse(health.is_suspect('t', 1.1))
-        health.note_silence('t', 1.2)
+        health.record_silence('t', 1.2)
         self.assertTrue(health.is_suspect('t', 3.1))
 
     def test_answer_ends_suspicion(self):
         """A correct answer ends the suspicion."""
         health = Health()
-        health.note_silence('t', 0)
-        health.note_success('t', 0.5)
+        health.record_silence('t', 0)
+        health.record_success('t', 0.5)
         self.assertFalse(health.is_suspect('t', 0.5))
 
     def test_cut_data_centre(self):
         """Two silent targets make their whole data centre suspect."""
         health = Health()
-        health.note_silence('t1', 0, 'dc2')
+        health.record_silence('t1', 0, 'dc2')
         self.assertFalse(health.is_suspect('t3', 0.1, 'dc2'))
-        health.note_silence('t2', 0.4, 'dc2')
+        health.record_silence('t2', 0.4, 'dc2')
         self.assertTrue(health.is_suspect('t3', 0.5, 'dc2'))
         self.assertFalse(health.is_suspect('t4', 0.5, 'dc1'))
-        health.note_success('t3', 0.6, 'dc2')
+        health.record_success('t3', 0.6, 'dc2')
         self.assertFalse(health.is_suspect('t3', 0.7, 'dc2'))
 
     def test_silent_targets_long_apart(self):
         """Targets that fall silent long apart don't affect the others."""
         health = Health()
-        health.note_silence('t1', 0, 'dc2')
-        health.note_silence('t2', 5, 'dc2')
+        health.record_silence('t1', 0, 'dc2')
+        health.record_silence('t2', 5, 'dc2')
         self.assertFalse(health.is_suspect('t3', 5.1, 'dc2'))
 
     def test_failures_decay(self):
         """The weight of a failure decays with time."""
         health = Health()
-        health.note_failure('t', 0)
+        health.record_failure('t', 0)
         share = health.get('t').get_failure_share
         self.assertGreater(share(0), share(6))
--- a/tests/test_relay_placing.py
+++ b/tests/test_relay_placing.py
@@ -6,7 +6,7 @@
 from tests.engines import SMALL_ENGINE as ENGINE
 from tests.engines import TARGETS
 from trestledock.relay import (
-    Board,
+    LoadTable,
     Flight,
     Health,
     Phase,
@@ -14,7 +14,7 @@
     PromptSize,
     Work,
     choose_least_busy,
-    get_read_s,
+    get_prefill_s,
 )
 
 SHORT = Work(PromptSize(5_000, 1_400), 0.3, 0.25, 1.3)
@@ -26,7 +26,7 @@
     """An idle fleet of 18 engines."""
 
     def setUp(self):
-        self.board = Board()
+        self.board = LoadTable()
         self.health = Health()
         self.placer = Placer(self.board, self.health)
         self.count = 0
@@ -34,7 +34,7 @@
     def place(self, work, now=0.0):
         return self.placer.place(work, ENGINE, TARGETS, now)
 
-    def put(self, work, placement, phase=Phase.writing, now=0.0):
+    def put(self, work, placement, phase=Phase.decode, now=0.0):
         self.count += 1
         self.board.put(
             Flight(
@@ -79,7 +79,7 @@
     def test_not_beside_long_prefill(self):
         """A short request avoids engines that prefill a long prompt."""
         placement = self.place(LONG)
-        self.put(LONG, placement, Phase.reading)
+        self.put(LONG, placement, Phase.prefill)
         busy = {placement.target, *placement.helpers}
         if len(busy) < len(TARGETS):
             self.assertNotIn(self.place(SHORT).target, busy)
@@ -88,7 +88,7 @@
         """A failing engine is avoided."""
         self.put(SHORT, self.place(SHORT))
         for _ in range(4):
-            self.health.note_failure(self.place(SHORT).target.target_id, 0)
+            self.health.record_failure(self.place(SHORT).target.target_id, 0)
         self.assertLess(
             self.health.get(self.place(SHORT).target.target_id).failures, 0.3
         )
@@ -101,14 +101,14 @@
         """On an idle fleet a long prompt is well within its objective."""
         placement = self.place(LONG)
         self.assertGreater(len(placement.helpers), 1)
-        self.assertLess(placement.first_s, 1.2)
+        self.assertLess(placement.first_token_s, 1.2)
 
     def test_short_pauses_are_kept(self):
         """Chunks beside short answers stay within their allowed pauses."""
         for _ in range(40):
             self.put(SHORT, self.place(SHORT))
         placement = self.place(LONG)
-        chunk_s = get_read_s(ENGINE, LONG.size.prompt_tokens) / (
+        chunk_s = get_prefill_s(ENGINE, LONG.size.prompt_tokens) / (
             len(placement.helpers) + 1
         )
         for target in (placement.target, *placement.helpers):
@@ -129,16 +129,16 @@
     def test_long_prompts_keep_apart(self):
         """A second long prompt avoids the engines of the first."""
         first = self.place(LONG)
-        self.put(LONG, first, Phase.reading)
+        self.put(LONG, first, Phase.prefill)
         second = self.place(LONG, now=0.1)
         engaged = {first.target, *first.helpers}
         self.assertFalse(engaged & {second.target, *second.helpers})
 
     def test_giant_prompts_share_engines(self):
         """A second giant prompt shares engines with the first to be in time."""
-        self.put(GIANT, self.place(GIANT), Phase.reading)
+        self.put(GIANT, self.place(GIANT), Phase.prefill)
         second = self.place(GIANT, now=0.2)
-        self.assertLess(second.first_s, GIANT.objective_s)
+        self.assertLess(second.first_token_s, GIANT.objective_s)
 
     def test_instances_choose_differently(self):
         """Instances that choose at once rarely take the same engine."""
@@ -157,10 +157,10 @@
     def test_reservations(self):
         """The reservations and the primary engine hold the whole prompt."""
         placement = self.place(GIANT)
-        reserved = sum(tokens for _, tokens in placement.tickets)
+        reserved = sum(tokens for _, tokens in placement.reservations)
         first = GIANT.size.total_tokens - reserved
         self.assertLessEqual(first, ENGINE.capacity_tokens)
-        for _, tokens in placement.tickets:
+        for _, tokens in placement.reservations:
             self.assertLessEqual(tokens, ENGINE.capacity_tokens)
 
     def test_none_without_memory(self):
@@ -172,7 +172,7 @@
                     target.target_id,
                     220_000,
                     100,
-                    Phase.writing,
+                    Phase.decode,
                     0,
                 )
             )
@@ -187,7 +187,7 @@
         for target in TARGETS[1:]:
             self.board.put(
                 Flight(
-                    target.target_id, target.target_id, 0, 0, Phase.reading, 0
+                    target.target_id, target.target_id, 0, 0, Phase.prefill, 0
                 )
             )
         chosen = choose_least_busy(
--- a/tests/test_relay_quarantine.py
+++ b/tests/test_relay_quarantine.py
@@ -4,12 +4,12 @@
 from itertools import permutations
 from random import Random
 
-from trestledock.relay import End, Quarantine
+from trestledock.relay import Crash, Quarantine
 from trestledock.relay._quarantine import (
-    MOST_CLEARED,
-    MOST_ENDS,
-    MOST_KNOWN,
-    TRIALS_S,
+    MAX_CLEARED,
+    MIN_CRASHES,
+    MAX_SUSPECTS,
+    PROBE_DELAYS_S,
 )
 
 DEADLY, HARMLESS = 'deadly', 'beside'
@@ -18,7 +18,7 @@
 def record_crashes(quarantine, fingerprint, *targets, now=0):
     """Record that targets crashed while they ran a request."""
     for target in targets:
-        quarantine.note_end(End(fingerprint, target), now)
+        quarantine.note_end(Crash(fingerprint, target), now)
 
 
 def make_quarantine(*targets):
@@ -36,7 +36,7 @@
             make_quarantine(
                 *(f't{number}' for number in range(count))
             ).is_quarantined(DEADLY)
-            for count in range(MOST_ENDS + 2)
+            for count in range(MIN_CRASHES + 2)
         ]
         self.assertEqual(quarantined, [False, False, False, True, True])
 
@@ -59,13 +59,13 @@
 
     def test_order_does_not_matter(self):
         """Each instance learns of the same crashes in its own order."""
-        crashes = [End(DEADLY, f't{number}') for number in range(4)]
-        crashes.extend(End(HARMLESS, f't{number}') for number in range(1, 4))
+        crashes = [Crash(DEADLY, f't{number}') for number in range(4)]
+        crashes.extend(Crash(HARMLESS, f't{number}') for number in range(1, 4))
         results = set()
         for order in permutations(crashes):
             quarantine = Quarantine()
             for crash in order:
-                quarantine.note_end(crash, 0)
+                quarantine.record_crash(crash, 0)
             results.add(
                 (
                     quarantine.is_quarantined(DEADLY),
@@ -76,9 +76,9 @@
 
     def test_answer_clears(self):
         quarantine = make_quarantine('t1', 't2', 't3')
-        self.assertEqual(len(quarantine.note_answered(DEADLY, 0)), MOST_ENDS)
+        self.assertEqual(len(quarantine.record_answer(DEADLY, 0)), MIN_CRASHES)
         self.assertFalse(quarantine.is_quarantined(DEADLY))
-        self.assertFalse(quarantine.was_ended('t1'))
+        self.assertFalse(quarantine.has_crashed('t1'))
 
 
 class ProbeTest(unittest.TestCase):
@@ -87,24 +87,24 @@
     def test_probe_delays_increase(self):
         quarantine = make_quarantine('t1', 't2', 't3')
         now = 0
-        for number, wait_s in enumerate((*TRIALS_S, TRIALS_S[-1])):
-            self.assertFalse(quarantine.is_due(DEADLY, now + wait_s - 1))
+        for number, wait_s in enumerate((*PROBE_DELAYS_S, PROBE_DELAYS_S[-1])):
+            self.assertFalse(quarantine.is_probe_due(DEADLY, now + wait_s - 1))
             now += wait_s
-            self.assertTrue(quarantine.is_due(DEADLY, now))
-            quarantine.note_trial(DEADLY, now)
+            self.assertTrue(quarantine.is_probe_due(DEADLY, now))
+            quarantine.record_probe(DEADLY, now)
             now += 1
             record_crashes(quarantine, DEADLY, f'u{number}', now=now)
 
     def test_records_keep_age(self):
         """An instance that starts later has the same state."""
         quarantine = make_quarantine('t1', 't2', 't3')
-        quarantine.note_trial(DEADLY, 70)
+        quarantine.record_probe(DEADLY, 70)
         later = Quarantine()
         for record in quarantine.get_records(now=100):
-            later.take(record, now=0)
+            later.merge(record, now=0)
         self.assertTrue(later.is_quarantined(DEADLY))
         self.assertEqual(
-            later.get_due_in_s(DEADLY, 0), quarantine.get_due_in_s(DEADLY, 100)
+            later.get_probe_delay_s(DEADLY, 0), quarantine.get_probe_delay_s(DEADLY, 100)
         )
 
 
@@ -115,43 +115,43 @@
         """An instance that missed the answer still reports the old crashes."""
         quarantine = make_quarantine('t1', 't2', 't3')
         stale = list(quarantine.get_records(now=0))
-        quarantine.note_answered(DEADLY, 0)
+        quarantine.record_answer(DEADLY, 0)
         for record in stale:
-            quarantine.take(record, now=1)
+            quarantine.merge(record, now=1)
         record_crashes(quarantine, DEADLY, 't1', 't2', 't3')
         self.assertFalse(quarantine.is_quarantined(DEADLY))
 
     def test_new_crashes_count(self):
         quarantine = make_quarantine('t1', 't2', 't3')
-        quarantine.note_answered(DEADLY, 0)
+        quarantine.record_answer(DEADLY, 0)
         record_crashes(quarantine, DEADLY, 't4', 't5', 't6')
         self.assertTrue(quarantine.is_quarantined(DEADLY))
 
     def test_records_keep_cleared(self):
         """An instance that missed the answer learns of it from a peer."""
         quarantine = make_quarantine('t1', 't2', 't3')
-        quarantine.note_answered(DEADLY, 0)
+        quarantine.record_answer(DEADLY, 0)
         other = make_quarantine('t1', 't2', 't3', 't4')
         for record in quarantine.get_records(now=0):
-            other.take(record, now=0)
-        self.assertEqual(other.count_ends(DEADLY), 1)
+            other.merge(record, now=0)
+        self.assertEqual(other.count_crashes(DEADLY), 1)
 
     def test_newest_are_kept(self):
         """A popular request is cleared of some crashes again and again."""
         quarantine = Quarantine()
-        for number in range(MOST_CLEARED * 2):
+        for number in range(MAX_CLEARED * 2):
             record_crashes(quarantine, DEADLY, f't{number}')
-            quarantine.note_answered(DEADLY, 0)
+            quarantine.record_answer(DEADLY, 0)
         cleared = quarantine.make_record(DEADLY, 0).cleared
-        self.assertEqual(len(cleared), MOST_CLEARED)
-        self.assertEqual(cleared[-1], f't{MOST_CLEARED * 2 - 1}')
+        self.assertEqual(len(cleared), MAX_CLEARED)
+        self.assertEqual(cleared[-1], f't{MAX_CLEARED * 2 - 1}')
 
     def test_cleared_is_evicted_first(self):
         quarantine = make_quarantine('t1', 't2', 't3')
-        quarantine.note_answered(DEADLY, 0)
-        for number in range(MOST_KNOWN):
+        quarantine.record_answer(DEADLY, 0)
+        for number in range(MAX_SUSPECTS):
             record_crashes(quarantine, f'f{number}', f'u{number}')
-        self.assertEqual(quarantine.trim(), [DEADLY])
+        self.assertEqual(quarantine.evict_excess(), [DEADLY])
 
 
 class BoundTest(unittest.TestCase):
@@ -159,19 +159,19 @@
 
     def test_fewest_crashes_are_evicted_first(self):
         quarantine = make_quarantine('t1', 't2', 't3')
-        for number in range(MOST_KNOWN * 2):
+        for number in range(MAX_SUSPECTS * 2):
             record_crashes(quarantine, f'f{number}', f'u{number}', now=number)
-            quarantine.trim()
-        self.assertEqual(len(quarantine.suspects), MOST_KNOWN)
+            quarantine.evict_excess()
+        self.assertEqual(len(quarantine.suspects), MAX_SUSPECTS)
         self.assertTrue(quarantine.is_quarantined(DEADLY))
-        self.assertIn(f'f{MOST_KNOWN * 2 - 1}', quarantine.suspects)
+        self.assertIn(f'f{MAX_SUSPECTS * 2 - 1}', quarantine.suspects)
 
     def test_targets_are_evicted_too(self):
         quarantine = Quarantine()
-        for number in range(MOST_KNOWN * 2):
+        for number in range(MAX_SUSPECTS * 2):
             record_crashes(quarantine, f'f{number}', f'u{number}')
-            quarantine.trim()
-        self.assertFalse(quarantine.was_ended('u0'))
+            quarantine.evict_excess()
+        self.assertFalse(quarantine.has_crashed('u0'))
 
 
 class DetectionRateTest(unittest.TestCase):
--- a/tests/test_relay_turns.py
+++ b/tests/test_relay_turns.py
@@ -5,7 +5,7 @@
 from hypothesis import given
 from hypothesis import strategies as st
 
-from trestledock.relay import Turn, Turns
+from trestledock.relay import WaitingRequest, WaitQueue
 
 REQUESTS = st.lists(
     st.tuples(st.sampled_from('abc'), st.sampled_from([None, 0, 5, 9])),
@@ -15,9 +15,9 @@
 
 def make_queue(drawn):
     """Return waiting requests in the order of their arrival."""
-    queue = Turns()
+    queue = WaitQueue()
     for number, (team, priority) in enumerate(drawn):
-        queue.join(Turn(f'r{number}', 'svc', team, number, priority))
+        queue.add(WaitingRequest(f'r{number}', 'svc', team, number, priority))
     return queue
 
 
@@ -65,4 +65,4 @@
 
     def test_other_services_are_ignored(self):
         queue = make_queue([('a', 0)])
-        self.assertEqual(queue.count_ahead(Turn('x', 'other', 'a', 9)), 0)
+        self.assertEqual(queue.count_ahead(WaitingRequest('x', 'other', 'a', 9)), 0)
--- a/trestledock/relay/_arithmetic.py
+++ b/trestledock/relay/_arithmetic.py
@@ -20,12 +20,12 @@
 class PassLoad:
     """The work of a pass: decoding requests, their context, prefill time."""
 
-    writers: int = 0
+    decoding: int = 0
     context_tokens: int = 0
-    reading_s: float = 0
+    prefill_s: float = 0
 
 
-def get_read_s(engine: EngineModel, tokens: int) -> float:
+def get_prefill_s(engine: EngineModel, tokens: int) -> float:
     """Return how long an otherwise idle engine takes to prefill a prompt.
 
     >>> engine = EngineModel(8, 232_000, 0.001, 200_000, pair_s=1e-10)
@@ -36,7 +36,7 @@
     return tokens / engine.read_rate + pairs * engine.pair_s
 
 
-def get_write_pass_s(engine: EngineModel, load: PassLoad) -> float:
+def get_decode_pass_s(engine: EngineModel, load: PassLoad) -> float:
     """Return how long a pass with decoding requests takes, prefill included.
 
     A pass contains at most `stride` prefill chunks, so a long prompt fills it
@@ -44,13 +44,13 @@
     """
     step_s = (
         engine.step_s
-        + engine.step_request_s * load.writers
+        + engine.step_request_s * load.decoding
         + engine.step_context_s * load.context_tokens
     )
-    return engine.stride * step_s + load.reading_s
+    return engine.stride * step_s + load.prefill_s
 
 
-def get_write_s(engine: EngineModel, size: PromptSize) -> float:
+def get_decode_s(engine: EngineModel, size: PromptSize) -> float:
     """Return how long an idle engine usually takes to decode an answer.
 
     >>> engine = EngineModel(8, 232_000, 0.001, 200_000)
--- a/trestledock/relay/_resting.py
+++ b/trestledock/relay/_backoff.py
@@ -10,7 +10,7 @@
 
 from dataclasses import dataclass, field
 
-from trestledock.relay._notices import Notices, Rest
+from trestledock.relay._notices import Notices, Backoff
 
 #: The longest random extension of a back-off, as a share of it and in seconds;
 #: each instance draws its own.
@@ -18,10 +18,10 @@
 SPREAD_MOST_S = 1.0
 #: How long the first request after a back-off may be unanswered until another
 #: request is sent, in seconds.
-TRIAL_S = 0.4
+PROBE_TIMEOUT_S = 0.4
 
 
-def get_spread_s(rest_s: float, drawn: float) -> float:
+def get_jitter_s(rest_s: float, drawn: float) -> float:
     """Return the extension of a back-off for a random number from 0 to 1.
 
     >>> get_spread_s(2, 0.5), get_spread_s(60, 1)
@@ -31,7 +31,7 @@
 
 
 @dataclass
-class Resting:
+class BackoffGate:
     """Holds back requests to targets that asked this instance for a back-off.
 
     >>> gate = Resting(Notices())
@@ -46,33 +46,33 @@
     notices: Notices
     _tried_until: dict[str, float] = field(default_factory=dict)
 
-    def is_known(self, target: str) -> bool:
+    def has_backoff(self, target: str) -> bool:
         """Return whether a target backs off, or has not answered since."""
-        return self.notices.get(Rest, target) is not None
+        return self.notices.get(Backoff, target) is not None
 
-    def is_resting(self, target: str, now: float) -> bool:
+    def is_backing_off(self, target: str, now: float) -> bool:
         """Return whether a target wants no requests now."""
-        rest = self.notices.get(Rest, target)
+        rest = self.notices.get(Backoff, target)
         return rest is not None and not rest.is_over(now)
 
-    def is_free(self, target: str, now: float) -> bool:
+    def can_send(self, target: str, now: float) -> bool:
         """Return whether a request may be sent to a target now."""
         return self.get_wait_s(target, now) <= 0
 
     def get_wait_s(self, target: str, now: float) -> float:
         """Return after how many seconds the next request may be sent."""
-        rest = self.notices.get(Rest, target)
+        rest = self.notices.get(Backoff, target)
         if rest is None:
             return 0
         tried_until = self._tried_until.get(target, rest.until)
         return max(0, max(rest.until, tried_until) - now)
 
-    def take(self, target: str, now: float) -> None:
+    def record_sent(self, target: str, now: float) -> None:
         """Record that a request is sent to a target."""
-        if self.is_known(target):
-            self._tried_until[target] = now + TRIAL_S
+        if self.has_backoff(target):
+            self._tried_until[target] = now + PROBE_TIMEOUT_S
 
     def forget(self, target: str) -> None:
         """Forget the back-off of a target."""
-        self.notices.drop(Rest, target)
+        self.notices.discard(Backoff, target)
         self._tried_until.pop(target, None)
--- a/trestledock/relay/_board.py
+++ b/trestledock/relay/_board.py
@@ -16,8 +16,8 @@
 class Phase(str, Enum):
     """Whether an engine prefills a request's prompt or decodes its answer."""
 
-    reading = 'r'
-    writing = 'w'
+    prefill = 'r'
+    decode = 'w'
 
 
 @dataclass(frozen=True)
@@ -40,34 +40,34 @@
     since: float
     pause_s: float = 0
     worth: float = 1
-    due: float = float('inf')
+    due_at: float = float('inf')
     helpers: tuple[str, ...] = ()
-    tickets: tuple[tuple[str, int], ...] = ()
-    gone: float = float('inf')
+    reservations: tuple[tuple[str, int], ...] = ()
+    abandoned_at: float = float('inf')
     patience_s: float = float('inf')
 
     @property
-    def parts(self) -> int:
+    def chunk_count(self) -> int:
         """The number of equal chunks into which the prompt is split."""
         return len(self.helpers) + 1
 
     @property
-    def engaged(self) -> tuple[str, ...]:
+    def engaged_targets(self) -> tuple[str, ...]:
         """The targets that work on the request or hold part of its memory.
 
         After prefill, helpers without a reservation are free again.
         """
-        if self.phase is Phase.reading:
+        if self.phase is Phase.prefill:
             return (self.target, *self.helpers)
-        return (self.target, *(name for name, _ in self.tickets))
+        return (self.target, *(name for name, _ in self.reservations))
 
     def get_held_tokens(self, target: str) -> int:
         """Return the KV tokens that the request occupies at a target."""
-        reserved = dict(self.tickets)
+        reserved = dict(self.reservations)
         if target != self.target:
             return reserved.get(target, 0)
         reserved_elsewhere = sum(
-            tokens for name, tokens in self.tickets if name != target
+            tokens for name, tokens in self.reservations if name != target
         )
         total = self.prompt_tokens + self.output_tokens
         return max(total - reserved_elsewhere, 0)
@@ -85,7 +85,7 @@
 OWN = ''
 
 
-class Board:
+class LoadTable:
     """Requests in flight by target, of this instance and of its peers.
 
     >>> table = Board()
@@ -111,11 +111,11 @@
         self._set(OWN, flight)
         self.changed[flight.flight_id] = flight
 
-    def advance(self, flight_id: str, now: float) -> None:
+    def start_decode(self, flight_id: str, now: float) -> None:
         """Record that the first part of an answer has arrived."""
         flight = self.own.get(flight_id)
-        if flight and flight.phase is Phase.reading:
-            self.put(replace(flight, phase=Phase.writing, since=now))
+        if flight and flight.phase is Phase.prefill:
+            self.put(replace(flight, phase=Phase.decode, since=now))
 
     def remove(self, flight_id: str) -> None:
         """Remove a request of this instance."""
@@ -123,13 +123,13 @@
             self._unset(OWN, flight_id)
             self.changed[flight_id] = None
 
-    def take_changes(self) -> dict[str, Flight | None]:
+    def pop_changes(self) -> dict[str, Flight | None]:
         """Return and reset the changes to this instance's own requests."""
         changed = self.changed
         self.changed = {}
         return changed
 
-    def hear(
+    def apply_update(
         self,
         sender: str,
         sequence: int,
@@ -176,15 +176,15 @@
         ]
         return iter((*self._by_target.get(target, {}).values(), *remote))
 
-    def get_beside(self, flight: Flight) -> list[Flight]:
+    def get_colocated(self, flight: Flight) -> list[Flight]:
         """Return all requests at the targets of a request, itself included."""
         return [
             neighbour
-            for name in flight.engaged
+            for name in flight.engaged_targets
             for neighbour in self.get_flights(name)
         ]
 
-    def set_elsewhere(self, place: str, flights: Iterable[Flight]) -> None:
+    def set_remote_load(self, data_centre: str, flights: Iterable[Flight]) -> None:
         """Replace the load that was reported for a remote data centre.
 
         The reported requests never include those of peers that send messages to
@@ -193,9 +193,9 @@
         by_target: dict[str, list[Flight]] = defaultdict(list)
         for flight in flights:
             by_target[flight.target].append(flight)
-        self._elsewhere[place] = by_target
+        self._elsewhere[data_centre] = by_target
 
-    def get_all_but(self, senders: Container[str]) -> Iterator[Flight]:
+    def get_flights_except(self, senders: Container[str]) -> Iterator[Flight]:
         """Yield all requests in the table but those of the given peers."""
         for sender, peer in self._senders.items():
             if sender not in senders:
@@ -204,12 +204,12 @@
     def _set(self, sender: str, flight: Flight) -> None:
         self._unset(sender, flight.flight_id)
         self._senders[sender].flights[flight.flight_id] = flight
-        for target in flight.engaged:
+        for target in flight.engaged_targets:
             self._by_target[target][sender + flight.flight_id] = flight
 
     def _unset(self, sender: str, flight_id: str) -> None:
         flight = self._senders[sender].flights.pop(flight_id, None)
         if flight is None:
             return
-        for target in flight.engaged:
+        for target in flight.engaged_targets:
             self._by_target[target].pop(sender + flight_id, None)
--- a/trestledock/relay/_claims.py
+++ b/trestledock/relay/_claims.py
@@ -20,7 +20,7 @@
 #: the first: the choice took a few milliseconds on half a core, and the message
 #: waited behind the bytes of the prompt (30 KB take 12 ms at 20 Mbit/s).
 #: Messages are now sent before these bytes.
-CLAIM_S = 0.03
+CLAIM_DELAY_S = 0.03
 #: The least ratio of the time to the first token to this wait at which a claim
 #: is worth its delay.
 LEAST_TURNS = 10
@@ -28,11 +28,11 @@
 
 def needs_claim(placement: Placement, worth: float) -> bool:
     """Return whether a prompt is announced to others before it is sent."""
-    is_long = placement.first_s >= CLAIM_S * LEAST_TURNS
+    is_long = placement.first_token_s >= CLAIM_DELAY_S * LEAST_TURNS
     return is_long and worth > SMALL_WORTH
 
 
-def find_prior(
+def find_prior_claim(
     own: Flight,
     others: Iterable[Flight],
     known: Container[str],
@@ -46,13 +46,13 @@
     """
     for other in others:
         is_new = other.flight_id not in known and other != own
-        is_long = other.phase is Phase.reading and other.worth > SMALL_WORTH
+        is_long = other.phase is Phase.prefill and other.worth > SMALL_WORTH
         if is_new and is_long and _goes_before(other, own):
             return other
     return None
 
 
 def _goes_before(other: Flight, own: Flight) -> bool:
-    if abs(other.since - own.since) > CLAIM_S:
+    if abs(other.since - own.since) > CLAIM_DELAY_S:
         return other.since < own.since
     return other.flight_id < own.flight_id
--- a/trestledock/relay/_deciding.py
+++ b/trestledock/relay/_deciding.py
@@ -12,7 +12,7 @@
 from enum import Enum
 
 from trestledock.relay._problem import GONE_SHARE, Placement
-from trestledock.relay._terms import TERMS, Terms
+from trestledock.relay._terms import DEFAULT_POLICY, PlacementPolicy
 
 #: The share of its objective that a request may wait for a better placement.
 PATIENCE_SHARE = 0.3
@@ -40,7 +40,7 @@
 WAIT_COST_SHARE = 0.3
 #: The interval at which a waiting request is placed again if nothing has
 #: changed, in seconds.
-LOOK_S = 0.03
+PLACEMENT_RETRY_S = 0.03
 #: How long a request waits while its service has no target, in seconds.
 TARGET_PATIENCE_S = 0.2
 
@@ -67,11 +67,11 @@
     """
 
     arrived_at: float
-    due: float
-    gone: float
+    due_at: float
+    abandoned_at: float
     deadline: float
     write_s: float = 0
-    begun: bool = False
+    started: bool = False
 
     def get_waited_s(self, now: float) -> float:
         """Return how long the request has waited."""
@@ -79,11 +79,11 @@
 
     def get_objective_left_s(self, now: float) -> float:
         """Return the time left until the first event is late."""
-        return self.due - now
+        return self.due_at - now
 
     def get_left_s(self, now: float) -> float:
         """Return the time left in which the first event is still useful."""
-        return min(self.gone, self.deadline - self.write_s) - now
+        return min(self.abandoned_at, self.deadline - self.write_s) - now
 
 
 def decide(
@@ -91,7 +91,7 @@
     worth: float,
     placement: Placement,
     now: float,
-    terms: Terms = TERMS,
+    terms: PlacementPolicy = DEFAULT_POLICY,
 ) -> Decision:
     """Return what happens to a request whose best placement is `placement`."""
     if terms.waiting and is_worth_waiting(timing, worth, placement, now):
@@ -110,18 +110,18 @@
     timing: Timing,
     placement: Placement,
     now: float,
-    terms: Terms,
+    terms: PlacementPolicy,
 ) -> Decision | None:
     """Return why the placement should not be used, or None.
 
     A request that has begun is never refused for its cost to others: its caller
     has waited, and engines have already worked on it.
     """
-    if placement.first_s > timing.get_left_s(now) * GONE_SHARE:
+    if placement.first_token_s > timing.get_left_s(now) * GONE_SHARE:
         return Decision.no_time
-    if timing.begun:
+    if timing.started:
         return None
-    too_dear = placement.harm > placement.gain * terms.harm_limit
+    too_dear = placement.cost_to_others > placement.gain * terms.max_cost_to_others
     return Decision.no_room if too_dear else None
 
 
@@ -132,8 +132,8 @@
     now: float,
 ) -> bool:
     """Return whether a late request should let other requests finish first."""
-    is_late = placement.first_s > timing.get_objective_left_s(now)
-    return is_late and placement.harm > worth * LATE_HARM_SHARE
+    is_late = placement.first_token_s > timing.get_objective_left_s(now)
+    return is_late and placement.cost_to_others > worth * LATE_HARM_SHARE
 
 
 def is_worth_waiting(
@@ -148,15 +148,15 @@
     placement that is late already is put off as long as an idle fleet could
     still be in time.
     """
-    objective_s = timing.due - timing.arrived_at
+    objective_s = timing.due_at - timing.arrived_at
     if timing.get_waited_s(now) > objective_s * PATIENCE_SHARE:
         return False
     if placement.cost <= worth * WAIT_COST_SHARE:
         return False
     left_s = timing.get_objective_left_s(now)
-    soon_s = left_s * OBJECTIVE_SHARE - LOOK_S
-    is_late = placement.first_s > left_s
-    hoped_s = placement.ideal_s if is_late else placement.first_s
+    soon_s = left_s * OBJECTIVE_SHARE - PLACEMENT_RETRY_S
+    is_late = placement.first_token_s > left_s
+    hoped_s = placement.ideal_s if is_late else placement.first_token_s
     return hoped_s < soon_s
 
 
@@ -170,7 +170,7 @@
         timing.get_objective_left_s(now) * OBJECTIVE_SHARE,
         timing.get_left_s(now) * GONE_SHARE,
     )
-    return placement.ideal_s < left_s - LOOK_S
+    return placement.ideal_s < left_s - PLACEMENT_RETRY_S
 
 
 def _has_time_to_queue(
@@ -179,13 +179,13 @@
     now: float,
 ) -> bool:
     """Return whether a late request should wait for others to finish."""
-    whole_s = timing.gone - timing.arrived_at
+    whole_s = timing.abandoned_at - timing.arrived_at
     if timing.get_waited_s(now) > whole_s * LATE_PATIENCE_SHARE:
         return False
     return placement.ideal_s <= timing.get_left_s(now) * IDEAL_SHARE
 
 
-def get_come_back_s(timing: Timing, clear_s: float, now: float) -> float:
+def get_retry_after_s(timing: Timing, clear_s: float, now: float) -> float:
     """Return after how many seconds a refused caller should retry.
 
     By then the prefill that delays the request has ended, but the second try
@@ -195,7 +195,7 @@
     return max(0, min(clear_s, most_s))
 
 
-def decide_without_place(
+def decide_unplaced(
     timing: Timing,
     now: float,
     *,
--- a/trestledock/relay/_elsewhere.py
+++ b/trestledock/relay/_elsewhere.py
@@ -26,7 +26,7 @@
 ELSEWHERE = ''
 
 
-def is_worth_asking(worth: float, cost: float | None) -> bool:
+def should_query_remote(worth: float, cost: float | None) -> bool:
     """Return whether to ask other data centres for the load of their targets.
 
     `cost` is that of the best nearby placement, None if there is none now.
@@ -42,7 +42,7 @@
 
 
 @dataclass(frozen=True)
-class Load:
+class RemoteLoad:
     """The load of a data centre's targets at the instant `as_of`."""
 
     as_of: float
@@ -53,7 +53,7 @@
         return now - self.as_of <= USED_S
 
 
-def summarize(
+def summarize_load(
     flights: Iterable[Flight],
     targets: Container[str],
     now: float,
@@ -66,10 +66,10 @@
     """
     decoding: dict[str, list[Flight]] = {}
     for flight in flights:
-        for name in flight.engaged:
+        for name in flight.engaged_targets:
             if name not in targets:
                 continue
-            if flight.phase is Phase.reading:
+            if flight.phase is Phase.prefill:
                 yield _take_part(flight, name)
             else:
                 decoding.setdefault(name, []).append(flight)
@@ -86,7 +86,7 @@
         flight_id=f'{flight.flight_id}/{name}',
         target=name,
         helpers=tuple([ELSEWHERE for _ in flight.helpers]),
-        tickets=((ELSEWHERE, surplus),) if surplus else (),
+        reservations=((ELSEWHERE, surplus),) if surplus else (),
     )
 
 
@@ -97,7 +97,7 @@
         target=name,
         prompt_tokens=sum(flight.get_held_tokens(name) for flight in flights),
         output_tokens=0,
-        phase=Phase.writing,
+        phase=Phase.decode,
         since=now,
         pause_s=min(flight.pause_s for flight in flights),
         worth=sum(flight.worth for flight in flights),
--- a/trestledock/relay/_events.py
+++ b/trestledock/relay/_events.py
@@ -14,7 +14,7 @@
 
 
 @dataclass(frozen=True)
-class Event:
+class StreamEvent:
     """A whole event: its raw bytes, and its id if it has one."""
 
     raw: bytes
@@ -22,25 +22,25 @@
 
 
 @dataclass
-class Splitter:
+class EventSplitter:
     """Buffers bytes and returns whole events.
 
     >>> Splitter().push(b'id: 1')
     []
     """
 
-    rest: bytes = b''
+    remainder: bytes = b''
 
-    def push(self, raw: bytes) -> list[Event]:
+    def push(self, raw: bytes) -> list[StreamEvent]:
         """Add bytes; return the events that they complete."""
-        buffered = b''.join((self.rest, raw))
+        buffered = b''.join((self.remainder, raw))
         end = END_CRLF if b'\r' in buffered else END
-        *events, self.rest = buffered.split(end)
+        *events, self.remainder = buffered.split(end)
         return [_make_event(b''.join((event, end))) for event in events]
 
 
-def _make_event(raw: bytes) -> Event:
+def _make_event(raw: bytes) -> StreamEvent:
     for line in raw.splitlines():
         if line.lower().startswith(ID_FIELD):
-            return Event(raw, line[len(ID_FIELD) :].strip().decode('latin-1'))
-    return Event(raw)
+            return StreamEvent(raw, line[len(ID_FIELD) :].strip().decode('latin-1'))
+    return StreamEvent(raw)
--- a/trestledock/relay/_fingerprint.py
+++ b/trestledock/relay/_fingerprint.py
@@ -14,7 +14,7 @@
 DIGITS = 24
 
 
-class Traits(NamedTuple):
+class RequestIdentity(NamedTuple):
     """What identifies a request to a target, apart from the body.
 
     The team stands for the caller, since keys may be replaced between attempts.
@@ -27,7 +27,7 @@
     team: str
 
 
-def get_fingerprint(traits: Traits, body_digest: bytes) -> str:
+def get_fingerprint(traits: RequestIdentity, body_digest: bytes) -> str:
     """Return the fingerprint that all retries of a request share.
 
     Each part is hashed with its length, so that no two different requests
--- a/trestledock/relay/_health.py
+++ b/trestledock/relay/_health.py
@@ -56,7 +56,7 @@
 
 
 @dataclass
-class PlaceHealth:
+class DataCentreHealth:
     """The reachability of a data centre.
 
     If several targets fall silent within a short time, or all instances there
@@ -70,7 +70,7 @@
     suspect_until: float = float('-inf')
     probed_until: float = float('-inf')
     times: int = 0
-    quiet: bool = False
+    instances_silent: bool = False
 
     def note_silence(self, target_id: str, now: float) -> None:
         """Record a silent target in the data centre."""
@@ -91,7 +91,7 @@
 
     def note_quiet(self, now: float) -> None:
         """Avoid the data centre until its instances send messages again."""
-        self.quiet = True
+        self.instances_silent = True
         self.times += 1
         self.suspect_until = now + QUIET_MOST_S
 
@@ -120,26 +120,26 @@
     """
 
     targets: dict[str, TargetHealth] = field(default_factory=dict)
-    places: dict[str, PlaceHealth] = field(default_factory=dict)
+    data_centres: dict[str, DataCentreHealth] = field(default_factory=dict)
 
     def get(self, target_id: str) -> TargetHealth:
         """Return the health of a target."""
         return self.targets.setdefault(target_id, TargetHealth())
 
-    def note_success(self, target_id: str, now: float, place: str = '') -> None:
+    def record_success(self, target_id: str, now: float, data_centre: str = '') -> None:
         """Record a correct answer."""
-        self.places.pop(place, None)
+        self.data_centres.pop(data_centre, None)
         self._learn(target_id, 0, now)
         target = self.get(target_id)
         target.silences = 0
         target.doubts = 0
         target.suspect_until = float('-inf')
 
-    def note_failure(self, target_id: str, now: float) -> None:
+    def record_failure(self, target_id: str, now: float) -> None:
         """Record an answer that failed, was cut short or was invalid."""
         self._learn(target_id, 1, now)
 
-    def note_doubt(self, target_id: str, now: float, place: str = '') -> None:
+    def record_early_timeout(self, target_id: str, now: float, data_centre: str = '') -> None:
         """Record an early timeout; the target may only be busy.
 
         Another early timeout without an answer in between counts as silence.
@@ -148,12 +148,12 @@
         target = self.get(target_id)
         target.doubts += 1
         if target.doubts >= DOUBTS:
-            self.note_silence(target_id, now, place)
+            self.record_silence(target_id, now, data_centre)
 
-    def note_silence(self, target_id: str, now: float, place: str = '') -> None:
+    def record_silence(self, target_id: str, now: float, data_centre: str = '') -> None:
         """Record that no answer arrived or no connection was established."""
-        if place:
-            centre_health = self.places.setdefault(place, PlaceHealth())
+        if data_centre:
+            centre_health = self.data_centres.setdefault(data_centre, DataCentreHealth())
             centre_health.note_silence(target_id, now)
         target = self.get(target_id)
         if now < target.suspect_until:
@@ -166,7 +166,7 @@
         self,
         target_id: str,
         now: float,
-        place: str = '',
+        data_centre: str = '',
         *,
         small: bool = True,
     ) -> bool:
@@ -174,7 +174,7 @@
 
         Losing a `small` request to find out is acceptable.
         """
-        centre_health = self.places.get(place)
+        centre_health = self.data_centres.get(data_centre)
         if centre_health is not None and centre_health.is_suspect(
             now, small=small
         ):
@@ -187,30 +187,30 @@
         known = self.targets.get(target_id)
         return known is not None and known.silences > 0
 
-    def note_quiet(self, place: str, now: float) -> bool:
+    def record_silent_data_centre(self, data_centre: str, now: float) -> bool:
         """Record that all instances of a data centre are silent.
 
         Return whether they were not silent before.
         """
-        centre_health = self.places.setdefault(place, PlaceHealth())
-        if centre_health.quiet:
+        centre_health = self.data_centres.setdefault(data_centre, DataCentreHealth())
+        if centre_health.instances_silent:
             return False
         centre_health.note_quiet(now)
         return True
 
-    def note_heard(self, place: str) -> None:
+    def record_message(self, data_centre: str) -> None:
         """Record a message from an instance of a data centre.
 
         It ends a suspicion only if silence of the instances was its cause:
         messages may get through where requests don't.
         """
-        centre_health = self.places.get(place)
-        if centre_health and centre_health.quiet:
-            self.places.pop(place)
+        centre_health = self.data_centres.get(data_centre)
+        if centre_health and centre_health.instances_silent:
+            self.data_centres.pop(data_centre)
 
-    def note_sent(self, place: str, now: float) -> None:
+    def record_sent(self, data_centre: str, now: float) -> None:
         """Record a request that is sent to a target of a data centre."""
-        centre_health = self.places.get(place)
+        centre_health = self.data_centres.get(data_centre)
         if centre_health:
             centre_health.note_sent(now)
 
--- a/trestledock/relay/_notices.py
+++ b/trestledock/relay/_notices.py
@@ -13,7 +13,7 @@
 from typing import Any, Protocol, TypeVar
 
 
-class Change(str, Enum):
+class NoticeChange(str, Enum):
     """How a notice changed what is known."""
 
     nothing = 'nothing'
@@ -39,11 +39,11 @@
         """The instant at which the answer arrived."""
 
     @property
-    def is_told(self) -> bool:
+    def is_shared(self) -> bool:
         """Whether other instances learn of it without this one."""
 
     @property
-    def asks_for(self) -> float | None:
+    def requested(self) -> float | None:
         """The requested value as a number, or None if nothing is requested."""
 
 
@@ -51,41 +51,41 @@
 
 
 @singledispatch
-def believe(notice: Any, before: Any) -> Any:
+def resolve(notice: Any, before: Any) -> Any:
     """Return the notice that holds after a new one and the one before it."""
     raise TypeError(f'no notice: {notice!r}')
 
 
 @dataclass(frozen=True)
-class Leave:
+class Drain:
     """A target drains; this is final for its incarnation."""
 
     asked_at: float
     heard_at: float
-    is_told: bool = False
+    is_shared: bool = False
 
     @property
-    def asks_for(self) -> float:
+    def requested(self) -> float:
         """A constant: the notice has no value of its own."""
         return 0
 
 
-@believe.register
-def _(notice: Leave, before: Leave) -> Leave:
+@resolve.register
+def _(notice: Drain, before: Drain) -> Drain:
     return before
 
 
 @dataclass(frozen=True)
-class Rest:
+class Backoff:
     """A target wants no requests from this instance until an instant."""
 
     until: float
     asked_at: float
     heard_at: float
-    is_told: bool = False
+    is_shared: bool = False
 
     @property
-    def asks_for(self) -> float:
+    def requested(self) -> float:
         """The instant until which no requests are wanted."""
         return self.until
 
@@ -94,13 +94,13 @@
         return now >= self.until
 
 
-@believe.register
-def _(notice: Rest, before: Rest) -> Rest:
+@resolve.register
+def _(notice: Backoff, before: Backoff) -> Backoff:
     return max(notice, before, key=lambda backoff: backoff.until)
 
 
 @dataclass(frozen=True)
-class RestElsewhere(Rest):
+class PeerBackoff(Backoff):
     """A target wants no requests from another instance until an instant."""
 
 
@@ -117,52 +117,52 @@
     4
     """
 
-    known: dict[type, dict[str, Any]] = field(default_factory=dict)
+    by_kind: dict[type, dict[str, Any]] = field(default_factory=dict)
 
-    def note(self, target: str, notice: Notice) -> Change:
+    def record(self, target: str, notice: Notice) -> NoticeChange:
         """Process a notice of a target; return what it changed."""
-        of_kind = self.known.setdefault(type(notice), {})
+        of_kind = self.by_kind.setdefault(type(notice), {})
         before = of_kind.get(target)
-        if before is None and notice.asks_for is None:
-            return Change.nothing
-        after = notice if before is None else believe(notice, before)
+        if before is None and notice.requested is None:
+            return NoticeChange.nothing
+        after = notice if before is None else resolve(notice, before)
         of_kind[target] = after
         return _get_change(before, after)
 
     def get(self, kind: type[Kind], target: str) -> Kind | None:
         """Return a target's notice of a kind, if it requests anything."""
-        notice = self.known.get(kind, {}).get(target)
-        return notice if notice and notice.asks_for is not None else None
+        notice = self.by_kind.get(kind, {}).get(target)
+        return notice if notice and notice.requested is not None else None
 
     def get_all(self, kind: type[Kind]) -> dict[str, Kind]:
         """Return the newest notices of a kind by target, withdrawn ones too."""
-        return self.known.get(kind, {})
+        return self.by_kind.get(kind, {})
 
     def get_in_force(self, kind: type[Kind]) -> dict[str, Kind]:
         """Return the notices of a kind that request something, by target."""
         return {
             target: notice
             for target, notice in self.get_all(kind).items()
-            if notice.asks_for is not None
+            if notice.requested is not None
         }
 
-    def drop(self, kind: type[Notice], target: str) -> None:
+    def discard(self, kind: type[Notice], target: str) -> None:
         """Discard a notice of a target."""
-        self.known.get(kind, {}).pop(target, None)
+        self.by_kind.get(kind, {}).pop(target, None)
 
     def forget(self, target: str) -> None:
         """Forget a removed target, except that it drains.
 
         A record of it that arrives late must not bring it back.
         """
-        for kind in self.known.keys() - {Leave}:
-            self.drop(kind, target)
+        for kind in self.by_kind.keys() - {Drain}:
+            self.discard(kind, target)
 
 
-def _get_change(before: Notice | None, after: Notice) -> Change:
-    requested_before = None if before is None else before.asks_for
-    if requested_before == after.asks_for:
-        return Change.nothing
+def _get_change(before: Notice | None, after: Notice) -> NoticeChange:
+    requested_before = None if before is None else before.requested
+    if requested_before == after.requested:
+        return NoticeChange.nothing
     if requested_before is None:
-        return Change.learnt
-    return Change.lifted if after.asks_for is None else Change.changed
+        return NoticeChange.learnt
+    return NoticeChange.lifted if after.requested is None else NoticeChange.changed
--- a/trestledock/relay/_parts.py
+++ b/trestledock/relay/_parts.py
@@ -55,9 +55,9 @@
     return Placement(
         primary.listed,
         tuple(load.listed for load in helpers),
-        first_s=last_s,
+        first_token_s=last_s,
         cost=cost + HELPER_COST * len(helpers),
-        harm=problem.get_harm(primary, chunk_s) + helpers_harm,
+        cost_to_others=problem.get_harm(primary, chunk_s) + helpers_harm,
         gain=problem.get_gain(last_s),
     )
 
--- a/trestledock/relay/_placing.py
+++ b/trestledock/relay/_placing.py
@@ -16,12 +16,12 @@
 
 from trestledock.relay._arithmetic import (
     PassLoad,
-    get_read_s,
-    get_write_pass_s,
+    get_prefill_s,
+    get_decode_pass_s,
 )
-from trestledock.relay._board import Board
+from trestledock.relay._board import LoadTable
 from trestledock.relay._catalog import EngineModel
-from trestledock.relay._listed import Listed
+from trestledock.relay._listed import ListedTarget
 from trestledock.relay._giants import place_giant
 from trestledock.relay._health import Health
 from trestledock.relay._parts import HELPER_COUNTS, plan_parts
@@ -31,7 +31,7 @@
     Problem,
     Work,
 )
-from trestledock.relay._terms import TERMS, Terms
+from trestledock.relay._terms import DEFAULT_POLICY, PlacementPolicy
 from trestledock.relay._view import MEMORY_SHARE, View, Viewer
 
 #: A prompt with a shorter prefill, in seconds, is short: it may be prefilled in
@@ -52,14 +52,14 @@
 
     def __init__(
         self,
-        board: Board,
+        board: LoadTable,
         health: Health,
         member: str = '',
         data_centre: str = '',
-        terms: Terms = TERMS,
+        policy: PlacementPolicy = DEFAULT_POLICY,
     ) -> None:
         """Store the inputs of the choice."""
-        self.terms = terms
+        self.policy = policy
         self.viewer = Viewer(board, health, data_centre)
         self.member = member
 
@@ -67,7 +67,7 @@
         self,
         work: Work,
         engine: EngineModel,
-        targets: Sequence[Listed],
+        targets: Sequence[ListedTarget],
         now: float,
     ) -> Placement | None:
         """Return the best placement, or None if no engine can take the work."""
@@ -80,8 +80,8 @@
             views=tuple(
                 self.viewer.view(engine, target, now) for target in ordered
             ),
-            read_s=get_read_s(engine, work.size.prompt_tokens),
-            terms=self.terms,
+            read_s=get_prefill_s(engine, work.size.prompt_tokens),
+            terms=self.policy,
         )
         placement = _get_planner(problem)(problem)
         if placement is None:
@@ -93,7 +93,7 @@
             candidates=len(ordered),
         )
 
-    def _get_order(self, listed: Listed) -> int:
+    def _get_order(self, listed: ListedTarget) -> int:
         return crc32(f'{self.member}{listed.incarnation}'.encode())
 
 
@@ -107,7 +107,7 @@
 def _get_ideal_s(problem: Problem) -> float:
     """Return the time to the first token on an idle fleet."""
     chunk_count = min(len(problem.views), HELPER_COUNTS[-1] + 1)
-    return problem.read_s / chunk_count + get_write_pass_s(
+    return problem.read_s / chunk_count + get_decode_pass_s(
         problem.engine, PassLoad(1)
     )
 
@@ -137,9 +137,9 @@
     first_s = best.predict_first_s(read_s)
     return Placement(
         best.listed,
-        first_s=first_s,
+        first_token_s=first_s,
         cost=cost_of(best),
-        harm=problem.get_harm(best, read_s),
+        cost_to_others=problem.get_harm(best, read_s),
         gain=problem.get_gain(first_s),
     )
 
--- a/trestledock/relay/_problem.py
+++ b/trestledock/relay/_problem.py
@@ -12,8 +12,8 @@
 
 from trestledock.relay._call import PromptSize
 from trestledock.relay._catalog import EngineModel
-from trestledock.relay._listed import Listed
-from trestledock.relay._terms import TERMS, Terms
+from trestledock.relay._listed import ListedTarget
+from trestledock.relay._terms import DEFAULT_POLICY, PlacementPolicy
 from trestledock.relay._view import LATE_LOSS, PAUSE_SHARE, View
 
 #: Batch places of an engine that are left free if other engines have room.
@@ -52,7 +52,7 @@
     objective_s: float
     pause_s: float
     worth: float
-    gone_s: float = float('inf')
+    abandoned_after_s: float = float('inf')
 
 
 @dataclass(frozen=True)
@@ -67,19 +67,19 @@
     the tokens to reserve at helpers, by their ids.
     """
 
-    target: Listed
-    helpers: tuple[Listed, ...] = ()
-    tickets: tuple[tuple[str, int], ...] = ()
-    first_s: float = 0
+    target: ListedTarget
+    helpers: tuple[ListedTarget, ...] = ()
+    reservations: tuple[tuple[str, int], ...] = ()
+    first_token_s: float = 0
     cost: float = 0
-    harm: float = 0
+    cost_to_others: float = 0
     gain: float = 0
     ideal_s: float = 0
     clear_s: float = 0
     candidates: int = 1
 
     @property
-    def engaged(self) -> tuple[Listed, ...]:
+    def engaged_targets(self) -> tuple[ListedTarget, ...]:
         """The target and its helpers."""
         return (self.target, *self.helpers)
 
@@ -92,7 +92,7 @@
     engine: EngineModel
     views: tuple[View, ...]
     read_s: float
-    terms: Terms = TERMS
+    terms: PlacementPolicy = DEFAULT_POLICY
 
     def get_lateness(self, first_s: float) -> float:
         """Return the loss of the request by the lateness of its first token.
@@ -106,7 +106,7 @@
             return 0
         excess = (first_s - limit_s) / max(limit_s, LEAST_OBJECTIVE_S)
         lost_share = LATE_LOSS * min(1, LATE_AT_LEAST + excess)
-        left_s = max(self.work.gone_s * GONE_SHARE, LEAST_OBJECTIVE_S)
+        left_s = max(self.work.abandoned_after_s * GONE_SHARE, LEAST_OBJECTIVE_S)
         if first_s > left_s:
             return self.work.worth * LOST_SHARE
         return self.work.worth * (
@@ -119,11 +119,11 @@
 
     def get_harm(self, load: View, chunk_s: float) -> float:
         """Return the loss of others if an engine prefills `chunk_s` more."""
-        return load.get_harm(chunk_s) if self.terms.harm else 0
+        return load.get_harm(chunk_s) if self.terms.weigh_cost_to_others else 0
 
     def get_remoteness(self, load: View) -> float:
         """Return the cost of an engine in another data centre."""
-        return REMOTE_COST * (load.remote and self.terms.near_first)
+        return REMOTE_COST * (load.remote and self.terms.prefer_local)
 
     def get_cost(self, load: View, chunk_s: float) -> float:
         """Return the loss of all by a prefill of `chunk_s` and the answer."""
@@ -166,7 +166,7 @@
             for position in range(idle_count)
         ]
         return (
-            self.terms.engine_cost * chunk_s * sum(share**2 for share in shares)
+            self.terms.idle_engine_cost * chunk_s * sum(share**2 for share in shares)
         )
 
     def get_whole_cost(self, load: View, chunk_s: float) -> float:
--- a/trestledock/relay/_proof.py
+++ b/trestledock/relay/_proof.py
@@ -18,7 +18,7 @@
 
 
 @dataclass
-class Proof:
+class FreshnessProof:
     """The newest proof; with a `bound_s` of zero none is required.
 
     `read_at` is the instant of the last read of the configuration, by this
@@ -31,16 +31,16 @@
     (True, False)
     """
 
-    bound_s: float = 0
+    max_age_s: float = 0
     proven_at: float = float('-inf')
     read_at: float = float('-inf')
 
     def renew(self, asked_at: float) -> None:
         """Record a proof by the answer to a query sent at `asked_at`."""
         self.proven_at = max(self.proven_at, asked_at)
-        self.note_read(asked_at)
+        self.record_read(asked_at)
 
-    def note_read(self, asked_at: float) -> None:
+    def record_read(self, asked_at: float) -> None:
         """Record an answer that may lack newer changes."""
         self.read_at = max(self.read_at, asked_at)
 
@@ -54,12 +54,12 @@
 
     def is_fresh(self, now: float) -> bool:
         """Return whether requests with keys may be served."""
-        return not self.bound_s or (
-            self.get_age_s(now) <= self.bound_s * PROOF_SHARE
+        return not self.max_age_s or (
+            self.get_age_s(now) <= self.max_age_s * PROOF_SHARE
         )
 
     def is_ready(self, now: float) -> bool:
         """Return whether new connections should be sent to this instance."""
-        return not self.bound_s or (
-            self.get_age_s(now) <= self.bound_s * READY_SHARE
+        return not self.max_age_s or (
+            self.get_age_s(now) <= self.max_age_s * READY_SHARE
         )
--- a/trestledock/relay/_quarantine.py
+++ b/trestledock/relay/_quarantine.py
@@ -13,7 +13,7 @@
 from dataclasses import dataclass, field
 from typing import Iterable, Iterator
 
-from trestledock.relay._proven import Proven
+from trestledock.relay._recent_answers import RecentAnswers
 
 #: The number of targets that must crash under a request before no other target
 #: gets it.  A crash proves little, since all requests that the target ran, some
@@ -24,7 +24,7 @@
 #: Blaming each crash on the request with most crashes halves these rates, but
 #: lets one in two deadly requests pass if a third of the targets crashes as
 #: well.
-MOST_ENDS = 3
+MIN_CRASHES = 3
 #: The delays, in seconds, after which a quarantined request is sent to one
 #: target again as a probe: since the last crash under it or the last probe,
 #: increasing with each probe.  A request that is quarantined by mistake, as a
@@ -32,17 +32,17 @@
 #: by the first probe, or by the second if targets still crash.  A deadly
 #: request costs two more targets on its first day and one on each day after, in
 #: case the targets were repaired.
-TRIALS_S = (10.0, 300.0, 86_400.0)
+PROBE_DELAYS_S = (10.0, 300.0, 86_400.0)
 #: The least time, in seconds, after which a caller should retry a quarantined
 #: request: after its first probe, which another caller may trigger.
-COME_BACK_S = 15.0
+MIN_RETRY_AFTER_S = 15.0
 #: The maximum number of suspect requests, some 300 bytes each.  A flood of
 #: different requests evicts those with the fewest crashes first.
-MOST_KNOWN = 1_000
+MAX_SUSPECTS = 1_000
 #: The maximum number of cleared crashes of a request, of which the newest are
 #: kept: messages about them arrive seconds late, and a popular request is
 #: cleared of some with each crash.
-MOST_CLEARED = 50
+MAX_CLEARED = 50
 
 
 def get_trial_s(trials: int) -> float:
@@ -51,11 +51,11 @@
     >>> [get_trial_s(trials) for trials in (0, 1, 2, 9)]
     [10.0, 300.0, 86400.0, 86400.0]
     """
-    return TRIALS_S[min(trials, len(TRIALS_S) - 1)]
+    return PROBE_DELAYS_S[min(trials, len(PROBE_DELAYS_S) - 1)]
 
 
 @dataclass(frozen=True)
-class End:
+class Crash:
     """An incarnation of a target that crashed while it ran a request."""
 
     fingerprint: str
@@ -63,7 +63,7 @@
 
 
 @dataclass(frozen=True)
-class Quarantined:
+class QuarantineRecord:
     """The state of a request as it is stored and sent to other instances.
 
     `age_s` is the time since its last crash or probe: instants are sent as
@@ -74,13 +74,13 @@
     fingerprint: str
     incarnations: tuple[str, ...]
     age_s: float = 0
-    trials: int = 0
+    probes: int = 0
     cleared: tuple[str, ...] = ()
 
     @property
-    def is_due(self) -> bool:
+    def is_probe_due(self) -> bool:
         """Whether the next probe may be sent."""
-        return self.age_s >= get_trial_s(self.trials)
+        return self.age_s >= get_trial_s(self.probes)
 
 
 @dataclass
@@ -96,11 +96,11 @@
     incarnations: set[str] = field(default_factory=set)
     cleared: dict[str, None] = field(default_factory=dict)
     since: float = float('-inf')
-    trials: int = 0
+    probes: int = 0
 
-    def get_due_in_s(self, now: float) -> float:
+    def get_probe_delay_s(self, now: float) -> float:
         """Return after how many seconds the next probe may be sent."""
-        return max(0, self.since + get_trial_s(self.trials) - now)
+        return max(0, self.since + get_trial_s(self.probes) - now)
 
 
 class Quarantine:
@@ -119,13 +119,13 @@
         """Create a quarantine without any crash."""
         self.suspects: dict[str, Suspect] = {}
         self._ended: Counter[str] = Counter()
-        self._recent_answers = Proven()
+        self._recent_answers = RecentAnswers()
 
-    def blames(self, end: End, now: float) -> bool:
+    def is_blamed(self, end: Crash, now: float) -> bool:
         """Return whether a crash seen here is attributed to its request."""
         return not self._recent_answers.excuses(end.fingerprint, now)
 
-    def note_end(self, end: End, now: float) -> bool:
+    def record_crash(self, end: Crash, now: float) -> bool:
         """Record a crash; return whether it is new."""
         suspect = self.suspects.setdefault(end.fingerprint, Suspect())
         if end.incarnation in suspect.incarnations:
@@ -137,46 +137,46 @@
         self._ended[end.incarnation] += 1
         return True
 
-    def count_ends(self, fingerprint: str) -> int:
+    def count_crashes(self, fingerprint: str) -> int:
         """Return the number of targets that crashed under a request."""
         suspect = self.suspects.get(fingerprint)
         return len(suspect.incarnations) if suspect else 0
 
     def is_quarantined(self, fingerprint: str) -> bool:
         """Return whether a request is known for crashing its targets."""
-        return self.count_ends(fingerprint) >= MOST_ENDS
+        return self.count_crashes(fingerprint) >= MIN_CRASHES
 
-    def is_due(self, fingerprint: str, now: float) -> bool:
+    def is_probe_due(self, fingerprint: str, now: float) -> bool:
         """Return whether a quarantined request may be sent as a probe."""
-        return not self.get_due_in_s(fingerprint, now)
+        return not self.get_probe_delay_s(fingerprint, now)
 
-    def get_due_in_s(self, fingerprint: str, now: float) -> float:
+    def get_probe_delay_s(self, fingerprint: str, now: float) -> float:
         """Return after how many seconds a request may be sent as a probe."""
         suspect = self.suspects.get(fingerprint, Suspect())
-        return suspect.get_due_in_s(now)
+        return suspect.get_probe_delay_s(now)
 
-    def get_come_back_s(self, fingerprint: str, now: float) -> float:
+    def get_retry_after_s(self, fingerprint: str, now: float) -> float:
         """Return after how many seconds a refused caller should retry."""
-        return max(COME_BACK_S, self.get_due_in_s(fingerprint, now))
+        return max(MIN_RETRY_AFTER_S, self.get_probe_delay_s(fingerprint, now))
 
-    def note_trial(self, fingerprint: str, now: float) -> None:
+    def record_probe(self, fingerprint: str, now: float) -> None:
         """Record that a quarantined request is sent as a probe."""
         suspect = self.suspects[fingerprint]
-        suspect.trials += 1
+        suspect.probes += 1
         suspect.since = now
 
-    def note_answered(self, fingerprint: str, now: float) -> tuple[str, ...]:
+    def record_answer(self, fingerprint: str, now: float) -> tuple[str, ...]:
         """Clear a request that was answered here; return its crashes.
 
         A request that a target has answered completely does not crash targets.
         """
-        self._recent_answers.note_answered(fingerprint, now)
+        self._recent_answers.record_answer(fingerprint, now)
         suspect = self.suspects.get(fingerprint, Suspect())
         ends = tuple(sorted(suspect.incarnations))
-        self.clear_ends(fingerprint, ends)
+        self.clear_crashes(fingerprint, ends)
         return ends
 
-    def clear_ends(self, fingerprint: str, ends: Iterable[str]) -> int:
+    def clear_crashes(self, fingerprint: str, ends: Iterable[str]) -> int:
         """Clear a request of some crashes; return how many were known."""
         if not ends:
             return 0
@@ -184,48 +184,48 @@
         known = suspect.incarnations.intersection(ends)
         suspect.incarnations -= known
         suspect.cleared.update(dict.fromkeys(ends))
-        while len(suspect.cleared) > MOST_CLEARED:
+        while len(suspect.cleared) > MAX_CLEARED:
             suspect.cleared.pop(next(iter(suspect.cleared)))
-        suspect.trials = 0
+        suspect.probes = 0
         self._forget_ends(known)
         return len(known)
 
-    def take(self, record: Quarantined, now: float) -> None:
+    def merge(self, record: QuarantineRecord, now: float) -> None:
         """Merge the state of a request that another instance knows."""
-        self.clear_ends(record.fingerprint, record.cleared)
+        self.clear_crashes(record.fingerprint, record.cleared)
         since = now - record.age_s
         for incarnation in record.incarnations:
-            self.note_end(End(record.fingerprint, incarnation), since)
+            self.record_crash(Crash(record.fingerprint, incarnation), since)
         suspect = self.suspects.get(record.fingerprint)
         if suspect and suspect.incarnations:
             suspect.since = max(suspect.since, since)
-            suspect.trials = max(suspect.trials, record.trials)
+            suspect.probes = max(suspect.probes, record.probes)
 
-    def get_records(self, now: float) -> Iterator[Quarantined]:
+    def get_records(self, now: float) -> Iterator[QuarantineRecord]:
         """Yield the state of all requests that are or were in quarantine."""
         for fingerprint, suspect in self.suspects.items():
             crash_count = max(len(suspect.incarnations), len(suspect.cleared))
-            if crash_count >= MOST_ENDS:
+            if crash_count >= MIN_CRASHES:
                 yield self.make_record(fingerprint, now)
 
-    def make_record(self, fingerprint: str, now: float) -> Quarantined:
+    def make_record(self, fingerprint: str, now: float) -> QuarantineRecord:
         """Return the state of a request, to be stored or sent."""
         suspect = self.suspects[fingerprint]
-        return Quarantined(
+        return QuarantineRecord(
             fingerprint,
             tuple(sorted(suspect.incarnations)),
             max(0, now - suspect.since),
-            suspect.trials,
+            suspect.probes,
             tuple(suspect.cleared),
         )
 
-    def was_ended(self, incarnation: str) -> bool:
+    def has_crashed(self, incarnation: str) -> bool:
         """Return whether a target crashed while it ran a request."""
         return incarnation in self._ended
 
-    def trim(self) -> list[str]:
+    def evict_excess(self) -> list[str]:
         """Evict excess requests, fewest crashes first; return fingerprints."""
-        surplus = len(self.suspects) - MOST_KNOWN
+        surplus = len(self.suspects) - MAX_SUSPECTS
         if surplus <= 0:
             return []
         evicted = sorted(self.suspects, key=self._get_rank)[:surplus]
--- a/trestledock/relay/_quotas.py
+++ b/trestledock/relay/_quotas.py
@@ -15,11 +15,11 @@
 
 #: The least rate that is assumed for a target, in requests a second: at zero,
 #: no request would reveal that the target accepts more again.
-LEAST_PER_S = 0.1
+MIN_RATE_PER_S = 0.1
 #: The number of quota holders beyond one for each request a second.  More
 #: holders use a small limit better, since each has its own callers, but each
 #: may send one request early.
-SPARE_HOLDERS = 2
+EXTRA_HOLDERS = 2
 
 
 @dataclass(frozen=True)
@@ -31,7 +31,7 @@
 
 
 @dataclass(frozen=True)
-class Members:
+class Membership:
     """An instance and the peers that it receives messages from.
 
     `known` counts all known instances, silent ones included.
@@ -43,13 +43,13 @@
 
     own: Member
     others: tuple[Member, ...] = ()
-    known: int = 1
+    known_count: int = 1
 
     @property
     def active_share(self) -> float:
         """The share of known instances that send messages, with this one."""
         active_count = len(self.others) + 1
-        return active_count / max(active_count, self.known)
+        return active_count / max(active_count, self.known_count)
 
     def rank(self, target: str, data_centre: str) -> tuple[str, ...]:
         """Return the active instances in order of precedence for a target.
@@ -72,7 +72,7 @@
 
 
 @dataclass(frozen=True)
-class Demand:
+class TargetRate:
     """The rate at which a target accepts requests of all instances together."""
 
     target: str
@@ -80,34 +80,34 @@
     per_s: float
 
 
-def get_quota(members: Members, target_rate: Demand) -> float:
+def get_quota(members: Membership, target_rate: TargetRate) -> float:
     """Return the rate at which an instance may send to a target.
 
     >>> alone = Members(Member('a', 'dc'))
     >>> get_quota(alone, Demand('t', 'dc', per_s=3))
     3.0
     """
-    shared = max(target_rate.per_s, LEAST_PER_S) * members.active_share
+    shared = max(target_rate.per_s, MIN_RATE_PER_S) * members.active_share
     active_count = len(members.others) + 1
-    count = min(active_count, int(shared) + SPARE_HOLDERS)
+    count = min(active_count, int(shared) + EXTRA_HOLDERS)
     holders = members.rank(target_rate.target, target_rate.data_centre)[:count]
     return shared / count if members.own.name in holders else 0
 
 
 @dataclass
-class Quotas:
+class QuotaCache:
     """The quotas of one instance, cached until its peers change."""
 
-    members: Members
-    _kept: dict[Demand, float] = field(default_factory=dict)
+    members: Membership
+    _kept: dict[TargetRate, float] = field(default_factory=dict)
 
-    def set_members(self, members: Members) -> None:
+    def set_members(self, members: Membership) -> None:
         """Set the active instances."""
         if members != self.members:
             self.members = members
             self._kept.clear()
 
-    def get(self, target_rate: Demand) -> float:
+    def get(self, target_rate: TargetRate) -> float:
         """Return the rate at which this instance may send to a target."""
         if target_rate not in self._kept:
             self._kept[target_rate] = get_quota(self.members, target_rate)
--- a/trestledock/relay/_reach.py
+++ b/trestledock/relay/_reach.py
@@ -14,7 +14,7 @@
 
 #: The interval at which an instance sends a message to other data centres, in
 #: seconds; sixty bytes each.
-BEAT_S = 0.2
+BEAT_INTERVAL_S = 0.2
 #: How long all instances of a data centre must be silent, in seconds: two lost
 #: messages and a delay of half an interval.
 QUIET_S = 0.5
@@ -27,7 +27,7 @@
 
 
 @dataclass
-class Reach:
+class Reachability:
     """The time of the last message of each instance in other data centres.
 
     >>> reach = Reach()
@@ -36,28 +36,28 @@
     (set(), {'dc-2'})
     """
 
-    heard: dict[str, dict[str, float]] = field(default_factory=dict)
-    looked_at: float = float('-inf')
+    last_heard: dict[str, dict[str, float]] = field(default_factory=dict)
+    checked_at: float = float('-inf')
 
-    def note_heard(self, place: str, name: str, now: float) -> None:
+    def record_message(self, data_centre: str, name: str, now: float) -> None:
         """Record a message from an instance of a data centre."""
-        self.heard.setdefault(place, {})[name] = now
+        self.last_heard.setdefault(data_centre, {})[name] = now
 
-    def note_left(self, place: str, name: str) -> None:
+    def remove_instance(self, data_centre: str, name: str) -> None:
         """Remove an instance that is ending, whose silence is expected."""
-        self.heard.get(place, {}).pop(name, None)
+        self.last_heard.get(data_centre, {}).pop(name, None)
 
-    def look(self, now: float) -> set[str]:
+    def check(self, now: float) -> set[str]:
         """Return the silent data centres; to be called at each interval."""
-        is_late = now - self.looked_at > LATE_LOOK_S
-        self.looked_at = now
-        return set() if is_late else self.get_quiet(now)
+        is_late = now - self.checked_at > LATE_LOOK_S
+        self.checked_at = now
+        return set() if is_late else self.get_silent(now)
 
-    def get_quiet(self, now: float) -> set[str]:
+    def get_silent(self, now: float) -> set[str]:
         """Return the data centres whose instances have all fallen silent."""
         return {
             data_centre
-            for data_centre, names in self.heard.items()
+            for data_centre, names in self.last_heard.items()
             if _is_quiet(names.values(), now)
         }
 
--- a/trestledock/relay/_proven.py
+++ b/trestledock/relay/_recent_answers.py
@@ -11,13 +11,13 @@
 
 #: How long an answer speaks for a request, in seconds: if a new version of its
 #: targets has made it deadly since, that is known after this time.
-PROVEN_S = 60.0
+ANSWER_TTL_S = 60.0
 #: The maximum number of crashes that an answer excuses: as many as quarantine a
 #: request without any answer.
-MOST_EXCUSED = 3
+MAX_EXCUSED = 3
 #: The maximum number of answered requests that are kept, some 150 bytes each;
 #: the oldest answers are dropped first.
-MOST_ANSWERED = 2_000
+MAX_ANSWERS = 2_000
 
 
 @dataclass
@@ -28,7 +28,7 @@
     excused: int = 0
 
 
-class Proven:
+class RecentAnswers:
     """The requests that were answered here lately.
 
     >>> answers = Proven()
@@ -41,17 +41,17 @@
         """Create an empty collection."""
         self._answers: dict[str, _Answer] = {}
 
-    def note_answered(self, fingerprint: str, now: float) -> None:
+    def record_answer(self, fingerprint: str, now: float) -> None:
         """Record that a target has answered a request."""
         self._answers.pop(fingerprint, None)
         self._answers[fingerprint] = _Answer(now)
-        if len(self._answers) > MOST_ANSWERED:
+        if len(self._answers) > MAX_ANSWERS:
             self._answers.pop(next(iter(self._answers)))
 
     def excuses(self, fingerprint: str, now: float) -> bool:
         """Count a crash; return whether an answer excuses the request."""
         answer = self._answers.get(fingerprint)
-        if answer is None or now - answer.answered_at > PROVEN_S:
+        if answer is None or now - answer.answered_at > ANSWER_TTL_S:
             return False
         answer.excused += 1
-        return answer.excused <= MOST_EXCUSED
+        return answer.excused <= MAX_EXCUSED
--- a/trestledock/relay/_restores.py
+++ b/trestledock/relay/_restores.py
@@ -12,13 +12,13 @@
 #: How long after the first read of an epoch its records may be incomplete, in
 #: seconds: targets write again within two seconds of the store's return, and
 #: operators are assumed to be no slower.
-REWRITE_S = 2.2
+REWRITE_WAIT_S = 2.2
 #: The highest epoch of a store that was never restored.
 FIRST_EPOCH = 1
 
 
 @dataclass
-class Restores:
+class RestoreTracker:
     """The epoch of the store, and whether its records are complete.
 
     An `epoch` is the number of one copy of the store; a store without epochs is
@@ -38,59 +38,59 @@
     """
 
     epoch: int | None = None
-    told: int | None = None
-    recorded: int | None = None
-    settled_epoch: int | None = None
-    noted_at: float = float('-inf')
+    peer_epoch: int | None = None
+    recorded_epoch: int | None = None
+    complete_epoch: int | None = None
+    epoch_seen_at: float = float('-inf')
     has_lived_through: bool = False
 
-    def note(self, epoch: int | None, now: float) -> bool:
+    def record_epoch(self, epoch: int | None, now: float) -> bool:
         """Record the epoch of a read; return whether the store was restored."""
         if epoch == self.epoch:
             return False
         is_restored = self.epoch is not None
         self.has_lived_through = is_restored
         self.epoch = epoch
-        self.noted_at = now
-        return is_restored and epoch != self.told
+        self.epoch_seen_at = now
+        return is_restored and epoch != self.peer_epoch
 
-    def note_told(self, epoch: int | None) -> bool:
+    def record_peer_epoch(self, epoch: int | None) -> bool:
         """Record an epoch known to a peer; return whether it is new.
 
         It never keeps this instance from serving: only epochs that it read
         itself do.
         """
-        newest = max(_rank(self.epoch), _rank(self.told))
+        newest = max(_rank(self.epoch), _rank(self.peer_epoch))
         if newest < 0 or _rank(epoch) <= newest:
             return False
-        self.told = epoch
+        self.peer_epoch = epoch
         return True
 
-    def note_recorded(self, recorded: int | None) -> None:
+    def set_recorded_epoch(self, recorded: int | None) -> None:
         """Record the newest epoch that some instance has waited in, as stored.
 
         If there is none, no instance has ever waited.  In the first epoch this
         is the first start, and nothing was lost.  In a later epoch the record
         itself may be among the lost ones.
         """
-        self.recorded = recorded
+        self.recorded_epoch = recorded
         if recorded is not None:
-            self.settled_epoch = recorded
+            self.complete_epoch = recorded
         elif _rank(self.epoch) <= FIRST_EPOCH and not self.has_lived_through:
-            self.settled_epoch = self.epoch
+            self.complete_epoch = self.epoch
 
     def needs_record(self, now: float) -> bool:
         """Return whether to store that an instance has waited in this epoch."""
-        is_recorded = _rank(self.recorded) >= _rank(self.epoch)
-        return not is_recorded and self.is_settled(now)
+        is_recorded = _rank(self.recorded_epoch) >= _rank(self.epoch)
+        return not is_recorded and self.is_complete(now)
 
-    def is_settled(self, now: float) -> bool:
+    def is_complete(self, now: float) -> bool:
         """Return whether the store has all records again."""
         if self.epoch is None:
             return True
-        if _rank(self.settled_epoch) >= self.epoch:
+        if _rank(self.complete_epoch) >= self.epoch:
             return True
-        return now - self.noted_at >= REWRITE_S
+        return now - self.epoch_seen_at >= REWRITE_WAIT_S
 
 
 def _rank(epoch: int | None) -> int:
--- a/trestledock/relay/_signs.py
+++ b/trestledock/relay/_signs.py
@@ -8,7 +8,7 @@
 from enum import Enum
 
 
-class Sign(str, Enum):
+class FailureKind(str, Enum):
     """How the connection to a target failed.
 
     `closed` is a close or a reset by the target, `silent` a timeout on this
@@ -28,13 +28,13 @@
 ENDED_BY_PEER = (ConnectionResetError, BrokenPipeError)
 
 
-def get_connect_sign(exc: Exception) -> Sign:
+def classify_connect_error(exc: Exception) -> FailureKind:
     """Distinguish a closed port from an unreachable address."""
     is_refused = isinstance(exc.__cause__, ConnectionRefusedError)
-    return Sign.refused if is_refused else Sign.unreachable
+    return FailureKind.refused if is_refused else FailureKind.unreachable
 
 
-def get_end_sign(exc: Exception) -> Sign:
+def classify_disconnect(exc: Exception) -> FailureKind:
     """Distinguish a close by the target from a timeout on this side."""
     is_ended = isinstance(exc.__cause__, ENDED_BY_PEER)
-    return Sign.closed if is_ended else Sign.silent
+    return FailureKind.closed if is_ended else FailureKind.silent
--- a/trestledock/relay/_turns.py
+++ b/trestledock/relay/_turns.py
@@ -15,7 +15,7 @@
 
 
 @dataclass(frozen=True)
-class Turn:
+class WaitingRequest:
     """A request that waits for a service."""
 
     req_id: str
@@ -31,25 +31,25 @@
 
 
 @dataclass
-class Turns:
+class WaitQueue:
     """The waiting requests, and when each team was last served."""
 
-    waiting: dict[str, Turn] = field(default_factory=dict)
-    served_at: dict[tuple[str, str], float] = field(default_factory=dict)
+    waiting: dict[str, WaitingRequest] = field(default_factory=dict)
+    last_served_at: dict[tuple[str, str], float] = field(default_factory=dict)
 
-    def join(self, turn: Turn) -> None:
+    def add(self, turn: WaitingRequest) -> None:
         """Add a waiting request."""
         self.waiting[turn.req_id] = turn
 
-    def leave(self, req_id: str) -> None:
+    def remove(self, req_id: str) -> None:
         """Remove a request."""
         self.waiting.pop(req_id, None)
 
-    def note_served(self, turn: Turn, now: float) -> None:
+    def record_served(self, turn: WaitingRequest, now: float) -> None:
         """Record that a request was served."""
-        self.served_at[(turn.service, turn.team)] = now
+        self.last_served_at[(turn.service, turn.team)] = now
 
-    def count_ahead(self, turn: Turn) -> int:
+    def count_ahead(self, turn: WaitingRequest) -> int:
         """Return the number of waiting requests that go before a request."""
         others = [
             waiting
@@ -71,17 +71,17 @@
             )
         )
 
-    def _goes_first(self, team: str, turn: Turn) -> bool:
+    def _goes_first(self, team: str, turn: WaitingRequest) -> bool:
         """Return whether another team is served before that of a request."""
         return self._get_order(turn.service, team) < self._get_order(
             turn.service, turn.team
         )
 
     def _get_order(self, service: str, team: str) -> tuple[float, str]:
-        return self.served_at.get((service, team), -inf), team
+        return self.last_served_at.get((service, team), -inf), team
 
 
-def _is_earlier_mate(other: Turn, turn: Turn) -> bool:
+def _is_earlier_mate(other: WaitingRequest, turn: WaitingRequest) -> bool:
     """Return whether another request of the same team arrived earlier."""
     if other.team != turn.team:
         return False
--- a/trestledock/relay/_open_ends.py
+++ b/trestledock/relay/_unconfirmed_crashes.py
@@ -9,26 +9,26 @@
 
 from dataclasses import dataclass
 
-from trestledock.relay._listed import Listed
-from trestledock.relay._quarantine import End
+from trestledock.relay._listed import ListedTarget
+from trestledock.relay._quarantine import Crash
 
 #: How long a list can confirm a crash, in seconds: three heartbeats, and the
 #: time that a process takes to start.
-OPEN_S = 10.0
+UNCONFIRMED_TTL_S = 10.0
 #: The maximum number of targets with unconfirmed crashes.
-MOST_OPEN = 500
+MAX_UNCONFIRMED = 500
 
 
 @dataclass(frozen=True)
 class _Open:
     """A possible crash, with the address of its target."""
 
-    end: End
+    end: Crash
     address: str
     until: float
 
 
-class OpenEnds:
+class UnconfirmedCrashes:
     """Possible crashes that wait for confirmation.
 
     >>> crashes = OpenEnds()
@@ -41,21 +41,21 @@
         """Create an empty collection."""
         self._by_target: dict[str, list[_Open]] = {}
 
-    def keep(self, fingerprint: str, target: Listed, now: float) -> None:
+    def add(self, fingerprint: str, target: ListedTarget, now: float) -> None:
         """Record that a target may have crashed while it ran a request."""
         self._drop_old(now)
-        if len(self._by_target) >= MOST_OPEN:
+        if len(self._by_target) >= MAX_UNCONFIRMED:
             return
-        crash = End(fingerprint, target.incarnation)
+        crash = Crash(fingerprint, target.incarnation)
         crashes = self._by_target.setdefault(target.incarnation, [])
-        crashes.append(_Open(crash, target.address, now + OPEN_S))
+        crashes.append(_Open(crash, target.address, now + UNCONFIRMED_TTL_S))
 
-    def take(self, incarnation: str, now: float) -> list[End]:
+    def pop_confirmed(self, incarnation: str, now: float) -> list[Crash]:
         """Remove and return the crashes of a target that has crashed."""
         crashes = self._by_target.pop(incarnation, [])
         return [crash.end for crash in crashes if now < crash.until]
 
-    def take_replaced_by(self, listed: Listed, now: float) -> list[End]:
+    def pop_replaced_by(self, listed: ListedTarget, now: float) -> list[Crash]:
         """Remove and return the crashes of other targets at its address."""
         predecessors = [
             incarnation
@@ -66,7 +66,7 @@
         return [
             crash
             for predecessor in predecessors
-            for crash in self.take(predecessor, now)
+            for crash in self.pop_confirmed(predecessor, now)
         ]
 
     def _drop_old(self, now: float) -> None:
--- a/trestledock/relay/_view.py
+++ b/trestledock/relay/_view.py
@@ -11,12 +11,12 @@
 
 from trestledock.relay._arithmetic import (
     PassLoad,
-    get_read_s,
-    get_write_pass_s,
+    get_prefill_s,
+    get_decode_pass_s,
 )
-from trestledock.relay._board import Board, Flight, Phase
+from trestledock.relay._board import LoadTable, Flight, Phase
 from trestledock.relay._catalog import EngineModel
-from trestledock.relay._listed import Listed
+from trestledock.relay._listed import ListedTarget
 from trestledock.relay._health import Health
 
 #: The share of its worth that a late answer loses, as callers value it.
@@ -43,7 +43,7 @@
     primary.
     """
 
-    listed: Listed
+    listed: ListedTarget
     count: int
     writers: int
     base_s: float
@@ -82,31 +82,31 @@
         ) + sum(
             flight.worth * LATE_LOSS * READER_LOSS * min(1, chunk_s)
             for flight in self.flights
-            if flight.phase is Phase.reading
+            if flight.phase is Phase.prefill
         )
 
 
 class Viewer:
     """Derives the load of engines from the requests in flight."""
 
-    def __init__(self, board: Board, health: Health, data_centre: str) -> None:
+    def __init__(self, board: LoadTable, health: Health, data_centre: str) -> None:
         """Store the inputs."""
         self.board = board
         self.health = health
         self.data_centre = data_centre
 
-    def view(self, engine: EngineModel, listed: Listed, now: float) -> View:
+    def view(self, engine: EngineModel, listed: ListedTarget, now: float) -> View:
         """Return the load of an engine now."""
         name = listed.incarnation
         flights = tuple(self.board.get_flights(name))
         own = [flight for flight in flights if flight.target == name]
         held = sum(flight.get_held_tokens(name) for flight in flights)
         health = self.health.get(name)
-        base_s = get_write_pass_s(engine, PassLoad(len(own) + 1, held))
+        base_s = get_decode_pass_s(engine, PassLoad(len(own) + 1, held))
         return View(
             listed=listed,
             count=len(own),
-            writers=sum(flight.phase is Phase.writing for flight in own),
+            writers=sum(flight.phase is Phase.decode for flight in own),
             base_s=base_s,
             pending_s=_get_pending_s(engine, flights, now),
             free_tokens=engine.capacity_tokens * MEMORY_SHARE - held,
@@ -125,9 +125,9 @@
     """Return the seconds of prefill that an engine still has to do."""
     left_s: float = 0
     at = now
-    prefilling = [flight for flight in flights if flight.phase is Phase.reading]
+    prefilling = [flight for flight in flights if flight.phase is Phase.prefill]
     for flight in sorted(prefilling, key=lambda request: request.since):
-        chunk_s = get_read_s(engine, flight.prompt_tokens) / flight.parts
+        chunk_s = get_prefill_s(engine, flight.prompt_tokens) / flight.chunk_count
         left_s = max(0, left_s - max(0, flight.since - at)) + chunk_s
         at = flight.since
     return max(0, left_s - max(0, now - at))
@@ -139,12 +139,12 @@
     To a decoding request the pass is a pause; to one in prefill it delays the
     first token, since newer chunks go before older ones.
     """
-    if flight.phase is Phase.writing:
+    if flight.phase is Phase.decode:
         late: float = pass_s > flight.pause_s * PAUSE_SHARE
         gone_s = flight.patience_s
     else:
-        late = _get_late_share(pass_s, flight.due - now)
-        gone_s = flight.gone - now
+        late = _get_late_share(pass_s, flight.due_at - now)
+        gone_s = flight.abandoned_at - now
     share = late * LATE_LOSS
     if pass_s > gone_s:
         share = 1
