--- a/tests/crashing.py
+++ b/tests/crashing.py
@@ -243,7 +243,9 @@
         def send(word, where):
             raw = encode_message(word, anyio.current_time())
             for _, port in where:
-                self.entries[port].gossip.take(raw, ('127.0.0.1', number))
+                self.entries[port].gossip.handle_datagram(
+                    raw, ('127.0.0.1', number)
+                )
 
         return send
 
--- a/tests/following.py
+++ b/tests/following.py
@@ -126,7 +126,7 @@
         self.gossip.handle_datagram(raw, sender)
 
     async def _get(self, address, asked):
-        return json.loads(self.network[address].exchange.make_news())
+        return json.loads(self.network[address].exchange.encode_update())
 
 
 async def _sleep(wait_s):
--- a/tests/limiting.py
+++ b/tests/limiting.py
@@ -121,7 +121,8 @@
         """Return how many came from entries that had long been told."""
         return sum(
             since <= one.at < until
-            and self.told.get(one.entry, float('inf')) <= one.at - NOTICE_LATENCY_S
+            and self.told.get(one.entry, float('inf'))
+            <= one.at - NOTICE_LATENCY_S
             for one in self.arrivals
         )
 
@@ -281,7 +282,7 @@
         """Tell the others until killed."""
         self.fleet.network[self.address] = self
         self.gossip.add_addresses(self.fleet.get_addresses())
-        self.state.tell_own = self.gossip.send_own_changes
+        self.state.send_own_changes = self.gossip.send_own_changes
         with self.scope:
             async with anyio.create_task_group() as group:
                 group.start_soon(self.gossip._tell_all)
@@ -291,13 +292,13 @@
     def connect_slowly(self, wait_s):
         """Have each connection to a target take so long from now on."""
         pool = self.relayer.sender.pool
-        take = pool.take
+        take = pool.acquire
 
         async def take_slowly(listed):
             await anyio.sleep(wait_s)
             return await take(listed)
 
-        pool.take = take_slowly
+        pool.acquire = take_slowly
 
     def kill(self):
         """End without a word."""
@@ -331,7 +332,7 @@
             return
         await other.running.wait()
         if self.fleet.network.get(address) is other:
-            other.gossip.take(raw, self.address)
+            other.gossip.handle_datagram(raw, self.address)
 
 
 @dataclass
--- a/tests/test_entry_anew.py
+++ b/tests/test_entry_anew.py
@@ -44,7 +44,7 @@
     addresses = {one.name: f'127.0.0.1:{one.address[1]}' for one in everybody}
     entry.gossip.addresses.own = entry.address
     for one in everybody:
-        one.gossip.meet(addresses)
+        one.gossip.add_addresses(addresses)
     life.entries.append(entry)
     await entry.live()
 
--- a/tests/test_entry_limits.py
+++ b/tests/test_entry_limits.py
@@ -91,7 +91,7 @@
         async def leave(state):
             while not target.requests:
                 await anyio.sleep(0.01)
-            state.fleet.note_leaving('t0', 0)
+            state.fleet.record_draining('t0', 0)
 
         self.check([target], during=leave)
 
@@ -136,12 +136,12 @@
         second.answers = [make_stream(3, 4)]
 
         def prepare(state):
-            state.fleet.note_leaving('t1', 0)
+            state.fleet.record_draining('t1', 0)
 
         async def come(state):
             while not first.requests:
                 await anyio.sleep(0.01)
-            state.fleet.note_leaving('t0', 0)
+            state.fleet.record_draining('t0', 0)
             await wait_for_loss(state, [first])
             state.fleet.put(make_listed(2, second.port))
 
@@ -174,8 +174,8 @@
 
         async def scenario(world):
             other = Flight('o', 't0', tokens, 10, Phase.prefill, since=0)
-            world.state.board.hear('p', 1, [('o', other)], whole=True)
-            world.state.fleet.drop('t1', 0, 0)
+            world.state.board.apply_update('p', 1, [('o', other)], whole=True)
+            world.state.fleet.record_removal('t1', 0, 0)
             with anyio.fail_after(SCENARIO_TIMEOUT_S):
                 found.append(await world.ask(headers=SIZES))
 
--- a/tests/test_entry_restoring.py
+++ b/tests/test_entry_restoring.py
@@ -283,7 +283,7 @@
     def test_quarantine_is_there_again(self):
         async def scenario(world, *entries):
             for one in entries:
-                one.state.isolation.take_records([RECORD], 'test')
+                one.state.isolation.merge_records([RECORD], 'test')
             world.store.go_back(5)
             await anyio.sleep(READ_S + AGAIN_S)
             late = await entries[0].directory.quarantine.read_whole()
@@ -294,13 +294,13 @@
     def test_quarantine_and_trials_are_there_again(self):
         async def scenario(world, *entries):
             for one in entries:
-                one.state.isolation.take_records([RECORD], 'test')
-            granted = await entries[2].state.isolation.may_try('f')
+                one.state.isolation.merge_records([RECORD], 'test')
+            granted = await entries[2].state.isolation.may_probe('f')
             world.store.go_back(5)
             await anyio.sleep(READ_S + AGAIN_S)
             stored = await entries[0].directory.quarantine.read_whole()
             return granted, [
-                (one.fingerprint, one.trials) for one in stored.records
+                (one.fingerprint, one.probes) for one in stored.records
             ]
 
         self.assertEqual(run_world(3, scenario), (True, [('f', 1)]))
@@ -310,9 +310,9 @@
 
         async def scenario(world, *entries):
             for one in entries:
-                one.state.isolation.take_records([RECORD], 'test')
+                one.state.isolation.merge_records([RECORD], 'test')
             world.store.go_back(5)
-            return await entries[2].state.isolation.may_try('f')
+            return await entries[2].state.isolation.may_probe('f')
 
         self.assertFalse(run_world(3, scenario))
 
--- a/tests/test_limited_targets.py
+++ b/tests/test_limited_targets.py
@@ -42,7 +42,9 @@
             group.start_soon(ask)
         most = [
             target.get_most(
-                target.count_told, target.named_at + LIMIT_EFFECT_S, float('inf')
+                target.count_told,
+                target.named_at + LIMIT_EFFECT_S,
+                float('inf'),
             )
             for target in named
         ]
--- a/trestledock/bench/_cases.py
+++ b/trestledock/bench/_cases.py
@@ -35,11 +35,11 @@
             'and priorities',
             vary(BASELINE, chooser=Chooser.predicted, priorities=True),
         ),
-        ('all but pieces', vary(FULL, piece_s=0)),
-        ('all but whole short prompts', vary(FULL, whole_tokens=0)),
+        ('all but pieces', vary(FULL, prefill_chunk_s=0)),
+        ('all but whole short prompts', vary(FULL, max_unchunked_tokens=0)),
         ('all but affinity', vary(FULL, affinity=False)),
         ('all but admission', vary(FULL, admission=False)),
-        ('all but the band of equals', vary(FULL, near_s=0)),
+        ('all but the band of equals', vary(FULL, tie_s=0)),
     )
     return (
         *(vary(base, name=name, policy=policy) for name, policy in steps),
@@ -84,6 +84,6 @@
             instances=1,
             lag_s=0,
             poll_s=0.02,
-            policy=vary(FULL, near_s=0),
+            policy=vary(FULL, tie_s=0),
         ),
     )
--- a/trestledock/entry/_holding_back.py
+++ b/trestledock/entry/_holding_back.py
@@ -43,13 +43,17 @@
     return free
 
 
-def _spare(state: EntryState, free: list[ListedTarget], now: float) -> list[ListedTarget]:
+def _spare(
+    state: EntryState, free: list[ListedTarget], now: float
+) -> list[ListedTarget]:
     """Return the targets that rest from nobody, if enough of them do.
 
     Else each entry would learn of a rest by a request that is turned away; but
     too few of them must not get the work of all.
     """
-    rested = [one for one in free if not state.throttle.has_peer_backoff(one, now)]
+    rested = [
+        one for one in free if not state.throttle.has_peer_backoff(one, now)
+    ]
     return rested if len(rested) >= len(free) * SPARE_SHARE else free
 
 
--- a/trestledock/entry/_selecting.py
+++ b/trestledock/entry/_selecting.py
@@ -101,7 +101,9 @@
     if state.get_known_remote_loads(now):
         return False
     cost = chosen.cost if isinstance(chosen, Placement) else None
-    return state.placer.policy.remote_targets and should_query_remote(job.ask.worth, cost)
+    return state.placer.policy.remote_targets and should_query_remote(
+        job.ask.worth, cost
+    )
 
 
 def could_go_on(state: EntryState, job: Job, peer: str) -> bool:
@@ -172,7 +174,9 @@
     return list(groups.values())
 
 
-def get_candidates(state: EntryState, job: Job, now: float) -> list[ListedTarget]:
+def get_candidates(
+    state: EntryState, job: Job, now: float
+) -> list[ListedTarget]:
     """Return the targets that may get the request, better ones if any."""
     usable = _get_free(state, job, now)
     small = job.ask.is_small
@@ -206,7 +210,9 @@
     return get_free(state, job, usable, now)
 
 
-def _get_near_enough(state: EntryState, job: Job, now: float) -> list[ListedTarget]:
+def _get_near_enough(
+    state: EntryState, job: Job, now: float
+) -> list[ListedTarget]:
     """Return the usable targets, of the own data centre where those suffice.
 
     Where there are many entries, those elsewhere are told too late of this
--- a/trestledock/entry/_sending.py
+++ b/trestledock/entry/_sending.py
@@ -76,7 +76,9 @@
                 return await self._reserve(job, placement, reply, held)
         finally:
             self._clean_up(flight.flight_id, held)
-        return RelayAttempt(AttemptOutcome.not_sent, 'claim', flight.target, prior.flight_id)
+        return RelayAttempt(
+            AttemptOutcome.not_sent, 'claim', flight.target, prior.flight_id
+        )
 
     async def _reserve(
         self,
@@ -87,7 +89,9 @@
     ) -> RelayAttempt:
         if await self.tickets.reserve(job, placement, held):
             return await self._exchange(job, placement, reply, held)
-        return RelayAttempt(AttemptOutcome.not_sent, 'reserve', placement.target.incarnation)
+        return RelayAttempt(
+            AttemptOutcome.not_sent, 'reserve', placement.target.incarnation
+        )
 
     def _get_known(
         self, flight: Flight, placement: Placement
@@ -110,7 +114,9 @@
         self.state.send_own_changes()
         await anyio.sleep(CLAIM_DELAY_S)
         self.state.receive_messages()
-        return find_prior_claim(flight, self.state.board.get_colocated(flight), known)
+        return find_prior_claim(
+            flight, self.state.board.get_colocated(flight), known
+        )
 
     def _clean_up(self, flight_id: str, held: dict[str, str]) -> None:
         self.state.board.remove(flight_id)
@@ -130,7 +136,11 @@
         except WireError as exc:
             self.state.record_silence(peer, anyio.current_time())
             return RelayAttempt(
-                AttemptOutcome.not_sent, exc.step, peer, exc.detail, exc.sign
+                AttemptOutcome.not_sent,
+                exc.step,
+                peer,
+                exc.detail,
+                exc.failure_kind,
             )
         obstacle = self._find_obstacle(job, placement) or self._find_restrained(
             job, placement
@@ -140,7 +150,9 @@
             return obstacle
         return await self._talk(job, placement, reply, held, wire)
 
-    def _find_obstacle(self, job: Job, placement: Placement) -> RelayAttempt | None:
+    def _find_obstacle(
+        self, job: Job, placement: Placement
+    ) -> RelayAttempt | None:
         """Return why nothing may be written, as it is known by now.
 
         Reserving memory and connecting take up to a second, in which a key may
@@ -156,7 +168,9 @@
             )
         for one in placement.engaged_targets:
             if not self.state.fleet.is_usable(one.incarnation):
-                return RelayAttempt(AttemptOutcome.not_sent, 'left', one.incarnation)
+                return RelayAttempt(
+                    AttemptOutcome.not_sent, 'left', one.incarnation
+                )
         return None
 
     def _find_restrained(
@@ -174,7 +188,9 @@
         if restrained:
             resting = self.state.throttle.is_backing_off(restrained, now)
             step = Refusal.resting if resting else Refusal.limited
-            return RelayAttempt(AttemptOutcome.not_sent, step.value, restrained.incarnation)
+            return RelayAttempt(
+                AttemptOutcome.not_sent, step.value, restrained.incarnation
+            )
         if any(map(self.state.throttle.is_restrained, engaged)):
             self.state.turns.record_served(job.turn, now)
         return None
@@ -201,8 +217,14 @@
             self.state.health.record_failure(peer, anyio.current_time())
             # Connections that go silent do so together, while new ones work.
             self.pool.close_idle(peer)
-            await self._find_out(job, placement, exc.sign)
-            return RelayAttempt(AttemptOutcome.lost, exc.step, peer, exc.detail, exc.sign)
+            await self._find_out(job, placement, exc.failure_kind)
+            return RelayAttempt(
+                AttemptOutcome.lost,
+                exc.step,
+                peer,
+                exc.detail,
+                exc.failure_kind,
+            )
         finally:
             await self.pool.release(placement.target, wire, idle_s)
         return sending
--- a/trestledock/entry/_streaming.py
+++ b/trestledock/entry/_streaming.py
@@ -19,7 +19,12 @@
 from trestledock.entry._reply import Reply
 from trestledock.entry._state import EntryState
 from trestledock.entry._wire import Head
-from trestledock.relay import AttemptOutcome, Placement, RelayAttempt, EventSplitter
+from trestledock.relay import (
+    AttemptOutcome,
+    Placement,
+    RelayAttempt,
+    EventSplitter,
+)
 
 MS = 1000
 
@@ -130,7 +135,9 @@
         self.state.record_success(self.peer, anyio.current_time())
         await self._start(head)
         await self.reply.finish(self.splitter.remainder)
-        return RelayAttempt(AttemptOutcome.answered, 'events', self.peer, f'{self.count}')
+        return RelayAttempt(
+            AttemptOutcome.answered, 'events', self.peer, f'{self.count}'
+        )
 
 
 def _is_next(event_id: str, last: str) -> bool:
--- a/trestledock/entry/_tickets.py
+++ b/trestledock/entry/_tickets.py
@@ -147,7 +147,9 @@
             return NO_ANSWER
         return head.status
 
-    async def _exchange(self, holder: ListedTarget, order: ControlRequest) -> Head:
+    async def _exchange(
+        self, holder: ListedTarget, order: ControlRequest
+    ) -> Head:
         wire = await self.pool.acquire(holder)
         idle_s: float = 0
         asked_at = anyio.current_time()
--- a/trestledock/entry/_wire.py
+++ b/trestledock/entry/_wire.py
@@ -16,7 +16,11 @@
 import h11
 from anyio.abc import SocketAttribute, SocketStream
 
-from trestledock.relay import FailureKind, classify_connect_error, classify_disconnect
+from trestledock.relay import (
+    FailureKind,
+    classify_connect_error,
+    classify_disconnect,
+)
 
 #: How long a target may take to accept a connection, in seconds: some hundred
 #: times the way there, and short beside the objectives of short requests.
@@ -45,13 +49,16 @@
     """A connection failed at a step."""
 
     def __init__(
-        self, step: str, detail: str, failure_kind: FailureKind = FailureKind.garbled
+        self,
+        step: str,
+        detail: str,
+        failure_kind: FailureKind = FailureKind.garbled,
     ) -> None:
         """Keep the step, what went wrong, and what it was a sign of."""
         super().__init__(f'{step}: {detail}')
         self.step = step
         self.detail = detail
-        self.sign = failure_kind
+        self.failure_kind = failure_kind
 
 
 @dataclass(frozen=True)
@@ -131,7 +138,9 @@
             if isinstance(event, h11.Response):
                 return Head(event.status_code, tuple(event.headers))
             if isinstance(event, h11.ConnectionClosed):
-                raise WireError('answer', 'connection closed', FailureKind.closed)
+                raise WireError(
+                    'answer', 'connection closed', FailureKind.closed
+                )
 
     async def iter_body(self) -> AsyncIterator[bytes]:
         """Yield the body's bytes; raise a `WireError` where it is cut."""
@@ -176,7 +185,9 @@
         try:
             await self.stream.send(raw)
         except STREAM_ENDS as exc:
-            raise WireError('write', repr(exc), classify_disconnect(exc)) from exc
+            raise WireError(
+                'write', repr(exc), classify_disconnect(exc)
+            ) from exc
         self.written = True
 
     async def _write_quietly(self, raw: bytes) -> None:
@@ -193,7 +204,9 @@
                 event = self.http.next_event()
         except h11.RemoteProtocolError as exc:
             self.broken = True
-            sign = FailureKind.closed if self._is_at_end else FailureKind.garbled
+            sign = (
+                FailureKind.closed if self._is_at_end else FailureKind.garbled
+            )
             raise WireError(step, repr(exc), sign) from exc
         if isinstance(event, type):
             raise WireError(step, 'answer out of turn')
--- a/trestledock/relay/_arithmetic.py
+++ b/trestledock/relay/_arithmetic.py
@@ -29,7 +29,7 @@
     """Return how long an otherwise idle engine takes to prefill a prompt.
 
     >>> engine = EngineModel(8, 232_000, 0.001, 200_000, pair_s=1e-10)
-    >>> round(get_read_s(engine, 100_000), 3)
+    >>> round(get_prefill_s(engine, 100_000), 3)
     1.0
     """
     pairs = tokens * tokens / 2
--- a/trestledock/relay/_elsewhere.py
+++ b/trestledock/relay/_elsewhere.py
@@ -31,10 +31,10 @@
 
     `cost` is that of the best nearby placement, None if there is none now.
 
-    >>> is_worth_asking(20.0, cost=0.6), is_worth_asking(20.0, cost=4.0)
+    >>> should_query_remote(20.0, cost=0.6), should_query_remote(20.0, cost=4.0)
     (False, True)
-    >>> is_worth_asking(20.0, cost=None), is_worth_asking(0.5, cost=None)
-    (True, False)
+    >>> [should_query_remote(worth, cost=None) for worth in (20.0, 0.5)]
+    [True, False]
     """
     if worth <= SMALL_WORTH:
         return False
--- a/trestledock/relay/_fingerprint.py
+++ b/trestledock/relay/_fingerprint.py
@@ -33,7 +33,7 @@
     Each part is hashed with its length, so that no two different requests
     produce the same input.
 
-    >>> traits = Traits('GET', 'a.example', '/x', '', 'kiosks')
+    >>> traits = RequestIdentity('GET', 'a.example', '/x', '', 'kiosks')
     >>> len(get_fingerprint(traits, sha256(b'').digest()))
     24
     """
--- a/trestledock/relay/_health.py
+++ b/trestledock/relay/_health.py
@@ -114,7 +114,7 @@
     """The health of all targets by id.
 
     >>> health = Health()
-    >>> health.note_silence('t1', now=0)
+    >>> health.record_silence('t1', now=0)
     >>> health.is_suspect('t1', now=0.5), health.is_suspect('t1', now=1.5)
     (True, False)
     """
--- a/trestledock/relay/_notices.py
+++ b/trestledock/relay/_notices.py
@@ -109,11 +109,11 @@
     """The notices that hold, by kind and incarnation.
 
     >>> notices = Notices()
-    >>> notices.note('t1', Rest(until=4, asked_at=0, heard_at=1)).value
+    >>> notices.record('t1', Backoff(until=4, asked_at=0, heard_at=1)).value
     'learnt'
-    >>> notices.note('t1', Rest(until=3, asked_at=0, heard_at=2)).value
+    >>> notices.record('t1', Backoff(until=3, asked_at=0, heard_at=2)).value
     'nothing'
-    >>> notices.get(Rest, 't1').until
+    >>> notices.get(Backoff, 't1').until
     4
     """
 
--- a/trestledock/relay/_quotas.py
+++ b/trestledock/relay/_quotas.py
@@ -83,8 +83,8 @@
 def get_quota(members: Membership, target_rate: TargetRate) -> float:
     """Return the rate at which an instance may send to a target.
 
-    >>> alone = Members(Member('a', 'dc'))
-    >>> get_quota(alone, Demand('t', 'dc', per_s=3))
+    >>> alone = Membership(Member('a', 'dc'))
+    >>> get_quota(alone, TargetRate('t', 'dc', per_s=3))
     3.0
     """
     shared = max(target_rate.per_s, MIN_RATE_PER_S) * members.active_share
--- a/trestledock/relay/_rate_limits.py
+++ b/trestledock/relay/_rate_limits.py
@@ -22,9 +22,9 @@
 
     >>> from trestledock.relay import Notices
     >>> notices = Notices()
-    >>> notices.note('t1', RateLimit(2, asked_at=0, heard_at=1)).value
+    >>> notices.record('t1', RateLimit(2, asked_at=0, heard_at=1)).value
     'learnt'
-    >>> notices.note('t1', RateLimit(None, asked_at=0.5, heard_at=2)).value
+    >>> notices.record('t1', RateLimit(None, asked_at=0.5, heard_at=2)).value
     'nothing'
     >>> notices.note('t1', RateLimit(None, asked_at=2, heard_at=3)).value
     'lifted'
--- a/trestledock/relay/_restores.py
+++ b/trestledock/relay/_restores.py
@@ -27,14 +27,16 @@
     waited there for missing records, and `settled_epoch` the newest one known
     to be complete for that reason.
 
-    >>> restores = Restores()
-    >>> restores.note(3, now=0), restores.is_settled(0)
+    >>> restores = RestoreTracker()
+    >>> restores.record_epoch(3, now=0), restores.is_complete(0)
     (False, False)
-    >>> restores.note_recorded(3)
-    >>> restores.is_settled(0)
+    >>> restores.set_recorded_epoch(3)
+    >>> restores.is_complete(0)
     True
-    >>> restores.note(4, now=9), restores.is_settled(9), restores.is_settled(12)
-    (True, False, True)
+    >>> restores.record_epoch(4, now=9)
+    True
+    >>> restores.is_complete(9), restores.is_complete(12)
+    (False, True)
     """
 
     epoch: int | None = None
--- a/trestledock/relay/_watch.py
+++ b/trestledock/relay/_watch.py
@@ -39,11 +39,11 @@
     it took some time to arrive: only a list that is certainly newer may replace
     it.
 
-    >>> watch = Watch()
-    >>> watch.note_read(0, 0)
-    >>> watch.note_trouble(3)
-    >>> watch.note_read(4, 4)
-    >>> watch.grace_end, watch.is_settled(6), watch.is_settled(6.3)
+    >>> watch = ListWatch()
+    >>> watch.record_read(0, 0)
+    >>> watch.record_failure(3)
+    >>> watch.record_read(4, 4)
+    >>> watch.grace_end, watch.is_synchronized(6), watch.is_synchronized(6.3)
     (5.7, False, True)
     """
 
--- a/trestledock/version/_check.py
+++ b/trestledock/version/_check.py
@@ -4,7 +4,7 @@
 
 Reads YAML or JSON documents into frozen data classes and reports every error
 with its path.  Settings and configurations share this one place; both raise
-the one `OptionError`.
+the one `ValidationError`.
 """
 
 import difflib
@@ -113,7 +113,7 @@
 ) -> Result[Document, ValidationError]:
     """Read a YAML (or JSON) text into the data class `kind`.
 
-    The failure holds an `OptionError` with a line for each error.
+    The failure holds an `ValidationError` with a line for each error.
     """
     try:
         raw = yaml.safe_load(text)
