--- a/tests/crashing.py
+++ b/tests/crashing.py
@@ -196,7 +196,7 @@
         world.gossip = gossip
         self.entries.append(world)
         for entry in self.entries:
-            entry.gossip.meet(
+            entry.gossip.add_addresses(
                 {
                     other.state.member: f'127.0.0.1:{port}'
                     for port, other in enumerate(self.entries)
--- a/tests/engines.py
+++ b/tests/engines.py
@@ -19,6 +19,8 @@
 )
 #: A fleet of 18 in one data centre.
 TARGETS = tuple(
-    ListedTarget(f't{number:02}', 's', f'10.0.0.{number}:80', 'dc', Standing.ready, 8)
+    ListedTarget(
+        f't{number:02}', 's', f'10.0.0.{number}:80', 'dc', Standing.ready, 8
+    )
     for number in range(18)
 )
--- a/tests/test_relay_asking.py
+++ b/tests/test_relay_asking.py
@@ -20,7 +20,7 @@
 )
 
 
-def make_ask(tokens, *, arrived_at=0.0, deadline=15.0, output_tokens=600):
+def make_request(tokens, *, arrived_at=0.0, deadline=15.0, output_tokens=600):
     """Return a long prompt whose caller leaves after a silence of 12 s."""
     timing = Timing(
         arrived_at=arrived_at,
@@ -28,10 +28,12 @@
         abandoned_at=min(deadline, arrived_at + 12.0),
         deadline=deadline,
     )
-    return PlacementRequest('r1', PromptSize(tokens, output_tokens), timing, 1.0, 12.0)
+    return PlacementRequest(
+        'r1', PromptSize(tokens, output_tokens), timing, 1.0, 12.0
+    )
 
 
-def read_by(name, numbers, *, due, gone, tokens=300_000):
+def prefill_by(name, numbers, *, due_at, abandoned_at, tokens=300_000):
     """Return a long prompt in prefill at some of the engines."""
     names = [TARGETS[number].target_id for number in numbers]
     return Flight(
@@ -43,9 +45,9 @@
         since=0,
         pause_s=1.0,
         worth=20,
-        due_at=due,
+        due_at=due_at,
         helpers=tuple(names[1:]),
-        abandoned_at=gone,
+        abandoned_at=abandoned_at,
         patience_s=12.0,
     )
 
@@ -57,8 +59,8 @@
         self.board = LoadTable()
         self.placer = Placer(self.board, Health())
 
-    def choose(self, ask, now=0.0, targets=TARGETS):
-        return ask.choose(self.placer, ENGINE, targets, now)
+    def choose(self, request, now=0.0, targets=TARGETS):
+        return request.choose(self.placer, ENGINE, targets, now)
 
 
 class GiantTest(Fixture):
@@ -66,7 +68,7 @@
 
     def test_on_idle_fleet(self):
         """On an idle fleet the prefill ends well before the caller leaves."""
-        result = self.choose(make_ask(790_000))
+        result = self.choose(make_request(790_000))
         self.assertIsInstance(result, Placement)
         self.assertLess(result.first_token_s, 9.6)
 
@@ -77,32 +79,32 @@
         it for 18 s although its caller left after 12: three engines occupied in
         vain.
         """
-        self.board.put(read_by('a', range(9), due=3, gone=12))
-        self.board.put(read_by('b', range(9, 15), due=3, gone=12))
-        result = self.choose(make_ask(790_000))
+        self.board.put(prefill_by('a', range(9), due_at=3, abandoned_at=12))
+        self.board.put(prefill_by('b', range(9, 15), due_at=3, abandoned_at=12))
+        result = self.choose(make_request(790_000))
         self.assertIsInstance(result, Unplaced)
         self.assertIs(result.decision, Decision.wait)
-        result = self.choose(make_ask(790_000), now=5)
+        result = self.choose(make_request(790_000), now=5)
         if isinstance(result, Placement):
             self.assertLess(result.first_token_s, 9.6)
 
     def test_placed_after_other_prompts(self):
         """Once the other prompts are done, it is split over many engines."""
-        result = self.choose(make_ask(790_000), now=2.0)
+        result = self.choose(make_request(790_000), now=2.0)
         self.assertIsInstance(result, Placement)
         self.assertGreater(len(result.helpers), 4)
 
     def test_refused_without_enough_time(self):
         """A caller that retries with too little time is refused at once."""
-        result = self.choose(make_ask(790_000, deadline=2.9))
+        result = self.choose(make_request(790_000, deadline=2.9))
         self.assertIs(result.decision, Decision.no_time)
 
     def test_answer_must_meet_deadline(self):
         """The first event is useless if the rest comes after the deadline."""
-        ask = make_ask(182_000, deadline=2.2)
-        self.assertIsInstance(self.choose(ask), Placement)
-        ask = make_ask(182_000, deadline=2.2, output_tokens=4_500)
-        self.assertIs(self.choose(ask).decision, Decision.no_time)
+        request = make_request(182_000, deadline=2.2)
+        self.assertIsInstance(self.choose(request), Placement)
+        request = make_request(182_000, deadline=2.2, output_tokens=4_500)
+        self.assertIs(self.choose(request).decision, Decision.no_time)
 
 
 class OutputLengthTest(Fixture):
@@ -114,8 +116,10 @@
         3,000 tokens take 3.9 s, but most answers use a third of that.
         """
         timing = Timing(-5.5, due_at=-5.2, abandoned_at=2.0, deadline=4.5)
-        ask = PlacementRequest('r1', PromptSize(8_000, 3_300), timing, 0.25, 2.0)
-        self.assertIsInstance(self.choose(ask), Placement)
+        request = PlacementRequest(
+            'r1', PromptSize(8_000, 3_300), timing, 0.25, 2.0
+        )
+        self.assertIsInstance(self.choose(request), Placement)
 
 
 class CostToOthersTest(Fixture):
@@ -123,9 +127,11 @@
 
     def test_late_prompt_keeps_time_left(self):
         """A late giant prompt keeps the time until its caller leaves."""
-        flight = read_by('a', range(17), due=-1, gone=1.2, tokens=600_000)
+        flight = prefill_by(
+            'a', range(17), due_at=-1, abandoned_at=1.2, tokens=600_000
+        )
         self.board.put(flight)
-        result = self.choose(make_ask(300_000))
+        result = self.choose(make_request(300_000))
         if isinstance(result, Placement):
             names = {helper.target_id for helper in result.helpers}
             shared = names & set(flight.engaged_targets)
@@ -155,7 +161,9 @@
 
     def test_late_request_loses_once(self):
         """A request that is late anyway loses nothing more by another chunk."""
-        self.board.put(read_by('a', (0,), due=0.5, gone=12, tokens=182_000))
+        self.board.put(
+            prefill_by('a', (0,), due_at=0.5, abandoned_at=12, tokens=182_000)
+        )
         view = self.placer.viewer.view(ENGINE, TARGETS[0], 0)
         self.assertLess(view.get_harm(1.0), 5)
 
@@ -165,24 +173,30 @@
 
     def test_waits_while_it_may_be_in_time(self):
         """A long prompt waits for a giant prompt whose prefill ends soon."""
-        flight = read_by('a', range(18), due=2.2, gone=12, tokens=600_000)
+        flight = prefill_by(
+            'a', range(18), due_at=2.2, abandoned_at=12, tokens=600_000
+        )
         self.board.put(flight)
-        result = self.choose(make_ask(160_000), now=0.95)
+        result = self.choose(make_request(160_000), now=0.95)
         self.assertIs(result.decision, Decision.wait)
 
     def test_started_stream_is_not_refused(self):
-        """The cost to others is no reason to cut a stream that has begun."""
+        """The cost to others is no reason to cut a stream that has started."""
         for number in range(18):
             self.board.put(
-                read_by(
-                    f'f{number}', (number,), due=2.2, gone=12, tokens=120_000
+                prefill_by(
+                    f'f{number}',
+                    (number,),
+                    due_at=2.2,
+                    abandoned_at=12,
+                    tokens=120_000,
                 )
             )
-        ask = make_ask(160_000, arrived_at=-5)
-        result = self.choose(ask)
+        request = make_request(160_000, arrived_at=-5)
+        result = self.choose(request)
         self.assertIs(result.decision, Decision.no_room)
-        begun = replace(ask, timing=replace(ask.timing, begun=True))
-        self.assertIsInstance(self.choose(begun), Placement)
+        started = replace(request, timing=replace(request.timing, started=True))
+        self.assertIsInstance(self.choose(started), Placement)
 
     def test_retry_after(self):
         """A refusal says when the prefill in progress will have ended.
@@ -196,9 +210,11 @@
         ):
             self.setUp()
             self.board.put(
-                read_by('a', range(18), due=3, gone=12, tokens=tokens)
+                prefill_by(
+                    'a', range(18), due_at=3, abandoned_at=12, tokens=tokens
+                )
             )
-            result = self.choose(make_ask(789_000))
+            result = self.choose(make_request(789_000))
             self.assertGreater(result.retry_after_s, min_s)
             self.assertLess(result.retry_after_s, max_s)
 
@@ -208,13 +224,13 @@
 
     def test_in_time(self):
         """On an idle fleet a long prompt meets its objective."""
-        result = self.choose(make_ask(182_000))
+        result = self.choose(make_request(182_000))
         self.assertLess(result.first_token_s, 2.25)
 
     def test_no_target(self):
         """Without any target a request waits briefly, then is refused."""
-        ask = make_ask(5_000)
-        result = self.choose(ask, targets=())
+        request = make_request(5_000)
+        result = self.choose(request, targets=())
         self.assertIs(result.decision, Decision.wait)
-        result = self.choose(ask, now=0.5, targets=())
+        result = self.choose(request, now=0.5, targets=())
         self.assertIs(result.decision, Decision.no_target)
--- a/tests/test_relay_board.py
+++ b/tests/test_relay_board.py
@@ -5,7 +5,7 @@
 from trestledock.relay import LoadTable, Flight, Phase
 
 
-def make_flight(name, target='t1', helpers=(), tickets=(), tokens=1000):
+def make_flight(name, target='t1', helpers=(), reservations=(), tokens=1000):
     return Flight(
         name,
         target,
@@ -14,7 +14,7 @@
         Phase.prefill,
         0,
         helpers=helpers,
-        reservations=tickets,
+        reservations=reservations,
     )
 
 
@@ -36,7 +36,9 @@
 
     def test_memory_by_reservations(self):
         """Reservations hold their share; the rest is at the primary engine."""
-        flight = make_flight('a', helpers=('t2', 't3'), tickets=(('t2', 400),))
+        flight = make_flight(
+            'a', helpers=('t2', 't3'), reservations=(('t2', 400),)
+        )
         tokens = [
             flight.get_held_tokens(target) for target in ('t1', 't2', 't3')
         ]
--- a/tests/test_relay_elsewhere.py
+++ b/tests/test_relay_elsewhere.py
@@ -35,7 +35,7 @@
 NEAR_TARGETS, FAR_TARGETS = PLACED[:HALF], PLACED[HALF:]
 
 
-def make_reading(number, target, *helpers, tickets=()):
+def make_prefill(number, target, *helpers, reservations=()):
     """Return a prompt whose prefill has just begun."""
     return Flight(
         f'f{number}',
@@ -48,11 +48,11 @@
         worth=20,
         due_at=4.0,
         helpers=tuple([helper.incarnation for helper in helpers]),
-        reservations=tickets,
+        reservations=reservations,
     )
 
 
-def make_writing(number, target, pause_s=0.2):
+def make_decode(number, target, pause_s=0.2):
     """Return a short answer that is being decoded."""
     return Flight(
         f'w{number}',
@@ -73,7 +73,7 @@
         self.board = LoadTable()
         self.placer = Placer(self.board, Health(), data_centre=NEAR)
         for number, target in enumerate(NEAR_TARGETS):
-            self.board.put(make_reading(number, target))
+            self.board.put(make_prefill(number, target))
 
     def place(self, work, targets):
         return self.placer.place(work, ENGINE, targets, now=0.0)
@@ -126,12 +126,12 @@
     def test_prefill_and_memory(self):
         """Chunks, what is left of them, and reservations are the same."""
         first, second, third, *_ = FAR_TARGETS
-        ticket = ((second.incarnation, 90_500),)
+        reservations = ((second.incarnation, 90_500),)
         for full, summarized in zip(
             *self.compare(
-                make_reading(1, first, second, tickets=ticket),
-                make_reading(2, third),
-                make_reading(3, NEAR_TARGETS[0], first),
+                make_prefill(1, first, second, reservations=reservations),
+                make_prefill(2, third),
+                make_prefill(3, NEAR_TARGETS[0], first),
             ),
             strict=True,
         ):
@@ -141,8 +141,8 @@
     def test_decoding(self):
         """They are merged with the shortest allowed pause among them."""
         first, second, *_ = FAR_TARGETS
-        flights = [make_writing(number, first) for number in range(4)]
-        flights.append(make_writing(4, second, pause_s=0.8))
+        flights = [make_decode(number, first) for number in range(4)]
+        flights.append(make_decode(4, second, pause_s=0.8))
         for full, summarized in zip(*self.compare(*flights), strict=True):
             self.assertEqual(summarized.free_tokens, full.free_tokens)
             self.assertEqual(summarized.writers > 0, full.writers > 0)
@@ -151,7 +151,7 @@
 
     def test_other_targets_are_omitted(self):
         flights = summarize_load(
-            [make_reading(1, NEAR_TARGETS[0])],
+            [make_prefill(1, NEAR_TARGETS[0])],
             {target.incarnation for target in FAR_TARGETS},
             now=0.0,
         )
@@ -160,7 +160,7 @@
     def test_new_load_replaces_old(self):
         board = LoadTable()
         name = FAR_TARGETS[0].incarnation
-        board.set_remote_load(FAR, [make_reading(1, FAR_TARGETS[0])])
+        board.set_remote_load(FAR, [make_prefill(1, FAR_TARGETS[0])])
         self.assertEqual(len(tuple(board.get_flights(name))), 1)
         board.set_remote_load(FAR, ())
         self.assertEqual(tuple(board.get_flights(name)), ())
--- a/tests/test_relay_fleet.py
+++ b/tests/test_relay_fleet.py
@@ -25,15 +25,15 @@
     return [target.target_id for target in fleet.get_usable('s')]
 
 
-def drop(fleet, name, now):
+def remove(fleet, name, now):
     """Remove a target according to the fleet's view of the directory."""
-    return fleet.drop(name, fleet.watch.grace_end, now)
+    return fleet.record_removal(name, fleet.watch.grace_end, now)
 
 
 def disturb(fleet, began_at, ended_at):
     """Let reads of the directory fail until one succeeds at `ended_at`."""
-    fleet.watch.note_trouble(began_at)
-    fleet.watch.note_read(ended_at, ended_at)
+    fleet.watch.record_failure(began_at)
+    fleet.watch.record_read(ended_at, ended_at)
 
 
 class RecordTest(unittest.TestCase):
@@ -56,7 +56,7 @@
         """A heartbeat that is written after the removal is no return."""
         fleet = make_fleet()
         fleet.put(make_target(1, sequence=9))
-        drop(fleet, 't1', 0.5)
+        remove(fleet, 't1', 0.5)
         for sequence in (3, 9):
             self.assertFalse(fleet.put(make_target(1, sequence=sequence)))
         self.assertEqual(get_ids(fleet), ['t2'])
@@ -64,7 +64,7 @@
     def test_newer_record_after_removal(self):
         """A target whose lease had lapsed writes a newer record."""
         fleet = make_fleet()
-        drop(fleet, 't1', 0.5)
+        remove(fleet, 't1', 0.5)
         self.assertTrue(fleet.put(make_target(1, sequence=2)))
         self.assertEqual(set(get_ids(fleet)), {'t1', 't2'})
 
@@ -76,14 +76,14 @@
         """Without a disturbance, a missing target is removed at once."""
         fleet = make_fleet()
         fleet.watch.record_read(0.5, 0.5)
-        self.assertTrue(drop(fleet, 't2', 0.5))
+        self.assertTrue(remove(fleet, 't2', 0.5))
         self.assertEqual(get_ids(fleet), ['t1'])
 
     def test_missing_after_outage_is_retained(self):
         """After an outage a missing target is retained for about 2 s."""
         fleet = make_fleet()
         disturb(fleet, 8.6, 9)
-        self.assertFalse(drop(fleet, 't2', 9))
+        self.assertFalse(remove(fleet, 't2', 9))
         self.assertEqual(get_ids(fleet), ['t1', 't2'])
         self.assertEqual(fleet.expire_retained(10), [])
         self.assertEqual(fleet.expire_retained(11.3), ['t2'])
@@ -97,13 +97,13 @@
         """
         fleet = make_fleet()
         fleet.watch.record_read(2.5, 2.5)
-        self.assertTrue(drop(fleet, 't2', 2.5))
+        self.assertTrue(remove(fleet, 't2', 2.5))
 
     def test_one_failed_read_is_no_outage(self):
         """One failed read between two successful ones changes nothing."""
         fleet = make_fleet()
         disturb(fleet, 0.4, 0.8)
-        self.assertTrue(drop(fleet, 't2', 0.8))
+        self.assertTrue(remove(fleet, 't2', 0.8))
 
     def test_missing_at_synchronized_instance_is_removed(self):
         """An instance that followed the directory without a gap decides."""
@@ -116,7 +116,7 @@
         """A record that returns in time was never removed."""
         fleet = make_fleet()
         disturb(fleet, 8.6, 9)
-        drop(fleet, 't2', 9)
+        remove(fleet, 't2', 9)
         fleet.put(make_target(2, sequence=2))
         self.assertEqual(fleet.expire_retained(20), [])
 
@@ -124,7 +124,7 @@
         """A target that is listed again is reported to other instances."""
         fleet = make_fleet()
         disturb(fleet, 8.6, 9)
-        drop(fleet, 't2', 9)
+        remove(fleet, 't2', 9)
         revision = fleet.revision
         fleet.put(make_target(2))
         self.assertEqual(len(list(fleet.get_listed())), 2)
@@ -139,7 +139,7 @@
         fleet = make_fleet()
         revision = fleet.revision
         disturb(fleet, 8.6, 9)
-        drop(fleet, 't2', 9)
+        remove(fleet, 't2', 9)
         self.assertEqual(
             [target.target_id for target in fleet.get_listed()], ['t1']
         )
@@ -159,6 +159,6 @@
     def test_removed_is_not_retained(self):
         """A target known to be removed is not retained for others."""
         fleet = make_fleet()
-        drop(fleet, 't1', 0.5)
+        remove(fleet, 't1', 0.5)
         self.assertFalse(fleet.retain(make_target(1), 2))
         self.assertEqual(get_ids(fleet), ['t2'])
--- a/tests/test_relay_open_ends.py
+++ b/tests/test_relay_open_ends.py
@@ -3,7 +3,10 @@
 import unittest
 
 from trestledock.relay import ListedTarget, UnconfirmedCrashes
-from trestledock.relay._unconfirmed_crashes import MAX_UNCONFIRMED, UNCONFIRMED_TTL_S
+from trestledock.relay._unconfirmed_crashes import (
+    MAX_UNCONFIRMED,
+    UNCONFIRMED_TTL_S,
+)
 
 ORIGINAL = ListedTarget('t1', 's', 'a:1', born=1)
 RESTARTED = ListedTarget('t1', 's', 'a:2', born=2)
@@ -28,7 +31,9 @@
 
     def test_all_requests_of_target(self):
         crashes = make_unconfirmed('f', 'g')
-        self.assertEqual(get_fingerprints(crashes.pop_confirmed('t1@1', 1)), ['f', 'g'])
+        self.assertEqual(
+            get_fingerprints(crashes.pop_confirmed('t1@1', 1)), ['f', 'g']
+        )
         self.assertEqual(crashes.pop_confirmed('t1@1', 1), [])
 
     def test_replaced_by_other_target(self):
@@ -39,7 +44,9 @@
         self.assertEqual(get_fingerprints(ends), ['f'])
 
     def test_expiry(self):
-        self.assertEqual(make_unconfirmed('f').pop_confirmed('t1@1', UNCONFIRMED_TTL_S), [])
+        self.assertEqual(
+            make_unconfirmed('f').pop_confirmed('t1@1', UNCONFIRMED_TTL_S), []
+        )
 
     def test_maximum(self):
         crashes = UnconfirmedCrashes()
@@ -48,5 +55,8 @@
         self.assertEqual(crashes.pop_confirmed(f't{MAX_UNCONFIRMED}', 1), [])
         crashes.add('f', ORIGINAL, now=UNCONFIRMED_TTL_S + 1)
         self.assertEqual(
-            get_fingerprints(crashes.pop_confirmed('t1@1', UNCONFIRMED_TTL_S + 2)), ['f']
+            get_fingerprints(
+                crashes.pop_confirmed('t1@1', UNCONFIRMED_TTL_S + 2)
+            ),
+            ['f'],
         )
--- a/tests/test_relay_parts.py
+++ b/tests/test_relay_parts.py
@@ -93,7 +93,11 @@
     def test_may_have_run(self):
         """Only if no attempt may have run, the request certainly has not."""
         self.assertFalse(make_history(AttemptOutcome.rejected).may_have_run)
-        self.assertTrue(make_history(AttemptOutcome.rejected, AttemptOutcome.lost).may_have_run)
+        self.assertTrue(
+            make_history(
+                AttemptOutcome.rejected, AttemptOutcome.lost
+            ).may_have_run
+        )
 
     def test_last_attempt(self):
         """The last target is the one after which no other may run it."""
@@ -104,9 +108,13 @@
             (RESUMABLE, make_history(AttemptOutcome.rejected), False),
             (STREAM, make_history(), True),
             (NON_IDEMPOTENT, make_history(), True),
-            (IDEMPOTENT, make_history(*repeat(AttemptOutcome.not_sent, 5)), True),
+            (
+                IDEMPOTENT,
+                make_history(*repeat(AttemptOutcome.not_sent, 5)),
+                True,
+            ),
         ):
-            with self.subTest(route=route.kind, sendings=history.attempts):
+            with self.subTest(route=route.kind, attempts=history.attempts):
                 self.assertEqual(history.is_last_attempt(route), expected)
 
 
--- a/tests/test_relay_placing.py
+++ b/tests/test_relay_placing.py
@@ -48,7 +48,7 @@
                 work.worth,
                 now + work.objective_s,
                 tuple(helper.target_id for helper in placement.helpers),
-                placement.tickets,
+                placement.reservations,
             )
         )
 
--- a/tests/test_relay_quotas.py
+++ b/tests/test_relay_quotas.py
@@ -95,7 +95,9 @@
     def test_restart_keeps_quota(self):
         """An entry is known by its address, through all restarts."""
         own, *others = make_members(9)
-        before = get_quota(Membership(own, tuple(others), 9), TargetRate('t', '', 2))
+        before = get_quota(
+            Membership(own, tuple(others), 9), TargetRate('t', '', 2)
+        )
         restarted = Member(own.name, own.data_centre)
         after = get_quota(
             Membership(restarted, tuple(others), 9), TargetRate('t', '', 2)
--- a/tests/test_relay_readers.py
+++ b/tests/test_relay_readers.py
@@ -27,7 +27,11 @@
 
     def test_two_readers_cut_off(self):
         """If two are cut off, the third in the order reads."""
-        candidates = [ReaderCandidate('a', 2), ReaderCandidate('b', 3), ReaderCandidate('c', 0.5)]
+        candidates = [
+            ReaderCandidate('a', 2),
+            ReaderCandidate('b', 3),
+            ReaderCandidate('c', 0.5),
+        ]
         self.assertEqual(choose_reader(candidates), 'c')
 
     def test_lost_reader_is_replaced_in_time(self):
@@ -41,7 +45,9 @@
         """A change is known after a read, a query and an answer."""
         for settle_s in (2, 3, 4, 10):
             pace = ReadSchedule(settle_s)
-            self.assertLess(pace.read_interval_s + pace.ask_interval_s, settle_s / 2)
+            self.assertLess(
+                pace.read_interval_s + pace.ask_interval_s, settle_s / 2
+            )
             self.assertLessEqual(pace.ask_interval_s, 0.6)
 
     def test_own_reads_are_spread(self):
--- a/tests/test_relay_resting.py
+++ b/tests/test_relay_resting.py
@@ -29,30 +29,33 @@
 class NoticesTest(unittest.TestCase):
     """Which of several notices holds."""
 
-    def note(self, *received):
+    def record(self, *received):
         notices = Notices()
         changes = [notices.record('t', notice) for notice in received]
         return changes, notices
 
     # Guards against a short back-off that replaces an earlier, longer one.
     def test_later_end_counts(self):
-        changes, notices = self.note(
+        changes, notices = self.record(
             Backoff(9, 0, 1), Backoff(4, 1, 2), Backoff(12, 3, 4)
         )
         self.assertEqual(
-            changes, [NoticeChange.learnt, NoticeChange.nothing, NoticeChange.changed]
+            changes,
+            [NoticeChange.learnt, NoticeChange.nothing, NoticeChange.changed],
         )
         self.assertEqual(notices.get(Backoff, 't').until, 12)
 
     def test_drain_is_final(self):
-        changes, notices = self.note(Drain(0, 1), Drain(5, 6), Backoff(9, 0, 1))
+        changes, notices = self.record(
+            Drain(0, 1), Drain(5, 6), Backoff(9, 0, 1)
+        )
         self.assertEqual(changes[1], NoticeChange.nothing)
         notices.forget('t')
         self.assertIsNotNone(notices.get(Drain, 't'))
         self.assertIsNone(notices.get(Backoff, 't'))
 
     def test_kinds_are_independent(self):
-        _, notices = self.note(RateLimit(2, 0, 1), Backoff(9, 0, 1))
+        _, notices = self.record(RateLimit(2, 0, 1), Backoff(9, 0, 1))
         self.assertEqual(notices.get(RateLimit, 't').per_s, 2)
         self.assertEqual(notices.get(Backoff, 't').until, 9)
 
--- a/tests/test_relay_throttle.py
+++ b/tests/test_relay_throttle.py
@@ -57,5 +57,7 @@
     def test_limit_of_zero(self):
         """Otherwise no request would reveal that the limit has ended."""
         throttle = make_throttle(t1=0)
-        sent = [now for now in range(100) if throttle.acquire([ONE], now) is None]
+        sent = [
+            now for now in range(100) if throttle.acquire([ONE], now) is None
+        ]
         self.assertEqual(len(sent), 10)
--- a/tests/test_relay_turns.py
+++ b/tests/test_relay_turns.py
@@ -30,8 +30,8 @@
             request for request in waiting if not queue.count_ahead(request)
         ]
         assert len(first) == 1, first
-        queue.leave(first[0].req_id)
-        queue.note_served(first[0], len(served) + 100)
+        queue.remove(first[0].req_id)
+        queue.record_served(first[0], len(served) + 100)
         served.append(first[0])
     return served
 
@@ -65,4 +65,6 @@
 
     def test_other_services_are_ignored(self):
         queue = make_queue([('a', 0)])
-        self.assertEqual(queue.count_ahead(WaitingRequest('x', 'other', 'a', 9)), 0)
+        self.assertEqual(
+            queue.count_ahead(WaitingRequest('x', 'other', 'a', 9)), 0
+        )
--- a/trestledock/relay/_asking.py
+++ b/trestledock/relay/_asking.py
@@ -89,9 +89,7 @@
         placement = placer.place(work, engine, targets, now)
         if placement is None:
             any_target = bool(targets)
-            return Unplaced(
-                decide_unplaced(timing, now, any_target=any_target)
-            )
+            return Unplaced(decide_unplaced(timing, now, any_target=any_target))
         decision = decide(timing, work.worth, placement, now, placer.policy)
         if decision is Decision.send:
             return placement
--- a/trestledock/relay/_board.py
+++ b/trestledock/relay/_board.py
@@ -184,7 +184,9 @@
             for neighbour in self.get_flights(name)
         ]
 
-    def set_remote_load(self, data_centre: str, flights: Iterable[Flight]) -> None:
+    def set_remote_load(
+        self, data_centre: str, flights: Iterable[Flight]
+    ) -> None:
         """Replace the load that was reported for a remote data centre.
 
         The reported requests never include those of peers that send messages to
--- a/trestledock/relay/_fleet.py
+++ b/trestledock/relay/_fleet.py
@@ -12,7 +12,12 @@
 from dataclasses import dataclass, field, replace
 from typing import Collection, Iterable, Iterator
 
-from trestledock.relay._listed import UNKNOWN_BIRTH, ListedTarget, RecordOrder, Standing
+from trestledock.relay._listed import (
+    UNKNOWN_BIRTH,
+    ListedTarget,
+    RecordOrder,
+    Standing,
+)
 from trestledock.relay._notices import Drain, Notices
 from trestledock.relay._watch import ListWatch
 
@@ -74,7 +79,9 @@
 
     def record_draining(self, incarnation: str, heard_at: float) -> None:
         """Record a draining target; all instances learn of it by themselves."""
-        self.notices.record(incarnation, Drain(heard_at, heard_at, is_shared=True))
+        self.notices.record(
+            incarnation, Drain(heard_at, heard_at, is_shared=True)
+        )
 
     def put(self, listed: ListedTarget) -> bool:
         """Add or update a record; return whether more than its age changed."""
@@ -101,7 +108,9 @@
     def get_last_order(self, target_id: str) -> RecordOrder:
         """Return the order of a target's last record, or the lowest order."""
         known = self.get_by_id(target_id)
-        return known.order if known else self.removed.get(target_id, LOWEST_ORDER)
+        return (
+            known.order if known else self.removed.get(target_id, LOWEST_ORDER)
+        )
 
     def record_outdated(self, listed: ListedTarget) -> None:
         """Process a record that was followed by a removal."""
@@ -175,7 +184,9 @@
         for target_id, order in self.removed.items():
             yield RemovedTarget(target_id, order)
 
-    def merge_removed(self, removed_targets: Iterable[RemovedTarget]) -> list[str]:
+    def merge_removed(
+        self, removed_targets: Iterable[RemovedTarget]
+    ) -> list[str]:
         """Merge the removed targets that another instance knows.
 
         Return the incarnations that were removed here, known by older records.
--- a/trestledock/relay/_giants.py
+++ b/trestledock/relay/_giants.py
@@ -35,7 +35,9 @@
     if best is None:
         best = _plan_giant(problem, holders, len(holders) - 1)
     share = _get_share(problem, len(holders))
-    reservations = tuple((load.listed.incarnation, share) for load in holders[1:])
+    reservations = tuple(
+        (load.listed.incarnation, share) for load in holders[1:]
+    )
     return replace(best, reservations=reservations)
 
 
--- a/trestledock/relay/_health.py
+++ b/trestledock/relay/_health.py
@@ -126,7 +126,9 @@
         """Return the health of a target."""
         return self.targets.setdefault(target_id, TargetHealth())
 
-    def record_success(self, target_id: str, now: float, data_centre: str = '') -> None:
+    def record_success(
+        self, target_id: str, now: float, data_centre: str = ''
+    ) -> None:
         """Record a correct answer."""
         self.data_centres.pop(data_centre, None)
         self._learn(target_id, 0, now)
@@ -139,7 +141,9 @@
         """Record an answer that failed, was cut short or was invalid."""
         self._learn(target_id, 1, now)
 
-    def record_early_timeout(self, target_id: str, now: float, data_centre: str = '') -> None:
+    def record_early_timeout(
+        self, target_id: str, now: float, data_centre: str = ''
+    ) -> None:
         """Record an early timeout; the target may only be busy.
 
         Another early timeout without an answer in between counts as silence.
@@ -150,10 +154,14 @@
         if target.doubts >= DOUBTS:
             self.record_silence(target_id, now, data_centre)
 
-    def record_silence(self, target_id: str, now: float, data_centre: str = '') -> None:
+    def record_silence(
+        self, target_id: str, now: float, data_centre: str = ''
+    ) -> None:
         """Record that no answer arrived or no connection was established."""
         if data_centre:
-            centre_health = self.data_centres.setdefault(data_centre, DataCentreHealth())
+            centre_health = self.data_centres.setdefault(
+                data_centre, DataCentreHealth()
+            )
             centre_health.note_silence(target_id, now)
         target = self.get(target_id)
         if now < target.suspect_until:
@@ -192,7 +200,9 @@
 
         Return whether they were not silent before.
         """
-        centre_health = self.data_centres.setdefault(data_centre, DataCentreHealth())
+        centre_health = self.data_centres.setdefault(
+            data_centre, DataCentreHealth()
+        )
         if centre_health.instances_silent:
             return False
         centre_health.note_quiet(now)
--- a/trestledock/relay/_notices.py
+++ b/trestledock/relay/_notices.py
@@ -165,4 +165,6 @@
         return NoticeChange.nothing
     if requested_before is None:
         return NoticeChange.learnt
-    return NoticeChange.lifted if after.requested is None else NoticeChange.changed
+    return (
+        NoticeChange.lifted if after.requested is None else NoticeChange.changed
+    )
--- a/trestledock/relay/_problem.py
+++ b/trestledock/relay/_problem.py
@@ -106,7 +106,9 @@
             return 0
         excess = (first_s - limit_s) / max(limit_s, LEAST_OBJECTIVE_S)
         lost_share = LATE_LOSS * min(1, LATE_AT_LEAST + excess)
-        left_s = max(self.work.abandoned_after_s * GONE_SHARE, LEAST_OBJECTIVE_S)
+        left_s = max(
+            self.work.abandoned_after_s * GONE_SHARE, LEAST_OBJECTIVE_S
+        )
         if first_s > left_s:
             return self.work.worth * LOST_SHARE
         return self.work.worth * (
@@ -166,7 +168,9 @@
             for position in range(idle_count)
         ]
         return (
-            self.terms.idle_engine_cost * chunk_s * sum(share**2 for share in shares)
+            self.terms.idle_engine_cost
+            * chunk_s
+            * sum(share**2 for share in shares)
         )
 
     def get_whole_cost(self, load: View, chunk_s: float) -> float:
--- a/trestledock/relay/_throttle.py
+++ b/trestledock/relay/_throttle.py
@@ -91,7 +91,9 @@
             TargetRate(target.incarnation, target.data_centre, limit.per_s)
         )
 
-    def acquire(self, targets: Sequence[ListedTarget], now: float) -> ListedTarget | None:
+    def acquire(
+        self, targets: Sequence[ListedTarget], now: float
+    ) -> ListedTarget | None:
         """Send a request to all given targets or to none.
 
         Return the first target that doesn't accept it, or None if all do.
@@ -133,7 +135,9 @@
         self.backoffs.forget(target)
         self._buckets.pop(target, None)
 
-    def _get_wait_s(self, target: ListedTarget, count: int, now: float) -> float:
+    def _get_wait_s(
+        self, target: ListedTarget, count: int, now: float
+    ) -> float:
         """Return after how many seconds `count` requests have been sent.
 
         After a back-off, they follow the first one within moments.
--- a/trestledock/relay/_view.py
+++ b/trestledock/relay/_view.py
@@ -89,13 +89,17 @@
 class Viewer:
     """Derives the load of engines from the requests in flight."""
 
-    def __init__(self, board: LoadTable, health: Health, data_centre: str) -> None:
+    def __init__(
+        self, board: LoadTable, health: Health, data_centre: str
+    ) -> None:
         """Store the inputs."""
         self.board = board
         self.health = health
         self.data_centre = data_centre
 
-    def view(self, engine: EngineModel, listed: ListedTarget, now: float) -> View:
+    def view(
+        self, engine: EngineModel, listed: ListedTarget, now: float
+    ) -> View:
         """Return the load of an engine now."""
         name = listed.incarnation
         flights = tuple(self.board.get_flights(name))
@@ -127,7 +131,9 @@
     at = now
     prefilling = [flight for flight in flights if flight.phase is Phase.prefill]
     for flight in sorted(prefilling, key=lambda request: request.since):
-        chunk_s = get_prefill_s(engine, flight.prompt_tokens) / flight.chunk_count
+        chunk_s = (
+            get_prefill_s(engine, flight.prompt_tokens) / flight.chunk_count
+        )
         left_s = max(0, left_s - max(0, flight.since - at)) + chunk_s
         at = flight.since
     return max(0, left_s - max(0, now - at))
