--- a/tests/test_relay_asking.py
+++ b/tests/test_relay_asking.py
@@ -139,7 +139,7 @@
 
     def test_pause_beyond_patience(self):
         """A pause at which callers leave costs more than a late answer."""
-        viewer = self.placer.viewer
+        estimator = self.placer.estimator
         for name, target, patience_s in (('a', 't00', 2.0), ('b', 't01', 9.0)):
             self.board.put(
                 Flight(
@@ -154,7 +154,9 @@
                 )
             )
         costs = [
-            viewer.view(ENGINE, TARGETS[number], 0).get_harm(2.5)
+            estimator.estimate(ENGINE, TARGETS[number], 0).get_cost_to_others(
+                2.5
+            )
             for number in (0, 1)
         ]
         self.assertGreater(costs[0], costs[1])
@@ -164,8 +166,8 @@
         self.board.put(
             prefill_by('a', (0,), due_at=0.5, abandoned_at=12, tokens=182_000)
         )
-        view = self.placer.viewer.view(ENGINE, TARGETS[0], 0)
-        self.assertLess(view.get_harm(1.0), 5)
+        load = self.placer.estimator.estimate(ENGINE, TARGETS[0], 0)
+        self.assertLess(load.get_cost_to_others(1.0), 5)
 
 
 class WaitingTest(Fixture):
--- a/tests/test_relay_elsewhere.py
+++ b/tests/test_relay_elsewhere.py
@@ -117,7 +117,7 @@
             full.put(flight)
         return [
             [
-                Placer(board, Health()).viewer.view(ENGINE, target, 0.5)
+                Placer(board, Health()).estimator.estimate(ENGINE, target, 0.5)
                 for target in FAR_TARGETS
             ]
             for board in (full, summarized)
@@ -135,7 +135,9 @@
             ),
             strict=True,
         ):
-            self.assertEqual(summarized.pending_s, full.pending_s)
+            self.assertEqual(
+                summarized.pending_prefill_s, full.pending_prefill_s
+            )
             self.assertEqual(summarized.free_tokens, full.free_tokens)
 
     def test_decoding(self):
@@ -145,8 +147,11 @@
         flights.append(make_decode(4, second, pause_s=0.8))
         for full, summarized in zip(*self.compare(*flights), strict=True):
             self.assertEqual(summarized.free_tokens, full.free_tokens)
-            self.assertEqual(summarized.writers > 0, full.writers > 0)
-            costs = (summarized.get_harm(1.0), full.get_harm(1.0))
+            self.assertEqual(summarized.decoding > 0, full.decoding > 0)
+            costs = (
+                summarized.get_cost_to_others(1.0),
+                full.get_cost_to_others(1.0),
+            )
             self.assertAlmostEqual(*costs)
 
     def test_other_targets_are_omitted(self):
--- a/tests/test_relay_watch.py
+++ b/tests/test_relay_watch.py
@@ -2,7 +2,7 @@
 
 import unittest
 
-from trestledock.relay._watch import (
+from trestledock.relay._list_watch import (
     GAP_S,
     LAPSE_GRACE_S,
     RETURN_GRACE_S,
--- a/trestledock/relay/__init__.py
+++ b/trestledock/relay/__init__.py
@@ -7,15 +7,20 @@
 shared retry budget.  The package opens no sockets and reads no clock.
 """
 
-from trestledock.relay._arithmetic import (
-    PassLoad,
-    get_prefill_s,
-    get_decode_pass_s,
-    get_decode_s,
+from trestledock.relay._admission import (
+    PLACEMENT_RETRY_S,
+    Decision,
+    Timing,
+    decide,
+    decide_unplaced,
+    get_retry_after_s,
 )
-from trestledock.relay._asking import PlacementRequest, Unplaced, pick_cheapest
-from trestledock.relay._board import LoadTable, Flight, Phase
-from trestledock.relay._budget import RetryLimits, RetryBudget
+from trestledock.relay._attempts import (
+    AttemptHistory,
+    AttemptOutcome,
+    RelayAttempt,
+)
+from trestledock.relay._backoff import get_jitter_s
 from trestledock.relay._call import Body, Call, PromptSize
 from trestledock.relay._catalog import (
     Catalog,
@@ -32,172 +37,167 @@
     find_prior_claim,
     needs_claim,
 )
-from trestledock.relay._deciding import (
-    PLACEMENT_RETRY_S,
-    Decision,
-    Timing,
-    decide,
-    decide_unplaced,
-    get_retry_after_s,
+from trestledock.relay._engine_timing import (
+    PassLoad,
+    get_decode_pass_s,
+    get_decode_s,
+    get_prefill_s,
 )
-from trestledock.relay._events import StreamEvent, EventSplitter
-from trestledock.relay._fingerprint import RequestIdentity, get_fingerprint
-from trestledock.relay._elsewhere import (
-    RemoteLoad,
-    should_query_remote,
-    summarize_load,
+from trestledock.relay._event_stream import EventSplitter, StreamEvent
+from trestledock.relay._failure_kinds import (
+    FailureKind,
+    classify_connect_error,
+    classify_disconnect,
 )
+from trestledock.relay._fingerprint import RequestIdentity, get_fingerprint
 from trestledock.relay._fleet import LOWEST_ORDER, Fleet, RemovedTarget
+from trestledock.relay._freshness import FreshnessProof
 from trestledock.relay._health import Health
-from trestledock.relay._listed import (
-    UNKNOWN_BIRTH,
-    ListedTarget,
-    RecordOrder,
-    Standing,
-)
+from trestledock.relay._least_busy import choose_least_busy
+from trestledock.relay._load_table import Flight, LoadTable, Phase
 from trestledock.relay._notices import (
-    NoticeChange,
+    Backoff,
     Drain,
     Notice,
+    NoticeChange,
     Notices,
-    Backoff,
     PeerBackoff,
 )
-from trestledock.relay._unconfirmed_crashes import UnconfirmedCrashes
-from trestledock.relay._outcome import (
-    AttemptOutcome,
-    AttemptHistory,
-    RelayAttempt,
-)
-from trestledock.relay._patience import (
-    EARLY_RETRY_LIMITS,
-    get_first_event_timeout_s,
-    get_pause_timeout_s,
-    is_waiting_for_memory,
-)
-from trestledock.relay._placing import Placer
-from trestledock.relay._plain import choose_least_busy
-from trestledock.relay._problem import Placement, Work
-from trestledock.relay._proof import FreshnessProof
-from trestledock.relay._quarantine import (
-    Crash,
-    QuarantineRecord,
-    Quarantine,
+from trestledock.relay._placement import Placer
+from trestledock.relay._placement_cost import Placement, Work
+from trestledock.relay._placement_request import (
+    PlacementRequest,
+    Unplaced,
+    pick_cheapest,
 )
+from trestledock.relay._policy import DEFAULT_POLICY, PlacementPolicy
+from trestledock.relay._quarantine import Crash, Quarantine, QuarantineRecord
 from trestledock.relay._quotas import Member, Membership
 from trestledock.relay._rate_limits import RateLimit
-from trestledock.relay._reach import BEAT_INTERVAL_S, Reachability
-from trestledock.relay._rendezvous import rank_by_key
-from trestledock.relay._backoff import get_jitter_s
-from trestledock.relay._restores import REWRITE_WAIT_S, RestoreTracker
+from trestledock.relay._reachability import BEAT_INTERVAL_S, Reachability
 from trestledock.relay._readers import (
-    ReaderCandidate,
     ReadSchedule,
+    ReaderCandidate,
     choose_reader,
     get_own_read_delay_s,
     get_read_retry_s,
 )
-from trestledock.relay._signs import (
-    FailureKind,
-    classify_connect_error,
-    classify_disconnect,
+from trestledock.relay._remote_load import (
+    RemoteLoad,
+    should_query_remote,
+    summarize_load,
+)
+from trestledock.relay._rendezvous import rank_by_key
+from trestledock.relay._restore_tracker import REWRITE_WAIT_S, RestoreTracker
+from trestledock.relay._retry_budget import RetryBudget, RetryLimits
+from trestledock.relay._target_records import (
+    UNKNOWN_BIRTH,
+    ListedTarget,
+    RecordOrder,
+    Standing,
 )
-from trestledock.relay._terms import DEFAULT_POLICY, PlacementPolicy
 from trestledock.relay._throttle import Throttle
-from trestledock.relay._turns import WaitingRequest, WaitQueue
+from trestledock.relay._timeouts import (
+    EARLY_RETRY_LIMITS,
+    get_first_event_timeout_s,
+    get_pause_timeout_s,
+    is_waiting_for_memory,
+)
+from trestledock.relay._unconfirmed_crashes import UnconfirmedCrashes
+from trestledock.relay._wait_queue import WaitQueue, WaitingRequest
 from trestledock.relay._worth import get_worth
 
 __all__ = (
-    'PlacementRequest',
-    'LOWEST_ORDER',
+    'AttemptHistory',
+    'AttemptOutcome',
     'BEAT_INTERVAL_S',
-    'LoadTable',
+    'Backoff',
     'Body',
-    'RetryLimits',
     'CLAIM_DELAY_S',
     'Call',
-    'ReaderCandidate',
     'Catalog',
-    'NoticeChange',
+    'Crash',
+    'DEFAULT_POLICY',
     'Decision',
+    'Drain',
     'EARLY_RETRY_LIMITS',
-    'Crash',
-    'AttemptOutcome',
     'EngineModel',
-    'StreamEvent',
+    'EventSplitter',
+    'FailureKind',
     'Fleet',
     'Flight',
-    'RemovedTarget',
+    'FreshnessProof',
     'Health',
-    'QuarantineRecord',
-    'AttemptHistory',
-    'PLACEMENT_RETRY_S',
-    'Drain',
+    'LOWEST_ORDER',
     'Limits',
     'ListedTarget',
-    'RemoteLoad',
+    'LoadTable',
     'Member',
     'Membership',
-    'Unplaced',
     'Notice',
+    'NoticeChange',
     'Notices',
-    'UnconfirmedCrashes',
-    'RecordOrder',
+    'PLACEMENT_RETRY_S',
     'PassLoad',
+    'PeerBackoff',
     'Phase',
     'Placement',
+    'PlacementPolicy',
+    'PlacementRequest',
     'Placer',
     'PromptSize',
-    'FreshnessProof',
-    'Reachability',
     'Quarantine',
+    'QuarantineRecord',
+    'REWRITE_WAIT_S',
     'RateLimit',
+    'Reachability',
     'ReadSchedule',
-    'REWRITE_WAIT_S',
-    'Backoff',
-    'PeerBackoff',
+    'ReaderCandidate',
+    'RecordOrder',
+    'RelayAttempt',
+    'RemoteLoad',
+    'RemovedTarget',
+    'RequestIdentity',
     'RestoreTracker',
     'RetryBudget',
+    'RetryLimits',
     'Route',
     'RouteKind',
-    'RelayAttempt',
     'Service',
     'Share',
-    'FailureKind',
-    'EventSplitter',
     'Standing',
-    'DEFAULT_POLICY',
+    'StreamEvent',
     'TeamKey',
-    'PlacementPolicy',
     'Throttle',
     'Timing',
-    'RequestIdentity',
-    'WaitingRequest',
-    'WaitQueue',
     'UNKNOWN_BIRTH',
+    'UnconfirmedCrashes',
+    'Unplaced',
+    'WaitQueue',
+    'WaitingRequest',
     'Work',
     'choose_least_busy',
     'choose_reader',
+    'classify_connect_error',
+    'classify_disconnect',
     'decide',
     'decide_unplaced',
     'find_prior_claim',
-    'get_retry_after_s',
-    'classify_connect_error',
-    'classify_disconnect',
+    'get_decode_pass_s',
+    'get_decode_s',
     'get_fingerprint',
     'get_first_event_timeout_s',
+    'get_jitter_s',
     'get_own_read_delay_s',
     'get_pause_timeout_s',
     'get_prefill_s',
     'get_read_retry_s',
-    'get_jitter_s',
+    'get_retry_after_s',
     'get_worth',
-    'get_decode_pass_s',
-    'get_decode_s',
     'is_waiting_for_memory',
-    'should_query_remote',
     'needs_claim',
     'pick_cheapest',
     'rank_by_key',
+    'should_query_remote',
     'summarize_load',
 )
--- a/trestledock/relay/_deciding.py
+++ b/trestledock/relay/_admission.py
@@ -11,30 +11,30 @@
 from dataclasses import dataclass
 from enum import Enum
 
-from trestledock.relay._problem import GONE_SHARE, Placement
-from trestledock.relay._terms import DEFAULT_POLICY, PlacementPolicy
+from trestledock.relay._placement_cost import ABANDONMENT_SHARE, Placement
+from trestledock.relay._policy import DEFAULT_POLICY, PlacementPolicy
 
 #: The share of its objective that a request may wait for a better placement.
-PATIENCE_SHARE = 0.3
+MAX_WAIT_SHARE = 0.3
 #: Waiting ends when the predicted time to the first token fills this share of
 #: the remaining objective.
 OBJECTIVE_SHARE = 0.75
 #: A late request waits for others if its cost to them exceeds this share of its
 #: own worth, as long as it may still be in time.
-LATE_HARM_SHARE = 0.1
+LATE_COST_SHARE = 0.1
 #: A request that will be late in any case queues for at most this share of the
 #: time until its caller leaves, provided that its prefill on an idle fleet fits
-#: into `IDEAL_SHARE` of the time left.  Only prompts above a worth of 2 (some
-#: 14,000 tokens) queue: a short request that waits would delay requests that
-#: may be in time.
-LATE_PATIENCE_SHARE = 0.4
-IDEAL_SHARE = 0.6
+#: into `MAX_IDLE_FLEET_SHARE` of the time left.  Only prompts above a worth of
+#: 2 (some 14,000 tokens) queue: a short request that waits would delay requests
+#: that may be in time.
+MAX_QUEUE_SHARE = 0.4
+MAX_IDLE_FLEET_SHARE = 0.6
 SMALL_WORTH = 2.0
 #: The largest share of the remaining time that a refused caller is told to wait
 #: before it retries.  Callers don't wait for longer than a third.
-COME_BACK_SHARE = 0.3
+MAX_RETRY_AFTER_SHARE = 0.3
 #: The share of its total time that a request may wait for memory.
-MEMORY_PATIENCE_SHARE = 0.4
+MAX_MEMORY_WAIT_SHARE = 0.4
 #: The cost, as a share of its worth, above which a request waits for a better
 #: placement.
 WAIT_COST_SHARE = 0.3
@@ -42,7 +42,7 @@
 #: changed, in seconds.
 PLACEMENT_RETRY_S = 0.03
 #: How long a request waits while its service has no target, in seconds.
-TARGET_PATIENCE_S = 0.2
+MAX_TARGET_WAIT_S = 0.2
 
 
 class Decision(str, Enum):
@@ -60,30 +60,30 @@
 class Timing:
     """The instants that decide on a request.
 
-    The first event is late after `due`, the caller has left at `gone`, and the
-    whole answer must be finished by `deadline`.  `write_s` is the time to
-    decode the answer after the first event.  A request that has `begun` may
-    have been run, or answered in part.
+    The first event is late after `due_at`, the caller has left at
+    `abandoned_at`, and the whole answer must be finished by `deadline`.
+    `decode_s` is the time to decode the answer after the first event.  A
+    request that has `started` may have been run, or answered in part.
     """
 
     arrived_at: float
     due_at: float
     abandoned_at: float
     deadline: float
-    write_s: float = 0
+    decode_s: float = 0
     started: bool = False
 
     def get_waited_s(self, now: float) -> float:
         """Return how long the request has waited."""
         return now - self.arrived_at
 
-    def get_objective_left_s(self, now: float) -> float:
+    def get_remaining_objective_s(self, now: float) -> float:
         """Return the time left until the first event is late."""
         return self.due_at - now
 
-    def get_left_s(self, now: float) -> float:
+    def get_remaining_s(self, now: float) -> float:
         """Return the time left in which the first event is still useful."""
-        return min(self.abandoned_at, self.deadline - self.write_s) - now
+        return min(self.abandoned_at, self.deadline - self.decode_s) - now
 
 
 def decide(
@@ -97,7 +97,7 @@
     if terms.waiting and is_worth_waiting(timing, worth, placement, now):
         return Decision.wait
     refusal = _get_refusal(timing, placement, now, terms)
-    if refusal or _is_in_the_way(timing, worth, placement, now):
+    if refusal or _should_yield(timing, worth, placement, now):
         if terms.waiting and _may_be_in_time(timing, placement, now):
             return Decision.wait
         may_queue = terms.queueing and worth > SMALL_WORTH
@@ -117,25 +117,28 @@
     A request that has begun is never refused for its cost to others: its caller
     has waited, and engines have already worked on it.
     """
-    if placement.first_token_s > timing.get_left_s(now) * GONE_SHARE:
+    if (
+        placement.first_token_s
+        > timing.get_remaining_s(now) * ABANDONMENT_SHARE
+    ):
         return Decision.no_time
     if timing.started:
         return None
-    too_dear = (
+    too_expensive = (
         placement.cost_to_others > placement.gain * terms.max_cost_to_others
     )
-    return Decision.no_room if too_dear else None
+    return Decision.no_room if too_expensive else None
 
 
-def _is_in_the_way(
+def _should_yield(
     timing: Timing,
     worth: float,
     placement: Placement,
     now: float,
 ) -> bool:
     """Return whether a late request should let other requests finish first."""
-    is_late = placement.first_token_s > timing.get_objective_left_s(now)
-    return is_late and placement.cost_to_others > worth * LATE_HARM_SHARE
+    is_late = placement.first_token_s > timing.get_remaining_objective_s(now)
+    return is_late and placement.cost_to_others > worth * LATE_COST_SHARE
 
 
 def is_worth_waiting(
@@ -151,15 +154,15 @@
     still be in time.
     """
     objective_s = timing.due_at - timing.arrived_at
-    if timing.get_waited_s(now) > objective_s * PATIENCE_SHARE:
+    if timing.get_waited_s(now) > objective_s * MAX_WAIT_SHARE:
         return False
     if placement.cost <= worth * WAIT_COST_SHARE:
         return False
-    left_s = timing.get_objective_left_s(now)
-    soon_s = left_s * OBJECTIVE_SHARE - PLACEMENT_RETRY_S
+    left_s = timing.get_remaining_objective_s(now)
+    limit_s = left_s * OBJECTIVE_SHARE - PLACEMENT_RETRY_S
     is_late = placement.first_token_s > left_s
-    hoped_s = placement.ideal_s if is_late else placement.first_token_s
-    return hoped_s < soon_s
+    best_s = placement.idle_fleet_s if is_late else placement.first_token_s
+    return best_s < limit_s
 
 
 def _may_be_in_time(
@@ -169,10 +172,10 @@
 ) -> bool:
     """Return whether the request would be in time on an idle fleet."""
     left_s = min(
-        timing.get_objective_left_s(now) * OBJECTIVE_SHARE,
-        timing.get_left_s(now) * GONE_SHARE,
+        timing.get_remaining_objective_s(now) * OBJECTIVE_SHARE,
+        timing.get_remaining_s(now) * ABANDONMENT_SHARE,
     )
-    return placement.ideal_s < left_s - PLACEMENT_RETRY_S
+    return placement.idle_fleet_s < left_s - PLACEMENT_RETRY_S
 
 
 def _has_time_to_queue(
@@ -181,20 +184,25 @@
     now: float,
 ) -> bool:
     """Return whether a late request should wait for others to finish."""
-    whole_s = timing.abandoned_at - timing.arrived_at
-    if timing.get_waited_s(now) > whole_s * LATE_PATIENCE_SHARE:
+    total_s = timing.abandoned_at - timing.arrived_at
+    if timing.get_waited_s(now) > total_s * MAX_QUEUE_SHARE:
         return False
-    return placement.ideal_s <= timing.get_left_s(now) * IDEAL_SHARE
+    return (
+        placement.idle_fleet_s
+        <= timing.get_remaining_s(now) * MAX_IDLE_FLEET_SHARE
+    )
 
 
-def get_retry_after_s(timing: Timing, clear_s: float, now: float) -> float:
+def get_retry_after_s(
+    timing: Timing, pending_prefill_s: float, now: float
+) -> float:
     """Return after how many seconds a refused caller should retry.
 
     By then the prefill that delays the request has ended, but the second try
     must still have most of its time.
     """
-    most_s = (timing.deadline - now) * COME_BACK_SHARE
-    return max(0, min(clear_s, most_s))
+    max_s = (timing.deadline - now) * MAX_RETRY_AFTER_SHARE
+    return max(0, min(pending_prefill_s, max_s))
 
 
 def decide_unplaced(
@@ -204,11 +212,11 @@
     any_target: bool,
 ) -> Decision:
     """Return what happens to a request that no target can take now."""
-    patience_s = TARGET_PATIENCE_S
+    max_wait_s = MAX_TARGET_WAIT_S
     refusal = Decision.no_target
     if any_target:
-        whole_s = timing.deadline - timing.arrived_at
-        patience_s = whole_s * MEMORY_PATIENCE_SHARE
+        total_s = timing.deadline - timing.arrived_at
+        max_wait_s = total_s * MAX_MEMORY_WAIT_SHARE
         refusal = Decision.no_memory
-    waits_on = timing.get_waited_s(now) <= patience_s
-    return Decision.wait if waits_on else refusal
+    may_wait = timing.get_waited_s(now) <= max_wait_s
+    return Decision.wait if may_wait else refusal
--- a/trestledock/relay/_outcome.py
+++ b/trestledock/relay/_attempts.py
@@ -11,7 +11,7 @@
 from enum import Enum
 
 from trestledock.relay._catalog import Route
-from trestledock.relay._signs import FailureKind
+from trestledock.relay._failure_kinds import FailureKind
 
 
 class AttemptOutcome(str, Enum):
@@ -60,16 +60,16 @@
         """The number of targets that may have run the request."""
         return sum(attempt.may_have_run for attempt in self.attempts)
 
-    def add(self, sending: RelayAttempt) -> 'AttemptHistory':
+    def add(self, attempt: RelayAttempt) -> 'AttemptHistory':
         """Return the history with another attempt."""
-        return AttemptHistory((*self.attempts, sending))
+        return AttemptHistory((*self.attempts, attempt))
 
     def may_repeat(self, route: Route) -> bool:
         """Return whether another target may get the request.
 
         A request that may have run is repeated only if the route allows it.
         """
-        if len(self.attempts) >= MAX_SENDINGS:
+        if len(self.attempts) >= MAX_ATTEMPTS:
             return False
         return self.may_run_again(route)
 
@@ -81,10 +81,10 @@
 
     def is_last_attempt(self, route: Route) -> bool:
         """Return whether no other target may continue the current attempt."""
-        return not self.add(_LOST_NOW).may_repeat(route)
+        return not self.add(_LOST_ATTEMPT).may_repeat(route)
 
 
 #: The outcome of the current attempt if its target were given up now.
-_LOST_NOW = RelayAttempt(AttemptOutcome.lost, 'answer', '')
+_LOST_ATTEMPT = RelayAttempt(AttemptOutcome.lost, 'answer', '')
 #: The maximum number of attempts of a request, including those not run.
-MAX_SENDINGS = 6
+MAX_ATTEMPTS = 6
--- a/trestledock/relay/_claims.py
+++ b/trestledock/relay/_claims.py
@@ -11,9 +11,9 @@
 
 from typing import Container, Iterable
 
-from trestledock.relay._board import Flight, Phase
-from trestledock.relay._deciding import SMALL_WORTH
-from trestledock.relay._problem import Placement
+from trestledock.relay._admission import SMALL_WORTH
+from trestledock.relay._load_table import Flight, Phase
+from trestledock.relay._placement_cost import Placement
 
 #: How long to wait for claims of other instances, in seconds.  When two
 #: instances chose the same engines, the second choice came up to 35 ms after
@@ -23,12 +23,12 @@
 CLAIM_DELAY_S = 0.03
 #: The least ratio of the time to the first token to this wait at which a claim
 #: is worth its delay.
-LEAST_TURNS = 10
+MIN_DELAY_RATIO = 10
 
 
 def needs_claim(placement: Placement, worth: float) -> bool:
     """Return whether a prompt is announced to others before it is sent."""
-    is_long = placement.first_token_s >= CLAIM_DELAY_S * LEAST_TURNS
+    is_long = placement.first_token_s >= CLAIM_DELAY_S * MIN_DELAY_RATIO
     return is_long and worth > SMALL_WORTH
 
 
--- a/trestledock/relay/_view.py
+++ b/trestledock/relay/_engine_load.py
@@ -9,15 +9,15 @@
 from dataclasses import dataclass
 from typing import Iterable
 
-from trestledock.relay._arithmetic import (
+from trestledock.relay._catalog import EngineModel
+from trestledock.relay._engine_timing import (
     PassLoad,
-    get_prefill_s,
     get_decode_pass_s,
+    get_prefill_s,
 )
-from trestledock.relay._board import LoadTable, Flight, Phase
-from trestledock.relay._catalog import EngineModel
-from trestledock.relay._listed import ListedTarget
 from trestledock.relay._health import Health
+from trestledock.relay._load_table import Flight, LoadTable, Phase
+from trestledock.relay._target_records import ListedTarget
 
 #: The share of its worth that a late answer loses, as callers value it.
 LATE_LOSS = 0.75
@@ -29,64 +29,64 @@
 LATE_SHARE = 1.05
 #: The loss of a prompt in prefill by a delay of one second, as a share of its
 #: worth, even if it would still be in time.
-READER_LOSS = 0.15
+DELAY_LOSS = 0.15
 #: The largest share of an engine's memory that placements use.
 MEMORY_SHARE = 0.97
 
 
 @dataclass(frozen=True)
-class View:
+class EngineLoad:
     """The work of an engine at the instant `now`.
 
-    `base_s` is the duration of a pass without prefill, `pending_s` the prefill
-    that is left, and `count` the number of requests with this engine as their
-    primary.
+    `base_s` is the duration of a pass without prefill, `pending_prefill_s` the
+    prefill that is left, and `count` the number of requests with this engine as
+    their primary.
     """
 
     listed: ListedTarget
     count: int
-    writers: int
+    decoding: int
     base_s: float
-    pending_s: float
+    pending_prefill_s: float
     free_tokens: float
     flights: tuple[Flight, ...]
     failure_share: float
-    remote: bool
+    is_remote: bool
     now: float
 
     @property
     def helper_wait_s(self) -> float:
         """The time until a helper's chunk begins, before all other prefill."""
-        return self.base_s / 2 if self.writers else 0
+        return self.base_s / 2 if self.decoding else 0
 
     @property
     def wait_s(self) -> float:
         """The time until own prefill begins: half a pass and pending work."""
-        return self.helper_wait_s + self.pending_s
+        return self.helper_wait_s + self.pending_prefill_s
 
-    def predict_first_s(self, chunk_s: float) -> float:
+    def predict_first_token_s(self, chunk_s: float) -> float:
         """Return the time to the first token after a prefill of `chunk_s`."""
         return self.wait_s + chunk_s + self.base_s
 
-    def predict_part_s(self, chunk_s: float) -> float:
+    def predict_chunk_s(self, chunk_s: float) -> float:
         """Return the time until a helper's chunk of `chunk_s` is prefilled."""
         return self.helper_wait_s + chunk_s
 
-    def get_harm(self, chunk_s: float) -> float:
+    def get_cost_to_others(self, chunk_s: float) -> float:
         """Return the loss of others if `chunk_s` more is prefilled here."""
-        before_s = self.base_s + self.pending_s
+        before_s = self.base_s + self.pending_prefill_s
         return sum(
             _get_loss(flight, before_s + chunk_s, self.now)
             - _get_loss(flight, before_s, self.now)
             for flight in self.flights
         ) + sum(
-            flight.worth * LATE_LOSS * READER_LOSS * min(1, chunk_s)
+            flight.worth * LATE_LOSS * DELAY_LOSS * min(1, chunk_s)
             for flight in self.flights
             if flight.phase is Phase.prefill
         )
 
 
-class Viewer:
+class LoadEstimator:
     """Derives the load of engines from the requests in flight."""
 
     def __init__(
@@ -97,9 +97,9 @@
         self.health = health
         self.data_centre = data_centre
 
-    def view(
+    def estimate(
         self, engine: EngineModel, listed: ListedTarget, now: float
-    ) -> View:
+    ) -> EngineLoad:
         """Return the load of an engine now."""
         name = listed.incarnation
         flights = tuple(self.board.get_flights(name))
@@ -107,21 +107,21 @@
         held = sum(flight.get_held_tokens(name) for flight in flights)
         health = self.health.get(name)
         base_s = get_decode_pass_s(engine, PassLoad(len(own) + 1, held))
-        return View(
+        return EngineLoad(
             listed=listed,
             count=len(own),
-            writers=sum(flight.phase is Phase.decode for flight in own),
+            decoding=sum(flight.phase is Phase.decode for flight in own),
             base_s=base_s,
-            pending_s=_get_pending_s(engine, flights, now),
+            pending_prefill_s=_get_pending_prefill_s(engine, flights, now),
             free_tokens=engine.capacity_tokens * MEMORY_SHARE - held,
             flights=flights,
             failure_share=health.get_failure_share(now),
-            remote=listed.data_centre != self.data_centre,
+            is_remote=listed.data_centre != self.data_centre,
             now=now,
         )
 
 
-def _get_pending_s(
+def _get_pending_prefill_s(
     engine: EngineModel,
     flights: Iterable[Flight],
     now: float,
@@ -147,17 +147,17 @@
     """
     if flight.phase is Phase.decode:
         late: float = pass_s > flight.pause_s * PAUSE_SHARE
-        gone_s = flight.patience_s
+        abandoned_after_s = flight.patience_s
     else:
-        late = _get_late_share(pass_s, flight.due_at - now)
-        gone_s = flight.abandoned_at - now
+        late = _get_late_probability(pass_s, flight.due_at - now)
+        abandoned_after_s = flight.abandoned_at - now
     share = late * LATE_LOSS
-    if pass_s > gone_s:
+    if pass_s > abandoned_after_s:
         share = 1
     return flight.worth * share
 
 
-def _get_late_share(first_s: float, left_s: float) -> float:
+def _get_late_probability(first_s: float, left_s: float) -> float:
     """Return the probability that a prediction for a part of its time is late.
 
     A request with hardly any time left may still be delayed by the next one.
--- a/trestledock/relay/_arithmetic.py
+++ b/trestledock/relay/_engine_timing.py
@@ -13,7 +13,7 @@
 
 #: The median share of the maximum output tokens that an answer uses: 0.32 of
 #: 1,163 answers when counted by events, 0.36 when derived from their duration.
-USED_SHARE = 0.35
+MEDIAN_OUTPUT_SHARE = 0.35
 
 
 @dataclass(frozen=True)
@@ -54,8 +54,8 @@
     """Return how long an idle engine usually takes to decode an answer.
 
     >>> engine = EngineModel(8, 232_000, 0.001, 200_000)
-    >>> round(get_write_s(engine, PromptSize(1_000, 1_000)), 2)
+    >>> round(get_decode_s(engine, PromptSize(1_000, 1_000)), 2)
     0.35
     """
     step_s = engine.step_s + engine.step_context_s * size.total_tokens
-    return size.output_tokens * USED_SHARE * step_s
+    return size.output_tokens * MEDIAN_OUTPUT_SHARE * step_s
--- a/trestledock/relay/_events.py
+++ b/trestledock/relay/_event_stream.py
@@ -8,8 +8,8 @@
 
 from dataclasses import dataclass
 
-END = b'\n\n'
-END_CRLF = b'\r\n\r\n'
+EVENT_END = b'\n\n'
+EVENT_END_CRLF = b'\r\n\r\n'
 ID_FIELD = b'id:'
 
 
@@ -34,7 +34,7 @@
     def push(self, raw: bytes) -> list[StreamEvent]:
         """Add bytes; return the events that they complete."""
         buffered = b''.join((self.remainder, raw))
-        end = END_CRLF if b'\r' in buffered else END
+        end = EVENT_END_CRLF if b'\r' in buffered else EVENT_END
         *events, self.remainder = buffered.split(end)
         return [_make_event(b''.join((event, end))) for event in events]
 
--- a/trestledock/relay/_fingerprint.py
+++ b/trestledock/relay/_fingerprint.py
@@ -11,7 +11,7 @@
 
 #: Hexadecimal digits of a fingerprint, 96 bits: among a million requests, two
 #: collide by chance in one of 10^17 fleets.
-DIGITS = 24
+FINGERPRINT_DIGITS = 24
 
 
 class RequestIdentity(NamedTuple):
@@ -27,19 +27,19 @@
     team: str
 
 
-def get_fingerprint(traits: RequestIdentity, body_digest: bytes) -> str:
+def get_fingerprint(identity: RequestIdentity, body_digest: bytes) -> str:
     """Return the fingerprint that all retries of a request share.
 
     Each part is hashed with its length, so that no two different requests
     produce the same input.
 
-    >>> traits = RequestIdentity('GET', 'a.example', '/x', '', 'kiosks')
-    >>> len(get_fingerprint(traits, sha256(b'').digest()))
+    >>> identity = RequestIdentity('GET', 'a.example', '/x', '', 'kiosks')
+    >>> len(get_fingerprint(identity, sha256(b'').digest()))
     24
     """
     digest = sha256(body_digest)
-    for part in traits:
+    for part in identity:
         raw = part.encode()
         digest.update(b'%d:' % len(raw))
         digest.update(raw)
-    return digest.hexdigest()[:DIGITS]
+    return digest.hexdigest()[:FINGERPRINT_DIGITS]
--- a/trestledock/relay/_fleet.py
+++ b/trestledock/relay/_fleet.py
@@ -12,14 +12,14 @@
 from dataclasses import dataclass, field, replace
 from typing import Collection, Iterable, Iterator
 
-from trestledock.relay._listed import (
+from trestledock.relay._list_watch import ListWatch
+from trestledock.relay._notices import Drain, Notices
+from trestledock.relay._target_records import (
     UNKNOWN_BIRTH,
     ListedTarget,
     RecordOrder,
     Standing,
 )
-from trestledock.relay._notices import Drain, Notices
-from trestledock.relay._watch import ListWatch
 
 #: Lower than the order of any record.
 LOWEST_ORDER: RecordOrder = (UNKNOWN_BIRTH, -1)
@@ -37,12 +37,12 @@
 class Fleet:
     """The targets by incarnation, and how long missing ones are retained.
 
-    `newest` maps each id to its incarnation.  `gone` has the order of the last
-    record of each removed id, so that a record that arrives late does not bring
-    the target back.  `revision` grows with every change that concerns other
-    instances.  That a target is only retained concerns them too, since they
-    must decide for themselves whether to retain it.  `births` counts the
-    targets with a known birth.  `notices` has what targets announced about
+    `newest` maps each id to its incarnation.  `removed` has the order of the
+    last record of each removed id, so that a record that arrives late does not
+    bring the target back.  `revision` grows with every change that concerns
+    other instances.  That a target is only retained concerns them too, since
+    they must decide for themselves whether to retain it.  `known_births` counts
+    the targets with a known birth.  `notices` has what targets announced about
     themselves, here or to others.
     """
 
@@ -85,12 +85,12 @@
 
     def put(self, listed: ListedTarget) -> bool:
         """Add or update a record; return whether more than its age changed."""
-        self._note_standing(listed)
+        self._record_standing(listed)
         known = self.get_by_id(listed.target_id)
-        if listed.order < self._get_least_order(listed.target_id):
+        if listed.order < self._get_min_order(listed.target_id):
             return False
         was_retained = self.retained.pop(listed.incarnation, None) is not None
-        self._set(listed)
+        self._store(listed)
         same = known and replace(known, sequence=listed.sequence) == listed
         if same and not was_retained:
             return False
@@ -114,15 +114,15 @@
 
     def record_outdated(self, listed: ListedTarget) -> None:
         """Process a record that was followed by a removal."""
-        self._note_standing(listed)
+        self._record_standing(listed)
         known = self.get_by_id(listed.target_id)
         if known is None:
             last = self.get_last_order(listed.target_id)
             self.removed[listed.target_id] = max(last, listed.order)
         elif listed.born > known.born:
-            self._set(listed)
+            self._store(listed)
         elif listed.order > known.order:
-            self._set(replace(known, sequence=listed.sequence))
+            self._store(replace(known, sequence=listed.sequence))
 
     def retain(self, listed: ListedTarget, until: float) -> bool:
         """Retain a target that another instance retains, if it is new here."""
@@ -130,7 +130,7 @@
         is_known = name in self.newest or name in self.removed
         if is_known and not self._is_newer_birth(listed):
             return False
-        self._set(listed)
+        self._store(listed)
         self.retained[listed.incarnation] = until
         self.revision += 1
         return True
@@ -204,14 +204,14 @@
 
     def get_usable(self, service: str) -> Iterator[ListedTarget]:
         """Return the targets of a service that accept new requests."""
-        births_are_told = self._are_births_told()
+        births_are_reported = self._are_births_reported()
         draining = self.draining
         return (
             listed
             for name, listed in self.targets.items()
             if listed.service == service
             and name not in draining
-            and (listed.born != UNKNOWN_BIRTH or not births_are_told)
+            and (listed.born != UNKNOWN_BIRTH or not births_are_reported)
         )
 
     def is_usable(self, incarnation: str) -> bool:
@@ -219,7 +219,7 @@
         listed = self.targets.get(incarnation)
         if listed is None or self.is_draining(incarnation):
             return False
-        return listed.born != UNKNOWN_BIRTH or not self._are_births_told()
+        return listed.born != UNKNOWN_BIRTH or not self._are_births_reported()
 
     def get_incarnation_by_name(self, name: str) -> str:
         """Return the incarnation of a target that is named by id or address."""
@@ -230,7 +230,7 @@
                 return listed.incarnation
         return ''
 
-    def _are_births_told(self) -> bool:
+    def _are_births_reported(self) -> bool:
         """Return whether the targets here report their birth, as most do.
 
         A record without a birth then has another origin and is no target.  On a
@@ -242,12 +242,12 @@
     def _is_newer_birth(self, listed: ListedTarget) -> bool:
         return listed.born > self.get_last_order(listed.target_id)[0]
 
-    def _note_standing(self, listed: ListedTarget) -> None:
+    def _record_standing(self, listed: ListedTarget) -> None:
         """Record a target that is listed as draining, in any order."""
         if listed.standing is Standing.leaving:
             self.record_draining(listed.incarnation, self.watch.read_at)
 
-    def _get_least_order(self, target_id: str) -> RecordOrder:
+    def _get_min_order(self, target_id: str) -> RecordOrder:
         """Return the lowest order that a new record of a target can have."""
         known = self.get_by_id(target_id)
         if known:
@@ -255,7 +255,7 @@
         born, sequence = self.removed.get(target_id, LOWEST_ORDER)
         return born, sequence + 1
 
-    def _set(self, listed: ListedTarget) -> None:
+    def _store(self, listed: ListedTarget) -> None:
         """Store an incarnation and forget the previous one."""
         previous = self.get_by_id(listed.target_id)
         if previous and previous.born == listed.born:
--- a/trestledock/relay/_proof.py
+++ b/trestledock/relay/_freshness.py
@@ -12,14 +12,14 @@
 from dataclasses import dataclass
 
 #: The share of the time allowed for a revoked key up to which a proof is fresh.
-PROOF_SHARE = 0.75
+FRESH_SHARE = 0.75
 #: The share of that time up to which an instance counts as ready.
 READY_SHARE = 0.6
 
 
 @dataclass
 class FreshnessProof:
-    """The newest proof; with a `bound_s` of zero none is required.
+    """The newest proof; with a `max_age_s` of zero none is required.
 
     `read_at` is the instant of the last read of the configuration, by this
     instance or by the one that it asks.  A read need not prove freshness, and
@@ -55,7 +55,7 @@
     def is_fresh(self, now: float) -> bool:
         """Return whether requests with keys may be served."""
         return not self.max_age_s or (
-            self.get_age_s(now) <= self.max_age_s * PROOF_SHARE
+            self.get_age_s(now) <= self.max_age_s * FRESH_SHARE
         )
 
     def is_ready(self, now: float) -> bool:
--- a/trestledock/relay/_giants.py
+++ b/trestledock/relay/_giants.py
@@ -8,13 +8,13 @@
 
 from dataclasses import replace
 
-from trestledock.relay._parts import (
+from trestledock.relay._chunked_prefill import (
     HELPER_COUNTS,
     finish_plan,
     pick_helpers,
 )
-from trestledock.relay._problem import Placement, Problem
-from trestledock.relay._view import View
+from trestledock.relay._engine_load import EngineLoad
+from trestledock.relay._placement_cost import Placement, Problem
 
 
 def place_giant(problem: Problem) -> Placement | None:
@@ -29,7 +29,7 @@
     options = [
         _plan_giant(problem, holders, count)
         for count in HELPER_COUNTS
-        if len(holders) <= count + 1 <= len(problem.views)
+        if len(holders) <= count + 1 <= len(problem.loads)
     ]
     best = min(options, key=lambda option: option.cost, default=None)
     if best is None:
@@ -43,22 +43,22 @@
 
 def _plan_giant(
     problem: Problem,
-    holders: tuple[View, ...],
+    holders: tuple[EngineLoad, ...],
     helper_count: int,
 ) -> Placement:
-    chunk_s = problem.read_s / (helper_count + 1)
+    chunk_s = problem.prefill_s / (helper_count + 1)
     extra = helper_count + 1 - len(holders)
     helpers = pick_helpers(problem, holders, chunk_s)[:extra]
     return finish_plan(problem, holders[0], [*holders[1:], *helpers], chunk_s)
 
 
-def _pick_holders(problem: Problem) -> tuple[View, ...]:
+def _pick_holders(problem: Problem) -> tuple[EngineLoad, ...]:
     """Return the fewest engines that can hold a prompt in equal shares."""
 
-    def order_of(load: View) -> tuple[float, float]:  # noqa: WPS430
-        return load.pending_s, -load.free_tokens
+    def order_of(load: EngineLoad) -> tuple[float, float]:  # noqa: WPS430
+        return load.pending_prefill_s, -load.free_tokens
 
-    engines = sorted(problem.views, key=order_of)
+    engines = sorted(problem.loads, key=order_of)
     for count in range(2, len(engines) + 1):
         share = _get_share(problem, count)
         candidates = [load for load in engines if load.free_tokens >= share]
--- a/trestledock/relay/_health.py
+++ b/trestledock/relay/_health.py
@@ -11,30 +11,30 @@
 from dataclasses import dataclass, field
 
 #: The weight of the newest outcome in the averages.
-LEARN = 0.25
+LEARNING_RATE = 0.25
 #: The first and the longest time for which a silent target is avoided, in
 #: seconds.
 SUSPECT_BASE_S = 1.0
 SUSPECT_CAP_S = 8.0
 #: The number of early timeouts in a row after which a target is suspect.
-DOUBTS = 2
+MAX_EARLY_TIMEOUTS = 2
 #: The number of targets of a data centre that must fall silent, and the window
 #: in seconds in which they do, to make the whole data centre suspect; and for
 #: how long at first and at most, in seconds.
-PLACE_TARGETS = 2
-PLACE_WINDOW_S = 1.5
-PLACE_BASE_S = 0.8
-PLACE_CAP_S = 2.5
+MIN_SILENT_TARGETS = 2
+SILENT_TARGETS_WINDOW_S = 1.5
+DATA_CENTRE_BASE_S = 0.8
+DATA_CENTRE_CAP_S = 2.5
 #: The least interval between requests that try a data centre that was suspect,
 #: in seconds: more than connecting may take.
-PROBE_S = 0.4
+PROBE_INTERVAL_S = 0.4
 #: How long a data centre whose instances are silent is avoided, in seconds.
 #: Its targets may be alive even if all its instances have ended.
-QUIET_MOST_S = 8.0
+MAX_SILENT_INSTANCES_S = 8.0
 #: How long after a suspicion only small requests go to a data centre, in
 #: seconds, unless a request was answered there: a prompt that is prefilled in
 #: chunks is lost if any chunk is.
-DOUBT_S = 5.0
+SMALL_ONLY_S = 5.0
 #: The half-life of the failure average without new outcomes, in seconds.
 HALF_LIFE_S = 6.0
 
@@ -44,14 +44,14 @@
     """The outcomes of one incarnation of a target."""
 
     failures: float = 0
-    noted_at: float = 0
+    updated_at: float = 0
     silences: int = 0
-    doubts: int = 0
+    early_timeouts: int = 0
     suspect_until: float = float('-inf')
 
     def get_failure_share(self, now: float) -> float:
         """Return the expected share of failing requests."""
-        age = max(0, now - self.noted_at)
+        age = max(0, now - self.updated_at)
         return self.failures * 0.5 ** (age / HALF_LIFE_S)
 
 
@@ -66,47 +66,49 @@
     once.
     """
 
-    silent: dict[str, float] = field(default_factory=dict)
+    silent_targets: dict[str, float] = field(default_factory=dict)
     suspect_until: float = float('-inf')
     probed_until: float = float('-inf')
-    times: int = 0
+    suspicions: int = 0
     instances_silent: bool = False
 
-    def note_silence(self, target_id: str, now: float) -> None:
+    def record_silence(self, target_id: str, now: float) -> None:
         """Record a silent target in the data centre."""
-        self.silent[target_id] = now
+        self.silent_targets[target_id] = now
         recent = [
-            at for at in self.silent.values() if now - at <= PLACE_WINDOW_S
+            at
+            for at in self.silent_targets.values()
+            if now - at <= SILENT_TARGETS_WINDOW_S
         ]
-        if self.times or len(recent) >= PLACE_TARGETS:
+        if self.suspicions or len(recent) >= MIN_SILENT_TARGETS:
             self.suspect(now)
 
     def suspect(self, now: float) -> None:
         """Avoid the data centre, for longer each time."""
         if now < self.suspect_until:
             return
-        wait_s = min(PLACE_CAP_S, PLACE_BASE_S * 2**self.times)
-        self.times += 1
+        wait_s = min(DATA_CENTRE_CAP_S, DATA_CENTRE_BASE_S * 2**self.suspicions)
+        self.suspicions += 1
         self.suspect_until = now + wait_s
 
-    def note_quiet(self, now: float) -> None:
+    def record_silent_instances(self, now: float) -> None:
         """Avoid the data centre until its instances send messages again."""
         self.instances_silent = True
-        self.times += 1
-        self.suspect_until = now + QUIET_MOST_S
+        self.suspicions += 1
+        self.suspect_until = now + MAX_SILENT_INSTANCES_S
 
     def is_suspect(self, now: float, *, small: bool) -> bool:
         """Return whether a request should not be sent there now."""
-        if not self.times:
+        if not self.suspicions:
             return False
         if not small:
-            return now < self.suspect_until + DOUBT_S
+            return now < self.suspect_until + SMALL_ONLY_S
         return now < max(self.suspect_until, self.probed_until)
 
-    def note_sent(self, now: float) -> None:
+    def record_sent(self, now: float) -> None:
         """Record a request that tests whether the path is back."""
-        if self.times:
-            self.probed_until = now + PROBE_S
+        if self.suspicions:
+            self.probed_until = now + PROBE_INTERVAL_S
 
 
 @dataclass
@@ -131,15 +133,15 @@
     ) -> None:
         """Record a correct answer."""
         self.data_centres.pop(data_centre, None)
-        self._learn(target_id, 0, now)
+        self._update_average(target_id, 0, now)
         target = self.get(target_id)
         target.silences = 0
-        target.doubts = 0
+        target.early_timeouts = 0
         target.suspect_until = float('-inf')
 
     def record_failure(self, target_id: str, now: float) -> None:
         """Record an answer that failed, was cut short or was invalid."""
-        self._learn(target_id, 1, now)
+        self._update_average(target_id, 1, now)
 
     def record_early_timeout(
         self, target_id: str, now: float, data_centre: str = ''
@@ -148,10 +150,10 @@
 
         Another early timeout without an answer in between counts as silence.
         """
-        self._learn(target_id, 1, now)
+        self._update_average(target_id, 1, now)
         target = self.get(target_id)
-        target.doubts += 1
-        if target.doubts >= DOUBTS:
+        target.early_timeouts += 1
+        if target.early_timeouts >= MAX_EARLY_TIMEOUTS:
             self.record_silence(target_id, now, data_centre)
 
     def record_silence(
@@ -162,7 +164,7 @@
             centre_health = self.data_centres.setdefault(
                 data_centre, DataCentreHealth()
             )
-            centre_health.note_silence(target_id, now)
+            centre_health.record_silence(target_id, now)
         target = self.get(target_id)
         if now < target.suspect_until:
             return
@@ -205,7 +207,7 @@
         )
         if centre_health.instances_silent:
             return False
-        centre_health.note_quiet(now)
+        centre_health.record_silent_instances(now)
         return True
 
     def record_message(self, data_centre: str) -> None:
@@ -222,10 +224,10 @@
         """Record a request that is sent to a target of a data centre."""
         centre_health = self.data_centres.get(data_centre)
         if centre_health:
-            centre_health.note_sent(now)
+            centre_health.record_sent(now)
 
-    def _learn(self, target_id: str, failed: int, now: float) -> None:
+    def _update_average(self, target_id: str, failed: int, now: float) -> None:
         target = self.get(target_id)
         average = target.get_failure_share(now)
-        target.failures = average + LEARN * (failed - average)
-        target.noted_at = now
+        target.failures = average + LEARNING_RATE * (failed - average)
+        target.updated_at = now
--- a/trestledock/relay/_plain.py
+++ b/trestledock/relay/_least_busy.py
@@ -8,9 +8,9 @@
 
 from typing import Callable, Sequence
 
-from trestledock.relay._board import LoadTable
-from trestledock.relay._listed import ListedTarget
 from trestledock.relay._health import Health
+from trestledock.relay._load_table import LoadTable
+from trestledock.relay._target_records import ListedTarget
 
 #: The load, in requests per slot, that is added to a target that always fails,
 #: and to a target in another data centre.
--- a/trestledock/relay/_watch.py
+++ b/trestledock/relay/_list_watch.py
@@ -31,9 +31,9 @@
     A gap alone is no disturbance: the reading instance may have been stalled,
     and retaining what was removed meanwhile would send requests to it for as
     long as the gap and the grace together.  A disturbance is a gap in which
-    reads failed, the last of them at `troubled_at`.  `resumed_at` is the end of
-    the last gap of any kind, and `disturbed_at` that of the last disturbance,
-    after which a missing record is retained until `grace_end`.
+    reads failed, the last of them at `last_failure_at`.  `resumed_at` is the
+    end of the last gap of any kind, and `disturbed_at` that of the last
+    disturbance, after which a missing record is retained until `grace_end`.
 
     The list was true at `read_at`, and may be as recent as `latest_at`, since
     it took some time to arrive: only a list that is certainly newer may replace
--- a/trestledock/relay/_board.py
+++ b/trestledock/relay/_load_table.py
@@ -25,11 +25,11 @@
     """A request in flight at a target.
 
     `since` is when its phase began, on the clock of this process.  `helpers`
-    prefill equal chunks of the prompt beside the target; `tickets` are the
+    prefill equal chunks of the prompt beside the target; `reservations` are the
     tokens reserved at other targets.  `pause_s` is the longest pause between
     events that the caller accepts as timely, and `patience_s` the pause at
-    which it leaves.  The first token is late after `due`, the caller has left
-    at `gone`, and `worth` is lost if the request fails.
+    which it leaves.  The first token is late after `due_at`, the caller has
+    left at `abandoned_at`, and `worth` is lost if the request fails.
     """
 
     flight_id: str
@@ -88,8 +88,8 @@
 class LoadTable:
     """Requests in flight by target, of this instance and of its peers.
 
-    >>> table = Board()
-    >>> table.put(Flight('a', 't1', 100, 10, Phase.reading, since=0))
+    >>> table = LoadTable()
+    >>> table.put(Flight('a', 't1', 100, 10, Phase.prefill, since=0))
     >>> [flight.flight_id for flight in table.get_flights('t1')]
     ['a']
     """
@@ -98,7 +98,7 @@
         """Create a table without any request."""
         self._senders: dict[str, _Sender] = {OWN: _Sender()}
         self._by_target: dict[str, dict[str, Flight]] = defaultdict(dict)
-        self._elsewhere: dict[str, dict[str, list[Flight]]] = {}
+        self._remote: dict[str, dict[str, list[Flight]]] = {}
         self.changed: dict[str, Flight | None] = {}
 
     @property
@@ -171,7 +171,7 @@
         """Return all requests in flight at a target."""
         remote = [
             flight
-            for by_target in self._elsewhere.values()
+            for by_target in self._remote.values()
             for flight in by_target.get(target, ())
         ]
         return iter((*self._by_target.get(target, {}).values(), *remote))
@@ -195,7 +195,7 @@
         by_target: dict[str, list[Flight]] = defaultdict(list)
         for flight in flights:
             by_target[flight.target].append(flight)
-        self._elsewhere[data_centre] = by_target
+        self._remote[data_centre] = by_target
 
     def get_flights_except(self, senders: Container[str]) -> Iterator[Flight]:
         """Yield all requests in the table but those of the given peers."""
--- a/trestledock/relay/_notices.py
+++ b/trestledock/relay/_notices.py
@@ -26,7 +26,7 @@
     """An announcement of a target, made between two instants.
 
     The request that it answers was sent at `asked_at`, and the answer arrived
-    at `heard_at`.  If `is_told` is set, other instances learn of it without
+    at `heard_at`.  If `is_shared` is set, other instances learn of it without
     this one.
     """
 
--- a/trestledock/relay/_placing.py
+++ b/trestledock/relay/_placement.py
@@ -14,31 +14,35 @@
 from typing import Callable, Sequence
 from zlib import crc32
 
-from trestledock.relay._arithmetic import (
+from trestledock.relay._catalog import EngineModel
+from trestledock.relay._chunked_prefill import HELPER_COUNTS, plan_chunks
+from trestledock.relay._engine_load import (
+    MEMORY_SHARE,
+    EngineLoad,
+    LoadEstimator,
+)
+from trestledock.relay._engine_timing import (
     PassLoad,
-    get_prefill_s,
     get_decode_pass_s,
+    get_prefill_s,
 )
-from trestledock.relay._board import LoadTable
-from trestledock.relay._catalog import EngineModel
-from trestledock.relay._listed import ListedTarget
 from trestledock.relay._giants import place_giant
 from trestledock.relay._health import Health
-from trestledock.relay._parts import HELPER_COUNTS, plan_parts
-from trestledock.relay._problem import (
-    SECOND_COST,
+from trestledock.relay._load_table import LoadTable
+from trestledock.relay._placement_cost import (
+    COST_PER_SECOND,
     Placement,
     Problem,
     Work,
 )
-from trestledock.relay._terms import DEFAULT_POLICY, PlacementPolicy
-from trestledock.relay._view import MEMORY_SHARE, View, Viewer
+from trestledock.relay._policy import DEFAULT_POLICY, PlacementPolicy
+from trestledock.relay._target_records import ListedTarget
 
 #: A prompt with a shorter prefill, in seconds, is short: it may be prefilled in
 #: passes that decode other requests (pauses of short answers are 0.25 s).
-SHORT_READ_S = 0.17
+SHORT_PREFILL_S = 0.17
 #: The cost below which no request loses anything.
-EASY_COST = 0.1
+NEGLIGIBLE_COST = 0.1
 
 Planner = Callable[[Problem], Placement | None]
 
@@ -60,7 +64,7 @@
     ) -> None:
         """Store the inputs of the choice."""
         self.policy = policy
-        self.viewer = Viewer(board, health, data_centre)
+        self.estimator = LoadEstimator(board, health, data_centre)
         self.member = member
 
     def place(
@@ -77,19 +81,22 @@
         problem = Problem(
             work=work,
             engine=engine,
-            views=tuple(
-                self.viewer.view(engine, target, now) for target in ordered
+            loads=tuple(
+                self.estimator.estimate(engine, target, now)
+                for target in ordered
             ),
-            read_s=get_prefill_s(engine, work.size.prompt_tokens),
-            terms=self.policy,
+            prefill_s=get_prefill_s(engine, work.size.prompt_tokens),
+            policy=self.policy,
         )
         placement = _get_planner(problem)(problem)
         if placement is None:
             return None
         return replace(
             placement,
-            ideal_s=_get_ideal_s(problem),
-            clear_s=max(load.pending_s for load in problem.views),
+            idle_fleet_s=_get_idle_fleet_s(problem),
+            pending_prefill_s=max(
+                load.pending_prefill_s for load in problem.loads
+            ),
             candidates=len(ordered),
         )
 
@@ -101,45 +108,46 @@
     total = problem.work.size.total_tokens
     if total > problem.engine.capacity_tokens * MEMORY_SHARE:
         return place_giant
-    return _place_short if problem.read_s <= SHORT_READ_S else _place_long
+    return _place_short if problem.prefill_s <= SHORT_PREFILL_S else _place_long
 
 
-def _get_ideal_s(problem: Problem) -> float:
+def _get_idle_fleet_s(problem: Problem) -> float:
     """Return the time to the first token on an idle fleet."""
-    chunk_count = min(len(problem.views), HELPER_COUNTS[-1] + 1)
-    return problem.read_s / chunk_count + get_decode_pass_s(
+    chunk_count = min(len(problem.loads), HELPER_COUNTS[-1] + 1)
+    return problem.prefill_s / chunk_count + get_decode_pass_s(
         problem.engine, PassLoad(1)
     )
 
 
 def _place_short(problem: Problem) -> Placement:
     """Choose the fullest engine on which no request loses anything."""
-    read_s = problem.read_s
+    prefill_s = problem.prefill_s
     costs = {
-        load.listed.incarnation: problem.get_whole_cost(load, read_s)
-        for load in problem.views
+        load.listed.incarnation: problem.get_primary_cost(load, prefill_s)
+        for load in problem.loads
     }
 
-    def cost_of(load: View) -> float:  # noqa: WPS430 - a sort key
+    def cost_of(load: EngineLoad) -> float:  # noqa: WPS430 - a sort key
         return costs[load.listed.incarnation]
 
     uncrowded = [
         load
-        for load in problem.views
-        if cost_of(load) - load.predict_first_s(read_s) * SECOND_COST
-        < EASY_COST
+        for load in problem.loads
+        if cost_of(load)
+        - load.predict_first_token_s(prefill_s) * COST_PER_SECOND
+        < NEGLIGIBLE_COST
     ]
-    local = [load for load in uncrowded if not load.remote]
-    if uncrowded and problem.terms.packing:
+    local = [load for load in uncrowded if not load.is_remote]
+    if uncrowded and problem.policy.packing:
         best = max(local or uncrowded, key=lambda load: load.count)
     else:
-        best = min(problem.views, key=cost_of)
-    first_s = best.predict_first_s(read_s)
+        best = min(problem.loads, key=cost_of)
+    first_s = best.predict_first_token_s(prefill_s)
     return Placement(
         best.listed,
         first_token_s=first_s,
         cost=cost_of(best),
-        cost_to_others=problem.get_harm(best, read_s),
+        cost_to_others=problem.get_cost_to_others(best, prefill_s),
         gain=problem.get_gain(first_s),
     )
 
@@ -149,10 +157,10 @@
 
     Each number takes the engines at which the prefill costs others least.
     """
-    counts = HELPER_COUNTS if problem.terms.helpers else (0,)
+    counts = HELPER_COUNTS if problem.policy.helpers else (0,)
     options = [
-        plan_parts(problem, count)
+        plan_chunks(problem, count)
         for count in counts
-        if count < len(problem.views)
+        if count < len(problem.loads)
     ]
     return min(options, key=lambda option: option.cost)
--- a/trestledock/relay/_problem.py
+++ b/trestledock/relay/_placement_cost.py
@@ -12,27 +12,27 @@
 
 from trestledock.relay._call import PromptSize
 from trestledock.relay._catalog import EngineModel
-from trestledock.relay._listed import ListedTarget
-from trestledock.relay._terms import DEFAULT_POLICY, PlacementPolicy
-from trestledock.relay._view import LATE_LOSS, PAUSE_SHARE, View
+from trestledock.relay._engine_load import LATE_LOSS, PAUSE_SHARE, EngineLoad
+from trestledock.relay._policy import DEFAULT_POLICY, PlacementPolicy
+from trestledock.relay._target_records import ListedTarget
 
 #: Batch places of an engine that are left free if other engines have room.
-SPARE_PLACES = 1
+SPARE_SLOTS = 1
 #: The cost of a second before the first token, in units of worth.
-SECOND_COST = 0.3
+COST_PER_SECOND = 0.3
 #: The share of the objective that a prediction should stay within.
 OBJECTIVE_SHARE = 0.75
 #: The least loss of a prediction beyond that, as a share of `LATE_LOSS`.
-LATE_AT_LEAST = 0.5
+MIN_LATE_SHARE = 0.5
 #: The share of the time until a caller leaves that a prediction must stay
 #: within.
-GONE_SHARE = 0.8
+ABANDONMENT_SHARE = 0.8
 #: The cost of a request whose caller leaves before its first token, as a share
 #: of its worth.  It is higher than that of a refused request, which may be
 #: retried.
-LOST_SHARE = 2.0
+ABANDONED_COST_SHARE = 2.0
 #: The least objective that lateness is measured against, in seconds.
-LEAST_OBJECTIVE_S = 0.05
+MIN_OBJECTIVE_S = 0.05
 #: The cost of each place beyond the batch size of an engine.
 QUEUED_COST = 3.0
 #: The cost of a target in another data centre, in units of worth: the network
@@ -45,7 +45,7 @@
     """A request to be placed: its size, its time limits and its worth.
 
     The first token is late after `objective_s`, and the caller has left after
-    `gone_s`.
+    `abandoned_after_s`.
     """
 
     size: PromptSize
@@ -59,12 +59,14 @@
 class Placement:
     """The targets of a request; `cost` is the expected loss of all requests.
 
-    `harm` is the part of the cost that falls on other requests at these
-    engines, and `gain` the worth that the request itself is expected to yield.
+    `cost_to_others` is the part of the cost that falls on other requests at
+    these engines, and `gain` the worth that the request itself is expected to
+    yield.
 
-    `first_s` is the predicted time to the first token, and `ideal_s` that on an
-    idle fleet.  All prefill in progress ends within `clear_s`.  `tickets` are
-    the tokens to reserve at helpers, by their ids.
+    `first_token_s` is the predicted time to the first token, and `idle_fleet_s`
+    that on an idle fleet.  All prefill in progress ends within
+    `pending_prefill_s`.  `reservations` are the tokens to reserve at helpers,
+    by their ids.
     """
 
     target: ListedTarget
@@ -74,8 +76,8 @@
     cost: float = 0
     cost_to_others: float = 0
     gain: float = 0
-    ideal_s: float = 0
-    clear_s: float = 0
+    idle_fleet_s: float = 0
+    pending_prefill_s: float = 0
     candidates: int = 1
 
     @property
@@ -90,9 +92,9 @@
 
     work: Work
     engine: EngineModel
-    views: tuple[View, ...]
-    read_s: float
-    terms: PlacementPolicy = DEFAULT_POLICY
+    loads: tuple[EngineLoad, ...]
+    prefill_s: float
+    policy: PlacementPolicy = DEFAULT_POLICY
 
     def get_lateness(self, first_s: float) -> float:
         """Return the loss of the request by the lateness of its first token.
@@ -104,13 +106,13 @@
         limit_s = self.work.objective_s * OBJECTIVE_SHARE
         if first_s <= limit_s:
             return 0
-        excess = (first_s - limit_s) / max(limit_s, LEAST_OBJECTIVE_S)
-        lost_share = LATE_LOSS * min(1, LATE_AT_LEAST + excess)
+        excess = (first_s - limit_s) / max(limit_s, MIN_OBJECTIVE_S)
+        lost_share = LATE_LOSS * min(1, MIN_LATE_SHARE + excess)
         left_s = max(
-            self.work.abandoned_after_s * GONE_SHARE, LEAST_OBJECTIVE_S
+            self.work.abandoned_after_s * ABANDONMENT_SHARE, MIN_OBJECTIVE_S
         )
         if first_s > left_s:
-            return self.work.worth * LOST_SHARE
+            return self.work.worth * ABANDONED_COST_SHARE
         return self.work.worth * (
             lost_share + (1 - LATE_LOSS) * first_s / left_s
         )
@@ -119,38 +121,42 @@
         """Return the worth that the request is expected to yield."""
         return max(0, self.work.worth - self.get_lateness(first_s))
 
-    def get_harm(self, load: View, chunk_s: float) -> float:
+    def get_cost_to_others(self, load: EngineLoad, chunk_s: float) -> float:
         """Return the loss of others if an engine prefills `chunk_s` more."""
-        return load.get_harm(chunk_s) if self.terms.weigh_cost_to_others else 0
+        return (
+            load.get_cost_to_others(chunk_s)
+            if self.policy.weigh_cost_to_others
+            else 0
+        )
 
-    def get_remoteness(self, load: View) -> float:
+    def get_remote_cost(self, load: EngineLoad) -> float:
         """Return the cost of an engine in another data centre."""
-        return REMOTE_COST * (load.remote and self.terms.prefer_local)
+        return REMOTE_COST * (load.is_remote and self.policy.prefer_local)
 
-    def get_cost(self, load: View, chunk_s: float) -> float:
+    def get_engine_cost(self, load: EngineLoad, chunk_s: float) -> float:
         """Return the loss of all by a prefill of `chunk_s` and the answer."""
-        first_s = load.predict_first_s(chunk_s)
+        first_s = load.predict_first_token_s(chunk_s)
         own_pause = load.base_s > self.work.pause_s * PAUSE_SHARE
         risk = load.failure_share + own_pause * LATE_LOSS
         return (
-            self.get_harm(load, chunk_s)
+            self.get_cost_to_others(load, chunk_s)
             + self.get_lateness(first_s)
-            + first_s * SECOND_COST
+            + first_s * COST_PER_SECOND
             + risk * self.work.worth
-            + self.get_remoteness(load)
+            + self.get_remote_cost(load)
         )
 
-    def get_crowding(self, load: View) -> float:
+    def get_queueing_cost(self, load: EngineLoad) -> float:
         """Return the cost of batch places and memory that are not free yet."""
-        excess = load.count - self.engine.batch + SPARE_PLACES + 1
+        excess = load.count - self.engine.batch + SPARE_SLOTS + 1
         cost = QUEUED_COST * max(0, excess)
         if self.work.size.total_tokens > load.free_tokens:
             cost += QUEUED_COST * 2
         return cost
 
-    def get_scarcity(
+    def get_idle_engine_cost(
         self,
-        engines: Sequence[View],
+        engines: Sequence[EngineLoad],
         chunk_s: float,
         first_s: float,
     ) -> float:
@@ -160,19 +166,21 @@
         """
         if first_s <= self.work.objective_s:
             return 0
-        total = len(self.views)
-        busy_count = sum(bool(load.flights) for load in self.views)
+        total = len(self.loads)
+        busy_count = sum(bool(load.flights) for load in self.loads)
         idle_count = sum(not load.flights for load in engines)
         shares = [
             (busy_count + 1 + position) / total
             for position in range(idle_count)
         ]
         return (
-            self.terms.idle_engine_cost
+            self.policy.idle_engine_cost
             * chunk_s
             * sum(share**2 for share in shares)
         )
 
-    def get_whole_cost(self, load: View, chunk_s: float) -> float:
+    def get_primary_cost(self, load: EngineLoad, chunk_s: float) -> float:
         """Return the cost of an engine as the primary engine."""
-        return self.get_cost(load, chunk_s) + self.get_crowding(load)
+        return self.get_engine_cost(load, chunk_s) + self.get_queueing_cost(
+            load
+        )
--- a/trestledock/relay/_asking.py
+++ b/trestledock/relay/_placement_request.py
@@ -9,11 +9,7 @@
 from dataclasses import dataclass, replace
 from typing import Sequence
 
-from trestledock.relay._arithmetic import get_decode_s
-from trestledock.relay._board import Flight, Phase
-from trestledock.relay._call import PromptSize
-from trestledock.relay._catalog import EngineModel
-from trestledock.relay._deciding import (
+from trestledock.relay._admission import (
     SMALL_WORTH,
     Decision,
     Timing,
@@ -21,16 +17,20 @@
     decide_unplaced,
     get_retry_after_s,
 )
-from trestledock.relay._listed import ListedTarget
-from trestledock.relay._placing import Placer
-from trestledock.relay._problem import Placement, Work
+from trestledock.relay._call import PromptSize
+from trestledock.relay._catalog import EngineModel
+from trestledock.relay._engine_timing import get_decode_s
+from trestledock.relay._load_table import Flight, Phase
+from trestledock.relay._placement import Placer
+from trestledock.relay._placement_cost import Placement, Work
+from trestledock.relay._target_records import ListedTarget
 from trestledock.relay._worth import get_worth
 
 #: The objective, in seconds, that a request which is already late is placed
 #: with.
-LEAST_OBJECTIVE_S = 0.05
+MIN_OBJECTIVE_S = 0.05
 #: An instant that is never reached.
-FOREVER = float('inf')
+NEVER = float('inf')
 
 
 @dataclass(frozen=True)
@@ -82,9 +82,9 @@
         now: float,
     ) -> Placement | Unplaced:
         """Return the placement of the request, or why it has none."""
-        timing = replace(self.timing, write_s=get_decode_s(engine, self.size))
+        timing = replace(self.timing, decode_s=get_decode_s(engine, self.size))
         if not placer.policy.abandonment:
-            timing = replace(timing, abandoned_at=FOREVER, deadline=FOREVER)
+            timing = replace(timing, abandoned_at=NEVER, deadline=NEVER)
         work = self._make_work(timing, now)
         placement = placer.place(work, engine, targets, now)
         if placement is None:
@@ -94,7 +94,8 @@
         if decision is Decision.send:
             return placement
         return Unplaced(
-            decision, get_retry_after_s(timing, placement.clear_s, now)
+            decision,
+            get_retry_after_s(timing, placement.pending_prefill_s, now),
         )
 
     def make_flight(
@@ -121,11 +122,11 @@
         )
 
     def _make_work(self, timing: Timing, now: float) -> Work:
-        objective_s = timing.get_objective_left_s(now)
+        objective_s = timing.get_remaining_objective_s(now)
         return Work(
             size=self.size,
-            objective_s=max(objective_s, LEAST_OBJECTIVE_S),
+            objective_s=max(objective_s, MIN_OBJECTIVE_S),
             pause_s=self.pause_s,
             worth=get_worth(self.size),
-            abandoned_after_s=timing.get_left_s(now),
+            abandoned_after_s=timing.get_remaining_s(now),
         )
--- a/trestledock/relay/_terms.py
+++ b/trestledock/relay/_policy.py
@@ -16,27 +16,27 @@
 
     `packing`: short requests share few engines, so that others stay free for
     long prompts.  `helpers`: long prompts are prefilled in chunks by several
-    engines.  `near_first`: the own data centre is preferred, since the network
-    path to others may be cut.  `harm`: the loss of other requests at an engine
-    counts.  `departure`: callers leave when their patience ends.  `waiting`: a
-    request with an expensive placement waits for a better one while it can
-    still be in time.  `queueing`: a request that can't be in time waits for
-    others.  `elsewhere`: in a large deployment, a request without a good
-    placement in its own data centre asks the others for the load of their
-    targets.
+    engines.  `prefer_local`: the own data centre is preferred, since the
+    network path to others may be cut.  `weigh_cost_to_others`: the loss of
+    other requests at an engine counts.  `abandonment`: callers leave when their
+    patience ends.  `waiting`: a request with an expensive placement waits for a
+    better one while it can still be in time.  `queueing`: a request that can't
+    be in time waits for others.  `remote_targets`: in a large deployment, a
+    request without a good placement in its own data centre asks the others for
+    the load of their targets.
 
     `claims`: a long prompt is announced to other instances before it is sent.
 
-    `engine_cost` is the cost, in units of worth, of a second of the last idle
-    engine to a request that is late in any case: an engine that is packed with
-    short requests answers 3.5 of them a second, which lose 1 each by being
+    `idle_engine_cost` is the cost, in units of worth, of a second of the last
+    idle engine to a request that is late in any case: an engine that is packed
+    with short requests answers 3.5 of them a second, which lose 1 each by being
     late.  Without this cost, a giant prompt that takes all idle engines
     collides with the next burst: the worst of 24 simulated days yields 0.81
     instead of 0.87.
 
-    `harm_limit` is the largest cost of a request to others, as a share of its
-    own yield.  If long prompts and bursts of short ones coincide, the mean of
-    24 simulated days is 0.3 in 100 higher with 0.7 than with 1.
+    `max_cost_to_others` is the largest cost of a request to others, as a share
+    of its own yield.  If long prompts and bursts of short ones coincide, the
+    mean of 24 simulated days is 0.3 in 100 higher with 0.7 than with 1.
     """
 
     packing: bool = True
--- a/trestledock/relay/_quarantine.py
+++ b/trestledock/relay/_quarantine.py
@@ -45,13 +45,13 @@
 MAX_CLEARED = 50
 
 
-def get_trial_s(trials: int) -> float:
+def get_probe_interval_s(probes: int) -> float:
     """Return the least delay after a crash or a probe until the next probe.
 
-    >>> [get_trial_s(trials) for trials in (0, 1, 2, 9)]
+    >>> [get_probe_interval_s(probes) for probes in (0, 1, 2, 9)]
     [10.0, 300.0, 86400.0, 86400.0]
     """
-    return PROBE_DELAYS_S[min(trials, len(PROBE_DELAYS_S) - 1)]
+    return PROBE_DELAYS_S[min(probes, len(PROBE_DELAYS_S) - 1)]
 
 
 @dataclass(frozen=True)
@@ -80,14 +80,14 @@
     @property
     def is_probe_due(self) -> bool:
         """Whether the next probe may be sent."""
-        return self.age_s >= get_trial_s(self.probes)
+        return self.age_s >= get_probe_interval_s(self.probes)
 
 
 @dataclass
 class Suspect:
     """A request and the targets that crashed under it.
 
-    It was sent again as a probe `trials` times; `since` is the instant of the
+    It was sent again as a probe `probes` times; `since` is the instant of the
     last probe or crash.  Crashes that were `cleared` by an answer are kept, in
     the order in which they were cleared: other instances learn of the answer
     late, and still report the old crashes.
@@ -100,7 +100,7 @@
 
     def get_probe_delay_s(self, now: float) -> float:
         """Return after how many seconds the next probe may be sent."""
-        return max(0, self.since + get_trial_s(self.probes) - now)
+        return max(0, self.since + get_probe_interval_s(self.probes) - now)
 
 
 class Quarantine:
@@ -108,33 +108,33 @@
 
     >>> quarantine = Quarantine()
     >>> for name in ('t1', 't2', 't3'):
-    ...     _ = quarantine.note_end(End('f', name), now=0)
+    ...     _ = quarantine.record_crash(Crash('f', name), now=0)
     >>> quarantine.is_quarantined('f'), quarantine.is_quarantined('g')
     (True, False)
-    >>> quarantine.is_due('f', now=1), quarantine.is_due('f', now=10)
-    (False, True)
+    >>> [quarantine.is_probe_due('f', now) for now in (1, 10)]
+    [False, True]
     """
 
     def __init__(self) -> None:
         """Create a quarantine without any crash."""
         self.suspects: dict[str, Suspect] = {}
-        self._ended: Counter[str] = Counter()
+        self._crashed: Counter[str] = Counter()
         self._recent_answers = RecentAnswers()
 
-    def is_blamed(self, end: Crash, now: float) -> bool:
+    def is_blamed(self, crash: Crash, now: float) -> bool:
         """Return whether a crash seen here is attributed to its request."""
-        return not self._recent_answers.excuses(end.fingerprint, now)
+        return not self._recent_answers.excuses(crash.fingerprint, now)
 
-    def record_crash(self, end: Crash, now: float) -> bool:
+    def record_crash(self, crash: Crash, now: float) -> bool:
         """Record a crash; return whether it is new."""
-        suspect = self.suspects.setdefault(end.fingerprint, Suspect())
-        if end.incarnation in suspect.incarnations:
+        suspect = self.suspects.setdefault(crash.fingerprint, Suspect())
+        if crash.incarnation in suspect.incarnations:
             return False
-        if end.incarnation in suspect.cleared:
+        if crash.incarnation in suspect.cleared:
             return False
-        suspect.incarnations.add(end.incarnation)
+        suspect.incarnations.add(crash.incarnation)
         suspect.since = max(suspect.since, now)
-        self._ended[end.incarnation] += 1
+        self._crashed[crash.incarnation] += 1
         return True
 
     def count_crashes(self, fingerprint: str) -> int:
@@ -172,22 +172,22 @@
         """
         self._recent_answers.record_answer(fingerprint, now)
         suspect = self.suspects.get(fingerprint, Suspect())
-        ends = tuple(sorted(suspect.incarnations))
-        self.clear_crashes(fingerprint, ends)
-        return ends
+        crashes = tuple(sorted(suspect.incarnations))
+        self.clear_crashes(fingerprint, crashes)
+        return crashes
 
-    def clear_crashes(self, fingerprint: str, ends: Iterable[str]) -> int:
+    def clear_crashes(self, fingerprint: str, crashes: Iterable[str]) -> int:
         """Clear a request of some crashes; return how many were known."""
-        if not ends:
+        if not crashes:
             return 0
         suspect = self.suspects.setdefault(fingerprint, Suspect())
-        known = suspect.incarnations.intersection(ends)
+        known = suspect.incarnations.intersection(crashes)
         suspect.incarnations -= known
-        suspect.cleared.update(dict.fromkeys(ends))
+        suspect.cleared.update(dict.fromkeys(crashes))
         while len(suspect.cleared) > MAX_CLEARED:
             suspect.cleared.pop(next(iter(suspect.cleared)))
         suspect.probes = 0
-        self._forget_ends(known)
+        self._forget_crashes(known)
         return len(known)
 
     def merge(self, record: QuarantineRecord, now: float) -> None:
@@ -221,7 +221,7 @@
 
     def has_crashed(self, incarnation: str) -> bool:
         """Return whether a target crashed while it ran a request."""
-        return incarnation in self._ended
+        return incarnation in self._crashed
 
     def evict_excess(self) -> list[str]:
         """Evict excess requests, fewest crashes first; return fingerprints."""
@@ -230,15 +230,15 @@
             return []
         evicted = sorted(self.suspects, key=self._get_rank)[:surplus]
         for fingerprint in evicted:
-            self._forget_ends(self.suspects.pop(fingerprint).incarnations)
+            self._forget_crashes(self.suspects.pop(fingerprint).incarnations)
         return evicted
 
     def _get_rank(self, fingerprint: str) -> tuple[int, float]:
         suspect = self.suspects[fingerprint]
         return len(suspect.incarnations), suspect.since
 
-    def _forget_ends(self, incarnations: Iterable[str]) -> None:
-        self._ended.subtract(incarnations)
+    def _forget_crashes(self, incarnations: Iterable[str]) -> None:
+        self._crashed.subtract(incarnations)
         for incarnation in incarnations:
-            if not self._ended[incarnation]:
-                self._ended.pop(incarnation)
+            if not self._crashed[incarnation]:
+                self._crashed.pop(incarnation)
--- a/trestledock/relay/_quotas.py
+++ b/trestledock/relay/_quotas.py
@@ -34,10 +34,10 @@
 class Membership:
     """An instance and the peers that it receives messages from.
 
-    `known` counts all known instances, silent ones included.
+    `known_count` counts all known instances, silent ones included.
 
     >>> own, other = Member('a', 'dc'), Member('b', 'dc')
-    >>> Members(own, (other,), known=4).active_share
+    >>> Membership(own, (other,), known_count=4).active_share
     0.5
     """
 
@@ -99,16 +99,16 @@
     """The quotas of one instance, cached until its peers change."""
 
     members: Membership
-    _kept: dict[TargetRate, float] = field(default_factory=dict)
+    _quotas: dict[TargetRate, float] = field(default_factory=dict)
 
     def set_members(self, members: Membership) -> None:
         """Set the active instances."""
         if members != self.members:
             self.members = members
-            self._kept.clear()
+            self._quotas.clear()
 
     def get(self, target_rate: TargetRate) -> float:
         """Return the rate at which this instance may send to a target."""
-        if target_rate not in self._kept:
-            self._kept[target_rate] = get_quota(self.members, target_rate)
-        return self._kept[target_rate]
+        if target_rate not in self._quotas:
+            self._quotas[target_rate] = get_quota(self.members, target_rate)
+        return self._quotas[target_rate]
--- a/trestledock/relay/_rate_limits.py
+++ b/trestledock/relay/_rate_limits.py
@@ -18,7 +18,7 @@
     """A target accepts `per_s` requests a second, or any number for None.
 
     The notice was made between `asked_at`, when the answered request was sent,
-    and `heard_at`.  If `is_told` is set, another instance received it.
+    and `heard_at`.  If `is_shared` is set, another instance received it.
 
     >>> from trestledock.relay import Notices
     >>> notices = Notices()
@@ -26,7 +26,7 @@
     'learnt'
     >>> notices.record('t1', RateLimit(None, asked_at=0.5, heard_at=2)).value
     'nothing'
-    >>> notices.note('t1', RateLimit(None, asked_at=2, heard_at=3)).value
+    >>> notices.record('t1', RateLimit(None, asked_at=2, heard_at=3)).value
     'lifted'
     """
 
--- a/trestledock/relay/_reach.py
+++ b/trestledock/relay/_reachability.py
@@ -17,13 +17,13 @@
 BEAT_INTERVAL_S = 0.2
 #: How long all instances of a data centre must be silent, in seconds: two lost
 #: messages and a delay of half an interval.
-QUIET_S = 0.5
+SILENCE_S = 0.5
 #: A check that comes later than this after the previous check has no result, in
 #: seconds: this process was stalled, and messages wait to be received.
-LATE_LOOK_S = 0.4
+MAX_CHECK_GAP_S = 0.4
 #: Instances that sent a message within this time are expected to send more, in
 #: seconds; one that was silent for longer has been removed.
-EXPECTED_S = 1.7
+ACTIVE_S = 1.7
 
 
 @dataclass
@@ -49,7 +49,7 @@
 
     def check(self, now: float) -> set[str]:
         """Return the silent data centres; to be called at each interval."""
-        is_late = now - self.checked_at > LATE_LOOK_S
+        is_late = now - self.checked_at > MAX_CHECK_GAP_S
         self.checked_at = now
         return set() if is_late else self.get_silent(now)
 
@@ -58,12 +58,12 @@
         return {
             data_centre
             for data_centre, names in self.last_heard.items()
-            if _is_quiet(names.values(), now)
+            if _are_silent(names.values(), now)
         }
 
 
-def _is_quiet(times: Iterable[float], now: float) -> bool:
+def _are_silent(times: Iterable[float], now: float) -> bool:
     """Return whether instances sent messages lately, but none just now."""
     ages = [now - at for at in times]
-    expected = [age for age in ages if age <= EXPECTED_S]
-    return bool(expected) and min(expected) > QUIET_S
+    expected = [age for age in ages if age <= ACTIVE_S]
+    return bool(expected) and min(expected) > SILENCE_S
--- a/trestledock/relay/_readers.py
+++ b/trestledock/relay/_readers.py
@@ -19,21 +19,21 @@
 #: The share of that time after which the reader is asked again, and the longest
 #: interval, in seconds: a fifth of the age up to which keys are accepted.
 ASK_SHARE = 0.15
-ASK_MOST_S = 0.6
+MAX_ASK_INTERVAL_S = 0.6
 #: The age of its proof up to which an instance may be asked, in read intervals.
-FRESH_PAUSES = 2.0
+FRESH_INTERVALS = 2.0
 #: The age of its proof above which an instance reads the store itself, in read
 #: intervals; and the delay that each position in the order adds, and its
 #: maximum, in seconds.
-SELF_PAUSES = 2.25
-SELF_PLACE_S = 0.03
-SELF_MOST_S = 0.35
+SELF_READ_INTERVALS = 2.25
+SELF_READ_STEP_S = 0.03
+MAX_SELF_READ_DELAY_S = 0.35
 #: The interval at which an instance tries to read while no instance has read
 #: lately, in seconds: of the first in the order, what each position adds, and
 #: the maximum.  All calls are charged, refused ones too; the first that
 #: succeeds informs the others.
-RETRY_FIRST_S = 0.45
-RETRY_PLACE_S = 0.4
+RETRY_BASE_S = 0.45
+RETRY_STEP_S = 0.4
 MAX_RETRY_S = 6.0
 
 
@@ -58,21 +58,21 @@
     @property
     def ask_interval_s(self) -> float:
         """The interval between two queries to the reader, in seconds."""
-        return min(ASK_MOST_S, self.settle_s * ASK_SHARE)
+        return min(MAX_ASK_INTERVAL_S, self.settle_s * ASK_SHARE)
 
     @property
     def fresh_s(self) -> float:
         """The age of its proof up to which an instance may be asked."""
-        return self.read_interval_s * FRESH_PAUSES
+        return self.read_interval_s * FRESH_INTERVALS
 
     @property
-    def self_s(self) -> float:
+    def self_read_s(self) -> float:
         """The age of its proof above which the first instance reads itself."""
-        return self.read_interval_s * SELF_PAUSES
+        return self.read_interval_s * SELF_READ_INTERVALS
 
 
 #: The schedule for a bound of two seconds.
-DEFAULT_PACE = ReadSchedule()
+DEFAULT_SCHEDULE = ReadSchedule()
 
 
 @dataclass(frozen=True)
@@ -85,7 +85,7 @@
 
 def choose_reader(
     candidates: Iterable[ReaderCandidate],
-    pace: ReadSchedule = DEFAULT_PACE,
+    schedule: ReadSchedule = DEFAULT_SCHEDULE,
 ) -> str:
     """Return the name of the instance that reads for all.
 
@@ -94,7 +94,9 @@
     """
     known = tuple(candidates)
     fresh = [
-        candidate.name for candidate in known if candidate.age_s <= pace.fresh_s
+        candidate.name
+        for candidate in known
+        if candidate.age_s <= schedule.fresh_s
     ]
     return min(fresh or [candidate.name for candidate in known])
 
@@ -103,7 +105,7 @@
     me: str,
     names: Iterable[str],
     age_s: float,
-    pace: ReadSchedule = DEFAULT_PACE,
+    schedule: ReadSchedule = DEFAULT_SCHEDULE,
 ) -> float:
     """Return after how many seconds an instance should read itself.
 
@@ -112,15 +114,19 @@
     >>> round(get_own_read_delay_s('b', ['a', 'b'], age_s=0.92), 2)
     0.01
     """
-    place = sum(name < me for name in names)
-    return pace.self_s + min(SELF_MOST_S, SELF_PLACE_S * place) - age_s
+    position = sum(name < me for name in names)
+    return (
+        schedule.self_read_s
+        + min(MAX_SELF_READ_DELAY_S, SELF_READ_STEP_S * position)
+        - age_s
+    )
 
 
 def get_read_retry_s(me: str, names: Iterable[str]) -> float:
     """Return the interval at which an instance tries to read if all are stale.
 
-    >>> round(get_retry_s('b', ['a', 'b', 'c']), 2)
+    >>> round(get_read_retry_s('b', ['a', 'b', 'c']), 2)
     0.85
     """
-    place = sum(name < me for name in names)
-    return min(MAX_RETRY_S, RETRY_FIRST_S + RETRY_PLACE_S * place)
+    position = sum(name < me for name in names)
+    return min(MAX_RETRY_S, RETRY_BASE_S + RETRY_STEP_S * position)
--- a/trestledock/relay/_recent_answers.py
+++ b/trestledock/relay/_recent_answers.py
@@ -31,8 +31,8 @@
 class RecentAnswers:
     """The requests that were answered here lately.
 
-    >>> answers = Proven()
-    >>> answers.note_answered('f', now=0)
+    >>> answers = RecentAnswers()
+    >>> answers.record_answer('f', now=0)
     >>> [answers.excuses('f', now=1) for _ in range(4)]
     [True, True, True, False]
     """
--- a/trestledock/relay/_elsewhere.py
+++ b/trestledock/relay/_remote_load.py
@@ -11,19 +11,19 @@
 from dataclasses import dataclass, replace
 from typing import Container, Iterable, Iterator
 
-from trestledock.relay._board import Flight, Phase
-from trestledock.relay._deciding import SMALL_WORTH
+from trestledock.relay._admission import SMALL_WORTH
+from trestledock.relay._load_table import Flight, Phase
 
 #: Other data centres are asked if the best nearby placement costs more than
 #: this share of the prompt's worth.  Late prompts cost about two thirds of
 #: their worth, prompts that wait for others or spoil their pauses a fifth or
 #: more, and a prompt alone on idle engines a fiftieth.
-NEAR_COST_SHARE = 0.1
+LOCAL_COST_SHARE = 0.1
 #: How long an answer is used, in seconds: half of the time that a prompt of
 #: 100,000 tokens keeps an engine busy.
-USED_S = 0.25
+LOAD_TTL_S = 0.25
 #: The placeholder for targets outside the data centre that answers.
-ELSEWHERE = ''
+OTHER_TARGET = ''
 
 
 def should_query_remote(worth: float, cost: float | None) -> bool:
@@ -38,7 +38,7 @@
     """
     if worth <= SMALL_WORTH:
         return False
-    return cost is None or cost > worth * NEAR_COST_SHARE
+    return cost is None or cost > worth * LOCAL_COST_SHARE
 
 
 @dataclass(frozen=True)
@@ -50,7 +50,7 @@
 
     def is_fresh(self, now: float) -> bool:
         """Return whether placements may still rely on this load."""
-        return now - self.as_of <= USED_S
+        return now - self.as_of <= LOAD_TTL_S
 
 
 def summarize_load(
@@ -70,14 +70,14 @@
             if name not in targets:
                 continue
             if flight.phase is Phase.prefill:
-                yield _take_part(flight, name)
+                yield _get_share_of_target(flight, name)
             else:
                 decoding.setdefault(name, []).append(flight)
     for name, answers in decoding.items():
-        yield _put_together(name, answers, now)
+        yield _merge_answers(name, answers, now)
 
 
-def _take_part(flight: Flight, name: str) -> Flight:
+def _get_share_of_target(flight: Flight, name: str) -> Flight:
     """Return a target's part of a prompt: its chunk and its memory."""
     total = flight.prompt_tokens + flight.output_tokens
     surplus = total - flight.get_held_tokens(name)
@@ -85,12 +85,12 @@
         flight,
         flight_id=f'{flight.flight_id}/{name}',
         target=name,
-        helpers=tuple([ELSEWHERE for _ in flight.helpers]),
-        reservations=((ELSEWHERE, surplus),) if surplus else (),
+        helpers=tuple([OTHER_TARGET for _ in flight.helpers]),
+        reservations=((OTHER_TARGET, surplus),) if surplus else (),
     )
 
 
-def _put_together(name: str, flights: list[Flight], now: float) -> Flight:
+def _merge_answers(name: str, flights: list[Flight], now: float) -> Flight:
     """Return one request that stands for all answers that a target decodes."""
     return Flight(
         flight_id=name,
--- a/trestledock/relay/_restores.py
+++ b/trestledock/relay/_restore_tracker.py
@@ -22,10 +22,10 @@
     """The epoch of the store, and whether its records are complete.
 
     An `epoch` is the number of one copy of the store; a store without epochs is
-    never restored.  `told` is the newest epoch that another instance reported.
-    `recorded` is the newest epoch of which the store says that an instance
-    waited there for missing records, and `settled_epoch` the newest one known
-    to be complete for that reason.
+    never restored.  `peer_epoch` is the newest epoch that another instance
+    reported.  `recorded_epoch` is the newest epoch of which the store says that
+    an instance waited there for missing records, and `complete_epoch` the
+    newest one known to be complete for that reason.
 
     >>> restores = RestoreTracker()
     >>> restores.record_epoch(3, now=0), restores.is_complete(0)
--- a/trestledock/relay/_budget.py
+++ b/trestledock/relay/_retry_budget.py
@@ -12,7 +12,7 @@
 
 #: The share of the bound that is used; the rest is left for retries that are
 #: counted elsewhere.
-MARGIN = 0.7
+USED_SHARE = 0.7
 
 
 @dataclass(frozen=True)
@@ -28,14 +28,14 @@
 class RetryBudget:
     """The requests and retries of a service in the sliding window.
 
-    >>> budget = RetryWindow(BudgetTerms(ratio=0, slack=2))
-    >>> [budget.spend(now=1.0, instances=1) for _ in range(2)]
+    >>> budget = RetryBudget(RetryLimits(ratio=0, slack=2))
+    >>> [budget.try_spend(now=1.0, instances=1) for _ in range(2)]
     [True, False]
     """
 
     limits: RetryLimits
     _requests: deque[float] = field(default_factory=deque)
-    _repeats: deque[float] = field(default_factory=deque)
+    _retries: deque[float] = field(default_factory=deque)
 
     def record_request(self, now: float) -> None:
         """Count a request that is sent for the first time."""
@@ -45,15 +45,15 @@
         """Take a retry from the budget; return False if it is exhausted."""
         if not self.has_budget(now, instances):
             return False
-        self._repeats.append(now)
+        self._retries.append(now)
         return True
 
     def has_budget(self, now: float, instances: int) -> bool:
         """Return whether the budget allows another retry."""
         start = now - self.limits.window_s
-        for times in (self._requests, self._repeats):
+        for times in (self._requests, self._retries):
             while times and times[0] <= start:
                 times.popleft()
         slack = self.limits.slack / max(1, instances)
-        bound = (slack + self.limits.ratio * len(self._requests)) * MARGIN
-        return len(self._repeats) + 1 <= bound
+        bound = (slack + self.limits.ratio * len(self._requests)) * USED_SHARE
+        return len(self._retries) + 1 <= bound
--- a/trestledock/relay/_throttle.py
+++ b/trestledock/relay/_throttle.py
@@ -11,18 +11,18 @@
 from math import inf
 from typing import Callable, Sequence
 
-from trestledock.relay._listed import ListedTarget
-from trestledock.relay._notices import Notices, Backoff, PeerBackoff
-from trestledock.relay._token_bucket import TokenBucket
+from trestledock.relay._backoff import BackoffGate
+from trestledock.relay._notices import Backoff, Notices, PeerBackoff
 from trestledock.relay._quotas import (
     MIN_RATE_PER_S,
-    TargetRate,
     Member,
     Membership,
     QuotaCache,
+    TargetRate,
 )
 from trestledock.relay._rate_limits import RateLimit
-from trestledock.relay._backoff import BackoffGate
+from trestledock.relay._target_records import ListedTarget
+from trestledock.relay._token_bucket import TokenBucket
 
 
 #: The notices that ask for fewer requests.
@@ -65,8 +65,8 @@
 
     def has_peer_backoff(self, target: ListedTarget, now: float) -> bool:
         """Return whether a target has a back-off for another instance now."""
-        rest = self.notices.get(PeerBackoff, target.incarnation)
-        return rest is not None and not rest.is_over(now)
+        backoff = self.notices.get(PeerBackoff, target.incarnation)
+        return backoff is not None and not backoff.is_over(now)
 
     def is_backing_off(self, target: ListedTarget, now: float) -> bool:
         """Return whether a target has a back-off for this instance now."""
--- a/trestledock/relay/_patience.py
+++ b/trestledock/relay/_timeouts.py
@@ -14,15 +14,15 @@
 
 from typing import Iterable
 
-from trestledock.relay._board import Flight
-from trestledock.relay._budget import RetryLimits
 from trestledock.relay._catalog import Route, RouteKind
+from trestledock.relay._load_table import Flight
+from trestledock.relay._retry_budget import RetryLimits
 
 #: The early timeout to the first token as a multiple of the prediction, and its
 #: minimum in seconds: about 1 in 100 requests at healthy targets takes longer
 #: (first_event in the logs of days with trouble, prompts up to 24,000 tokens).
 EARLY_FACTOR = 2.5
-EARLY_LEAST_S = 0.2
+MIN_EARLY_S = 0.2
 #: The early timeouts allowed, over all instances: a ratio of the requests of
 #: the last seconds, and a fixed slack.  With 1 in 4 retried, overloaded targets
 #: did not recover for ten seconds (answers lost at half of the targets while
@@ -30,10 +30,10 @@
 EARLY_RETRY_LIMITS = RetryLimits(ratio=0.1, window_s=10, slack=10)
 #: The same for the last target that may be tried, and for all other requests.
 LATE_FACTOR = 2.0
-LATE_LEAST_S = 0.8
+MIN_LATE_S = 0.8
 #: The time added for a prompt with helpers, in seconds: an engine reports a
 #: dead helper after 1.5 s (`stall_ms`).
-HELPED_S = 1.7
+HELPER_STALL_S = 1.7
 #: The timeout of a plain target as a multiple of the objective, for the first
 #: target and for the last one.
 PLAIN_EARLY_FACTOR = 0.6
@@ -41,7 +41,7 @@
 #: The timeout between events as a multiple of the allowed pause, and its
 #: minimum in seconds.
 PAUSE_FACTOR = 4.0
-PAUSE_LEAST_S = 0.8
+MIN_PAUSE_TIMEOUT_S = 0.8
 #: No timeout, for requests that no other target may run.
 FOREVER_S = float('inf')
 
@@ -68,10 +68,10 @@
     if route.kind is not RouteKind.streaming:
         factor = PLAIN_EARLY_FACTOR if early else PLAIN_LATE_FACTOR
         return route.objective_s * factor
-    late_s = max(LATE_LEAST_S, predicted_s * LATE_FACTOR)
+    late_s = max(MIN_LATE_S, predicted_s * LATE_FACTOR)
     if helped:
-        return late_s + HELPED_S
-    early_s = max(EARLY_LEAST_S, predicted_s * EARLY_FACTOR)
+        return late_s + HELPER_STALL_S
+    early_s = max(MIN_EARLY_S, predicted_s * EARLY_FACTOR)
     return min(early_s, late_s) if early else late_s
 
 
@@ -100,4 +100,4 @@
     """Return the timeout between events of a stream."""
     if not route.repeatable:
         return FOREVER_S
-    return max(PAUSE_LEAST_S, route.pause_s * PAUSE_FACTOR)
+    return max(MIN_PAUSE_TIMEOUT_S, route.pause_s * PAUSE_FACTOR)
--- a/trestledock/relay/_unconfirmed_crashes.py
+++ b/trestledock/relay/_unconfirmed_crashes.py
@@ -9,8 +9,8 @@
 
 from dataclasses import dataclass
 
-from trestledock.relay._listed import ListedTarget
 from trestledock.relay._quarantine import Crash
+from trestledock.relay._target_records import ListedTarget
 
 #: How long a list can confirm a crash, in seconds: three heartbeats, and the
 #: time that a process takes to start.
@@ -20,10 +20,10 @@
 
 
 @dataclass(frozen=True)
-class _Open:
+class _PossibleCrash:
     """A possible crash, with the address of its target."""
 
-    end: Crash
+    crash: Crash
     address: str
     until: float
 
@@ -31,29 +31,31 @@
 class UnconfirmedCrashes:
     """Possible crashes that wait for confirmation.
 
-    >>> crashes = OpenEnds()
-    >>> crashes.keep('f', Listed('t1', 's', 'a:1'), now=0)
-    >>> [end.fingerprint for end in crashes.take('t1', now=2)]
+    >>> crashes = UnconfirmedCrashes()
+    >>> crashes.add('f', ListedTarget('t1', 's', 'a:1'), now=0)
+    >>> [crash.fingerprint for crash in crashes.pop_confirmed('t1', now=2)]
     ['f']
     """
 
     def __init__(self) -> None:
         """Create an empty collection."""
-        self._by_target: dict[str, list[_Open]] = {}
+        self._by_target: dict[str, list[_PossibleCrash]] = {}
 
     def add(self, fingerprint: str, target: ListedTarget, now: float) -> None:
         """Record that a target may have crashed while it ran a request."""
-        self._drop_old(now)
+        self._expire(now)
         if len(self._by_target) >= MAX_UNCONFIRMED:
             return
         crash = Crash(fingerprint, target.incarnation)
         crashes = self._by_target.setdefault(target.incarnation, [])
-        crashes.append(_Open(crash, target.address, now + UNCONFIRMED_TTL_S))
+        crashes.append(
+            _PossibleCrash(crash, target.address, now + UNCONFIRMED_TTL_S)
+        )
 
     def pop_confirmed(self, incarnation: str, now: float) -> list[Crash]:
         """Remove and return the crashes of a target that has crashed."""
         crashes = self._by_target.pop(incarnation, [])
-        return [crash.end for crash in crashes if now < crash.until]
+        return [crash.crash for crash in crashes if now < crash.until]
 
     def pop_replaced_by(self, listed: ListedTarget, now: float) -> list[Crash]:
         """Remove and return the crashes of other targets at its address."""
@@ -69,7 +71,7 @@
             for crash in self.pop_confirmed(predecessor, now)
         ]
 
-    def _drop_old(self, now: float) -> None:
+    def _expire(self, now: float) -> None:
         self._by_target = {
             incarnation: crashes
             for incarnation, crashes in self._by_target.items()
