--- a/tests/test_query_of_death.py
+++ b/tests/test_query_of_death.py
@@ -77,7 +77,7 @@
                 self.check(route, CRASHES[name], new_ids=new_ids)
 
     def test_refusal(self):
-        """The refusal says that it was not run, with a long Retry-After."""
+        """Refused as not run, with a long time until a retry."""
         fleet = self.check(STREAM, CRASHES['reset before the head'])
         last = fleet.outcome[-1]
         self.assertEqual(last.status, NOT_RUN)
--- a/tests/test_relay_quarantine.py
+++ b/tests/test_relay_quarantine.py
@@ -29,7 +29,7 @@
 
 
 class CrashTest(unittest.TestCase):
-    """Which crashes count."""
+    """Ends of incarnations that count as crashes."""
 
     def test_quarantined_from_third_crash(self):
         quarantined = [
--- a/trestledock/relay/_load_table.py
+++ b/trestledock/relay/_load_table.py
@@ -86,7 +86,7 @@
 
 
 class LoadTable:
-    """Requests in flight by target, of this instance and of its peers.
+    """Flights by target, of this instance and of its peers.
 
     >>> table = LoadTable()
     >>> table.put(Flight('a', 't1', 100, 10, Phase.prefill, since=0))
@@ -137,7 +137,7 @@
         *,
         whole: bool,
     ) -> bool:
-        """Apply a peer's update; a whole one replaces all its earlier requests.
+        """Fold a peer's update; a whole one replaces all its earlier requests.
 
         Return whether any request may have changed.
         """
