--- a/trestledock/relay/_admission.py
+++ b/trestledock/relay/_admission.py
@@ -91,16 +91,16 @@
     worth: float,
     placement: Placement,
     now: float,
-    terms: PlacementPolicy = DEFAULT_POLICY,
+    policy: PlacementPolicy = DEFAULT_POLICY,
 ) -> Decision:
     """Return what happens to a request whose best placement is `placement`."""
-    if terms.waiting and is_worth_waiting(timing, worth, placement, now):
+    if policy.waiting and is_worth_waiting(timing, worth, placement, now):
         return Decision.wait
-    refusal = _get_refusal(timing, placement, now, terms)
+    refusal = _get_refusal(timing, placement, now, policy)
     if refusal or _should_yield(timing, worth, placement, now):
-        if terms.waiting and _may_be_in_time(timing, placement, now):
+        if policy.waiting and _may_be_in_time(timing, placement, now):
             return Decision.wait
-        may_queue = terms.queueing and worth > SMALL_WORTH
+        may_queue = policy.queueing and worth > SMALL_WORTH
         if may_queue and _has_time_to_queue(timing, placement, now):
             return Decision.wait
     return refusal or Decision.send
@@ -110,7 +110,7 @@
     timing: Timing,
     placement: Placement,
     now: float,
-    terms: PlacementPolicy,
+    policy: PlacementPolicy,
 ) -> Decision | None:
     """Return why the placement should not be used, or None.
 
@@ -125,7 +125,7 @@
     if timing.started:
         return None
     too_expensive = (
-        placement.cost_to_others > placement.gain * terms.max_cost_to_others
+        placement.cost_to_others > placement.gain * policy.max_cost_to_others
     )
     return Decision.no_room if too_expensive else None
 
--- a/trestledock/relay/_attempts.py
+++ b/trestledock/relay/_attempts.py
@@ -30,7 +30,10 @@
 
 @dataclass(frozen=True)
 class RelayAttempt:
-    """A finished attempt, with the step and the peer at which it ended."""
+    """A finished attempt, with the step and the peer at which it ended.
+
+    It is logged as `sending_ended`.
+    """
 
     outcome: AttemptOutcome
     step: str
--- a/trestledock/relay/_chunked_prefill.py
+++ b/trestledock/relay/_chunked_prefill.py
@@ -48,10 +48,10 @@
     ]
     last_s = max([first_s, *helper_ends])
     lateness = problem.get_lateness(last_s) - problem.get_lateness(first_s)
-    helpers_harm = sum(
+    helpers_cost = sum(
         problem.get_cost_to_others(load, chunk_s) for load in helpers
     )
-    cost = problem.get_engine_cost(primary, chunk_s) + helpers_harm
+    cost = problem.get_engine_cost(primary, chunk_s) + helpers_cost
     cost += lateness + (last_s - first_s) * COST_PER_SECOND
     cost += problem.get_idle_engine_cost([primary, *helpers], chunk_s, last_s)
     return Placement(
@@ -60,7 +60,7 @@
         first_token_s=last_s,
         cost=cost + HELPER_COST * len(helpers),
         cost_to_others=problem.get_cost_to_others(primary, chunk_s)
-        + helpers_harm,
+        + helpers_cost,
         gain=problem.get_gain(last_s),
     )
 
--- a/trestledock/relay/_claims.py
+++ b/trestledock/relay/_claims.py
@@ -21,8 +21,8 @@
 #: waited behind the bytes of the prompt (30 KB take 12 ms at 20 Mbit/s).
 #: Messages are now sent before these bytes.
 CLAIM_DELAY_S = 0.03
-#: The least ratio of the time to the first token to this wait at which a claim
-#: is worth its delay.
+#: The least ratio of the time to the first token to `CLAIM_DELAY_S` at which a
+#: claim is worth its delay.
 MIN_DELAY_RATIO = 10
 
 
@@ -37,12 +37,12 @@
     others: Iterable[Flight],
     known: Container[str],
 ) -> Flight | None:
-    """Return a long prompt that precedes the own one at an engine, if any.
+    """Return a long prompt that takes precedence over the own one, if any.
 
     Prompts in `known` were taken into account by the placement.  A prompt that
-    was announced longer ago than the wait is already being sent.  Among prompts
-    of the same moment the ids decide, so that all instances that know both
-    agree.
+    was announced more than `CLAIM_DELAY_S` earlier is already being sent.
+    Among prompts of the same moment the ids decide, so that all instances that
+    know both agree.
     """
     for other in others:
         is_new = other.flight_id not in known and other != own
--- a/trestledock/relay/_engine_load.py
+++ b/trestledock/relay/_engine_load.py
@@ -90,10 +90,10 @@
     """Derives the load of engines from the requests in flight."""
 
     def __init__(
-        self, board: LoadTable, health: Health, data_centre: str
+        self, load_table: LoadTable, health: Health, data_centre: str
     ) -> None:
         """Store the inputs."""
-        self.board = board
+        self.load_table = load_table
         self.health = health
         self.data_centre = data_centre
 
@@ -102,7 +102,7 @@
     ) -> EngineLoad:
         """Return the load of an engine now."""
         name = listed.incarnation
-        flights = tuple(self.board.get_flights(name))
+        flights = tuple(self.load_table.get_flights(name))
         own = [flight for flight in flights if flight.target == name]
         held = sum(flight.get_held_tokens(name) for flight in flights)
         health = self.health.get(name)
--- a/trestledock/relay/_failure_kinds.py
+++ b/trestledock/relay/_failure_kinds.py
@@ -9,7 +9,7 @@
 
 
 class FailureKind(str, Enum):
-    """How the connection to a target failed.
+    """How the connection to a target failed (`sign` in the log).
 
     `closed` is a close or a reset by the target, `silent` a timeout on this
     side, `refused` a closed port, `unreachable` a connection that was not
--- a/trestledock/relay/_fleet.py
+++ b/trestledock/relay/_fleet.py
@@ -84,7 +84,7 @@
         )
 
     def put(self, listed: ListedTarget) -> bool:
-        """Add or update a record; return whether more than its age changed."""
+        """Add or update a record; return whether more than its age differs."""
         self._record_standing(listed)
         known = self.get_by_id(listed.target_id)
         if listed.order < self._get_min_order(listed.target_id):
@@ -243,7 +243,7 @@
         return listed.born > self.get_last_order(listed.target_id)[0]
 
     def _record_standing(self, listed: ListedTarget) -> None:
-        """Record a target that is listed as draining, in any order."""
+        """Record that a target is listed as draining, even by an old record."""
         if listed.standing is Standing.leaving:
             self.record_draining(listed.incarnation, self.watch.read_at)
 
--- a/trestledock/relay/_least_busy.py
+++ b/trestledock/relay/_least_busy.py
@@ -19,7 +19,7 @@
 
 
 def choose_least_busy(
-    board: LoadTable,
+    load_table: LoadTable,
     health: Health,
     targets: Sequence[ListedTarget],
     now: float,
@@ -33,7 +33,7 @@
     """
 
     def load_of(listed: ListedTarget) -> tuple[float, float]:  # noqa: WPS430
-        count = sum(1 for _ in board.get_flights(listed.incarnation))
+        count = sum(1 for _ in load_table.get_flights(listed.incarnation))
         target_health = health.get(listed.incarnation)
         load = (count + 1) / max(1, listed.slots)
         load += target_health.get_failure_share(now) * FAILURE_LOAD
--- a/trestledock/relay/_list_watch.py
+++ b/trestledock/relay/_list_watch.py
@@ -64,8 +64,8 @@
 
         It is no newer than `latest_at`, or now if this is not known.
         """
-        youngest_at = now if latest_at is None else latest_at
-        self.latest_at = max(self.latest_at, youngest_at)
+        newest_at = now if latest_at is None else latest_at
+        self.latest_at = max(self.latest_at, newest_at)
         if as_of - self.read_at > GAP_S:
             self.resumed_at = now
             if self.last_failure_at > self.read_at:
--- a/trestledock/relay/_load_table.py
+++ b/trestledock/relay/_load_table.py
@@ -3,8 +3,9 @@
 ==========
 
 The requests in flight at every target: exact for this instance, and as last
-reported for all others.  Each request is owned by the instance that sent it;
-peers hold copies until the caller of this module drops that instance.
+reported for all others.  Each request belongs to the instance that sent it.
+Other instances hold a copy until they drop that instance, because it no longer
+sends messages.
 """
 
 from collections import defaultdict
@@ -14,7 +15,10 @@
 
 
 class Phase(str, Enum):
-    """Whether an engine prefills a request's prompt or decodes its answer."""
+    """Whether an engine prefills a request's prompt or decodes its answer.
+
+    The values are sent to other instances.
+    """
 
     prefill = 'r'
     decode = 'w'
@@ -26,10 +30,11 @@
 
     `since` is when its phase began, on the clock of this process.  `helpers`
     prefill equal chunks of the prompt beside the target; `reservations` are the
-    tokens reserved at other targets.  `pause_s` is the longest pause between
-    events that the caller accepts as timely, and `patience_s` the pause at
-    which it leaves.  The first token is late after `due_at`, the caller has
-    left at `abandoned_at`, and `worth` is lost if the request fails.
+    tokens reserved at other targets (`tickets` in the log).  `pause_s` is the
+    longest pause between events that the caller accepts as timely, and
+    `patience_s` the pause at which it leaves.  The first token is late after
+    `due_at`, the caller has left at `abandoned_at`, and `worth` is lost if the
+    request fails.
     """
 
     flight_id: str
--- a/trestledock/relay/_notices.py
+++ b/trestledock/relay/_notices.py
@@ -52,8 +52,8 @@
 
 @singledispatch
 def resolve(notice: Any, before: Any) -> Any:
-    """Return the notice that holds after a new one and the one before it."""
-    raise TypeError(f'no notice: {notice!r}')
+    """Return which of two notices is valid, the new or the earlier one."""
+    raise TypeError(f'not a notice: {notice!r}')
 
 
 @dataclass(frozen=True)
@@ -77,7 +77,10 @@
 
 @dataclass(frozen=True)
 class Backoff:
-    """A target wants no requests from this instance until an instant."""
+    """A target wants no requests from this instance until an instant.
+
+    Its start and end are logged as `rest_heard` and `rest_ended`.
+    """
 
     until: float
     asked_at: float
@@ -106,7 +109,7 @@
 
 @dataclass
 class Notices:
-    """The notices that hold, by kind and incarnation.
+    """The valid notices, by kind and incarnation.
 
     >>> notices = Notices()
     >>> notices.record('t1', Backoff(until=4, asked_at=0, heard_at=1)).value
--- a/trestledock/relay/_placement.py
+++ b/trestledock/relay/_placement.py
@@ -56,7 +56,7 @@
 
     def __init__(
         self,
-        board: LoadTable,
+        load_table: LoadTable,
         health: Health,
         member: str = '',
         data_centre: str = '',
@@ -64,7 +64,7 @@
     ) -> None:
         """Store the inputs of the choice."""
         self.policy = policy
-        self.estimator = LoadEstimator(board, health, data_centre)
+        self.estimator = LoadEstimator(load_table, health, data_centre)
         self.member = member
 
     def place(
--- a/trestledock/relay/_placement_cost.py
+++ b/trestledock/relay/_placement_cost.py
@@ -16,7 +16,7 @@
 from trestledock.relay._policy import DEFAULT_POLICY, PlacementPolicy
 from trestledock.relay._target_records import ListedTarget
 
-#: Batch places of an engine that are left free if other engines have room.
+#: Batch slots of an engine that are left free if other engines have room.
 SPARE_SLOTS = 1
 #: The cost of a second before the first token, in units of worth.
 COST_PER_SECOND = 0.3
@@ -33,7 +33,7 @@
 ABANDONED_COST_SHARE = 2.0
 #: The least objective that lateness is measured against, in seconds.
 MIN_OBJECTIVE_S = 0.05
-#: The cost of each place beyond the batch size of an engine.
+#: The cost of each slot beyond the batch size of an engine.
 QUEUED_COST = 3.0
 #: The cost of a target in another data centre, in units of worth: the network
 #: path may be cut while the request is in flight.
@@ -61,7 +61,7 @@
 
     `cost_to_others` is the part of the cost that falls on other requests at
     these engines, and `gain` the worth that the request itself is expected to
-    yield.
+    earn.
 
     `first_token_s` is the predicted time to the first token, and `idle_fleet_s`
     that on an idle fleet.  All prefill in progress ends within
@@ -118,7 +118,7 @@
         )
 
     def get_gain(self, first_s: float) -> float:
-        """Return the worth that the request is expected to yield."""
+        """Return the worth that the request is expected to earn."""
         return max(0, self.work.worth - self.get_lateness(first_s))
 
     def get_cost_to_others(self, load: EngineLoad, chunk_s: float) -> float:
@@ -147,7 +147,7 @@
         )
 
     def get_queueing_cost(self, load: EngineLoad) -> float:
-        """Return the cost of batch places and memory that are not free yet."""
+        """Return the cost of batch slots and memory that are not free yet."""
         excess = load.count - self.engine.batch + SPARE_SLOTS + 1
         cost = QUEUED_COST * max(0, excess)
         if self.work.size.total_tokens > load.free_tokens:
--- a/trestledock/relay/_policy.py
+++ b/trestledock/relay/_policy.py
@@ -31,11 +31,11 @@
     idle engine to a request that is late in any case: an engine that is packed
     with short requests answers 3.5 of them a second, which lose 1 each by being
     late.  Without this cost, a giant prompt that takes all idle engines
-    collides with the next burst: the worst of 24 simulated days yields 0.81
+    collides with the next burst: the worst of 24 simulated days earns 0.81
     instead of 0.87.
 
     `max_cost_to_others` is the largest cost of a request to others, as a share
-    of its own yield.  If long prompts and bursts of short ones coincide, the
+    of its own gain.  If long prompts and bursts of short ones coincide, the
     mean of 24 simulated days is 0.3 in 100 higher with 0.7 than with 1.
     """
 
--- a/trestledock/relay/_quarantine.py
+++ b/trestledock/relay/_quarantine.py
@@ -67,8 +67,8 @@
     """The state of a request as it is stored and sent to other instances.
 
     `age_s` is the time since its last crash or probe: instants are sent as
-    ages, since clocks differ.  `cleared` are the crashes before it was
-    answered.
+    ages, since clocks differ.  `probes` is stored as `trials`.  `cleared` are
+    the crashes before it was answered.
     """
 
     fingerprint: str
--- a/trestledock/relay/_quotas.py
+++ b/trestledock/relay/_quotas.py
@@ -4,9 +4,10 @@
 
 A target's limit applies to all instances together and is divided without a
 central coordinator.  From its own view of the others, each instance derives the
-same few holders, which may send to the target at equal rates.  Instances that
-receive messages from only some of the others share no more than the part of
-those, so that both sides of a network partition together stay within the limit.
+same few holders of a quota, which may send to the target at equal rates.
+Instances that receive messages from only some of the others share no more than
+those instances' part, so that both sides of a network partition together stay
+within the limit.
 """
 
 from dataclasses import dataclass, field
--- a/trestledock/relay/_readers.py
+++ b/trestledock/relay/_readers.py
@@ -102,7 +102,7 @@
 
 
 def get_own_read_delay_s(
-    me: str,
+    own_name: str,
     names: Iterable[str],
     age_s: float,
     schedule: ReadSchedule = DEFAULT_SCHEDULE,
@@ -114,7 +114,7 @@
     >>> round(get_own_read_delay_s('b', ['a', 'b'], age_s=0.92), 2)
     0.01
     """
-    position = sum(name < me for name in names)
+    position = sum(name < own_name for name in names)
     return (
         schedule.self_read_s
         + min(MAX_SELF_READ_DELAY_S, SELF_READ_STEP_S * position)
@@ -122,11 +122,11 @@
     )
 
 
-def get_read_retry_s(me: str, names: Iterable[str]) -> float:
+def get_read_retry_s(own_name: str, names: Iterable[str]) -> float:
     """Return the interval at which an instance tries to read if all are stale.
 
     >>> round(get_read_retry_s('b', ['a', 'b', 'c']), 2)
     0.85
     """
-    position = sum(name < me for name in names)
+    position = sum(name < own_name for name in names)
     return min(MAX_RETRY_S, RETRY_BASE_S + RETRY_STEP_S * position)
--- a/trestledock/relay/_remote_load.py
+++ b/trestledock/relay/_remote_load.py
@@ -16,8 +16,8 @@
 
 #: Other data centres are asked if the best nearby placement costs more than
 #: this share of the prompt's worth.  Late prompts cost about two thirds of
-#: their worth, prompts that wait for others or spoil their pauses a fifth or
-#: more, and a prompt alone on idle engines a fiftieth.
+#: their worth, prompts that wait for others or exceed the allowed pauses a
+#: fifth or more, and a prompt alone on idle engines a fiftieth.
 LOCAL_COST_SHARE = 0.1
 #: How long an answer is used, in seconds: half of the time that a prompt of
 #: 100,000 tokens keeps an engine busy.
--- a/trestledock/relay/_target_records.py
+++ b/trestledock/relay/_target_records.py
@@ -3,8 +3,8 @@
 ==============
 
 One incarnation of a target, as listed by the platform's directory.  A target
-may restart under the same id, and has lost its memory and all its requests
-then; all knowledge about a target therefore belongs to one incarnation.
+that restarts under the same id has lost its memory and all its requests, so all
+knowledge about a target belongs to one incarnation.
 """
 
 from dataclasses import dataclass
@@ -19,7 +19,7 @@
 
 
 class Standing(str, Enum):
-    """The status of a target in the directory."""
+    """The status of a target in the directory; `leaving` is draining."""
 
     ready = 'ready'
     leaving = 'leaving'
--- a/trestledock/relay/_throttle.py
+++ b/trestledock/relay/_throttle.py
@@ -111,7 +111,7 @@
     def get_wait_s(
         self, targets: Sequence[ListedTarget], ahead: int, now: float
     ) -> float:
-        """Return after how many seconds one of some restrained targets is free.
+        """Return after how many seconds a request may be sent to any target.
 
         The `ahead` requests before it in the queue go first.
         """
