--- a/tests/crashing.py
+++ b/tests/crashing.py
@@ -13,23 +13,16 @@
 import anyio
 from anyio.abc import SocketAttribute
 
-from tests.relaying import (
-    HOST,
-    KEY,
-    SETTINGS,
-    World,
-    make_answer,
-    make_stream,
-)
+from tests.relaying import HOST, KEY, SETTINGS, World, make_answer, make_stream
 from tests.soak.serving import reset
 from trestledock.entry._crash_exchange import EndsExchange
 from trestledock.entry._gossip import Gossip
+from trestledock.entry._message_codec import encode_message
 from trestledock.entry._pool import Pool
 from trestledock.entry._relaying import Relayer
 from trestledock.entry._sending import Sender
 from trestledock.entry._state import EntryState
 from trestledock.entry._tickets import Tickets
-from trestledock.entry._message_codec import encode_message
 from trestledock.platform._headers import PlatformDialect
 from trestledock.relay import (
     Catalog,
@@ -98,7 +91,7 @@
     streams: set = field(default_factory=set)
     scope: anyio.CancelScope = field(default_factory=anyio.CancelScope)
 
-    async def live(self, *, task_status):
+    async def run(self, *, task_status):
         listener = await anyio.create_tcp_listener(local_host='127.0.0.1')
         self.port = listener.extra(SocketAttribute.local_port)
         task_status.started()
@@ -211,7 +204,7 @@
         self.target_count += 1
         name = target_id or f't{self.target_count}'
         target = Target(self, name, born)
-        await self.group.start(target.live)
+        await self.group.start(target.run)
         self.targets.append(target)
         for entry in self.entries:
             entry.state.fleet.put(target.get_listed())
@@ -223,13 +216,13 @@
         self.targets.remove(target)
         self.group.start_soon(self._restart, target)
 
-    async def ask_in_turn(self, tries, body=DEADLY):
+    async def ask_in_turn(self, attempts, body=DEADLY):
         """Send a request repeatedly, each time to the next entry."""
         return [
             await self.entries[number % len(self.entries)].ask(
                 f'r{number}', body=body
             )
-            for number in range(tries)
+            for number in range(attempts)
         ]
 
     async def _restart(self, target):
@@ -240,9 +233,9 @@
             await self.add_target(target.target_id, target.born + 1)
 
     def _send_from(self, number):
-        def send(word, where):
-            raw = encode_message(word, anyio.current_time())
-            for _, port in where:
+        def send(message, addresses):
+            raw = encode_message(message, anyio.current_time())
+            for _, port in addresses:
                 self.entries[port].gossip.handle_datagram(
                     raw, ('127.0.0.1', number)
                 )
--- a/tests/test_query_of_death.py
+++ b/tests/test_query_of_death.py
@@ -63,7 +63,7 @@
         """Send the request repeatedly, at one entry after the other."""
 
         async def scenario(fleet):
-            fleet.outcome = await fleet.ask_in_turn(ATTEMPTS)
+            fleet.result = await fleet.ask_in_turn(ATTEMPTS)
 
         fleet = run_fleet(scenario, route, crash, **options)
         # A lower threshold would refuse harmless requests beside it.
@@ -79,7 +79,7 @@
     def test_refusal(self):
         """Refused as not run, with a long time until a retry."""
         fleet = self.check(STREAM, CRASHES['reset before the head'])
-        last = fleet.outcome[-1]
+        last = fleet.result[-1]
         self.assertEqual(last.status, NOT_RUN)
         self.assertGreater(float(last.headers['retry-after']), 10)
 
@@ -88,28 +88,28 @@
 
         async def scenario(fleet):
             entry = fleet.entries[0]
-            look = entry.state.isolation.hooks.reconnect
+            reconnect = entry.state.isolation.hooks.reconnect
 
-            async def look_late(target):
+            async def reconnect_late(target):
                 group.cancel_scope.cancel()
-                return await look(target)
+                return await reconnect(target)
 
-            entry.state.isolation.hooks.reconnect = look_late
+            entry.state.isolation.hooks.reconnect = reconnect_late
             async with anyio.create_task_group() as group:
                 group.start_soon(entry.ask, 'r1', 'POST', KEY, (), DEADLY)
-            fleet.outcome = entry.state.isolation.quarantine.suspects
+            fleet.result = entry.state.isolation.quarantine.suspects
 
         fleet = run_fleet(scenario, STREAM, CRASHES['reset before the head'])
-        self.assertEqual(len(fleet.outcome), 1)
+        self.assertEqual(len(fleet.result), 1)
 
     def test_entry_started_later(self):
         """Its first peer sends it the quarantine."""
 
         async def scenario(fleet):
             await fleet.ask_in_turn(ATTEMPTS)
-            later = fleet.add_entry()
+            late_entry = fleet.add_entry()
             for number in range(ATTEMPTS):
-                outcome = await later.ask(f'later{number}', body=DEADLY)
+                outcome = await late_entry.ask(f'later{number}', body=DEADLY)
                 self.assertEqual(outcome.status, NOT_RUN)
 
         fleet = run_fleet(scenario, STREAM, CRASHES['reset before the head'])
--- a/tests/test_relay_backoff.py
+++ b/tests/test_relay_backoff.py
@@ -3,13 +3,13 @@
 import unittest
 
 from trestledock.relay import (
-    NoticeChange,
+    Backoff,
     Drain,
     ListedTarget,
     Member,
+    NoticeChange,
     Notices,
     RateLimit,
-    Backoff,
     Throttle,
     get_jitter_s,
 )
--- a/tests/test_relay_basics.py
+++ b/tests/test_relay_basics.py
@@ -7,16 +7,16 @@
 from hypothesis import strategies as st
 
 from trestledock.relay import (
-    RetryLimits,
-    AttemptOutcome,
-    Health,
     AttemptHistory,
+    AttemptOutcome,
+    EventSplitter,
     FreshnessProof,
+    Health,
+    RelayAttempt,
     RetryBudget,
+    RetryLimits,
     Route,
     RouteKind,
-    RelayAttempt,
-    EventSplitter,
 )
 
 NON_IDEMPOTENT = Route('r', 'h', '/', RouteKind.non_idempotent, ())
@@ -86,7 +86,7 @@
     def test_may_repeat(self):
         """Only requests that have not run or may be repeated are retried."""
         for route, outcomes, expected in self.cases:
-            with self.subTest(kind=route.kind, endings=outcomes):
+            with self.subTest(kind=route.kind, outcomes=outcomes):
                 history = make_history(*outcomes)
                 self.assertEqual(history.may_repeat(route), expected)
 
--- a/tests/test_relay_load_table.py
+++ b/tests/test_relay_load_table.py
@@ -2,7 +2,7 @@
 
 import unittest
 
-from trestledock.relay import LoadTable, Flight, Phase
+from trestledock.relay import Flight, LoadTable, Phase
 
 
 def make_flight(name, target='t1', helpers=(), reservations=(), tokens=1000):
@@ -18,8 +18,8 @@
     )
 
 
-def get_ids(board, target):
-    return sorted(flight.flight_id for flight in board.get_flights(target))
+def get_ids(load_table, target):
+    return sorted(flight.flight_id for flight in load_table.get_flights(target))
 
 
 class LoadTableTest(unittest.TestCase):
@@ -27,12 +27,12 @@
 
     def test_listed_at_helpers(self):
         """A request is listed at its target and at all helpers."""
-        board = LoadTable()
-        board.put(make_flight('a', helpers=('t2', 't3')))
+        load_table = LoadTable()
+        load_table.put(make_flight('a', helpers=('t2', 't3')))
         for target in ('t1', 't2', 't3'):
-            self.assertEqual(get_ids(board, target), ['a'])
-        board.remove('a')
-        self.assertEqual(get_ids(board, 't2'), [])
+            self.assertEqual(get_ids(load_table, target), ['a'])
+        load_table.remove('a')
+        self.assertEqual(get_ids(load_table, 't2'), [])
 
     def test_memory_by_reservations(self):
         """Reservations hold their share; the rest is at the primary engine."""
@@ -46,40 +46,48 @@
 
     def test_whole_message_replaces(self):
         """A whole message makes up for lost ones."""
-        board = LoadTable()
+        load_table = LoadTable()
         changes = [('a', make_flight('a')), ('b', make_flight('b'))]
-        board.apply_update('peer', 1, changes, whole=False)
-        board.apply_update('peer', 5, [('b', make_flight('b'))], whole=True)
-        self.assertEqual(get_ids(board, 't1'), ['b'])
+        load_table.apply_update('peer', 1, changes, whole=False)
+        load_table.apply_update(
+            'peer', 5, [('b', make_flight('b'))], whole=True
+        )
+        self.assertEqual(get_ids(load_table, 't1'), ['b'])
 
     def test_late_message_is_dropped(self):
         """A message that was overtaken by a newer one changes nothing."""
-        board = LoadTable()
-        board.apply_update('peer', 2, [('a', None)], whole=False)
-        board.apply_update('peer', 1, [('a', make_flight('a'))], whole=False)
-        self.assertEqual(get_ids(board, 't1'), [])
+        load_table = LoadTable()
+        load_table.apply_update('peer', 2, [('a', None)], whole=False)
+        load_table.apply_update(
+            'peer', 1, [('a', make_flight('a'))], whole=False
+        )
+        self.assertEqual(get_ids(load_table, 't1'), [])
 
     def test_removed_peer(self):
         """The requests of a peer are removed with it."""
-        board = LoadTable()
-        board.put(make_flight('own'))
-        board.apply_update('peer', 1, [('a', make_flight('a'))], whole=True)
-        board.drop_sender('peer')
-        self.assertEqual(get_ids(board, 't1'), ['own'])
+        load_table = LoadTable()
+        load_table.put(make_flight('own'))
+        load_table.apply_update(
+            'peer', 1, [('a', make_flight('a'))], whole=True
+        )
+        load_table.drop_sender('peer')
+        self.assertEqual(get_ids(load_table, 't1'), ['own'])
 
     def test_restarted_peer(self):
         """The sequence of a removed peer may start again."""
-        board = LoadTable()
-        board.apply_update('peer', 900, [], whole=True)
-        board.drop_sender('peer')
-        board.apply_update('peer', 1, [('a', make_flight('a'))], whole=True)
-        self.assertEqual(get_ids(board, 't1'), ['a'])
+        load_table = LoadTable()
+        load_table.apply_update('peer', 900, [], whole=True)
+        load_table.drop_sender('peer')
+        load_table.apply_update(
+            'peer', 1, [('a', make_flight('a'))], whole=True
+        )
+        self.assertEqual(get_ids(load_table, 't1'), ['a'])
 
     def test_changes_are_returned_once(self):
         """Each change is returned once, the newest of a request."""
-        board = LoadTable()
-        board.put(make_flight('a'))
-        board.start_decode('a', 1)
-        changes = board.pop_changes()
+        load_table = LoadTable()
+        load_table.put(make_flight('a'))
+        load_table.start_decode('a', 1)
+        changes = load_table.pop_changes()
         self.assertIs(changes['a'].phase, Phase.decode)
-        self.assertEqual(board.pop_changes(), {})
+        self.assertEqual(load_table.pop_changes(), {})
--- a/tests/test_relay_placement.py
+++ b/tests/test_relay_placement.py
@@ -6,9 +6,9 @@
 from tests.engines import SMALL_ENGINE as ENGINE
 from tests.engines import TARGETS
 from trestledock.relay import (
-    LoadTable,
     Flight,
     Health,
+    LoadTable,
     Phase,
     Placer,
     PromptSize,
@@ -26,9 +26,9 @@
     """An idle fleet of 18 engines."""
 
     def setUp(self):
-        self.board = LoadTable()
+        self.load_table = LoadTable()
         self.health = Health()
-        self.placer = Placer(self.board, self.health)
+        self.placer = Placer(self.load_table, self.health)
         self.count = 0
 
     def place(self, work, now=0.0):
@@ -36,7 +36,7 @@
 
     def put(self, work, placement, phase=Phase.decode, now=0.0):
         self.count += 1
-        self.board.put(
+        self.load_table.put(
             Flight(
                 f'f{self.count}',
                 placement.target.target_id,
@@ -63,7 +63,7 @@
         used = {
             target.target_id
             for target in TARGETS
-            if tuple(self.board.get_flights(target.target_id))
+            if tuple(self.load_table.get_flights(target.target_id))
         }
         self.assertLessEqual(len(used), 6)
 
@@ -72,7 +72,7 @@
         local = replace(TARGETS[3], data_centre='near')
         targets = [*TARGETS[:3], local, *TARGETS[4:]]
         self.put(SHORT, self.place(SHORT))
-        placer = Placer(self.board, self.health, 'e', 'near')
+        placer = Placer(self.load_table, self.health, 'e', 'near')
         placement = placer.place(SHORT, ENGINE, targets, 0)
         self.assertEqual(placement.target, local)
 
@@ -112,7 +112,7 @@
             len(placement.helpers) + 1
         )
         for target in (placement.target, *placement.helpers):
-            if tuple(self.board.get_flights(target.target_id)):
+            if tuple(self.load_table.get_flights(target.target_id)):
                 self.assertLess(chunk_s, SHORT.pause_s)
 
     def test_memory_suffices(self):
@@ -142,13 +142,13 @@
 
     def test_instances_choose_differently(self):
         """Instances that choose at once rarely take the same engine."""
-        firsts = {
-            Placer(self.board, self.health, f'entry-{number}')
+        primaries = {
+            Placer(self.load_table, self.health, f'entry-{number}')
             .place(LONG, ENGINE, TARGETS, 0)
             .target
             for number in range(8)
         }
-        self.assertGreater(len(firsts), 3)
+        self.assertGreater(len(primaries), 3)
 
 
 class GiantTest(Fixture):
@@ -166,7 +166,7 @@
     def test_none_without_memory(self):
         """While the memory is occupied a giant prompt is not placed."""
         for target in TARGETS:
-            self.board.put(
+            self.load_table.put(
                 Flight(
                     target.target_id,
                     target.target_id,
@@ -185,12 +185,12 @@
     def test_least_busy(self):
         """The target with the fewest requests is chosen."""
         for target in TARGETS[1:]:
-            self.board.put(
+            self.load_table.put(
                 Flight(
                     target.target_id, target.target_id, 0, 0, Phase.prefill, 0
                 )
             )
         chosen = choose_least_busy(
-            self.board, self.health, TARGETS, 0, lambda: 0.5
+            self.load_table, self.health, TARGETS, 0, lambda: 0.5
         )
         self.assertEqual(chosen, TARGETS[0])
--- a/tests/test_relay_placement_request.py
+++ b/tests/test_relay_placement_request.py
@@ -6,17 +6,17 @@
 from tests.engines import LARGE_ENGINE as ENGINE
 from tests.engines import TARGETS
 from trestledock.relay import (
-    PlacementRequest,
-    LoadTable,
     Decision,
     Flight,
     Health,
-    Unplaced,
+    LoadTable,
     Phase,
     Placement,
+    PlacementRequest,
     Placer,
     PromptSize,
     Timing,
+    Unplaced,
 )
 
 
@@ -56,8 +56,8 @@
     """An idle fleet of 18 engines."""
 
     def setUp(self):
-        self.board = LoadTable()
-        self.placer = Placer(self.board, Health())
+        self.load_table = LoadTable()
+        self.placer = Placer(self.load_table, Health())
 
     def choose(self, request, now=0.0, targets=TARGETS):
         return request.choose(self.placer, ENGINE, targets, now)
@@ -79,8 +79,12 @@
         it for 18 s although its caller left after 12: three engines occupied in
         vain.
         """
-        self.board.put(prefill_by('a', range(9), due_at=3, abandoned_at=12))
-        self.board.put(prefill_by('b', range(9, 15), due_at=3, abandoned_at=12))
+        self.load_table.put(
+            prefill_by('a', range(9), due_at=3, abandoned_at=12)
+        )
+        self.load_table.put(
+            prefill_by('b', range(9, 15), due_at=3, abandoned_at=12)
+        )
         result = self.choose(make_request(790_000))
         self.assertIsInstance(result, Unplaced)
         self.assertIs(result.decision, Decision.wait)
@@ -130,7 +134,7 @@
         flight = prefill_by(
             'a', range(17), due_at=-1, abandoned_at=1.2, tokens=600_000
         )
-        self.board.put(flight)
+        self.load_table.put(flight)
         result = self.choose(make_request(300_000))
         if isinstance(result, Placement):
             names = {helper.target_id for helper in result.helpers}
@@ -141,7 +145,7 @@
         """A pause at which callers leave costs more than a late answer."""
         estimator = self.placer.estimator
         for name, target, patience_s in (('a', 't00', 2.0), ('b', 't01', 9.0)):
-            self.board.put(
+            self.load_table.put(
                 Flight(
                     name,
                     target,
@@ -163,7 +167,7 @@
 
     def test_late_request_loses_once(self):
         """A request that is late anyway loses nothing more by another chunk."""
-        self.board.put(
+        self.load_table.put(
             prefill_by('a', (0,), due_at=0.5, abandoned_at=12, tokens=182_000)
         )
         load = self.placer.estimator.estimate(ENGINE, TARGETS[0], 0)
@@ -178,14 +182,14 @@
         flight = prefill_by(
             'a', range(18), due_at=2.2, abandoned_at=12, tokens=600_000
         )
-        self.board.put(flight)
+        self.load_table.put(flight)
         result = self.choose(make_request(160_000), now=0.95)
         self.assertIs(result.decision, Decision.wait)
 
     def test_started_stream_is_not_refused(self):
         """The cost to others is no reason to cut a stream that has started."""
         for number in range(18):
-            self.board.put(
+            self.load_table.put(
                 prefill_by(
                     f'f{number}',
                     (number,),
@@ -211,7 +215,7 @@
             (2_000_000, 4.4, 4.6),
         ):
             self.setUp()
-            self.board.put(
+            self.load_table.put(
                 prefill_by(
                     'a', range(18), due_at=3, abandoned_at=12, tokens=tokens
                 )
--- a/tests/test_relay_quarantine.py
+++ b/tests/test_relay_quarantine.py
@@ -7,8 +7,8 @@
 from trestledock.relay import Crash, Quarantine
 from trestledock.relay._quarantine import (
     MAX_CLEARED,
-    MIN_CRASHES,
     MAX_SUSPECTS,
+    MIN_CRASHES,
     PROBE_DELAYS_S,
 )
 
--- a/tests/test_relay_quotas.py
+++ b/tests/test_relay_quotas.py
@@ -7,10 +7,10 @@
 
 from trestledock.relay import Member, Membership
 from trestledock.relay._quotas import (
-    MIN_RATE_PER_S,
     EXTRA_HOLDERS,
-    TargetRate,
+    MIN_RATE_PER_S,
     QuotaCache,
+    TargetRate,
     get_quota,
 )
 
--- a/tests/test_relay_rate_limits.py
+++ b/tests/test_relay_rate_limits.py
@@ -2,7 +2,7 @@
 
 import unittest
 
-from trestledock.relay import NoticeChange, RateLimit, Notices
+from trestledock.relay import NoticeChange, Notices, RateLimit
 
 TARGET = 't1@5'
 
--- a/tests/test_relay_readers.py
+++ b/tests/test_relay_readers.py
@@ -3,8 +3,8 @@
 import unittest
 
 from trestledock.relay import (
-    ReaderCandidate,
     ReadSchedule,
+    ReaderCandidate,
     choose_reader,
     get_own_read_delay_s,
     get_read_retry_s,
--- a/tests/test_relay_recent_answers.py
+++ b/tests/test_relay_recent_answers.py
@@ -3,9 +3,9 @@
 import unittest
 
 from trestledock.relay._recent_answers import (
+    ANSWER_TTL_S,
     MAX_ANSWERS,
     MAX_EXCUSED,
-    ANSWER_TTL_S,
     RecentAnswers,
 )
 
--- a/tests/test_relay_remote_load.py
+++ b/tests/test_relay_remote_load.py
@@ -12,9 +12,9 @@
 from tests.engines import SMALL_ENGINE as ENGINE
 from tests.engines import TARGETS
 from trestledock.relay import (
-    LoadTable,
     Flight,
     Health,
+    LoadTable,
     Phase,
     Placer,
     PromptSize,
@@ -70,10 +70,10 @@
     """All nearby engines prefill long prompts, all others are idle."""
 
     def setUp(self):
-        self.board = LoadTable()
-        self.placer = Placer(self.board, Health(), data_centre=NEAR)
+        self.load_table = LoadTable()
+        self.placer = Placer(self.load_table, Health(), data_centre=NEAR)
         for number, target in enumerate(NEAR_TARGETS):
-            self.board.put(make_prefill(number, target))
+            self.load_table.put(make_prefill(number, target))
 
     def place(self, work, targets):
         return self.placer.place(work, ENGINE, targets, now=0.0)
@@ -98,8 +98,8 @@
         self.assertFalse(should_query_remote(SHORT.worth, None))
 
     def test_idle_local_engines_suffice(self):
-        board = LoadTable()
-        placer = Placer(board, Health(), data_centre=NEAR)
+        load_table = LoadTable()
+        placer = Placer(load_table, Health(), data_centre=NEAR)
         near = placer.place(LONG, ENGINE, NEAR_TARGETS, now=0.0)
         self.assertFalse(should_query_remote(LONG.worth, near.cost))
 
@@ -117,10 +117,12 @@
             full.put(flight)
         return [
             [
-                Placer(board, Health()).estimator.estimate(ENGINE, target, 0.5)
+                Placer(load_table, Health()).estimator.estimate(
+                    ENGINE, target, 0.5
+                )
                 for target in FAR_TARGETS
             ]
-            for board in (full, summarized)
+            for load_table in (full, summarized)
         ]
 
     def test_prefill_and_memory(self):
@@ -163,9 +165,9 @@
         self.assertEqual(tuple(flights), ())
 
     def test_new_load_replaces_old(self):
-        board = LoadTable()
+        load_table = LoadTable()
         name = FAR_TARGETS[0].incarnation
-        board.set_remote_load(FAR, [make_prefill(1, FAR_TARGETS[0])])
-        self.assertEqual(len(tuple(board.get_flights(name))), 1)
-        board.set_remote_load(FAR, ())
-        self.assertEqual(tuple(board.get_flights(name)), ())
+        load_table.set_remote_load(FAR, [make_prefill(1, FAR_TARGETS[0])])
+        self.assertEqual(len(tuple(load_table.get_flights(name))), 1)
+        load_table.set_remote_load(FAR, ())
+        self.assertEqual(tuple(load_table.get_flights(name)), ())
--- a/tests/test_relay_timeouts.py
+++ b/tests/test_relay_timeouts.py
@@ -33,8 +33,8 @@
 
     def test_retry_can_be_in_time(self):
         """A lost answer leaves time for a retry within the objective."""
-        wait_s = get_first_event_timeout_s(STREAM, 0.06, early=True)
-        self.assertLess(wait_s + 0.06, STREAM.objective_s)
+        timeout_s = get_first_event_timeout_s(STREAM, 0.06, early=True)
+        self.assertLess(timeout_s + 0.06, STREAM.objective_s)
         self.assertLess(
             get_first_event_timeout_s(PLAIN, 0, early=True) + 0.03,
             PLAIN.objective_s,
@@ -43,8 +43,10 @@
     def test_prediction_fits(self):
         """A timeout is never below twice the predicted time."""
         for predicted_s in (0.05, 0.2, 0.5, 2, 9):
-            wait_s = get_first_event_timeout_s(STREAM, predicted_s, early=True)
-            self.assertGreaterEqual(wait_s, 2 * predicted_s)
+            timeout_s = get_first_event_timeout_s(
+                STREAM, predicted_s, early=True
+            )
+            self.assertGreaterEqual(timeout_s, 2 * predicted_s)
 
     def test_last_target_gets_more_time(self):
         """The last target gets more time than the first."""
@@ -55,10 +57,10 @@
 
     def test_helpers(self):
         """A dead helper is reported after a stall, which is waited for."""
-        wait_s = get_first_event_timeout_s(
+        timeout_s = get_first_event_timeout_s(
             STREAM, 0.5, early=False, helped=True
         )
-        self.assertGreater(wait_s, 0.5 + 1.5)
+        self.assertGreater(timeout_s, 0.5 + 1.5)
 
     def test_no_timeout_without_retry(self):
         """A request that must not be repeated has no timeout."""
--- a/tests/test_relay_unconfirmed_crashes.py
+++ b/tests/test_relay_unconfirmed_crashes.py
@@ -40,8 +40,8 @@
         crashes = make_unconfirmed('f')
         self.assertEqual(crashes.pop_replaced_by(ORIGINAL, 1), [])
         self.assertEqual(crashes.pop_replaced_by(RESTARTED, 1), [])
-        ends = crashes.pop_replaced_by(REPLACEMENT, 1)
-        self.assertEqual(get_fingerprints(ends), ['f'])
+        confirmed = crashes.pop_replaced_by(REPLACEMENT, 1)
+        self.assertEqual(get_fingerprints(confirmed), ['f'])
 
     def test_expiry(self):
         self.assertEqual(
--- a/tests/test_relay_wait_queue.py
+++ b/tests/test_relay_wait_queue.py
@@ -5,7 +5,7 @@
 from hypothesis import given
 from hypothesis import strategies as st
 
-from trestledock.relay import WaitingRequest, WaitQueue
+from trestledock.relay import WaitQueue, WaitingRequest
 
 REQUESTS = st.lists(
     st.tuples(st.sampled_from('abc'), st.sampled_from([None, 0, 5, 9])),
