--- a/trestledock/relay/_chunked_prefill.py
+++ b/trestledock/relay/_chunked_prefill.py
@@ -55,8 +55,8 @@
     cost += lateness + (last_s - first_s) * COST_PER_SECOND
     cost += problem.get_idle_engine_cost([primary, *helpers], chunk_s, last_s)
     return Placement(
-        primary.listed,
-        tuple(load.listed for load in helpers),
+        primary.target,
+        tuple(load.target for load in helpers),
         first_token_s=last_s,
         cost=cost + HELPER_COST * len(helpers),
         cost_to_others=problem.get_cost_to_others(primary, chunk_s)
@@ -71,7 +71,7 @@
     chunk_s: float,
 ) -> list[EngineLoad]:
     """Return the other engines, the cheapest helpers first."""
-    excluded_ids = {load.listed.incarnation for load in excluded}
+    excluded_ids = {load.target.incarnation for load in excluded}
 
     def cost_of(load: EngineLoad) -> float:  # noqa: WPS430 - a sort key
         return (
@@ -84,6 +84,6 @@
     candidates = [
         load
         for load in problem.loads
-        if load.listed.incarnation not in excluded_ids
+        if load.target.incarnation not in excluded_ids
     ]
     return sorted(candidates, key=cost_of)
--- a/trestledock/relay/_engine_load.py
+++ b/trestledock/relay/_engine_load.py
@@ -43,7 +43,7 @@
     their primary.
     """
 
-    listed: ListedTarget
+    target: ListedTarget
     count: int
     decoding: int
     base_s: float
@@ -98,17 +98,17 @@
         self.data_centre = data_centre
 
     def estimate(
-        self, engine: EngineModel, listed: ListedTarget, now: float
+        self, engine: EngineModel, target: ListedTarget, now: float
     ) -> EngineLoad:
         """Return the load of an engine now."""
-        name = listed.incarnation
+        name = target.incarnation
         flights = tuple(self.load_table.get_flights(name))
         own = [flight for flight in flights if flight.target == name]
         held = sum(flight.get_held_tokens(name) for flight in flights)
         health = self.health.get(name)
         base_s = get_decode_pass_s(engine, PassLoad(len(own) + 1, held))
         return EngineLoad(
-            listed=listed,
+            target=target,
             count=len(own),
             decoding=sum(flight.phase is Phase.decode for flight in own),
             base_s=base_s,
@@ -116,7 +116,7 @@
             free_tokens=engine.capacity_tokens * MEMORY_SHARE - held,
             flights=flights,
             failure_share=health.get_failure_share(now),
-            is_remote=listed.data_centre != self.data_centre,
+            is_remote=target.data_centre != self.data_centre,
             now=now,
         )
 
--- a/trestledock/relay/_giants.py
+++ b/trestledock/relay/_giants.py
@@ -36,7 +36,7 @@
         best = _plan_giant(problem, holders, len(holders) - 1)
     share = _get_share(problem, len(holders))
     reservations = tuple(
-        (load.listed.incarnation, share) for load in holders[1:]
+        (load.target.incarnation, share) for load in holders[1:]
     )
     return replace(best, reservations=reservations)
 
--- a/trestledock/relay/_health.py
+++ b/trestledock/relay/_health.py
@@ -23,8 +23,8 @@
 #: how long at first and at most, in seconds.
 MIN_SILENT_TARGETS = 2
 SILENT_TARGETS_WINDOW_S = 1.5
-DATA_CENTRE_BASE_S = 0.8
-DATA_CENTRE_CAP_S = 2.5
+DATA_CENTRE_SUSPECT_BASE_S = 0.8
+DATA_CENTRE_SUSPECT_CAP_S = 2.5
 #: The least interval between requests that try a data centre that was suspect,
 #: in seconds: more than connecting may take.
 PROBE_INTERVAL_S = 0.4
@@ -87,7 +87,10 @@
         """Avoid the data centre, for longer each time."""
         if now < self.suspect_until:
             return
-        wait_s = min(DATA_CENTRE_CAP_S, DATA_CENTRE_BASE_S * 2**self.suspicions)
+        wait_s = min(
+            DATA_CENTRE_SUSPECT_CAP_S,
+            DATA_CENTRE_SUSPECT_BASE_S * 2**self.suspicions,
+        )
         self.suspicions += 1
         self.suspect_until = now + wait_s
 
--- a/trestledock/relay/_least_busy.py
+++ b/trestledock/relay/_least_busy.py
@@ -32,12 +32,12 @@
     broken at random.
     """
 
-    def load_of(listed: ListedTarget) -> tuple[float, float]:  # noqa: WPS430
-        count = sum(1 for _ in load_table.get_flights(listed.incarnation))
-        target_health = health.get(listed.incarnation)
-        load = (count + 1) / max(1, listed.slots)
+    def load_of(target: ListedTarget) -> tuple[float, float]:  # noqa: WPS430
+        count = sum(1 for _ in load_table.get_flights(target.incarnation))
+        target_health = health.get(target.incarnation)
+        load = (count + 1) / max(1, target.slots)
         load += target_health.get_failure_share(now) * FAILURE_LOAD
-        load += REMOTE_LOAD * (listed.data_centre != data_centre)
+        load += REMOTE_LOAD * (target.data_centre != data_centre)
         return load, draw()
 
     return min(targets, key=load_of, default=None)
--- a/trestledock/relay/_placement.py
+++ b/trestledock/relay/_placement.py
@@ -100,8 +100,8 @@
             candidates=len(ordered),
         )
 
-    def _get_order(self, listed: ListedTarget) -> int:
-        return crc32(f'{self.member}{listed.incarnation}'.encode())
+    def _get_order(self, target: ListedTarget) -> int:
+        return crc32(f'{self.member}{target.incarnation}'.encode())
 
 
 def _get_planner(problem: Problem) -> Planner:
@@ -123,12 +123,12 @@
     """Choose the fullest engine on which no request loses anything."""
     prefill_s = problem.prefill_s
     costs = {
-        load.listed.incarnation: problem.get_primary_cost(load, prefill_s)
+        load.target.incarnation: problem.get_primary_cost(load, prefill_s)
         for load in problem.loads
     }
 
     def cost_of(load: EngineLoad) -> float:  # noqa: WPS430 - a sort key
-        return costs[load.listed.incarnation]
+        return costs[load.target.incarnation]
 
     uncrowded = [
         load
@@ -144,7 +144,7 @@
         best = min(problem.loads, key=cost_of)
     first_s = best.predict_first_token_s(prefill_s)
     return Placement(
-        best.listed,
+        best.target,
         first_token_s=first_s,
         cost=cost_of(best),
         cost_to_others=problem.get_cost_to_others(best, prefill_s),
--- a/trestledock/relay/_quarantine.py
+++ b/trestledock/relay/_quarantine.py
@@ -45,10 +45,10 @@
 MAX_CLEARED = 50
 
 
-def get_probe_interval_s(probes: int) -> float:
+def get_min_probe_delay_s(probes: int) -> float:
     """Return the least delay after a crash or a probe until the next probe.
 
-    >>> [get_probe_interval_s(probes) for probes in (0, 1, 2, 9)]
+    >>> [get_min_probe_delay_s(probes) for probes in (0, 1, 2, 9)]
     [10.0, 300.0, 86400.0, 86400.0]
     """
     return PROBE_DELAYS_S[min(probes, len(PROBE_DELAYS_S) - 1)]
@@ -80,7 +80,7 @@
     @property
     def is_probe_due(self) -> bool:
         """Whether the next probe may be sent."""
-        return self.age_s >= get_probe_interval_s(self.probes)
+        return self.age_s >= get_min_probe_delay_s(self.probes)
 
 
 @dataclass
@@ -100,7 +100,7 @@
 
     def get_probe_delay_s(self, now: float) -> float:
         """Return after how many seconds the next probe may be sent."""
-        return max(0, self.since + get_probe_interval_s(self.probes) - now)
+        return max(0, self.since + get_min_probe_delay_s(self.probes) - now)
 
 
 class Quarantine:
--- a/trestledock/relay/_remote_load.py
+++ b/trestledock/relay/_remote_load.py
@@ -70,14 +70,14 @@
             if name not in targets:
                 continue
             if flight.phase is Phase.prefill:
-                yield _get_share_of_target(flight, name)
+                yield _get_target_share(flight, name)
             else:
                 decoding.setdefault(name, []).append(flight)
     for name, answers in decoding.items():
         yield _merge_answers(name, answers, now)
 
 
-def _get_share_of_target(flight: Flight, name: str) -> Flight:
+def _get_target_share(flight: Flight, name: str) -> Flight:
     """Return a target's part of a prompt: its chunk and its memory."""
     total = flight.prompt_tokens + flight.output_tokens
     surplus = total - flight.get_held_tokens(name)
