--- a/tests/crashing.py
+++ b/tests/crashing.py
@@ -1,8 +1,8 @@
-"""Entries before targets that crash under a request that is marked so.
+"""Entries and targets that crash under a marked request.
 
-A target that begins to run such a request ends with all its connections, and
-another start of it is listed at all entries: under its id with a new birth, or
-under a new id.  What entries tell one another arrives at once.
+A target that starts to run such a request closes all its connections and stops.
+It is listed again at all entries after a restart, either under its id with a
+new birth or under a new id.  Messages between entries arrive at once.
 """
 
 from contextlib import suppress
@@ -13,23 +13,16 @@
 import anyio
 from anyio.abc import SocketAttribute
 
-from tests.relaying import (
-    HOST,
-    KEY,
-    SETTINGS,
-    World,
-    make_answer,
-    make_stream,
-)
+from tests.relaying import HOST, KEY, SETTINGS, World, make_answer, make_stream
 from tests.soak.serving import reset
 from trestledock.entry._crash_exchange import EndsExchange
 from trestledock.entry._gossip import Gossip
+from trestledock.entry._message_codec import encode_message
 from trestledock.entry._pool import Pool
 from trestledock.entry._relaying import Relayer
 from trestledock.entry._sending import Sender
 from trestledock.entry._state import EntryState
 from trestledock.entry._tickets import Tickets
-from trestledock.entry._message_codec import encode_message
 from trestledock.platform._headers import PlatformDialect
 from trestledock.relay import (
     Catalog,
@@ -40,56 +33,56 @@
     TeamKey,
 )
 
-#: The body that ends whatever runs it, and what a sound one has.
+#: The body that crashes any target, and the body of a harmless request.
 DEADLY = b'deadly'
-SOUND = b'sound'
-#: What runs beside it takes so long, in seconds.
-WORK_S = 0.05
-#: After a crash the next start is listed so much later, in seconds.
-AGAIN_S = 0.01
+HARMLESS = b'sound'
+#: The duration of a harmless request, in seconds.
+SERVICE_TIME_S = 0.05
+#: The time from a crash until the restarted target is listed, in seconds.
+RESTART_DELAY_S = 0.01
 
 
-def _write_nothing(_):
+def _get_nothing(_):
     return b''
 
 
 @dataclass(frozen=True)
-class Crash:
-    """How much is written of the answer before the end, and how it ends."""
+class CrashMode:
+    """How much of the answer is written before a crash, and how it ends."""
 
-    get_written: Callable = _write_nothing
-    resets: bool = True
+    get_written: Callable = _get_nothing
+    is_reset: bool = True
 
 
 HEAD_END = b'\r\n\r\n'
 
 
-def _write_part_of_head(answer):
+def _get_part_of_head(answer):
     return answer[:20]
 
 
-def _write_head(answer):
+def _get_head(answer):
     return answer[: answer.index(HEAD_END) + len(HEAD_END)]
 
 
-def _write_all(answer):
+def _get_all(answer):
     return answer
 
 
-#: The ways in which a crash is seen by whoever waits for the answer.
+#: The ways in which a crash is observed by the receiver of the answer.
 CRASHES = {
-    'reset before the head': Crash(),
-    'closed before the head': Crash(resets=False),
-    'closed within the head': Crash(_write_part_of_head, resets=False),
-    'reset between head and body': Crash(_write_head),
-    'closed in the middle of a stream': Crash(_write_all, resets=False),
-    'reset in the middle of a stream': Crash(_write_all),
+    'reset before the head': CrashMode(),
+    'closed before the head': CrashMode(is_reset=False),
+    'closed within the head': CrashMode(_get_part_of_head, is_reset=False),
+    'reset between head and body': CrashMode(_get_head),
+    'closed in the middle of a stream': CrashMode(_get_all, is_reset=False),
+    'reset in the middle of a stream': CrashMode(_get_all),
 }
 
 
 @dataclass(eq=False)
 class Target:
-    """One start of a target."""
+    """One incarnation of a target."""
 
     fleet: 'Fleet'
     target_id: str
@@ -98,7 +91,7 @@
     streams: set = field(default_factory=set)
     scope: anyio.CancelScope = field(default_factory=anyio.CancelScope)
 
-    async def live(self, *, task_status):
+    async def run(self, *, task_status):
         listener = await anyio.create_tcp_listener(local_host='127.0.0.1')
         self.port = listener.extra(SocketAttribute.local_port)
         task_status.started()
@@ -120,9 +113,9 @@
         )
 
     async def crash(self):
-        """End with all connections, as a process does."""
+        """Close all connections, as the end of a process does."""
         for stream in tuple(self.streams):
-            if self.fleet.crash.resets:
+            if self.fleet.crash.is_reset:
                 reset(stream)
             with suppress(OSError, anyio.ClosedResourceError):
                 await stream.aclose()
@@ -137,13 +130,13 @@
                 anyio.ClosedResourceError,
             ):
                 while True:
-                    await self._talk(stream)
+                    await self._handle_request(stream)
 
-    async def _talk(self, stream):
+    async def _handle_request(self, stream):
         head, body = await _read(stream)
         req_id = _get_header(head, 'trestledock-request-id')
         if body == DEADLY:
-            self.fleet.note_end(self)
+            self.fleet.record_crash(self)
             with anyio.CancelScope(shield=True):
                 answer = make_stream(1, 2, end=b'', req_id=req_id)
                 written = self.fleet.crash.get_written(answer)
@@ -151,8 +144,8 @@
                     await stream.send(written)
                 await self.crash()
             return
-        self.fleet.sound_runs += 1
-        await anyio.sleep(WORK_S)
+        self.fleet.harmless_runs += 1
+        await anyio.sleep(SERVICE_TIME_S)
         if self.fleet.route.kind is RouteKind.streaming:
             await stream.send(make_stream(1, 4, req_id=req_id))
         else:
@@ -161,20 +154,20 @@
 
 @dataclass
 class Fleet:
-    """Some entries, and the targets that they share."""
+    """Some entries and the targets that they share."""
 
     route: object
-    crash: Crash
+    crash: CrashMode
     group: anyio.abc.TaskGroup
     new_ids: bool = False
     entries: list = field(default_factory=list)
     targets: list = field(default_factory=list)
-    ended: list = field(default_factory=list)
-    sound_runs: int = 0
-    numbers: int = 0
+    crashed: list = field(default_factory=list)
+    harmless_runs: int = 0
+    target_count: int = 0
 
     def add_entry(self):
-        """Start an entry that knows the others."""
+        """Start an entry that knows all others."""
         number = len(self.entries)
         state = EntryState(
             SETTINGS, f'entry-{number}', Random(number), self.group
@@ -195,8 +188,8 @@
         world = World(state, Relayer(state, dialect, sender))
         world.gossip = gossip
         self.entries.append(world)
-        for one in self.entries:
-            one.gossip.add_addresses(
+        for entry in self.entries:
+            entry.gossip.add_addresses(
                 {
                     other.state.member: f'127.0.0.1:{port}'
                     for port, other in enumerate(self.entries)
@@ -207,42 +200,42 @@
         return world
 
     async def add_target(self, target_id='', born=1):
-        """Start a target, and list it everywhere."""
-        self.numbers += 1
-        name = target_id or f't{self.numbers}'
+        """Start a target and list it at all entries."""
+        self.target_count += 1
+        name = target_id or f't{self.target_count}'
         target = Target(self, name, born)
-        await self.group.start(target.live)
+        await self.group.start(target.run)
         self.targets.append(target)
         for entry in self.entries:
             entry.state.fleet.put(target.get_listed())
             entry.state.notify()
 
-    def note_end(self, target):
-        """Note that a target ends; it starts again."""
-        self.ended.append(target)
+    def record_crash(self, target):
+        """Record the crash of a target and restart it."""
+        self.crashed.append(target)
         self.targets.remove(target)
-        self.group.start_soon(self._start_again, target)
+        self.group.start_soon(self._restart, target)
 
-    async def ask_in_turn(self, tries, body=DEADLY):
-        """Ask once after the other, each time at the next entry."""
+    async def ask_in_turn(self, attempts, body=DEADLY):
+        """Send a request repeatedly, each time to the next entry."""
         return [
             await self.entries[number % len(self.entries)].ask(
                 f'r{number}', body=body
             )
-            for number in range(tries)
+            for number in range(attempts)
         ]
 
-    async def _start_again(self, target):
-        await anyio.sleep(AGAIN_S)
+    async def _restart(self, target):
+        await anyio.sleep(RESTART_DELAY_S)
         if self.new_ids:
             await self.add_target()
         else:
             await self.add_target(target.target_id, target.born + 1)
 
     def _send_from(self, number):
-        def send(word, where):
-            raw = encode_message(word, anyio.current_time())
-            for _, port in where:
+        def send(message, addresses):
+            raw = encode_message(message, anyio.current_time())
+            for _, port in addresses:
                 self.entries[port].gossip.handle_datagram(
                     raw, ('127.0.0.1', number)
                 )
@@ -252,12 +245,12 @@
 
 def run_fleet(scenario, route, crash, *, entries=3, targets=6, new_ids=False):
     """Run `scenario(fleet)`; return the fleet."""
-    found = []
+    fleets = []
 
     async def main():
         async with anyio.create_task_group() as group:
             fleet = Fleet(route, crash, group, new_ids)
-            found.append(fleet)
+            fleets.append(fleet)
             for _ in range(entries):
                 fleet.add_entry()
             for _ in range(targets):
@@ -266,7 +259,7 @@
             group.cancel_scope.cancel()
 
     anyio.run(main)
-    return found[0]
+    return fleets[0]
 
 
 def _make_keys():
@@ -286,7 +279,7 @@
 
 def _get_header(head, name):
     for line in head.decode().split('\r\n'):
-        found, _, text = line.partition(':')
-        if found.lower() == name:
+        key, _, text = line.partition(':')
+        if key.lower() == name:
             return text.strip()
     return ''
--- a/tests/test_query_of_death.py
+++ b/tests/test_query_of_death.py
@@ -1,20 +1,21 @@
-"""A request that ends whatever runs it reaches few targets, and then none.
+"""A request that crashes its targets reaches few of them, then none.
 
-What was seen: a request under which three targets had ended was sent to targets
-ten times more, and 32 of 36 targets ended under it within nine seconds; other
-requests, which were beside it, were cut or refused.
+Guards against unlimited retries of a query of death.  A request under which
+three targets had crashed was sent to targets ten more times, and 32 of 36
+targets crashed under it within nine seconds; other requests at these targets
+were cut or refused.
 
-How it came about: each attempt of a caller goes to one target, and to a second
-one as the first has ended; both end.  The caller, or another one with the same
-request, comes again at another entry.
+Each attempt of a caller goes to one target, and to a second one when the first
+has crashed; both crash.  Then the same or another caller sends the request
+again, to another entry.
 
-The cause: what an entry knew of a request lived as long as one attempt, and an
-end was put down to the target alone.  Nobody knew how many targets had ended
+Entries kept what they knew of a request only for one attempt, and attributed
+each crash to the target alone, so no entry counted the targets that had crashed
 under the same request.
 
-What proved it: the log of each target that ended shows one request in common,
-by its fingerprint; and with as few as three entries, ten attempts of one
-request end twenty targets here.
+The logs of the crashed targets had one request in common, by its fingerprint;
+and with as few as three entries, ten attempts of one request crash twenty
+targets here.
 """
 
 import unittest
@@ -22,32 +23,33 @@
 
 import anyio
 
-from tests.crashing import CRASHES, DEADLY, SOUND, run_fleet
+from tests.crashing import CRASHES, DEADLY, HARMLESS, run_fleet
 from tests.relaying import KEY, make_route
 from trestledock.relay import RouteKind
 
 PLAIN = make_route()
-ONCE = make_route(RouteKind.non_idempotent, max_attempts=1)
+NON_IDEMPOTENT = make_route(RouteKind.non_idempotent, max_attempts=1)
 STREAM = make_route(
     RouteKind.streaming, resumable=True, objective_s=0.3, pause_s=0.2
 )
-#: So many targets may end under a request before it is known for that.
-MOST_ENDS = 3
-TRIES = 10
+#: The number of targets that may crash under a request before it is
+#: quarantined.
+MIN_CRASHES = 3
+ATTEMPTS = 10
 OK = 200
 NOT_RUN = 503
-#: Requests beside the deadly one in each turn.
-BESIDE = 6
+#: Harmless requests beside the deadly one in each round.
+HARMLESS_COUNT = 6
 
 
-#: Routes, with the ways in which a crash of their targets is seen.
+#: Routes, with the ways in which a crash of their targets is observed.
 CASES = [
     *(
         (PLAIN, name)
         for name in ('reset before the head', 'closed before the head')
     ),
     *(
-        (ONCE, name)
+        (NON_IDEMPOTENT, name)
         for name in ('reset before the head', 'closed before the head')
     ),
     *((STREAM, name) for name in CRASHES),
@@ -55,95 +57,99 @@
 
 
 class QueryOfDeathTest(unittest.TestCase):
-    """However a crash is seen, and wherever the request comes again."""
+    """All kinds of crashes, with retries at any entry."""
 
-    def check(self, route, crash, **how):
-        """Ask for it again and again, at one entry after the other."""
+    def check(self, route, crash, **options):
+        """Send the request repeatedly, at one entry after the other."""
 
         async def scenario(fleet):
-            fleet.found = await fleet.ask_in_turn(TRIES)
+            fleet.result = await fleet.ask_in_turn(ATTEMPTS)
 
-        fleet = run_fleet(scenario, route, crash, **how)
-        # Fewer would refuse whoever was beside it.
-        self.assertEqual(len(fleet.ended), MOST_ENDS)
+        fleet = run_fleet(scenario, route, crash, **options)
+        # A lower threshold would refuse harmless requests beside it.
+        self.assertEqual(len(fleet.crashed), MIN_CRASHES)
         return fleet
 
-    def test_few_targets_end(self):
-        """Whether they come back under their ids or under new ones."""
+    def test_few_targets_crash(self):
+        """Targets restart under their ids or under new ones."""
         for (route, name), new_ids in product(CASES, (False, True)):
             with self.subTest(kind=route.kind, crash=name, new_ids=new_ids):
                 self.check(route, CRASHES[name], new_ids=new_ids)
 
-    def test_last_word_is_true_and_invites_nobody(self):
-        """Refused as not run, at once, and with a long time to come back."""
+    def test_refusal(self):
+        """Refused as not run, with a long time until a retry."""
         fleet = self.check(STREAM, CRASHES['reset before the head'])
-        last = fleet.found[-1]
+        last = fleet.result[-1]
         self.assertEqual(last.status, NOT_RUN)
         self.assertGreater(float(last.headers['retry-after']), 10)
 
-    def test_caller_leaves_as_the_target_ends(self):
-        """The end counts all the same."""
+    def test_caller_leaves_during_crash(self):
+        """The crash counts even if the caller leaves at that moment."""
 
         async def scenario(fleet):
             entry = fleet.entries[0]
-            look = entry.state.isolation.hooks.reconnect
+            reconnect = entry.state.isolation.hooks.reconnect
 
-            async def look_late(target):
+            async def reconnect_late(target):
                 group.cancel_scope.cancel()
-                return await look(target)
+                return await reconnect(target)
 
-            entry.state.isolation.hooks.reconnect = look_late
+            entry.state.isolation.hooks.reconnect = reconnect_late
             async with anyio.create_task_group() as group:
                 group.start_soon(entry.ask, 'r1', 'POST', KEY, (), DEADLY)
-            fleet.found = entry.state.isolation.quarantine.suspects
+            fleet.result = entry.state.isolation.quarantine.suspects
 
         fleet = run_fleet(scenario, STREAM, CRASHES['reset before the head'])
-        self.assertEqual(len(fleet.found), 1)
+        self.assertEqual(len(fleet.result), 1)
 
-    def test_entry_that_starts_later(self):
-        """It is told by the first that hears it."""
+    def test_entry_started_later(self):
+        """Its first peer sends it the quarantine."""
 
         async def scenario(fleet):
-            await fleet.ask_in_turn(TRIES)
-            later = fleet.add_entry()
-            for number in range(TRIES):
-                found = await later.ask(f'later{number}', body=DEADLY)
-                self.assertEqual(found.status, NOT_RUN)
+            await fleet.ask_in_turn(ATTEMPTS)
+            late_entry = fleet.add_entry()
+            for number in range(ATTEMPTS):
+                outcome = await late_entry.ask(f'later{number}', body=DEADLY)
+                self.assertEqual(outcome.status, NOT_RUN)
 
         fleet = run_fleet(scenario, STREAM, CRASHES['reset before the head'])
-        self.assertEqual(len(fleet.ended), MOST_ENDS)
+        self.assertEqual(len(fleet.crashed), MIN_CRASHES)
 
-    def test_others_are_served_meanwhile(self):
-        """Whoever runs beside it may lose a target, and is not refused."""
-        found = []
+    def test_other_requests_are_served(self):
+        """A harmless request may lose a target, but is not refused."""
+        outcomes = []
 
         async def scenario(fleet):
-            for turn in range(TRIES):
-                found.extend(await _ask_beside(fleet, turn))
+            for round_number in range(ATTEMPTS):
+                outcomes.extend(await _ask_beside(fleet, round_number))
 
         fleet = run_fleet(
             scenario, STREAM, CRASHES['closed in the middle of a stream']
         )
-        self.assertEqual(len(fleet.ended), MOST_ENDS)
-        self.assertNotIn(NOT_RUN, {one.status for one in found})
-        # Each end may cost those beside it, as any end does.
-        served = sum(one.status == OK and one.whole for one in found)
-        self.assertGreaterEqual(served, len(found) - MOST_ENDS * BESIDE)
+        self.assertEqual(len(fleet.crashed), MIN_CRASHES)
+        self.assertNotIn(NOT_RUN, {outcome.status for outcome in outcomes})
+        # Each crash may fail the requests beside it, as any crash does.
+        served = sum(
+            outcome.status == OK and outcome.whole for outcome in outcomes
+        )
+        self.assertGreaterEqual(
+            served, len(outcomes) - MIN_CRASHES * HARMLESS_COUNT
+        )
 
 
-async def _ask_beside(fleet, turn):
-    """Ask for the deadly request once, beside others; return their outcomes."""
-    found = []
+async def _ask_beside(fleet, round_number):
+    """Send the deadly request beside others; return their outcomes."""
+    outcomes = []
 
     async def ask(number):
         entry = fleet.entries[number % len(fleet.entries)]
-        body = SOUND + b'%d-%d' % (turn, number)
-        found.append(await entry.ask(f's{turn}-{number}', body=body))
+        body = HARMLESS + b'%d-%d' % (round_number, number)
+        outcomes.append(await entry.ask(f's{round_number}-{number}', body=body))
 
     async with anyio.create_task_group() as group:
-        for number in range(BESIDE):
+        for number in range(HARMLESS_COUNT):
             group.start_soon(ask, number)
-        await fleet.entries[turn % len(fleet.entries)].ask(
-            f'r{turn}', body=DEADLY
+        await fleet.entries[round_number % len(fleet.entries)].ask(
+            f'r{round_number}', body=DEADLY
         )
-    return found
+    return outcomes
--- a/tests/test_relay_reach.py
+++ b/tests/test_relay_reachability.py
@@ -1,4 +1,4 @@
-"""A data centre that is cut off, as its instances and its targets tell."""
+"""Detection of a data centre that is cut off."""
 
 import unittest
 
@@ -7,8 +7,8 @@
 CUT_AT = 10.0
 
 
-class ReachTest(unittest.TestCase):
-    """What the silence of instances says."""
+class ReachabilityTest(unittest.TestCase):
+    """Silence of a data centre's instances."""
 
     def make(self, names=('a', 'b')):
         reach = Reachability()
@@ -18,27 +18,27 @@
         return reach
 
     def test_cut(self):
-        """A cut is known half a second after the last word."""
+        """A cut is detected half a second after the last message."""
         reach = self.make()
         self.assertEqual(reach.get_silent(CUT_AT + 0.4), set())
         self.assertEqual(reach.get_silent(CUT_AT + 0.6), {'far'})
 
     def test_one_instance_ended(self):
-        """Others of the data centre still speak: nothing is cut."""
+        """Other instances of the data centre still send messages."""
         reach = self.make()
         reach.record_message('far', 'b', CUT_AT + 0.6)
         self.assertEqual(reach.get_silent(CUT_AT + 0.7), set())
 
-    def test_all_replaced_long_ago(self):
-        """Instances that were taken away are not expected to speak."""
+    def test_all_removed_long_ago(self):
+        """Instances that were removed are not expected to send messages."""
         self.assertEqual(self.make().get_silent(CUT_AT + 9), set())
 
-    def test_never_heard(self):
-        """Of a data centre without instances nothing can be said."""
+    def test_no_instances(self):
+        """Nothing is known of a data centre without instances."""
         self.assertEqual(Reachability().get_silent(CUT_AT), set())
 
-    def test_own_pause_is_no_silence(self):
-        """A process that stood still has not yet heard what was said."""
+    def test_stall_is_no_silence(self):
+        """A process that was stalled has unread messages."""
         reach = self.make()
         for now in (CUT_AT - 0.2, CUT_AT):
             self.assertEqual(reach.check(now), set())
@@ -47,39 +47,39 @@
 
 
 class SuspicionTest(unittest.TestCase):
-    """What is done with the targets there."""
+    """Avoidance of the targets there."""
 
-    def test_left_at_once(self):
-        """All targets are left alone, those not tried yet included."""
+    def test_avoided_at_once(self):
+        """All targets are avoided, including those not tried yet."""
         health = Health()
         self.assertTrue(health.record_silent_data_centre('far', CUT_AT))
         self.assertFalse(health.record_silent_data_centre('far', CUT_AT + 0.2))
         self.assertTrue(health.is_suspect('t7', CUT_AT + 0.3, 'far'))
         self.assertFalse(health.is_suspect('t1', CUT_AT + 0.3, 'near'))
 
-    def test_back_with_the_first_word(self):
-        """Nothing is left of it once an instance speaks again."""
+    def test_message_ends_suspicion(self):
+        """The suspicion ends with the first message of an instance."""
         health = Health()
         health.record_silent_data_centre('far', CUT_AT)
         health.record_message('far')
         self.assertFalse(health.is_suspect('t7', CUT_AT + 0.1, 'far'))
 
-    def test_words_alone_do_not_clear_silent_targets(self):
-        """Targets that let requests time out stay suspect."""
+    def test_message_does_not_clear_silent_targets(self):
+        """Targets whose requests timed out stay suspect."""
         health = Health()
         health.record_silence('t1', CUT_AT, 'far')
         health.record_silence('t2', CUT_AT, 'far')
         health.record_message('far')
         self.assertTrue(health.is_suspect('t7', CUT_AT + 0.1, 'far'))
 
-    def test_left_while_silent(self):
-        """Instances that are still silent say that nothing has changed."""
+    def test_avoided_while_silent(self):
+        """The suspicion lasts while the instances are silent."""
         health = Health()
         health.record_silent_data_centre('far', CUT_AT)
         self.assertTrue(health.is_suspect('t1', CUT_AT + 6, 'far'))
 
-    def test_one_request_at_a_time_finds_out(self):
-        """After a suspicion has lapsed, not all that waits tries at once."""
+    def test_one_probe_at_a_time(self):
+        """After a suspicion has lapsed, only one request at a time probes."""
         health = Health()
         health.record_silence('t1', CUT_AT, 'far')
         health.record_silence('t2', CUT_AT, 'far')
@@ -94,8 +94,8 @@
         health.record_success('t4', now + 2.55, 'far')
         self.assertFalse(health.is_suspect('t3', now + 2.6, 'far'))
 
-    def test_long_prompts_wait_for_an_answer(self):
-        """What would be lost with any of its parts doesn't find out."""
+    def test_long_prompts_do_not_probe(self):
+        """A prompt that is lost with any of its chunks does not probe."""
         health = Health()
         health.record_silence('t1', CUT_AT, 'far')
         health.record_silence('t2', CUT_AT, 'far')
--- a/trestledock/relay/_events.py
+++ b/trestledock/relay/_event_stream.py
@@ -1,21 +1,21 @@
 """
-Events of a stream
-==================
+Event stream parsing
+====================
 
-Cuts the bytes of an event stream into whole events, so that an answer can be
-continued by another target after the last whole one.
+Splits the bytes of an event stream into whole events, so that another target
+can resume the stream after the last whole event.
 """
 
 from dataclasses import dataclass
 
-END = b'\n\n'
-END_CRLF = b'\r\n\r\n'
+EVENT_END = b'\n\n'
+EVENT_END_CRLF = b'\r\n\r\n'
 ID_FIELD = b'id:'
 
 
 @dataclass(frozen=True)
 class StreamEvent:
-    """One whole event: its bytes as they came, and its id if it has one."""
+    """A whole event: its raw bytes, and its id if it has one."""
 
     raw: bytes
     event_id: str = ''
@@ -23,7 +23,7 @@
 
 @dataclass
 class EventSplitter:
-    """Collects bytes and gives out whole events.
+    """Buffers bytes and returns whole events.
 
     >>> EventSplitter().push(b'id: 1')
     []
@@ -32,11 +32,11 @@
     remainder: bytes = b''
 
     def push(self, raw: bytes) -> list[StreamEvent]:
-        """Take bytes; return the events that are whole now."""
+        """Add bytes; return the events that they complete."""
         buffered = b''.join((self.remainder, raw))
-        end = END_CRLF if b'\r' in buffered else END
-        *whole, self.remainder = buffered.split(end)
-        return [_make_event(b''.join((one, end))) for one in whole]
+        end = EVENT_END_CRLF if b'\r' in buffered else EVENT_END
+        *events, self.remainder = buffered.split(end)
+        return [_make_event(b''.join((event, end))) for event in events]
 
 
 def _make_event(raw: bytes) -> StreamEvent:
--- a/trestledock/relay/_fingerprint.py
+++ b/trestledock/relay/_fingerprint.py
@@ -1,23 +1,23 @@
 """
-Fingerprints of requests
-========================
+Request fingerprints
+====================
 
-What makes two attempts the same request.  The id says nothing of that: each
-attempt of a caller has one of its own.
+Identifies retries of the same request.  The request id can't: each attempt of a
+caller has its own.
 """
 
 from hashlib import sha256
 from typing import NamedTuple
 
-#: Hexadecimal digits that are kept, 96 bits: of a million requests two share
-#: them by chance once in 10^17 fleets.
-DIGITS = 24
+#: Hexadecimal digits of a fingerprint, 96 bits: among a million requests, two
+#: collide by chance in one of 10^17 fleets.
+FINGERPRINT_DIGITS = 24
 
 
 class RequestIdentity(NamedTuple):
-    """What a target works by, beside the body.
+    """What identifies a request to a target, apart from the body.
 
-    The team stands for the caller, whose key may be replaced meanwhile.
+    The team stands for the caller, since keys may be replaced between attempts.
     """
 
     method: str
@@ -27,19 +27,19 @@
     team: str
 
 
-def get_fingerprint(traits: RequestIdentity, body_digest: bytes) -> str:
-    """Return what a request shares with its repeats, whoever takes them.
+def get_fingerprint(identity: RequestIdentity, body_digest: bytes) -> str:
+    """Return the fingerprint that all retries of a request share.
 
-    Each part counts with its length, so that no two different requests read
-    the same.
+    Each part is hashed with its length, so that no two different requests
+    produce the same input.
 
-    >>> traits = RequestIdentity('GET', 'a.example', '/x', '', 'kiosks')
-    >>> len(get_fingerprint(traits, sha256(b'').digest()))
+    >>> identity = RequestIdentity('GET', 'a.example', '/x', '', 'kiosks')
+    >>> len(get_fingerprint(identity, sha256(b'').digest()))
     24
     """
-    found = sha256(body_digest)
-    for part in traits:
+    digest = sha256(body_digest)
+    for part in identity:
         raw = part.encode()
-        found.update(b'%d:' % len(raw))
-        found.update(raw)
-    return found.hexdigest()[:DIGITS]
+        digest.update(b'%d:' % len(raw))
+        digest.update(raw)
+    return digest.hexdigest()[:FINGERPRINT_DIGITS]
--- a/trestledock/relay/_fleet.py
+++ b/trestledock/relay/_fleet.py
@@ -2,32 +2,32 @@
 Fleet of targets
 ================
 
-The targets that relayed requests may go to, as the platform's directory lists
-them.  Leaving is final for an incarnation, and so is the removal of its entry,
-but for an entry that vanished while the directory was disturbed: it may only
-have lapsed, so it is held for a little longer.  Of each id only the newest
-incarnation is known, and no word of an older one changes anything of it.
+The targets that requests may be relayed to, as listed by the platform's
+directory.  Draining is final for an incarnation, and so is the removal of its
+record, unless the record vanished while the directory was disturbed.  Its lease
+may only have lapsed then, so the target is retained for a little longer.  Only
+the newest incarnation of each id is kept; records of older ones change nothing.
 """
 
 from dataclasses import dataclass, field, replace
 from typing import Collection, Iterable, Iterator
 
-from trestledock.relay._listed import (
+from trestledock.relay._list_watch import ListWatch
+from trestledock.relay._notices import Drain, Notices
+from trestledock.relay._target_records import (
     UNKNOWN_BIRTH,
     ListedTarget,
     RecordOrder,
     Standing,
 )
-from trestledock.relay._notices import Drain, Notices
-from trestledock.relay._watch import ListWatch
 
-#: Less than the order of any word.
+#: Lower than the order of any record.
 LOWEST_ORDER: RecordOrder = (UNKNOWN_BIRTH, -1)
 
 
 @dataclass(frozen=True)
 class RemovedTarget:
-    """A target that is gone, with the order of its last word."""
+    """A removed target, with the order of its last record."""
 
     target_id: str
     order: RecordOrder
@@ -35,14 +35,14 @@
 
 @dataclass
 class Fleet:
-    """The targets by incarnation, and until when those are held that miss.
-
-    `newest` has the incarnation of each id.  `removed` keeps the order of the
-    last word of what was dropped, by id, so that a record that is written late
-    brings nothing back.  `revision` grows with every change that matters to
-    others; that a target is only held is one of them, since others must judge
-    for themselves whether to hold it, too.  `known_births` is how many of the
-    targets tell when they were born.  `notices` has what targets said of
+    """The targets by incarnation, and how long missing ones are retained.
+
+    `newest` maps each id to its incarnation.  `removed` has the order of the
+    last record of each removed id, so that a record that arrives late does not
+    bring the target back.  `revision` grows with every change that concerns
+    other instances.  That a target is only retained concerns them too, since
+    they must decide for themselves whether to retain it.  `known_births` counts
+    the targets with a known birth.  `notices` has what targets announced about
     themselves, here or to others.
     """
 
@@ -57,19 +57,19 @@
 
     @property
     def draining(self) -> Collection[str]:
-        """The incarnations that take nothing new, whoever said so."""
+        """The draining incarnations, which take no new requests."""
         return self.notices.get_all(Drain).keys()
 
     def is_draining(self, incarnation: str) -> bool:
-        """Whether an incarnation has said that it leaves."""
+        """Return whether an incarnation is draining."""
         return incarnation in self.draining
 
     def count_draining(self) -> int:
-        """Return how many targets are there that have said that they leave."""
+        """Return the number of known targets that are draining."""
         return len(self.targets.keys() & self.draining)
 
     def are_all_draining(self, service: str) -> bool:
-        """Whether a service has targets, and all have said that they leave."""
+        """Return whether a service has targets and all of them are draining."""
         names = [
             name
             for name, listed in self.targets.items()
@@ -78,21 +78,21 @@
         return bool(names) and all(map(self.is_draining, names))
 
     def record_draining(self, incarnation: str, heard_at: float) -> None:
-        """Note that a target leaves, as all entries learn by themselves."""
+        """Record a draining target; all instances learn of it by themselves."""
         self.notices.record(
             incarnation, Drain(heard_at, heard_at, is_shared=True)
         )
 
     def put(self, listed: ListedTarget) -> bool:
-        """Take an entry; return whether it changes anything but its age."""
-        self._note_standing(listed)
+        """Add or update a record; return whether more than its age differs."""
+        self._record_standing(listed)
         known = self.get_by_id(listed.target_id)
-        if listed.order < self._get_least_order(listed.target_id):
+        if listed.order < self._get_min_order(listed.target_id):
             return False
-        was_held = self.retained.pop(listed.incarnation, None) is not None
-        self._set(listed)
+        was_retained = self.retained.pop(listed.incarnation, None) is not None
+        self._store(listed)
         same = known and replace(known, sequence=listed.sequence) == listed
-        if same and not was_held:
+        if same and not was_retained:
             return False
         self.revision += 1
         return True
@@ -102,43 +102,43 @@
         return self.targets.get(self.newest.get(target_id, ''))
 
     def is_superseded(self, listed: ListedTarget) -> bool:
-        """Whether a target has started again since."""
+        """Return whether the target has restarted since."""
         return self.get_last_order(listed.target_id)[0] > listed.born
 
     def get_last_order(self, target_id: str) -> RecordOrder:
-        """Return the order of the last word on a target, or less than any."""
+        """Return the order of a target's last record, or the lowest order."""
         known = self.get_by_id(target_id)
         return (
             known.order if known else self.removed.get(target_id, LOWEST_ORDER)
         )
 
     def record_outdated(self, listed: ListedTarget) -> None:
-        """Take a record that a removal has followed since."""
-        self._note_standing(listed)
+        """Process a record that was followed by a removal."""
+        self._record_standing(listed)
         known = self.get_by_id(listed.target_id)
         if known is None:
             last = self.get_last_order(listed.target_id)
             self.removed[listed.target_id] = max(last, listed.order)
         elif listed.born > known.born:
-            self._set(listed)
+            self._store(listed)
         elif listed.order > known.order:
-            self._set(replace(known, sequence=listed.sequence))
+            self._store(replace(known, sequence=listed.sequence))
 
     def retain(self, listed: ListedTarget, until: float) -> bool:
-        """Take a target that another instance holds, if it is news here."""
+        """Retain a target that another instance retains, if it is new here."""
         name = listed.target_id
         is_known = name in self.newest or name in self.removed
         if is_known and not self._is_newer_birth(listed):
             return False
-        self._set(listed)
+        self._store(listed)
         self.retained[listed.incarnation] = until
         self.revision += 1
         return True
 
     def record_removal(self, target_id: str, until: float, now: float) -> bool:
-        """Take the removal of an entry; return whether it is gone at once.
+        """Process a removal; return whether the target is removed at once.
 
-        It may only have lapsed until the instant `until`.
+        Until the instant `until` its lease may only have lapsed.
         """
         known = self.get_by_id(target_id)
         if known is None:
@@ -152,11 +152,18 @@
         return False
 
     def expire_retained(self, now: float) -> list[str]:
-        """Drop held targets that did not come back; return incarnations."""
-        over = [one for one, until in self.retained.items() if now >= until]
-        for incarnation in over:
+        """Remove retained targets that were not listed again in time.
+
+        Return their incarnations.
+        """
+        expired = [
+            incarnation
+            for incarnation, until in self.retained.items()
+            if now >= until
+        ]
+        for incarnation in expired:
             self._remove(self.targets[incarnation])
-        return over
+        return expired
 
     def get_listed(self) -> Iterator[ListedTarget]:
         """Return the targets that the directory lists."""
@@ -167,53 +174,55 @@
         )
 
     def get_retained(self) -> Iterator[tuple[ListedTarget, float]]:
-        """Return the missing targets, with until when they are held."""
+        """Return the retained targets, and until when each is retained."""
         return (
             (self.targets[name], until) for name, until in self.retained.items()
         )
 
     def get_removed(self) -> Iterator[RemovedTarget]:
-        """Yield the targets that are gone, for one that never knew them."""
+        """Yield the removed targets, for instances that never knew them."""
         for target_id, order in self.removed.items():
             yield RemovedTarget(target_id, order)
 
-    def merge_removed(self, gone: Iterable[RemovedTarget]) -> list[str]:
-        """Take what another instance knows to be gone.
+    def merge_removed(
+        self, removed_targets: Iterable[RemovedTarget]
+    ) -> list[str]:
+        """Merge the removed targets that another instance knows.
 
-        Return the incarnations that were known here, by older words.
+        Return the incarnations that were removed here, known by older records.
         """
-        dropped = []
-        for one in gone:
-            known = self.get_by_id(one.target_id)
-            if known and known.order <= one.order:
+        removed = []
+        for target in removed_targets:
+            known = self.get_by_id(target.target_id)
+            if known and known.order <= target.order:
                 self._remove(known)
-                dropped.append(known.incarnation)
-            if known is None or known.order <= one.order:
-                last = self.removed.get(one.target_id, LOWEST_ORDER)
-                self.removed[one.target_id] = max(last, one.order)
-        return dropped
+                removed.append(known.incarnation)
+            if known is None or known.order <= target.order:
+                last = self.removed.get(target.target_id, LOWEST_ORDER)
+                self.removed[target.target_id] = max(last, target.order)
+        return removed
 
     def get_usable(self, service: str) -> Iterator[ListedTarget]:
-        """Return the targets of a service that may get new work."""
-        births_are_told = self._are_births_told()
-        leaving = self.draining
+        """Return the targets of a service that accept new requests."""
+        births_are_reported = self._are_births_reported()
+        draining = self.draining
         return (
             listed
             for name, listed in self.targets.items()
             if listed.service == service
-            and name not in leaving
-            and (listed.born != UNKNOWN_BIRTH or not births_are_told)
+            and name not in draining
+            and (listed.born != UNKNOWN_BIRTH or not births_are_reported)
         )
 
     def is_usable(self, incarnation: str) -> bool:
-        """Whether a target may get new work now."""
+        """Return whether a target accepts new requests."""
         listed = self.targets.get(incarnation)
         if listed is None or self.is_draining(incarnation):
             return False
-        return listed.born != UNKNOWN_BIRTH or not self._are_births_told()
+        return listed.born != UNKNOWN_BIRTH or not self._are_births_reported()
 
     def get_incarnation_by_name(self, name: str) -> str:
-        """Return the target that is named by id or by address."""
+        """Return the incarnation of a target that is named by id or address."""
         if name in self.newest:
             return self.newest[name]
         for listed in self.targets.values():
@@ -221,39 +230,40 @@
                 return listed.incarnation
         return ''
 
-    def _are_births_told(self) -> bool:
-        """Whether targets here tell when they were born, as most show.
+    def _are_births_reported(self) -> bool:
+        """Return whether the targets here report their birth, as most do.
 
-        An entry without it is another writer's then, and names no target; on a
-        platform where none tells it, all count as born at the same time.
+        A record without a birth then has another origin and is no target.  On a
+        platform where no target reports its birth, all count as born at the
+        same time.
         """
         return self.known_births * 2 >= len(self.targets)
 
     def _is_newer_birth(self, listed: ListedTarget) -> bool:
         return listed.born > self.get_last_order(listed.target_id)[0]
 
-    def _note_standing(self, listed: ListedTarget) -> None:
-        """Note that a target leaves, whenever it said so."""
+    def _record_standing(self, listed: ListedTarget) -> None:
+        """Record that a target is listed as draining, even by an old record."""
         if listed.standing is Standing.leaving:
             self.record_draining(listed.incarnation, self.watch.read_at)
 
-    def _get_least_order(self, target_id: str) -> RecordOrder:
-        """Return the least order of a word that says something new."""
+    def _get_min_order(self, target_id: str) -> RecordOrder:
+        """Return the lowest order that a new record of a target can have."""
         known = self.get_by_id(target_id)
         if known:
             return known.order
         born, sequence = self.removed.get(target_id, LOWEST_ORDER)
         return born, sequence + 1
 
-    def _set(self, listed: ListedTarget) -> None:
-        """Know an incarnation, and forget the one before it."""
-        before = self.get_by_id(listed.target_id)
-        if before and before.born == listed.born:
+    def _store(self, listed: ListedTarget) -> None:
+        """Store an incarnation and forget the previous one."""
+        previous = self.get_by_id(listed.target_id)
+        if previous and previous.born == listed.born:
             self.targets[listed.incarnation] = listed
             return
-        if before:
-            self._forget(before)
-            self.retained.pop(before.incarnation, None)
+        if previous:
+            self._forget(previous)
+            self.retained.pop(previous.incarnation, None)
         self.targets[listed.incarnation] = listed
         self.newest[listed.target_id] = listed.incarnation
         self.known_births += listed.born != UNKNOWN_BIRTH
--- a/trestledock/relay/_notices.py
+++ b/trestledock/relay/_notices.py
@@ -2,9 +2,9 @@
 Notices of targets
 ==================
 
-What a target says of itself in its answers, kept by incarnation and by kind.
-Each kind of notice is a type of its own, with a rule that says which of two
-notices to believe; the rest is the same for all.
+What targets announce about themselves in their answers, by incarnation and
+kind.  Each kind is a type with a rule that decides between two notices;
+everything else is shared.
 """
 
 from dataclasses import dataclass, field
@@ -14,7 +14,7 @@
 
 
 class NoticeChange(str, Enum):
-    """What a notice changed of what is believed."""
+    """How a notice changed what is known."""
 
     nothing = 'nothing'
     learnt = 'learnt'
@@ -23,27 +23,28 @@
 
 
 class Notice(Protocol):
-    """What a target said between two instants, whatever it is about.
+    """An announcement of a target, made between two instants.
 
-    The request that it answers left at `asked_at`, the answer came at
-    `heard_at`; with `is_shared` the other entries hear it without this one.
+    The request that it answers was sent at `asked_at`, and the answer arrived
+    at `heard_at`.  If `is_shared` is set, other instances learn of it without
+    this one.
     """
 
     @property
     def asked_at(self) -> float:
-        """The instant at which the request left that was answered."""
+        """The instant at which the answered request was sent."""
 
     @property
     def heard_at(self) -> float:
-        """The instant at which the answer came."""
+        """The instant at which the answer arrived."""
 
     @property
     def is_shared(self) -> bool:
-        """Whether the other entries hear it without this one."""
+        """Whether other instances learn of it without this one."""
 
     @property
     def requested(self) -> float | None:
-        """What is asked for as a number, None where nothing is any more."""
+        """The requested value as a number, or None if nothing is requested."""
 
 
 Kind = TypeVar('Kind', bound=Notice)
@@ -51,13 +52,13 @@
 
 @singledispatch
 def resolve(notice: Any, before: Any) -> Any:
-    """Return what to believe of a notice and the one before it."""
-    raise TypeError(f'no notice: {notice!r}')
+    """Return which of two notices is valid, the new or the earlier one."""
+    raise TypeError(f'not a notice: {notice!r}')
 
 
 @dataclass(frozen=True)
 class Drain:
-    """A target takes nothing new; that is final for its incarnation."""
+    """A target drains; this is final for its incarnation."""
 
     asked_at: float
     heard_at: float
@@ -65,7 +66,7 @@
 
     @property
     def requested(self) -> float:
-        """Nothing beside the notice itself."""
+        """A constant: the notice has no value of its own."""
         return 0
 
 
@@ -76,7 +77,10 @@
 
 @dataclass(frozen=True)
 class Backoff:
-    """A target wants nothing from this entry until an instant."""
+    """A target wants no requests from this instance until an instant.
+
+    Its start and end are logged as `rest_heard` and `rest_ended`.
+    """
 
     until: float
     asked_at: float
@@ -85,27 +89,27 @@
 
     @property
     def requested(self) -> float:
-        """The instant until which nothing is wanted."""
+        """The instant until which no requests are wanted."""
         return self.until
 
     def is_over(self, now: float) -> bool:
-        """Whether the target may be asked again."""
+        """Return whether the back-off has ended."""
         return now >= self.until
 
 
 @resolve.register
 def _(notice: Backoff, before: Backoff) -> Backoff:
-    return max(notice, before, key=lambda one: one.until)
+    return max(notice, before, key=lambda backoff: backoff.until)
 
 
 @dataclass(frozen=True)
 class PeerBackoff(Backoff):
-    """A target wants nothing from another entry until an instant."""
+    """A target wants no requests from another instance until an instant."""
 
 
 @dataclass
 class Notices:
-    """What is believed of each kind of notice, by incarnation.
+    """The valid notices, by kind and incarnation.
 
     >>> notices = Notices()
     >>> notices.record('t1', Backoff(until=4, asked_at=0, heard_at=1)).value
@@ -119,7 +123,7 @@
     by_kind: dict[type, dict[str, Any]] = field(default_factory=dict)
 
     def record(self, target: str, notice: Notice) -> NoticeChange:
-        """Take a notice of a target; return what it changed."""
+        """Process a notice of a target; return what it changed."""
         of_kind = self.by_kind.setdefault(type(notice), {})
         before = of_kind.get(target)
         if before is None and notice.requested is None:
@@ -129,16 +133,16 @@
         return _get_change(before, after)
 
     def get(self, kind: type[Kind], target: str) -> Kind | None:
-        """Return what a target asks for, if it asks for anything."""
-        found = self.by_kind.get(kind, {}).get(target)
-        return found if found and found.requested is not None else None
+        """Return a target's notice of a kind, if it requests anything."""
+        notice = self.by_kind.get(kind, {}).get(target)
+        return notice if notice and notice.requested is not None else None
 
     def get_all(self, kind: type[Kind]) -> dict[str, Kind]:
-        """Return the newest notices of a kind, by target."""
+        """Return the newest notices of a kind by target, withdrawn ones too."""
         return self.by_kind.get(kind, {})
 
     def get_in_force(self, kind: type[Kind]) -> dict[str, Kind]:
-        """Return what targets ask for, by target."""
+        """Return the notices of a kind that request something, by target."""
         return {
             target: notice
             for target, notice in self.get_all(kind).items()
@@ -146,23 +150,23 @@
         }
 
     def discard(self, kind: type[Notice], target: str) -> None:
-        """Believe a notice no more."""
+        """Discard a notice of a target."""
         self.by_kind.get(kind, {}).pop(target, None)
 
     def forget(self, target: str) -> None:
-        """Forget a target that is gone, but not that it leaves.
+        """Forget a removed target, except that it drains.
 
-        A record of it that is written late must not bring it back.
+        A record of it that arrives late must not bring it back.
         """
         for kind in self.by_kind.keys() - {Drain}:
             self.discard(kind, target)
 
 
 def _get_change(before: Notice | None, after: Notice) -> NoticeChange:
-    asked = None if before is None else before.requested
-    if asked == after.requested:
+    requested_before = None if before is None else before.requested
+    if requested_before == after.requested:
         return NoticeChange.nothing
-    if asked is None:
+    if requested_before is None:
         return NoticeChange.learnt
     return (
         NoticeChange.lifted if after.requested is None else NoticeChange.changed
--- a/trestledock/relay/_readers.py
+++ b/trestledock/relay/_readers.py
@@ -1,48 +1,48 @@
 """
-Readers of the store
-====================
+Election of the store's reader
+==============================
 
 Which instance reads the platform's store for the others.  Calls of the store
-are dear and limited, so one instance reads and the others ask it.  Whoever has
-read lately comes first; among equals the order of names decides, so that all
-who hear each other choose alike.  Where nobody has read lately, everyone
-tries, the later in the order the more rarely.
+are expensive and limited, so one instance reads and the others ask it.  The
+instance that has read most recently is preferred, and names break ties, so that
+all instances that know each other make the same choice.  If no instance has
+read lately, all try, at intervals that grow with their position in this order.
 """
 
 from dataclasses import dataclass
 from typing import Iterable
 
-#: The part of the time within which a change must be in force everywhere after
-#: which the store is read again; the rest is for the way to the others, and for
-#: noticing that a reader is gone.
+#: The share of the time within which a change must take effect everywhere after
+#: which the store is read again.  The rest is left for passing the change on,
+#: and for detecting that a reader has failed.
 READ_SHARE = 0.2
-#: The part of that time after which the reader is asked again, and the longest
-#: pause, in seconds: a fifth of the age up to which keys are served.
+#: The share of that time after which the reader is asked again, and the longest
+#: interval, in seconds: a fifth of the age up to which keys are accepted.
 ASK_SHARE = 0.15
-ASK_MOST_S = 0.6
-#: A proof up to this age makes an instance fit to be asked, in pauses between
-#: reads.
-FRESH_PAUSES = 2.0
-#: A proof above this age makes an instance read itself, in pauses between
-#: reads, the later in the order the later: what is added for each place, and at
-#: most, in seconds.
-SELF_PAUSES = 2.25
-SELF_PLACE_S = 0.03
-SELF_MOST_S = 0.35
-#: How often an instance tries to read while nobody has read lately, in
-#: seconds: the first in order, what is added for each place, and at most.  All
-#: calls are priced, refused ones too; whoever is served first tells the others.
-RETRY_FIRST_S = 0.45
-RETRY_PLACE_S = 0.4
+MAX_ASK_INTERVAL_S = 0.6
+#: The age of its proof up to which an instance may be asked, in read intervals.
+FRESH_INTERVALS = 2.0
+#: The age of its proof above which an instance reads the store itself, in read
+#: intervals; and the delay that each position in the order adds, and its
+#: maximum, in seconds.
+SELF_READ_INTERVALS = 2.25
+SELF_READ_STEP_S = 0.03
+MAX_SELF_READ_DELAY_S = 0.35
+#: The interval at which an instance tries to read while no instance has read
+#: lately, in seconds: of the first in the order, what each position adds, and
+#: the maximum.  All calls are charged, refused ones too; the first that
+#: succeeds informs the others.
+RETRY_BASE_S = 0.45
+RETRY_STEP_S = 0.4
 MAX_RETRY_S = 6.0
 
 
 @dataclass(frozen=True)
 class ReadSchedule:
-    """How often one instance reads for all.
+    """The intervals at which one instance reads for all.
 
-    `settle_s` is the time within which a change must be in force everywhere,
-    in seconds.
+    `settle_s` is the time within which a change must take effect everywhere, in
+    seconds.
 
     >>> round(ReadSchedule(settle_s=3).read_interval_s, 2)
     0.6
@@ -52,32 +52,32 @@
 
     @property
     def read_interval_s(self) -> float:
-        """The pause between two reads in seconds."""
+        """The interval between two reads, in seconds."""
         return self.settle_s * READ_SHARE
 
     @property
     def ask_interval_s(self) -> float:
-        """The pause between two questions to the reader in seconds."""
-        return min(ASK_MOST_S, self.settle_s * ASK_SHARE)
+        """The interval between two queries to the reader, in seconds."""
+        return min(MAX_ASK_INTERVAL_S, self.settle_s * ASK_SHARE)
 
     @property
     def fresh_s(self) -> float:
-        """Up to what age of its proof an instance is fit to be asked."""
-        return self.read_interval_s * FRESH_PAUSES
+        """The age of its proof up to which an instance may be asked."""
+        return self.read_interval_s * FRESH_INTERVALS
 
     @property
-    def self_s(self) -> float:
-        """Above what age of its proof the first in order reads itself."""
-        return self.read_interval_s * SELF_PAUSES
+    def self_read_s(self) -> float:
+        """The age of its proof above which the first instance reads itself."""
+        return self.read_interval_s * SELF_READ_INTERVALS
 
 
-#: The pace for a bound of two seconds.
-DEFAULT_PACE = ReadSchedule()
+#: The schedule for a bound of two seconds.
+DEFAULT_SCHEDULE = ReadSchedule()
 
 
 @dataclass(frozen=True)
 class ReaderCandidate:
-    """An instance with the age of what it knows of the store, in seconds."""
+    """An instance with the age of its knowledge of the store, in seconds."""
 
     name: str
     age_s: float
@@ -85,7 +85,7 @@
 
 def choose_reader(
     candidates: Iterable[ReaderCandidate],
-    pace: ReadSchedule = DEFAULT_PACE,
+    schedule: ReadSchedule = DEFAULT_SCHEDULE,
 ) -> str:
     """Return the name of the instance that reads for all.
 
@@ -93,32 +93,40 @@
     'b'
     """
     known = tuple(candidates)
-    fresh = [one.name for one in known if one.age_s <= pace.fresh_s]
-    return min(fresh or [one.name for one in known])
+    fresh = [
+        candidate.name
+        for candidate in known
+        if candidate.age_s <= schedule.fresh_s
+    ]
+    return min(fresh or [candidate.name for candidate in known])
 
 
 def get_own_read_delay_s(
-    me: str,
+    own_name: str,
     names: Iterable[str],
     age_s: float,
-    pace: ReadSchedule = DEFAULT_PACE,
+    schedule: ReadSchedule = DEFAULT_SCHEDULE,
 ) -> float:
-    """Return in how many seconds an instance should read itself.
+    """Return after how many seconds an instance should read itself.
 
-    By then, asking has not helped for too long.
+    By then, queries to the reader have failed for too long.
 
     >>> round(get_own_read_delay_s('b', ['a', 'b'], age_s=0.92), 2)
     0.01
     """
-    place = sum(name < me for name in names)
-    return pace.self_s + min(SELF_MOST_S, SELF_PLACE_S * place) - age_s
+    position = sum(name < own_name for name in names)
+    return (
+        schedule.self_read_s
+        + min(MAX_SELF_READ_DELAY_S, SELF_READ_STEP_S * position)
+        - age_s
+    )
 
 
-def get_read_retry_s(me: str, names: Iterable[str]) -> float:
-    """Return how long an instance waits between tries when all are stale.
+def get_read_retry_s(own_name: str, names: Iterable[str]) -> float:
+    """Return the interval at which an instance tries to read if all are stale.
 
-    >>> get_read_retry_s('b', ['a', 'b', 'c'])
+    >>> round(get_read_retry_s('b', ['a', 'b', 'c']), 2)
     0.85
     """
-    place = sum(name < me for name in names)
-    return min(MAX_RETRY_S, RETRY_FIRST_S + RETRY_PLACE_S * place)
+    position = sum(name < own_name for name in names)
+    return min(MAX_RETRY_S, RETRY_BASE_S + RETRY_STEP_S * position)
--- a/trestledock/relay/_throttle.py
+++ b/trestledock/relay/_throttle.py
@@ -2,26 +2,27 @@
 Throttle
 ========
 
-Whether a request may go to a target that takes only so many a second from all
-entries together, or that wants rest from this one.  All others are free.
+Whether a request may be sent to a target with a rate limit for all instances
+together, or with a back-off for this instance.  All other targets accept
+requests at any time.
 """
 
 from heapq import nsmallest
 from math import inf
 from typing import Callable, Sequence
 
-from trestledock.relay._listed import ListedTarget
-from trestledock.relay._notices import Notices, Backoff, PeerBackoff
-from trestledock.relay._token_bucket import TokenBucket
+from trestledock.relay._backoff import BackoffGate
+from trestledock.relay._notices import Backoff, Notices, PeerBackoff
 from trestledock.relay._quotas import (
     MIN_RATE_PER_S,
-    TargetRate,
     Member,
     Membership,
     QuotaCache,
+    TargetRate,
 )
 from trestledock.relay._rate_limits import RateLimit
-from trestledock.relay._backoff import BackoffGate
+from trestledock.relay._target_records import ListedTarget
+from trestledock.relay._token_bucket import TokenBucket
 
 
 #: The notices that ask for fewer requests.
@@ -29,17 +30,17 @@
 
 
 class Throttle:
-    """Limits what one entry sends to targets.
+    """Limits the requests that one instance sends to targets.
 
-    `get_members` returns which entries there are.  A quota begins with a part
-    of a request that `draw` gives: entries that learn of a limit at the same
-    moment don't send at the same moment.
+    `get_members` returns the active instances.  A token bucket starts with the
+    fraction of a token that `draw` returns, so that instances that learn of a
+    limit at the same moment don't send at the same moment.
     """
 
     def __init__(
         self, own: Member, notices: Notices, draw: Callable[[], float]
     ) -> None:
-        """Begin without other entries."""
+        """Create a throttle without other instances."""
         self.notices = notices
         self.backoffs = BackoffGate(notices)
         self.get_members: Callable[[], Membership] = lambda: Membership(own)
@@ -53,26 +54,26 @@
         return any(map(self.notices.by_kind.get, RESTRAINTS))
 
     def is_restrained(self, target: ListedTarget) -> bool:
-        """Whether a target takes only so many requests, or rests."""
+        """Return whether a target has a rate limit or a back-off."""
         return self.is_limited(target) or self.backoffs.has_backoff(
             target.incarnation
         )
 
     def is_limited(self, target: ListedTarget) -> bool:
-        """Whether a target takes only so many requests a second."""
+        """Return whether a target has a rate limit."""
         return self._get_rate_limit(target) is not None
 
     def has_peer_backoff(self, target: ListedTarget, now: float) -> bool:
-        """Whether a target wants nothing from another entry now."""
-        rest = self.notices.get(PeerBackoff, target.incarnation)
-        return rest is not None and not rest.is_over(now)
+        """Return whether a target has a back-off for another instance now."""
+        backoff = self.notices.get(PeerBackoff, target.incarnation)
+        return backoff is not None and not backoff.is_over(now)
 
     def is_backing_off(self, target: ListedTarget, now: float) -> bool:
-        """Whether a target wants nothing from this entry now."""
+        """Return whether a target has a back-off for this instance now."""
         return self.backoffs.is_backing_off(target.incarnation, now)
 
     def can_send(self, target: ListedTarget, now: float) -> bool:
-        """Whether a request may go to a target now."""
+        """Return whether a request may be sent to a target now."""
         if not self.backoffs.can_send(target.incarnation, now):
             return False
         if not self.is_limited(target):
@@ -81,7 +82,7 @@
         return self._get_bucket(target, now).has_token(now, quota)
 
     def get_quota(self, target: ListedTarget) -> float:
-        """Return how many requests a second this entry may send to a target."""
+        """Return the rate at which this instance may send to a target."""
         limit = self._get_rate_limit(target)
         if limit is None or limit.per_s is None:
             return inf
@@ -93,9 +94,9 @@
     def acquire(
         self, targets: Sequence[ListedTarget], now: float
     ) -> ListedTarget | None:
-        """Have a request go to some targets; return the one that has no room.
+        """Send a request to all given targets or to none.
 
-        It goes to all of them or to none.
+        Return the first target that doesn't accept it, or None if all do.
         """
         for target in targets:
             if not self.can_send(target, now):
@@ -110,9 +111,9 @@
     def get_wait_s(
         self, targets: Sequence[ListedTarget], ahead: int, now: float
     ) -> float:
-        """Return when a request may go to one of some restrained targets.
+        """Return after how many seconds a request may be sent to any target.
 
-        As many as are `ahead` of it go first.
+        The `ahead` requests before it in the queue go first.
         """
         waits = [
             self._get_wait_s(target, count, now)
@@ -122,14 +123,14 @@
         return max(nsmallest(ahead + 1, waits), default=inf)
 
     def get_total_limit(self, targets: Sequence[ListedTarget]) -> float:
-        """Return what some limited targets take a second, from all entries."""
-        found = map(self._get_rate_limit, targets)
+        """Return the total rate that some limited targets accept."""
+        limits = map(self._get_rate_limit, targets)
         return sum(
-            max(limit.per_s or 0, MIN_RATE_PER_S) for limit in found if limit
+            max(limit.per_s or 0, MIN_RATE_PER_S) for limit in limits if limit
         )
 
     def forget(self, target: str) -> None:
-        """Forget a target that is gone, with what it asked for."""
+        """Forget a removed target and its notices."""
         self.notices.forget(target)
         self.backoffs.forget(target)
         self._buckets.pop(target, None)
@@ -137,9 +138,9 @@
     def _get_wait_s(
         self, target: ListedTarget, count: int, now: float
     ) -> float:
-        """Return when the last of so many requests may go to a target.
+        """Return after how many seconds `count` requests have been sent.
 
-        Once it has rested, they follow the first one within moments.
+        After a back-off, they follow the first one within moments.
         """
         wait_s = self.backoffs.get_wait_s(target.incarnation, now)
         if not self.is_limited(target):
