--- a/tests/test_entry_admission.py
+++ b/tests/test_entry_admission.py
@@ -5,7 +5,7 @@
 from random import Random
 
 from tests.relaying import HOST, KEY, SETTINGS, make_route
-from trestledock.entry._admission import admit, check_again
+from trestledock.entry._admission import admit, recheck
 from trestledock.entry._job import Refusal
 from trestledock.entry._state import EntryState
 from trestledock.relay import Body, Call, Catalog, Service, TeamKey
@@ -30,14 +30,14 @@
         state = make_state(make_route())
         job = admit(state, CALL, now=10)
         self.assertIs(admit(state, CALL, now=30), Refusal.stale_proof)
-        self.assertIsNone(check_again(state, job))
+        self.assertIsNone(recheck(state, job))
 
     def test_key_taken_away_meanwhile(self):
         """A key that is known to be gone ends what has not been sent."""
         state = make_state(make_route())
         job = admit(state, CALL, now=10)
         state.catalog = replace(state.catalog, version=2, keys={})
-        self.assertIs(check_again(state, job), Refusal.unknown_key)
+        self.assertIs(recheck(state, job), Refusal.unknown_key)
 
     def test_unknown_route_needs_a_proof(self):
         """Without a proof a missing route may be one that is new."""
--- a/tests/test_entry_closing.py
+++ b/tests/test_entry_closing.py
@@ -43,7 +43,7 @@
         await reply.start(200, ((b'content-length', b'2'),))
         await reply.finish(b'ok')
 
-    async def turn_away(self, call, reply):
+    async def refuse_late(self, call, reply):
         await reply.start(503, ((b'content-length', b'0'),))
         await reply.finish()
 
--- a/tests/test_entry_incarnations.py
+++ b/tests/test_entry_incarnations.py
@@ -222,7 +222,7 @@
                 orders.append(fleet.get_by_id('t1').born)
                 return 200
 
-            tickets._order = order
+            tickets._send_control = order
             scope = anyio.CancelScope()
             async with anyio.create_task_group() as group:
                 group.start_soon(tickets._renew, scope, holder, 'r1-1', 9)
--- a/tests/test_entry_leaving.py
+++ b/tests/test_entry_leaving.py
@@ -27,7 +27,7 @@
     run_world,
 )
 from trestledock.demo import get_free_port
-from trestledock.entry._limits import LOOK_AGAIN_S, Limits
+from trestledock.entry._timeouts import RECHECK_INTERVAL_S, ResponseTimeouts
 from trestledock.relay import Leave
 from trestledock.relay import (
     BEAT_S,
@@ -279,23 +279,23 @@
         targets = [StreamTarget(PATIENCE_S), StreamTarget(PATIENCE_S)]
 
         waits = []
-        get_again = Limits.get_again
+        get_recheck_timeout = ResponseTimeouts.get_recheck_timeout
 
         async def scenario(world):
             state = world.state
             state.budgets.windows['svc'] = RetryWindow(NO_BUDGET)
 
-            def look_again(limits, job):
+            def recheck(timeouts, job):
                 """Let a repeat be there from the first look on."""
-                waits.append(get_again(limits, job).wait_s)
+                waits.append(get_recheck_timeout(timeouts, job).wait_s)
                 state.budgets.windows['svc'] = RetryWindow(BudgetTerms())
-                return get_again(limits, job)
+                return get_recheck_timeout(timeouts, job)
 
-            with patch.object(Limits, 'get_again', look_again):
+            with patch.object(ResponseTimeouts, 'get_recheck_timeout', recheck):
                 return await world.ask(headers=LONG)
 
         self.check(play(route, targets, scenario))
-        self.assertEqual(waits, [LOOK_AGAIN_S])
+        self.assertEqual(waits, [RECHECK_INTERVAL_S])
 
 
 class NotBegunTest(unittest.TestCase):
--- a/tests/test_entry_selecting.py
+++ b/tests/test_entry_selecting.py
@@ -116,7 +116,7 @@
         state = make_state()
         targets = list(state.fleet.get_usable('svc'))
         job = make_job(LONG)
-        split = _selecting._split_by_place
+        split = _selecting._group_by_data_centre
         self.assertEqual(len(split(state, targets, job)), 3)
         few = [one for one in targets if one.target_id != 'asked-1']
         few = [
@@ -130,9 +130,12 @@
         targets = sorted(
             state.fleet.get_usable('svc'), key=lambda one: one.data_centre
         )
-        groups = _selecting._split_by_place(state, targets, make_job(LONG))
+        groups = _selecting._group_by_data_centre(
+            state, targets, make_job(LONG)
+        )
         self.assertEqual({one.data_centre for one in groups[0]}, {OWN})
         mixed = [replace(one, data_centre=ASKED) for one in groups[0]]
         self.assertEqual(
-            _selecting._split_by_place(state, mixed, make_job(LONG)), [mixed]
+            _selecting._group_by_data_centre(state, mixed, make_job(LONG)),
+            [mixed],
         )
--- a/trestledock/bench/rests.py
+++ b/trestledock/bench/rests.py
@@ -20,7 +20,7 @@
 
 import click
 
-from trestledock.entry._holding_back import SPARE_SHARE
+from trestledock.entry._throttling import MIN_REMAINING_SHARE
 from trestledock.relay import Notices, Rest
 from trestledock.relay._resting import Resting, get_spread_s
 
@@ -180,7 +180,7 @@
     """All spare what rests from anybody while enough of the targets is left."""
     own = fleet.get_own(entry, now)
     untold = fleet.get_untold(own, now)
-    return untold if len(untold) >= len(own) * SPARE_SHARE else own
+    return untold if len(untold) >= len(own) * MIN_REMAINING_SHARE else own
 
 
 WAYS: Mapping[str, Allowed] = MappingProxyType(
--- a/trestledock/entry/_admission.py
+++ b/trestledock/entry/_admission.py
@@ -44,7 +44,7 @@
     )
 
 
-def check_again(state: EntryState, job: Job) -> Refusal | None:
+def recheck(state: EntryState, job: Job) -> Refusal | None:
     """Return why an admitted request must not be sent any more, if so.
 
     Its key was proven when it arrived, and what is known by now counts; an
@@ -58,7 +58,7 @@
     route = catalog.get_route_by_path(job.call.host, job.call.path)
     refusal = _check(catalog, route, job.call)
     if refusal is None and route is not None:
-        return _move(state, job, catalog, route)
+        return _follow_route(state, job, catalog, route)
     return refusal or Refusal.no_route
 
 
@@ -68,7 +68,7 @@
     return not is_tried and state.isolation.is_quarantined(job.fingerprint)
 
 
-def may_go_on(state: EntryState, job: Job) -> bool:
+def may_resume_elsewhere(state: EntryState, job: Job) -> bool:
     """Whether what is in force lets another target of its service go on."""
     catalog = state.catalog
     if catalog is None or is_quarantined(state, job):
@@ -84,7 +84,7 @@
     return get_fingerprint(traits, call.body.digest)
 
 
-def _move(
+def _follow_route(
     state: EntryState,
     job: Job,
     catalog: Catalog,
--- a/trestledock/entry/_answering.py
+++ b/trestledock/entry/_answering.py
@@ -12,28 +12,28 @@
 import anyio
 
 from trestledock.entry._dialect import AnswerNote, Dialect
-from trestledock.entry._job import Answer, Job
-from trestledock.entry._limits import Limit, Limits
+from trestledock.entry._job import StoredAnswer, Job
+from trestledock.entry._timeouts import ResponseTimeout, ResponseTimeouts
 from trestledock.entry._pool import get_idle_s
 from trestledock.entry._notices import note_answer
 from trestledock.entry._reply import Reply
 from trestledock.entry._state import EntryState
-from trestledock.entry._streaming import StreamPassing
+from trestledock.entry._streaming import StreamForwarder
 from trestledock.entry._wire import Head, Wire, WireError
 from trestledock.relay import Ending, Placement, RouteKind, Sending
 
 #: The statuses that promise that nothing has run.
-PROMISES = frozenset((408, 421, 429, 503))
+NOT_RUN_STATUSES = frozenset((408, 421, 429, 503))
 
 
-class Answering:
+class AnswerReceiver:
     """Receives answers for one entry process."""
 
     def __init__(self, state: EntryState, dialect: Dialect) -> None:
         """Keep the state and the platform's formats."""
         self.state = state
         self.dialect = dialect
-        self.limits = Limits(state)
+        self.limits = ResponseTimeouts(state)
 
     async def receive(
         self,
@@ -47,7 +47,7 @@
 
         The request was written at the instant `asked_at` or later.
         """
-        limit = self.limits.get_first(job, placement)
+        limit = self.limits.get_first_timeout(job, placement)
         head = await self._read_head(job, placement, wire, limit)
         answer = self.dialect.read_head(head)
         if answer.req_id and answer.req_id != job.call.req_id:
@@ -55,21 +55,21 @@
         note_answer(self.state, job, placement, head.status, answer, asked_at)
         idle_s = get_idle_s(answer.keep_alive, answer.connection)
         if _is_stream(job, head, answer):
-            passing = StreamPassing(
+            passing = StreamForwarder(
                 self.state, self.dialect, job, placement, reply
             )
             sending = await passing.run(head, wire.iter_body, limit)
         else:
-            sending = await self._take_whole(
+            sending = await self._receive_whole(
                 job, placement, wire, head, answer, reply
             )
         return sending, idle_s
 
-    def note_success(self, peer: str) -> None:
+    def record_success(self, peer: str) -> None:
         """Note that a target did its work."""
         self.state.note_success(peer, anyio.current_time())
 
-    def note_failure(self, peer: str) -> None:
+    def record_failure(self, peer: str) -> None:
         """Note that a target failed."""
         self.state.health.note_failure(peer, anyio.current_time())
 
@@ -78,25 +78,25 @@
         job: Job,
         placement: Placement,
         wire: Wire,
-        limit: Limit,
+        limit: ResponseTimeout,
     ) -> Head:
         again = limit
         while True:
-            held_up = self.limits.is_held_up(job, placement)
-            step = self.limits.get_again(job) if held_up else again
+            held_up = self.limits.is_waiting_for_memory(job, placement)
+            step = self.limits.get_recheck_timeout(job) if held_up else again
             with self.limits.wait(job, placement, step):
                 return await wire.read_head()
-            if held_up and not self.limits.is_over(job, placement):
+            if held_up and not self.limits.is_wait_over(job, placement):
                 continue
-            if self.limits.may_leave(job, placement):
+            if self.limits.may_fail_over(job, placement):
                 peer = placement.target.incarnation
-                raise self.limits.give_up('answer', peer, limit)
-            again = self.limits.get_again(job)
+                raise self.limits.record_timeout('answer', peer, limit)
+            again = self.limits.get_recheck_timeout(job)
 
-    def _note_silence(self, peer: str) -> None:
+    def _record_silence(self, peer: str) -> None:
         self.state.note_silence(peer, anyio.current_time())
 
-    def _blame(
+    def _find_at_fault(
         self,
         job: Job,
         placement: Placement,
@@ -109,19 +109,19 @@
         421 says that another incarnation has the address: this one has gone.
         """
         peer = placement.target.incarnation
-        found = self._get_sent_to(placement, answer.at_fault)
+        found = self._get_named_incarnation(placement, answer.at_fault)
         at_fault = found or peer
         job.tried.add(at_fault)
         # One that says how long it wants rest, or that it leaves, is not ill.
         if found and not answer.rest.rest_s and not answer.leaves:
-            self._note_silence(found)
+            self._record_silence(found)
         if status == HTTPStatus.MISDIRECTED_REQUEST:
             now = anyio.current_time()
             self.state.fleet.note_leaving(at_fault, now)
             self.state.isolation.note_replaced(at_fault)
         return at_fault
 
-    def _get_sent_to(self, placement: Placement, named: str) -> str:
+    def _get_named_incarnation(self, placement: Placement, named: str) -> str:
         """Return the incarnation that an answer names by id or address.
 
         It may have started again since it was sent to.
@@ -131,7 +131,7 @@
                 return one.incarnation
         return self.state.fleet.get_incarnation_by_name(named)
 
-    async def _take_whole(
+    async def _receive_whole(
         self,
         job: Job,
         placement: Placement,
@@ -143,30 +143,36 @@
         peer = placement.target.incarnation
         body = await wire.read_body()
         if answer.not_run:
-            at_fault = self._blame(job, placement, head.status, answer)
+            at_fault = self._find_at_fault(job, placement, head.status, answer)
             detail = f'{head.status} at {at_fault}'
             return Sending(Ending.rejected, 'answer', peer, detail)
-        if head.status in PROMISES or not answer.sealed or answer.encoded:
-            self.note_failure(peer)
+        if (
+            head.status in NOT_RUN_STATUSES
+            or not answer.sealed
+            or answer.encoded
+        ):
+            self.record_failure(peer)
             return Sending(Ending.lost, 'answer', peer, f'{head.status}')
         if (
             head.status >= HTTPStatus.INTERNAL_SERVER_ERROR
             and not reply.started
         ):
-            return self._take_failure(job, peer, Answer(head, body))
+            return self._store_failure(job, peer, StoredAnswer(head, body))
         if reply.started:
             return Sending(Ending.lost, 'answer', peer, f'{head.status}')
-        self.note_success(peer)
-        job.note_event(anyio.current_time())
+        self.record_success(peer)
+        job.record_event(anyio.current_time())
         await reply.start(head.status, self.dialect.make_reply_headers(head))
         await reply.finish(body)
         return Sending(Ending.answered, 'answer', peer, f'{head.status}')
 
-    def _take_failure(self, job: Job, peer: str, answer: Answer) -> Sending:
+    def _store_failure(
+        self, job: Job, peer: str, answer: StoredAnswer
+    ) -> Sending:
         """Keep a target's own failure in case nothing better comes."""
         job.fallback = answer
         if answer.head.status != HTTPStatus.GATEWAY_TIMEOUT:
-            self.note_failure(peer)
+            self.record_failure(peer)
         return Sending(Ending.failed, 'answer', peer, f'{answer.head.status}')
 
 
--- a/trestledock/entry/_app.py
+++ b/trestledock/entry/_app.py
@@ -16,7 +16,7 @@
 from trestledock.entry import _events as events
 from trestledock.entry._dialect import Dialect
 from trestledock.entry._datagrams import split_address
-from trestledock.entry._loads import LOAD_PATH, PLACE_FIELD, LoadExchange
+from trestledock.entry._loads import LOAD_PATH, DATA_CENTRE_FIELD, LoadExchange
 from trestledock.entry._logger import emit
 from trestledock.entry._metrics import METRICS
 from trestledock.entry._news import PAST_FIELD, VERSION_FIELD, NewsExchange
@@ -29,7 +29,7 @@
 Scope = Mapping[str, Any]
 
 
-class NoRequest(Exception):
+class ClientDisconnected(Exception):
     """The caller closed its connection before its request was whole."""
 
 
@@ -51,13 +51,13 @@
         self.exchange = exchange
         self.loads = loads
         settings = state.settings
-        self._ports = {
+        self._handlers_by_port = {
             split_address(settings.ready)[1]: self._answer_ready,
             split_address(settings.peers)[1]: self._answer_peer,
         }
         if settings.metrics:
             port = split_address(settings.metrics)[1]
-            self._ports[port] = self._answer_metrics
+            self._handlers_by_port[port] = self._answer_metrics
 
     async def __call__(
         self,
@@ -68,7 +68,7 @@
         """Serve one request."""
         if scope['type'] != 'http':
             return
-        answer = self._ports.get(scope['server'][1])
+        answer = self._handlers_by_port.get(scope['server'][1])
         if answer:
             await answer(scope, send)
             return
@@ -77,7 +77,7 @@
         crossing = self.state.closing
         self.state.in_progress += 1
         try:
-            await self._serve(scope, receive, send, crossing=crossing)
+            await self._serve(scope, receive, send, during_close=crossing)
         finally:
             self.state.in_progress -= 1
 
@@ -98,12 +98,12 @@
         reply = Reply(send)
         headers = ((b'content-type', b'application/json'),)
         await reply.start(HTTPStatus.OK, headers)
-        await reply.finish(self._tell_peer(scope))
+        await reply.finish(self._make_peer_answer(scope))
 
-    def _tell_peer(self, scope: Scope) -> bytes:
+    def _make_peer_answer(self, scope: Scope) -> bytes:
         query = scope['query_string']
         if scope['path'] == LOAD_PATH:
-            return self.loads.make_load(_read_field(query, PLACE_FIELD))
+            return self.loads.make_load(_read_field(query, DATA_CENTRE_FIELD))
         return self.exchange.make_news(
             _read_version(query), with_past=bool(_read_field(query, PAST_FIELD))
         )
@@ -114,17 +114,17 @@
         receive: Receive,
         send: Send,
         *,
-        crossing: bool,
+        during_close: bool,
     ) -> None:
         arrived_at = anyio.current_time()
         try:
             body = await _read_body(receive)
-        except NoRequest:
+        except ClientDisconnected:
             return
         reply = Reply(send, self.state.is_leaving)
         call = self.dialect.read_call(scope, body, arrived_at)
-        if crossing or self.state.ending:
-            await self.relayer.turn_away(call, reply)
+        if during_close or self.state.ending:
+            await self.relayer.refuse_late(call, reply)
             return
         cut = False
         async with anyio.create_task_group() as group:
@@ -166,7 +166,7 @@
     while True:
         message = await receive()
         if message['type'] == 'http.disconnect':
-            raise NoRequest
+            raise ClientDisconnected
         part = message.get('body', b'')
         parts.append(part)
         digest.update(part)
--- a/trestledock/entry/_daemon.py
+++ b/trestledock/entry/_daemon.py
@@ -37,14 +37,14 @@
 from trestledock.entry._state import EntryState
 from trestledock.entry._tickets import Tickets
 
-KINDS = (signal.SIGTERM, signal.SIGHUP, signal.SIGINT)
+SIGNALS = (signal.SIGTERM, signal.SIGHUP, signal.SIGINT)
 #: How long new connections are taken after the request to stop, in seconds;
 #: the balancer asks once a second and needs two misses.
 NOTICE_S = 3.0
 #: What is kept of the time to stop for the last word to each request, and for
 #: the end itself, in seconds.
 END_MARGIN_S = 0.7
-LAST_MARGIN_S = 0.3
+EXIT_MARGIN_S = 0.3
 MakeDirectory = Callable[[EntrySettings], Directory]
 
 
@@ -62,7 +62,7 @@
     settings = read_settings()
     executor = ThreadPoolExecutor(initializer=_block_signals)
     asyncio.get_running_loop().set_default_executor(executor)
-    with anyio.open_signal_receiver(*KINDS) as signals:
+    with anyio.open_signal_receiver(*SIGNALS) as signals:
         async with anyio.create_task_group() as group:
             member = f'{settings.instance}#{uuid.uuid4().hex[:8]}'
             state = EntryState(settings, member, Random(member), group)
@@ -74,7 +74,7 @@
                 )
             )
             async for signum in signals:
-                settings = _read_again(read_settings, settings)
+                settings = _reload_settings(read_settings, settings)
                 if signum != signal.SIGHUP:
                     break
                 changed = settings != state.settings
@@ -91,10 +91,10 @@
     Once the handlers are gone a signal would end the process, which ends by
     itself.
     """
-    signal.pthread_sigmask(signal.SIG_BLOCK, KINDS)
+    signal.pthread_sigmask(signal.SIG_BLOCK, SIGNALS)
 
 
-def _read_again(
+def _reload_settings(
     read_settings: Callable[[], EntrySettings],
     known: EntrySettings,
 ) -> EntrySettings:
@@ -153,5 +153,5 @@
     with anyio.move_on_after(grace_s - NOTICE_S - END_MARGIN_S):
         await server.ended.wait()
     state.end_requests()
-    with anyio.move_on_after(END_MARGIN_S - LAST_MARGIN_S):
+    with anyio.move_on_after(END_MARGIN_S - EXIT_MARGIN_S):
         await server.ended.wait()
--- a/trestledock/entry/_job.py
+++ b/trestledock/entry/_job.py
@@ -66,7 +66,7 @@
 
 
 @dataclass(frozen=True)
-class Answer:
+class StoredAnswer:
     """A target's whole answer, kept to be passed on."""
 
     head: Head
@@ -96,30 +96,30 @@
     fingerprint: str = ''
     history: History = field(default_factory=History)
     tried: set[str] = field(default_factory=set)
-    last_event: str = ''
+    last_event_id: str = ''
     last_event_at: float | None = None
     first_event_at: float | None = None
-    longest_s: float = 0
-    fallback: Answer | None = None
-    writing: bool = False
-    has_repeat: bool = False
+    longest_pause_s: float = 0
+    fallback: StoredAnswer | None = None
+    is_writing: bool = False
+    has_reserved_retry: bool = False
     is_trial: bool = False
-    come_back_s: float = 0
+    retry_after_s: float = 0
 
     @property
     def may_have_run(self) -> bool:
         """Whether any target may have begun to work on the request."""
-        return self.writing or self.history.may_have_run
+        return self.is_writing or self.history.may_have_run
 
     @property
-    def begun(self) -> bool:
+    def response_begun(self) -> bool:
         """Whether the caller has a part of its answer: no refusal any more."""
         return self.last_event_at is not None
 
     @property
     def resume_after(self) -> str:
         """The event after which the stream is to go on."""
-        return self.last_event or self.call.resume_after
+        return self.last_event_id or self.call.resume_after
 
     @property
     def priority(self) -> int | None:
@@ -139,12 +139,14 @@
             priority=self.priority,
         )
 
-    def note_event(self, now: float) -> None:
+    def record_event(self, now: float) -> None:
         """Note that the caller is sent a part of its answer."""
         if self.last_event_at is None:
             self.first_event_at = now
         else:
-            self.longest_s = max(self.longest_s, now - self.last_event_at)
+            self.longest_pause_s = max(
+                self.longest_pause_s, now - self.last_event_at
+            )
         self.last_event_at = now
 
     @property
--- a/trestledock/entry/_loads.py
+++ b/trestledock/entry/_loads.py
@@ -17,25 +17,25 @@
 from trestledock.entry._datagrams import Address
 from trestledock.entry._gossip import Gossip
 from trestledock.entry._logger import emit
-from trestledock.entry._peer_calls import BAD_ANSWER, call_peer
+from trestledock.entry._peer_calls import CALL_ERRORS, call_peer
 from trestledock.entry._rows import read_change, write_change
 from trestledock.entry._state import EntryState
 from trestledock.relay import Flight, Load, summarize
 
 LOAD_PATH = '/load'
 #: The data centre of who asks, whose own flights it knows.
-PLACE_FIELD = 'from'
+DATA_CENTRE_FIELD = 'from'
 #: How long an answer is waited for, in seconds: some twenty times the way there
 #: and back between data centres, and a hundredth of what the prompts wait for
 #: that ask.
-LIMIT_S = 0.06
+TIMEOUT_S = 0.06
 #: How many data centres are asked, drawn anew each time: the better one of two
 #: is nearly as good as the best of all, for half of the questions where there
 #: are four others.
-MOST_ASKED = 2
+MAX_ASKED = 2
 #: For how long a data centre that did not answer is left alone, in seconds:
 #: each prompt that waits would ask it ten times a second while it is cut off.
-LEFT_ALONE_S = 1.0
+RETRY_INTERVAL_S = 1.0
 LONG_AGO = float('-inf')
 
 
@@ -61,7 +61,7 @@
         self._asking = anyio.Event()
         try:
             async with anyio.create_task_group() as group:
-                for place, where in self._get_far().items():
+                for place, where in self._choose_peers().items():
                     group.start_soon(self._ask, place, where)
         finally:
             self._asking.set()
@@ -92,27 +92,27 @@
         ]
         return json.dumps({'flights': rows}, separators=(',', ':')).encode()
 
-    def _get_far(self) -> Mapping[str, Sequence[Address]]:
+    def _choose_peers(self) -> Mapping[str, Sequence[Address]]:
         """Return whom to ask: entries of some data centres that answer."""
         now = anyio.current_time()
         far = self.gossip.neighbours.get_far(many=self.state.many_entries)
         answering = [
             place
             for place in far
-            if now - self._silent_at.get(place, LONG_AGO) >= LEFT_ALONE_S
+            if now - self._silent_at.get(place, LONG_AGO) >= RETRY_INTERVAL_S
         ]
         self.state.rng.shuffle(answering)
-        return {place: far[place] for place in answering[:MOST_ASKED]}
+        return {place: far[place] for place in answering[:MAX_ASKED]}
 
     async def _ask(self, place: str, where: Sequence[Address]) -> None:
-        query = urlencode({PLACE_FIELD: self.state.settings.data_centre})
+        query = urlencode({DATA_CENTRE_FIELD: self.state.settings.data_centre})
         address = self.state.rng.choice(where)
         asked_at = anyio.current_time()
         try:
-            with anyio.fail_after(LIMIT_S):
+            with anyio.fail_after(TIMEOUT_S):
                 plain = await call_peer(address, f'{LOAD_PATH}?{query}')
             flights = _read_flights(plain, anyio.current_time())
-        except BAD_ANSWER as exc:
+        except CALL_ERRORS as exc:
             self._silent_at[place] = asked_at
             emit(events.LoadLost(place, repr(exc)))
             return
--- a/trestledock/entry/_news.py
+++ b/trestledock/entry/_news.py
@@ -29,7 +29,7 @@
 from trestledock.entry._dialect import HeldTarget, News, TargetNews
 from trestledock.entry._gossip import Gossip
 from trestledock.entry._logger import emit
-from trestledock.entry._peer_calls import BAD_ANSWER, call_peer
+from trestledock.entry._peer_calls import CALL_ERRORS, call_peer
 from trestledock.entry._state import MOST_AGE_S, NO_VERSION, EntryState
 from trestledock.entry._words import Question, Reply
 from trestledock.relay import (
@@ -134,7 +134,7 @@
                 )
             now = anyio.current_time()
             return _read_news(plain, asked_at, now, reader)
-        except BAD_ANSWER as exc:
+        except CALL_ERRORS as exc:
             emit(events.NewsLost(reader, repr(exc)))
             return None
 
--- a/trestledock/entry/_peer_calls.py
+++ b/trestledock/entry/_peer_calls.py
@@ -14,7 +14,7 @@
 
 OK = 200
 #: What a call raises that fails, or whose answer makes no sense.
-BAD_ANSWER = (
+CALL_ERRORS = (
     WireError,
     TimeoutError,
     ValueError,
--- a/trestledock/entry/_pool.py
+++ b/trestledock/entry/_pool.py
@@ -22,8 +22,8 @@
 
 #: How long a connection has to stay open to show that its target lives, in
 #: seconds, and how many are tried: a target resets those that are too many.
-SETTLE_S = 0.03
-LOOKS = 3
+CHECK_OPEN_S = 0.03
+MAX_CHECKS = 3
 
 Spawn = Callable[..., Any]
 
@@ -35,12 +35,12 @@
     wire: Wire
     until: float
     watcher: anyio.CancelScope
-    watched: anyio.Event
+    watch_ended: anyio.Event
 
     async def stop_watching(self) -> None:
         """Return once nobody else reads from the connection."""
         self.watcher.cancel()
-        await self.watched.wait()
+        await self.watch_ended.wait()
 
 
 class Pool:
@@ -69,13 +69,13 @@
         still accepts is watched for a moment.  A connection that stays open is
         kept for the next request.
         """
-        for _ in range(LOOKS):
+        for _ in range(MAX_CHECKS):
             try:
                 wire = await Wire.connect(target.address)
             except WireError as exc:
                 return exc.sign
-            if await self._is_settled(wire):
-                self._keep(target, wire, IDLE_S)
+            if await self._stays_open(wire):
+                self._store(target, wire, IDLE_S)
                 return Sign.none
         return Sign.closed
 
@@ -87,7 +87,7 @@
         if idle_s <= 0 or not wire.recycle():
             await wire.close()
             return
-        self._keep(target, wire, idle_s)
+        self._store(target, wire, idle_s)
 
     def drop(self, incarnation: str) -> None:
         """Close the idle connections to an incarnation that has gone."""
@@ -95,17 +95,17 @@
             idle.watcher.cancel()
             self._spawn(idle.wire.close)
 
-    def _keep(self, target: Listed, wire: Wire, idle_s: float) -> None:
+    def _store(self, target: Listed, wire: Wire, idle_s: float) -> None:
         until = anyio.current_time() + idle_s
         idle = _Idle(wire, until, anyio.CancelScope(), anyio.Event())
         self._idle[target.incarnation].append(idle)
         self._spawn(self._watch, target.incarnation, idle)
 
-    async def _is_settled(self, wire: Wire) -> bool:
+    async def _stays_open(self, wire: Wire) -> bool:
         """Whether a connection stays open for a moment; else it is closed."""
         settled = False
         try:
-            with anyio.move_on_after(SETTLE_S) as scope:
+            with anyio.move_on_after(CHECK_OPEN_S) as scope:
                 await wire.wait_for_surplus()
             settled = scope.cancelled_caught
         finally:
@@ -119,7 +119,7 @@
             with idle.watcher, anyio.move_on_after(left_s):
                 await idle.wire.wait_for_surplus()
         finally:
-            idle.watched.set()
+            idle.watch_ended.set()
         waiting = self._idle.get(incarnation, [])
         if idle in waiting:
             waiting.remove(idle)
--- a/trestledock/entry/_relaying.py
+++ b/trestledock/entry/_relaying.py
@@ -12,7 +12,7 @@
 import anyio
 
 from trestledock.entry import _events as events
-from trestledock.entry._admission import admit, check_again, is_quarantined
+from trestledock.entry._admission import admit, recheck, is_quarantined
 from trestledock.entry._dialect import Dialect
 from trestledock.entry._job import STATUSES, Job, Refusal
 from trestledock.entry._logger import emit
@@ -31,13 +31,13 @@
 )
 
 #: When to come back after a refusal, in seconds and at least, before jitter.
-COME_BACK_S = 0.25
+RETRY_AFTER_S = 0.25
 #: The most that is added to it by chance, in seconds.
-COME_BACK_JITTER_S = 0.25
+RETRY_AFTER_JITTER_S = 0.25
 #: The pause before what was not sent is tried again, in seconds.
-TRY_AGAIN_S = 0.1
+RESEND_PAUSE_S = 0.1
 #: Refusals in whose place a target's own failure is told: it is the truer word.
-FAILURES = frozenset((Refusal.failed, Refusal.timeout))
+FAILURE_REFUSALS = frozenset((Refusal.failed, Refusal.timeout))
 MS = 1000
 
 
@@ -61,7 +61,7 @@
         if isinstance(job, Refusal):
             await self._refuse(call, reply, job)
             return
-        self._note_admitted(job)
+        self._log_admitted(job)
         if is_quarantined(self.state, job):
             job.is_trial = await self.state.isolation.may_try(job.fingerprint)
         with anyio.CancelScope(deadline=job.deadline) as scope:
@@ -70,9 +70,9 @@
         if scope.cancelled_caught:
             over = anyio.current_time() >= job.deadline
             reason = Refusal.timeout if over else Refusal.failed
-            await self._give_up(job, reply, reason)
+            await self._end_unanswered(job, reply, reason)
 
-    async def turn_away(self, call: Call, reply: Reply) -> None:
+    async def refuse_late(self, call: Call, reply: Reply) -> None:
         """Refuse a call that comes too late to be relayed."""
         await self._refuse(call, reply, Refusal.not_run)
 
@@ -80,18 +80,20 @@
         """Send to one target after the other until one has answered."""
         while True:
             placement = await select(self.state, job)
-            refusal = check_again(self.state, job)
+            refusal = recheck(self.state, job)
             if refusal or isinstance(placement, Refusal):
-                await self._give_up(job, reply, _pick(refusal, placement))
+                await self._end_unanswered(
+                    job, reply, _choose_refusal(refusal, placement)
+                )
                 return
             sending = await self._send(job, placement, reply)
             if sending.ending is Ending.answered:
                 return
             if is_quarantined(self.state, job):
-                await self._give_up(job, reply, Refusal.quarantined)
+                await self._end_unanswered(job, reply, Refusal.quarantined)
                 return
-            if not await self._may_repeat(job):
-                await self._give_up(job, reply, Refusal.failed)
+            if not await self._may_retry(job):
+                await self._end_unanswered(job, reply, Refusal.failed)
                 return
             emit(
                 events.Repeated(
@@ -110,29 +112,35 @@
         began_at = anyio.current_time()
         sending = await self.sender.send(job, placement, reply)
         job.history = job.history.add(sending)
-        job.writing = False
+        job.is_writing = False
         if sending.ending is Ending.answered:
             self.state.isolation.note_answered(job.fingerprint)
-        _avoid(job, placement, sending)
+        _exclude_targets(job, placement, sending)
         took_ms = round((anyio.current_time() - began_at) * MS)
-        _note_ending(job, sending, took_ms)
+        _log_ending(job, sending, took_ms)
         return sending
 
-    async def _may_repeat(self, job: Job) -> bool:
+    async def _may_retry(self, job: Job) -> bool:
         """Whether to go on elsewhere; an answer that has begun waits for it."""
-        if job.begun and job.history.sendings[-1].ending is Ending.not_sent:
-            return await self._may_try_again(job)
+        if (
+            job.response_begun
+            and job.history.sendings[-1].ending is Ending.not_sent
+        ):
+            return await self._may_resend(job)
         if not job.history.may_repeat(job.route):
             return False
         if job.history.sendings[-1].ending is Ending.not_sent:
             return True
-        while not self._spend(job):
-            if not job.begun or anyio.current_time() >= job.timing.gone:
+        while not self._spend_retry(job):
+            if (
+                not job.response_begun
+                or anyio.current_time() >= job.timing.gone
+            ):
                 return False
             await self.state.wait_for_change(LOOK_S)
         return True
 
-    async def _may_try_again(self, job: Job) -> bool:
+    async def _may_resend(self, job: Job) -> bool:
         """Whether what was not sent is tried again, however often that was.
 
         An answer that has begun has nothing to lose by it; a moment's pause
@@ -140,27 +148,29 @@
         """
         if not job.history.may_run_again(job.route):
             return False
-        await anyio.sleep(TRY_AGAIN_S)
+        await anyio.sleep(RESEND_PAUSE_S)
         return anyio.current_time() < job.timing.gone
 
-    def _spend(self, job: Job) -> bool:
-        if job.has_repeat:
-            job.has_repeat = False
+    def _spend_retry(self, job: Job) -> bool:
+        if job.has_reserved_retry:
+            job.has_reserved_retry = False
             return True
         return self.state.budgets.spend_repeat(
             job.service, anyio.current_time()
         )
 
-    async def _give_up(self, job: Job, reply: Reply, reason: Refusal) -> None:
+    async def _end_unanswered(
+        self, job: Job, reply: Reply, reason: Refusal
+    ) -> None:
         """End a request that no target answered."""
         if reply.started:
             emit(events.Cut(job.call.req_id, reason.value))
             raise CutReply(reason.value)
-        refusal = _get_refusal(job, reason)
+        refusal = _weaken_refusal(job, reason)
         if refusal is Refusal.quarantined:
             isolation = self.state.isolation
-            job.come_back_s = isolation.get_come_back_s(job.fingerprint)
-        if job.fallback and refusal in FAILURES:
+            job.retry_after_s = isolation.get_come_back_s(job.fingerprint)
+        if job.fallback and refusal in FAILURE_REFUSALS:
             head = job.fallback.head
             emit(events.FailurePassedOn(job.call.req_id, head.status))
             headers = self.dialect.make_reply_headers(head)
@@ -187,7 +197,7 @@
                 sendings=len(job.history.sendings) if job else 0,
             ),
         )
-        come_back_s = max(COME_BACK_S, job.come_back_s if job else 0)
+        come_back_s = max(RETRY_AFTER_S, job.retry_after_s if job else 0)
         headers = self._make_headers(reason, come_back_s)
         await reply.start(STATUSES[reason], headers)
         await reply.finish()
@@ -196,11 +206,11 @@
         headers: Headers = ((b'content-length', b'0'),)
         if STATUSES[reason] != HTTPStatus.SERVICE_UNAVAILABLE:
             return headers
-        jitter_s = self.state.rng.uniform(0, COME_BACK_JITTER_S)
+        jitter_s = self.state.rng.uniform(0, RETRY_AFTER_JITTER_S)
         after = f'{come_back_s + jitter_s:.2f}'
         return (*headers, (b'retry-after', after.encode()))
 
-    def _note_admitted(self, job: Job) -> None:
+    def _log_admitted(self, job: Job) -> None:
         left_s = job.deadline - job.call.arrived_at
         emit(
             events.Admitted(
@@ -218,14 +228,16 @@
         )
 
 
-def _pick(refusal: Refusal | None, placement: Placement | Refusal) -> Refusal:
+def _choose_refusal(
+    refusal: Refusal | None, placement: Placement | Refusal
+) -> Refusal:
     """Return the refusal that came of checking or else of selecting."""
     if refusal is None and isinstance(placement, Refusal):
         return placement
     return refusal or Refusal.no_target
 
 
-def _get_refusal(job: Job, reason: Refusal) -> Refusal:
+def _weaken_refusal(job: Job, reason: Refusal) -> Refusal:
     """Return the refusal that says no more than what is known to be true."""
     if job.may_have_run:
         return Refusal.timeout if reason is Refusal.timeout else Refusal.failed
@@ -234,7 +246,7 @@
     return Refusal.not_run if reason is Refusal.failed else reason
 
 
-def _avoid(job: Job, placement: Placement, sending: Sending) -> None:
+def _exclude_targets(job: Job, placement: Placement, sending: Sending) -> None:
     """Remember which targets the next sending should keep away from.
 
     Who is at fault in a rejection is noted where the answer is read; silence
@@ -247,10 +259,10 @@
         job.tried.update(one.incarnation for one in placement.helpers)
 
 
-def _note_ending(job: Job, sending: Sending, took_ms: int) -> None:
+def _log_ending(job: Job, sending: Sending, took_ms: int) -> None:
     req = job.call.req_id
     if sending.ending is Ending.answered:
-        emit(_make_answered(job, sending, took_ms))
+        emit(_make_answered_event(job, sending, took_ms))
         return
     emit(
         events.SendingEnded(
@@ -266,7 +278,9 @@
     )
 
 
-def _make_answered(job: Job, sending: Sending, took_ms: int) -> events.Answered:
+def _make_answered_event(
+    job: Job, sending: Sending, took_ms: int
+) -> events.Answered:
     arrived_at = job.call.arrived_at
     first_s = (job.first_event_at or arrived_at) - arrived_at
     return events.Answered(
@@ -275,5 +289,5 @@
         detail=sending.detail,
         took_ms=took_ms,
         first_ms=round(first_s * MS),
-        longest_ms=round(job.longest_s * MS),
+        longest_ms=round(job.longest_pause_s * MS),
     )
--- a/trestledock/entry/_reply.py
+++ b/trestledock/entry/_reply.py
@@ -23,11 +23,11 @@
     def __init__(
         self,
         send: Send,
-        is_leaving: Callable[[], bool] = bool,
+        is_draining: Callable[[], bool] = bool,
     ) -> None:
         """Keep where to send, and whether connections should be closed."""
         self._send = send
-        self._is_leaving = is_leaving
+        self._is_draining = is_draining
         self.status = 0
         self.finished = False
 
@@ -39,7 +39,7 @@
     async def start(self, status: int, headers: Headers) -> None:
         """Send the status and the headers."""
         self.status = status
-        if self._is_leaving():
+        if self._is_draining():
             headers = (*headers, (b'connection', b'close'))
         await self._send(
             {
--- a/trestledock/entry/_selecting.py
+++ b/trestledock/entry/_selecting.py
@@ -13,9 +13,9 @@
 import anyio
 
 from trestledock.entry._admission import is_quarantined
-from trestledock.entry._holding_back import (
-    decide_held_back,
-    get_free,
+from trestledock.entry._throttling import (
+    decide_throttled,
+    get_available,
     get_restrained,
 )
 from trestledock.entry._job import Job, Refusal
@@ -36,12 +36,12 @@
 )
 
 #: How many targets of the own data centre suffice where entries are many.
-LEAST_NEAR = 8
+MIN_LOCAL_TARGETS = 8
 #: One in how many sound targets must be left for the others to be avoided.
-LEAST_FRESH = 4
+MIN_UNTRIED_DIVISOR = 4
 #: When a caller comes back where all targets of a service leave, in seconds:
 #: starting the next one takes longer than a moment.
-SUCCESSOR_S = 1.0
+SUCCESSOR_START_S = 1.0
 #: The refusal that each decision against a request means.
 REFUSALS: Mapping[Decision, Refusal] = MappingProxyType(
     {
@@ -81,10 +81,10 @@
             await state.learn_loads()
             now = anyio.current_time()
             chosen = _select_now(state, job, now)
-        waits = job.begun and now < job.timing.gone
+        waits = job.response_begun and now < job.timing.gone
         if isinstance(chosen, Placement) or (chosen and not waits):
             return chosen
-        if _is_held_back(state, job, now):
+        if _is_throttled(state, job, now):
             state.turns.join(job.turn)
         await state.wait_for_change(LOOK_S)
 
@@ -104,7 +104,7 @@
     return state.placer.terms.elsewhere and is_worth_asking(job.ask.worth, cost)
 
 
-def could_go_on(state: EntryState, job: Job, peer: str) -> bool:
+def has_alternative(state: EntryState, job: Job, peer: str) -> bool:
     """Whether another target than `peer` would take a request now.
 
     One that is suspect, or was silent and has not answered since, is no such
@@ -131,29 +131,29 @@
     """Return a choice, or None where it is better to wait."""
     targets = get_candidates(state, job, now)
     if not targets and get_restrained(state, job):
-        return decide_held_back(state, job, now)
+        return decide_throttled(state, job, now)
     engine = get_engine(state, job)
     if targets and (engine is None or job.call.size is None):
-        return _choose_plain(state, targets, now)
-    if state.fleet.have_all_left(job.service) and not job.begun:
-        job.come_back_s = get_come_back_s(job.timing, SUCCESSOR_S, now)
+        return _choose_least_busy(state, targets, now)
+    if state.fleet.have_all_left(job.service) and not job.response_begun:
+        job.retry_after_s = get_come_back_s(job.timing, SUCCESSOR_START_S, now)
         return Refusal.no_target
     if engine is None or job.call.size is None:
         decision = decide_without_place(job.timing, now, any_target=False)
         return REFUSALS.get(decision)
     options = [
         job.ask.choose(state.placer, engine, group, now)
-        for group in _split_by_place(state, targets, job)
+        for group in _group_by_data_centre(state, targets, job)
     ]
     chosen = pick_cheapest(options)
     if isinstance(chosen, Placement):
         return chosen
     # Nothing elsewhere is better: what binds is the own data centre.
-    job.come_back_s = chosen.come_back_s
+    job.retry_after_s = chosen.come_back_s
     return REFUSALS.get(chosen.decision)
 
 
-def _split_by_place(
+def _group_by_data_centre(
     state: EntryState, targets: Sequence[Listed], job: Job
 ) -> list[Sequence[Listed]]:
     """Return the targets among which a request is placed, the own ones first.
@@ -167,14 +167,14 @@
     groups: dict[str, list[Listed]] = {own: []}
     for one in targets:
         groups.setdefault(one.data_centre, []).append(one)
-    if any(len(group) < LEAST_NEAR for group in groups.values()):
+    if any(len(group) < MIN_LOCAL_TARGETS for group in groups.values()):
         return [targets]
     return list(groups.values())
 
 
 def get_candidates(state: EntryState, job: Job, now: float) -> list[Listed]:
     """Return the targets that may get the request, better ones if any."""
-    usable = _get_free(state, job, now)
+    usable = _get_available(state, job, now)
     small = job.ask.is_small
     sound = [
         one
@@ -184,29 +184,29 @@
         )
     ]
     fresh = [one for one in sound if one.incarnation not in job.tried]
-    if len(fresh) * LEAST_FRESH < len(sound):
+    if len(fresh) * MIN_UNTRIED_DIVISOR < len(sound):
         return sound or usable
     return fresh or usable
 
 
-def _is_held_back(state: EntryState, job: Job, now: float) -> bool:
+def _is_throttled(state: EntryState, job: Job, now: float) -> bool:
     """Whether a request waits for nothing but restrained targets."""
     if not state.throttle.restrains_any or get_candidates(state, job, now):
         return False
     return bool(get_restrained(state, job))
 
 
-def _get_free(state: EntryState, job: Job, now: float) -> list[Listed]:
+def _get_available(state: EntryState, job: Job, now: float) -> list[Listed]:
     """Return the targets that may get a request now, near ones if any."""
-    near = _get_near_enough(state, job, now)
-    free = get_free(state, job, near, now)
+    near = _get_local_targets(state, job, now)
+    free = get_available(state, job, near, now)
     if free:
         return free
     usable = list(state.fleet.get_usable(job.service))
-    return get_free(state, job, usable, now)
+    return get_available(state, job, usable, now)
 
 
-def _get_near_enough(state: EntryState, job: Job, now: float) -> list[Listed]:
+def _get_local_targets(state: EntryState, job: Job, now: float) -> list[Listed]:
     """Return the usable targets, of the own data centre where those suffice.
 
     Where there are many entries, those elsewhere are told too late of this
@@ -219,7 +219,7 @@
     known = set() if job.ask.is_small else state.get_loads(now)
     places = {state.settings.data_centre, *known}
     near = [one for one in usable if one.data_centre in places]
-    return near if len(near) >= LEAST_NEAR else usable
+    return near if len(near) >= MIN_LOCAL_TARGETS else usable
 
 
 def get_engine(state: EntryState, job: Job) -> EngineModel | None:
@@ -230,7 +230,7 @@
     return service.engine if service else None
 
 
-def _choose_plain(
+def _choose_least_busy(
     state: EntryState,
     targets: list[Listed],
     now: float,
--- a/trestledock/entry/_sending.py
+++ b/trestledock/entry/_sending.py
@@ -10,8 +10,8 @@
 import anyio
 
 from trestledock.entry import _events as events
-from trestledock.entry._admission import check_again
-from trestledock.entry._answering import Answering
+from trestledock.entry._admission import recheck
+from trestledock.entry._answering import AnswerReceiver
 from trestledock.entry._dialect import Dialect, Passing
 from trestledock.entry._job import Job, Refusal
 from trestledock.entry._logger import emit
@@ -51,7 +51,7 @@
         self.pool = pool
         self.dialect = dialect
         self.tickets = tickets
-        self.answering = Answering(state, dialect)
+        self.answering = AnswerReceiver(state, dialect)
 
     async def send(
         self,
@@ -62,11 +62,11 @@
         """Send a request to a target and pass its answer on."""
         now = anyio.current_time()
         flight = make_flight(job, placement, now)
-        self._note_placed(job, placement, now)
+        self._log_placed(job, placement, now)
         if not job.history.sendings:
             self.state.budgets.earn(job.service, now)
         held: dict[str, str] = {}
-        known = self._get_known(flight, placement)
+        known = self._get_known_flights(flight, placement)
         self.state.board.put(flight)
         self.state.note_sent(flight.target, now)
         self.state.notify_own()
@@ -89,7 +89,7 @@
             return await self._exchange(job, placement, reply, held)
         return Sending(Ending.not_sent, 'reserve', placement.target.incarnation)
 
-    def _get_known(
+    def _get_known_flights(
         self, flight: Flight, placement: Placement
     ) -> set[str] | None:
         """Return what a claim reckons with; None for what needs no claim."""
@@ -132,13 +132,13 @@
             return Sending(
                 Ending.not_sent, exc.step, peer, exc.detail, exc.sign
             )
-        obstacle = self._find_obstacle(job, placement) or self._find_restrained(
+        obstacle = self._find_obstacle(job, placement) or self._consume_quota(
             job, placement
         )
         if obstacle:
             await wire.close()
             return obstacle
-        return await self._talk(job, placement, reply, held, wire)
+        return await self._write_and_receive(job, placement, reply, held, wire)
 
     def _find_obstacle(self, job: Job, placement: Placement) -> Sending | None:
         """Return why nothing may be written, as it is known by now.
@@ -147,7 +147,7 @@
         be taken away, a route may move to another service, or a target may
         leave.
         """
-        refusal = check_again(self.state, job)
+        refusal = recheck(self.state, job)
         if refusal:
             return Sending(Ending.not_sent, refusal.value, 'self')
         if placement.target.service != job.service:
@@ -159,9 +159,7 @@
                 return Sending(Ending.not_sent, 'left', one.incarnation)
         return None
 
-    def _find_restrained(
-        self, job: Job, placement: Placement
-    ) -> Sending | None:
+    def _consume_quota(self, job: Job, placement: Placement) -> Sending | None:
         """Take the request's part of what its targets take a second.
 
         Return why nothing may be written, where nothing is left of it: others
@@ -179,7 +177,7 @@
             self.state.turns.note_served(job.turn, now)
         return None
 
-    async def _talk(
+    async def _write_and_receive(
         self,
         job: Job,
         placement: Placement,
@@ -201,13 +199,13 @@
             self.state.health.note_failure(peer, anyio.current_time())
             # Connections that go silent do so together, while new ones work.
             self.pool.drop(peer)
-            await self._find_out(job, placement, exc.sign)
+            await self._report_lost(job, placement, exc.sign)
             return Sending(Ending.lost, exc.step, peer, exc.detail, exc.sign)
         finally:
             await self.pool.give(placement.target, wire, idle_s)
         return sending
 
-    async def _find_out(
+    async def _report_lost(
         self, job: Job, placement: Placement, sign: Sign
     ) -> None:
         """Have it found out whether a target has ended under a request.
@@ -215,7 +213,7 @@
         Once the answer has begun, those that helped to read it are done.  A
         caller that leaves, or a deadline, would leave an end uncounted.
         """
-        helpers = () if job.begun else placement.helpers
+        helpers = () if job.response_begun else placement.helpers
         with anyio.CancelScope(shield=True):
             await self.state.isolation.note_lost(
                 job.fingerprint, sign, (placement.target, *helpers)
@@ -237,7 +235,7 @@
             tickets=held,
             priority=job.priority,
         )
-        job.writing = True
+        job.is_writing = True
         await wire.send(
             job.call.method,
             f'{job.call.path}{job.call.query}',
@@ -249,7 +247,7 @@
     def _get_list_age_s(self, now: float) -> float:
         return min(self.state.get_list_age_s(now), MOST_AGE_S)
 
-    def _note_placed(self, job: Job, placement: Placement, now: float) -> None:
+    def _log_placed(self, job: Job, placement: Placement, now: float) -> None:
         size = job.call.size
         emit(
             events.Placed(
--- a/trestledock/entry/_streaming.py
+++ b/trestledock/entry/_streaming.py
@@ -13,7 +13,7 @@
 from trestledock.entry import _events as events
 from trestledock.entry._dialect import Dialect
 from trestledock.entry._job import Job
-from trestledock.entry._limits import Limit, Limits
+from trestledock.entry._timeouts import ResponseTimeout, ResponseTimeouts
 from trestledock.entry._logger import emit
 from trestledock.entry._metrics import METRICS
 from trestledock.entry._reply import Reply
@@ -27,7 +27,7 @@
 IterBody = Callable[[], AsyncIterator[bytes]]
 
 
-class StreamPassing:
+class StreamForwarder:
     """Passes one target's events on, whole ones only."""
 
     def __init__(
@@ -41,21 +41,21 @@
         """Keep the request and where its events go."""
         self.state = state
         self.dialect = dialect
-        self.limits = Limits(state)
+        self.limits = ResponseTimeouts(state)
         self.job = job
         self.placement = placement
         self.peer = placement.target.incarnation
         self.reply = reply
         self.splitter = Splitter()
-        self.count = 0
-        self.noted_at: float = 0
+        self.event_count = 0
+        self.last_events_at: float = 0
         self.body: AsyncIterator[bytes]
 
     async def run(
         self,
         head: Head,
         iter_body: IterBody,
-        limit: Limit,
+        limit: ResponseTimeout,
     ) -> Sending:
         """Pass on events until the stream ends."""
         self.body = iter_body()
@@ -63,51 +63,51 @@
             raw = await self._read(iter_body, limit)
             if raw is None:
                 return await self._finish(head)
-            await self._pass_on(head, raw)
-            if self.count:
-                limit = self.limits.get_pause(self.job)
+            await self._forward(head, raw)
+            if self.event_count:
+                limit = self.limits.get_pause_timeout(self.job)
 
     async def _read(
         self,
         iter_body: IterBody,
-        limit: Limit,
+        limit: ResponseTimeout,
     ) -> bytes | None:
         again = limit
         while True:
             with self.limits.wait(self.job, self.placement, again):
                 return await anext(self.body, None)
             # Who might have gone on when the silence began may have gone.
-            if self.limits.may_leave(self.job, self.placement):
-                raise self.limits.give_up('events', self.peer, limit)
-            again = self.limits.get_again(self.job)
+            if self.limits.may_fail_over(self.job, self.placement):
+                raise self.limits.record_timeout('events', self.peer, limit)
+            again = self.limits.get_recheck_timeout(self.job)
             self.body = iter_body()
 
-    async def _pass_on(self, head: Head, raw: bytes) -> None:
+    async def _forward(self, head: Head, raw: bytes) -> None:
         events = [
             event
             for event in self.splitter.push(raw)
-            if _is_next(event.event_id, self.job.last_event)
+            if _is_next(event.event_id, self.job.last_event_id)
         ]
         if not events:
             return
-        self._note_pause()
-        self.count += len(events)
+        self._record_pause()
+        self.event_count += len(events)
         await self._start(head)
         await self.reply.write(b''.join(event.raw for event in events))
         named = [event.event_id for event in events if event.event_id]
         if named:
-            self.job.last_event = named[-1]
-        self.job.note_event(anyio.current_time())
+            self.job.last_event_id = named[-1]
+        self.job.record_event(anyio.current_time())
 
-    def _note_pause(self) -> None:
+    def _record_pause(self) -> None:
         now = anyio.current_time()
-        if self.count:
-            METRICS.observe('pause', now - self.noted_at)
+        if self.event_count:
+            METRICS.observe('pause', now - self.last_events_at)
         else:
-            self._note_first()
-        self.noted_at = now
+            self._record_first_event()
+        self.last_events_at = now
 
-    def _note_first(self) -> None:
+    def _record_first_event(self) -> None:
         now = anyio.current_time()
         flight = self.state.board.own.get(self.job.call.req_id)
         emit(
@@ -130,7 +130,9 @@
         self.state.note_success(self.peer, anyio.current_time())
         await self._start(head)
         await self.reply.finish(self.splitter.rest)
-        return Sending(Ending.answered, 'events', self.peer, f'{self.count}')
+        return Sending(
+            Ending.answered, 'events', self.peer, f'{self.event_count}'
+        )
 
 
 def _is_next(event_id: str, last: str) -> bool:
--- a/trestledock/entry/_holding_back.py
+++ b/trestledock/entry/_throttling.py
@@ -15,16 +15,16 @@
 from trestledock.relay import Listed, get_come_back_s
 
 #: The part of its time left that a request may wait for its turn.
-TURN_SHARE = 0.5
+MAX_WAIT_SHARE = 0.5
 #: Targets that rest from other entries are spared while so large a part of the
 #: free ones is left.
-SPARE_SHARE = 0.5
+MIN_REMAINING_SHARE = 0.5
 #: By which part of it the time is made longer at most, by chance, after which
 #: callers come back that no target takes while all rest.
-RETURN_SPREAD = 0.5
+RETRY_AFTER_SPREAD = 0.5
 
 
-def get_free(
+def get_available(
     state: EntryState, job: Job, targets: Sequence[Listed], now: float
 ) -> list[Listed]:
     """Return the targets that may get a request now, as they asked.
@@ -33,7 +33,7 @@
     """
     if not state.throttle.restrains_any:
         return list(targets)
-    free = _spare(
+    free = _without_backed_off(
         state,
         [one for one in targets if state.throttle.is_free(one, now)],
         now,
@@ -43,14 +43,16 @@
     return free
 
 
-def _spare(state: EntryState, free: list[Listed], now: float) -> list[Listed]:
+def _without_backed_off(
+    state: EntryState, free: list[Listed], now: float
+) -> list[Listed]:
     """Return the targets that rest from nobody, if enough of them do.
 
     Else each entry would learn of a rest by a request that is turned away; but
     too few of them must not get the work of all.
     """
     rested = [one for one in free if not state.throttle.is_spared(one, now)]
-    return rested if len(rested) >= len(free) * SPARE_SHARE else free
+    return rested if len(rested) >= len(free) * MIN_REMAINING_SHARE else free
 
 
 def get_restrained(state: EntryState, job: Job) -> list[Listed]:
@@ -59,7 +61,7 @@
     return [one for one in usable if state.throttle.is_restrained(one)]
 
 
-def decide_held_back(state: EntryState, job: Job, now: float) -> Refusal | None:
+def decide_throttled(state: EntryState, job: Job, now: float) -> Refusal | None:
     """Return why a request is refused that no target takes now; None: it waits.
 
     It comes back when its turn would have been, or, where this entry has no
@@ -70,12 +72,14 @@
     ahead = state.turns.count_ahead(job.turn)
     wait_s = state.throttle.get_wait_s(restrained, ahead, now)
     timing = job.timing
-    if wait_s <= (min(timing.due, timing.gone) - now) * TURN_SHARE:
+    if wait_s <= (min(timing.due, timing.gone) - now) * MAX_WAIT_SHARE:
         return None
     if wait_s == inf:
         wait_s = 1 / state.throttle.get_limit(restrained)
     if all(state.throttle.is_resting(one, now) for one in restrained):
-        job.come_back_s = wait_s * state.rng.uniform(1, 1 + RETURN_SPREAD)
+        job.retry_after_s = wait_s * state.rng.uniform(
+            1, 1 + RETRY_AFTER_SPREAD
+        )
         return Refusal.resting
-    job.come_back_s = get_come_back_s(timing, wait_s, now)
+    job.retry_after_s = get_come_back_s(timing, wait_s, now)
     return Refusal.limited
--- a/trestledock/entry/_tickets.py
+++ b/trestledock/entry/_tickets.py
@@ -22,19 +22,19 @@
 
 #: The lease of a ticket, in seconds: below the time after which memory that
 #: nobody uses counts as leaked (4 s).
-HOLD_S = 3.5
+LEASE_S = 3.5
 #: How often a ticket is renewed, in seconds.
 RENEW_S = 1.2
 #: How long an order may take, in seconds.
-ORDER_S = 0.6
+CONTROL_TIMEOUT_S = 0.6
 #: How long a connection that took an order is kept, in seconds.
-ORDER_IDLE_S = 1.0
+CONTROL_IDLE_S = 1.0
 #: How often a ticket is given back before its lease has to end it.
 RELEASE_TRIES = 3
 OK = 200
 #: Statuses after which a ticket is given back: another target that has the
 #: address by now (421) holds none.
-DONE = frozenset((OK, 421))
+RELEASED_STATUSES = frozenset((OK, 421))
 #: What stands for the status where no answer came.
 NO_ANSWER = 0
 
@@ -94,11 +94,11 @@
         tokens: int,
         held: dict[str, str],
     ) -> None:
-        order = self.dialect.make_reserve(ticket, tokens, HOLD_S, holder)
+        order = self.dialect.make_reserve(ticket, tokens, LEASE_S, holder)
         # From here on the memory may be set aside, whatever is answered.
         self._holders[ticket] = holder
         held[holder.incarnation] = ticket
-        status = await self._order(holder, order)
+        status = await self._send_control(holder, order)
         if status == OK:
             scope = anyio.CancelScope()
             self._renewals[ticket] = scope
@@ -127,20 +127,20 @@
                 if self.state.fleet.is_superseded(holder):
                     return
                 order = self.dialect.make_reserve(
-                    ticket, tokens, HOLD_S, holder
+                    ticket, tokens, LEASE_S, holder
                 )
-                await self._order(holder, order)
+                await self._send_control(holder, order)
 
     async def _release_one(self, holder: Listed, ticket: str) -> None:
         for _ in range(RELEASE_TRIES):
             order = self.dialect.make_release(ticket, holder)
-            if await self._order(holder, order) in DONE:
+            if await self._send_control(holder, order) in RELEASED_STATUSES:
                 return
 
-    async def _order(self, holder: Listed, order: Order) -> int:
+    async def _send_control(self, holder: Listed, order: Order) -> int:
         """Give an order; return its status, zero where none came."""
         try:
-            with anyio.fail_after(ORDER_S):
+            with anyio.fail_after(CONTROL_TIMEOUT_S):
                 head = await self._exchange(holder, order)
         except (WireError, TimeoutError) as exc:
             emit(events.OrderLost(holder.incarnation, repr(exc)))
@@ -160,7 +160,7 @@
                 self.state.spawn,
             )
             head = await self._read_answer(holder, wire, asked_at)
-            idle_s = ORDER_IDLE_S
+            idle_s = CONTROL_IDLE_S
         finally:
             await self.pool.give(holder, wire, idle_s)
         return head
--- a/trestledock/entry/_limits.py
+++ b/trestledock/entry/_timeouts.py
@@ -13,9 +13,9 @@
 
 import anyio
 
-from trestledock.entry._admission import may_go_on
+from trestledock.entry._admission import may_resume_elsewhere
 from trestledock.entry._job import Job
-from trestledock.entry._selecting import could_go_on, get_engine
+from trestledock.entry._selecting import has_alternative, get_engine
 from trestledock.entry._state import EntryState, Wait
 from trestledock.entry._wire import WireError
 from trestledock.relay import (
@@ -27,27 +27,29 @@
 )
 
 #: How often it is looked again whether a silent target may be left, in seconds.
-LOOK_AGAIN_S = 0.1
+RECHECK_INTERVAL_S = 0.1
 
 
 @dataclass(frozen=True)
-class Limit:
+class ResponseTimeout:
     """How long a target may be silent, and whether that is but a doubt."""
 
     wait_s: float
     early: bool = False
 
 
-class Limits:
+class ResponseTimeouts:
     """Limits the waits of one entry process."""
 
     def __init__(self, state: EntryState) -> None:
         """Keep the state."""
         self.state = state
 
-    def get_first(self, job: Job, placement: Placement) -> Limit:
+    def get_first_timeout(
+        self, job: Job, placement: Placement
+    ) -> ResponseTimeout:
         """Return how long a target may be silent before another is asked."""
-        is_last = self._is_last(job)
+        is_last = self._is_last_option(job)
         may_leave = self.state.budgets.may_leave_early(anyio.current_time())
         early = may_leave and not is_last and not placement.helpers
         patience_s = get_first_patience_s(
@@ -56,32 +58,32 @@
             early=early,
             helped=bool(placement.helpers),
         )
-        return Limit(min(patience_s, _get_left_s(job)), early)
+        return ResponseTimeout(min(patience_s, _get_remaining_s(job)), early)
 
-    def get_pause(self, job: Job) -> Limit:
+    def get_pause_timeout(self, job: Job) -> ResponseTimeout:
         """Return how long a stream may be silent between events.
 
         The last target that may run it is waited for: nobody else would go on.
         """
-        left_s = _get_left_s(job)
+        left_s = _get_remaining_s(job)
         if job.history.is_last_run(job.route):
-            return Limit(left_s)
-        return Limit(min(get_pause_patience_s(job.route), left_s))
+            return ResponseTimeout(left_s)
+        return ResponseTimeout(min(get_pause_patience_s(job.route), left_s))
 
-    def get_again(self, job: Job) -> Limit:
+    def get_recheck_timeout(self, job: Job) -> ResponseTimeout:
         """Return when to look again whether a silent target may be left."""
-        left_s = _get_left_s(job)
+        left_s = _get_remaining_s(job)
         if job.history.is_last_run(job.route):
-            return Limit(left_s)
-        return Limit(min(LOOK_AGAIN_S, left_s))
+            return ResponseTimeout(left_s)
+        return ResponseTimeout(min(RECHECK_INTERVAL_S, left_s))
 
-    def is_over(self, job: Job, placement: Placement) -> bool:
+    def is_wait_over(self, job: Job, placement: Placement) -> bool:
         """Whether there is nothing more to wait for."""
         now = anyio.current_time()
         peer = placement.target.incarnation
-        return not _get_left_s(job) or self.state.is_cut_off(peer, now)
+        return not _get_remaining_s(job) or self.state.is_cut_off(peer, now)
 
-    def is_held_up(self, job: Job, placement: Placement) -> bool:
+    def is_waiting_for_memory(self, job: Job, placement: Placement) -> bool:
         """Whether a target's silence is known to be a wait for memory."""
         engine = get_engine(self.state, job)
         own = self.state.board.own.get(job.call.req_id)
@@ -90,35 +92,37 @@
         flights = self.state.board.get_flights(placement.target.incarnation)
         return is_held_up(own, flights, engine.capacity_tokens)
 
-    def may_leave(self, job: Job, placement: Placement) -> bool:
+    def may_fail_over(self, job: Job, placement: Placement) -> bool:
         """Whether a target that was silent for too long is left now.
 
         An answer that has begun would be cut where nobody else goes on with it:
         another target must take it at once, and the repeat is taken from the
         budget here, so that two don't leave for one.
         """
-        if not job.begun or not _get_left_s(job):
+        if not job.response_begun or not _get_remaining_s(job):
             return True
         if job.history.is_last_run(job.route):
             return False
-        if not may_go_on(self.state, job):
+        if not may_resume_elsewhere(self.state, job):
             return False
         peer = placement.target.incarnation
-        return could_go_on(self.state, job, peer) and self._claim(job)
+        return has_alternative(self.state, job, peer) and self._reserve_retry(
+            job
+        )
 
     @contextmanager
     def wait(
         self,
         job: Job,
         placement: Placement,
-        limit: Limit,
+        limit: ResponseTimeout,
     ) -> Iterator[anyio.CancelScope]:
         """Wait within a limit, or until the way to a target is cut."""
         with anyio.move_on_after(limit.wait_s) as scope:
             if job.history.is_last_run(job.route):
                 yield scope
                 return
-            helpers = () if job.last_event else placement.helpers
+            helpers = () if job.last_event_id else placement.helpers
             names = [one.incarnation for one in (placement.target, *helpers)]
             wait = Wait(tuple(names), scope)
             self.state.waits.add(wait)
@@ -127,7 +131,9 @@
             finally:
                 self.state.waits.discard(wait)
 
-    def give_up(self, step: str, peer: str, limit: Limit) -> WireError:
+    def record_timeout(
+        self, step: str, peer: str, limit: ResponseTimeout
+    ) -> WireError:
         """Note that a target was silent for too long; return the error."""
         now = anyio.current_time()
         if limit.early:
@@ -138,12 +144,14 @@
             return WireError(step, 'its data centre is silent', Sign.silent)
         return WireError(step, f'silent for {limit.wait_s:.2f} s', Sign.silent)
 
-    def _claim(self, job: Job) -> bool:
+    def _reserve_retry(self, job: Job) -> bool:
         now = anyio.current_time()
-        job.has_repeat = self.state.budgets.spend_repeat(job.service, now)
-        return job.has_repeat
+        job.has_reserved_retry = self.state.budgets.spend_repeat(
+            job.service, now
+        )
+        return job.has_reserved_retry
 
-    def _is_last(self, job: Job) -> bool:
+    def _is_last_option(self, job: Job) -> bool:
         """Whether nobody else may, or could, go on with a request now."""
         if job.history.is_last_run(job.route):
             return True
@@ -155,8 +163,8 @@
         usable = self.state.fleet.get_usable(job.service)
         now = anyio.current_time()
         free = any(self.state.throttle.is_free(one, now) for one in usable)
-        return not free or not may_go_on(self.state, job)
+        return not free or not may_resume_elsewhere(self.state, job)
 
 
-def _get_left_s(job: Job) -> float:
+def _get_remaining_s(job: Job) -> float:
     return max(0, job.deadline - anyio.current_time())
--- a/trestledock/entry/_wire.py
+++ b/trestledock/entry/_wire.py
@@ -20,7 +20,7 @@
 
 #: How long a target may take to accept a connection, in seconds: some hundred
 #: times the way there, and short beside the objectives of short requests.
-CONNECT_S = 0.2
+CONNECT_TIMEOUT_S = 0.2
 #: How long unacknowledged bytes keep a connection, in milliseconds.
 USER_TIMEOUT_MS = 2000
 #: Probes of a silent connection: first after, then every, and how many.
@@ -31,7 +31,7 @@
 SMALL_BODY_BYTES = 32_768
 
 #: How a stream says that it has ended.
-STREAM_ENDS = (
+STREAM_ERRORS = (
     OSError,
     anyio.EndOfStream,
     anyio.BrokenResourceError,
@@ -83,14 +83,14 @@
         self.http = h11.Connection(h11.CLIENT)
         self.written = True
         self.broken = False
-        self._is_at_end = False
+        self._received_eof = False
 
     @classmethod
     async def connect(cls, address: str) -> 'Wire':
         """Connect to `IP:PORT`, or raise a `WireError` with nothing sent."""
         host, _, port = address.rpartition(':')
         try:
-            with anyio.fail_after(CONNECT_S):
+            with anyio.fail_after(CONNECT_TIMEOUT_S):
                 stream = await anyio.connect_tcp(host, int(port))
         except (OSError, TimeoutError) as exc:
             raise WireError(
@@ -162,7 +162,7 @@
 
     async def wait_for_surplus(self) -> None:
         """Return when an idle connection closes or gets bytes unasked for."""
-        with suppress(*STREAM_ENDS):
+        with suppress(*STREAM_ERRORS):
             await self.stream.receive(1)
         self.broken = True
 
@@ -175,7 +175,7 @@
     async def _write(self, raw: bytes) -> None:
         try:
             await self.stream.send(raw)
-        except STREAM_ENDS as exc:
+        except STREAM_ERRORS as exc:
             raise WireError('write', repr(exc), get_end_sign(exc)) from exc
         self.written = True
 
@@ -193,7 +193,7 @@
                 event = self.http.next_event()
         except h11.RemoteProtocolError as exc:
             self.broken = True
-            sign = Sign.closed if self._is_at_end else Sign.garbled
+            sign = Sign.closed if self._received_eof else Sign.garbled
             raise WireError(step, repr(exc), sign) from exc
         if isinstance(event, type):
             raise WireError(step, 'answer out of turn')
@@ -203,9 +203,9 @@
         try:
             return await self.stream.receive(READ_BYTES)
         except anyio.EndOfStream:
-            self._is_at_end = True
+            self._received_eof = True
             return b''
-        except STREAM_ENDS as exc:
+        except STREAM_ERRORS as exc:
             self.broken = True
             raise WireError(step, repr(exc), get_end_sign(exc)) from exc
 
