--- a/trestledock/entry/__init__.py
+++ b/trestledock/entry/__init__.py
@@ -2,9 +2,9 @@
 Entry process
 =============
 
-The tasks around the decisions of `trestledock.relay`: callers, targets, the
-other entries and the platform's store.  A platform is met through a `Dialect`
-for its formats and a `Directory` for its store.
+The input and output around the decisions of `trestledock.relay`: connections to
+callers, targets, other entries and the platform's store.  A platform plugs in
+with a `Dialect` for its formats and a `Directory` for its store.
 """
 
 from trestledock.entry._checks import (
--- a/trestledock/entry/_admission.py
+++ b/trestledock/entry/_admission.py
@@ -2,9 +2,9 @@
 Admission
 =========
 
-Turns a call into a job, or says why it is refused.  Route and key are looked
-up again before each sending, since a request may have waited, or the process
-may have stood still.
+Turns a call into a job or refuses it.  Route and key are looked up again before
+each attempt, since the request may have waited, or the process may have been
+suspended.
 """
 
 from trestledock.entry._job import Job, Refusal
@@ -22,7 +22,7 @@
 
 
 def admit(state: EntryState, call: Call, now: float) -> Job | Refusal:
-    """Admit a call by route and key, or return the refusal."""
+    """Admit a call by its route and key, or return the refusal."""
     catalog = state.catalog
     if catalog is None:
         return Refusal.no_configuration
@@ -45,10 +45,10 @@
 
 
 def recheck(state: EntryState, job: Job) -> Refusal | None:
-    """Return why an admitted request must not be sent any more, if so.
+    """Return the refusal if an admitted request must no longer be sent.
 
-    Its key was proven when it arrived, and what is known by now counts; an
-    old proof alone is no reason, since the request was sent before.
+    Its key was proven when it arrived, so an old proof alone is no reason to
+    refuse it; only what is known to have changed since is.
     """
     catalog = state.catalog
     if catalog is None:
@@ -63,13 +63,13 @@
 
 
 def is_quarantined(state: EntryState, job: Job) -> bool:
-    """Whether a request goes to no target; a trial is for its first one."""
-    is_tried = job.is_trial and not job.may_have_run
-    return not is_tried and state.isolation.is_quarantined(job.fingerprint)
+    """Return whether no target may run a request; a probe has one run."""
+    is_probe = job.is_trial and not job.may_have_run
+    return not is_probe and state.isolation.is_quarantined(job.fingerprint)
 
 
 def may_resume_elsewhere(state: EntryState, job: Job) -> bool:
-    """Whether what is in force lets another target of its service go on."""
+    """Return whether the configuration lets another target run a request."""
     catalog = state.catalog
     if catalog is None or is_quarantined(state, job):
         return False
@@ -90,7 +90,7 @@
     catalog: Catalog,
     route: Route,
 ) -> Refusal | None:
-    """Follow a route that leads to other services by now."""
+    """Follow a route that has moved to other services."""
     if job.service not in {share.service for share in route.shares}:
         if job.history.sendings:
             return Refusal.not_run
@@ -100,7 +100,7 @@
 
 
 def _needs_proof(catalog: Catalog, route: Route | None) -> bool:
-    """Whether an answer depends on a configuration that may have changed."""
+    """Return whether the decision depends on a recent configuration."""
     return route is None or (catalog.keys is not None and not route.public)
 
 
@@ -113,8 +113,8 @@
         return Refusal.no_route
     if not _needs_proof(catalog, route):
         return None
-    known = catalog.keys is not None and call.key in catalog.keys
-    return None if known else Refusal.unknown_key
+    is_known = catalog.keys is not None and call.key in catalog.keys
+    return None if is_known else Refusal.unknown_key
 
 
 def _get_team(catalog: Catalog, route: Route, call: Call) -> TeamKey:
--- a/trestledock/entry/_answering.py
+++ b/trestledock/entry/_answering.py
@@ -2,9 +2,9 @@
 Answers of targets
 ==================
 
-Takes what a target answers and passes it on, or says how the sending ended.
-An answer counts only if it belongs to the request, bears the target's seal and
-is whole.
+Receives a target's answer and forwards it, or returns how the attempt failed.
+An answer is valid only if it has the request's id and the target's seal, and is
+complete.
 """
 
 from http import HTTPStatus
@@ -22,15 +22,15 @@
 from trestledock.entry._wire import Head, Wire, WireError
 from trestledock.relay import Ending, Placement, RouteKind, Sending
 
-#: The statuses that promise that nothing has run.
+#: Statuses that promise that the request has not run.
 NOT_RUN_STATUSES = frozenset((408, 421, 429, 503))
 
 
 class AnswerReceiver:
-    """Receives answers for one entry process."""
+    """Receives the answers of targets for one entry process."""
 
     def __init__(self, state: EntryState, dialect: Dialect) -> None:
-        """Keep the state and the platform's formats."""
+        """Store the state and the platform's formats."""
         self.state = state
         self.dialect = dialect
         self.limits = ResponseTimeouts(state)
@@ -43,9 +43,9 @@
         reply: Reply,
         asked_at: float,
     ) -> tuple[Sending, float]:
-        """Take an answer; return the ending and how long `wire` may idle.
+        """Receive an answer; return the ending and how long `wire` may idle.
 
-        The request was written at the instant `asked_at` or later.
+        The request was written at the time `asked_at` or later.
         """
         limit = self.limits.get_first_timeout(job, placement)
         head = await self._read_head(job, placement, wire, limit)
@@ -55,10 +55,10 @@
         note_answer(self.state, job, placement, head.status, answer, asked_at)
         idle_s = get_idle_s(answer.keep_alive, answer.connection)
         if _is_stream(job, head, answer):
-            passing = StreamForwarder(
+            forwarder = StreamForwarder(
                 self.state, self.dialect, job, placement, reply
             )
-            sending = await passing.run(head, wire.iter_body, limit)
+            sending = await forwarder.run(head, wire.iter_body, limit)
         else:
             sending = await self._receive_whole(
                 job, placement, wire, head, answer, reply
@@ -66,11 +66,11 @@
         return sending, idle_s
 
     def record_success(self, peer: str) -> None:
-        """Note that a target did its work."""
+        """Record that a target answered correctly."""
         self.state.note_success(peer, anyio.current_time())
 
     def record_failure(self, peer: str) -> None:
-        """Note that a target failed."""
+        """Record that a target failed."""
         self.state.health.note_failure(peer, anyio.current_time())
 
     async def _read_head(
@@ -80,10 +80,10 @@
         wire: Wire,
         limit: ResponseTimeout,
     ) -> Head:
-        again = limit
+        timeout = limit
         while True:
             held_up = self.limits.is_waiting_for_memory(job, placement)
-            step = self.limits.get_recheck_timeout(job) if held_up else again
+            step = self.limits.get_recheck_timeout(job) if held_up else timeout
             with self.limits.wait(job, placement, step):
                 return await wire.read_head()
             if held_up and not self.limits.is_wait_over(job, placement):
@@ -91,7 +91,7 @@
             if self.limits.may_fail_over(job, placement):
                 peer = placement.target.incarnation
                 raise self.limits.record_timeout('answer', peer, limit)
-            again = self.limits.get_recheck_timeout(job)
+            timeout = self.limits.get_recheck_timeout(job)
 
     def _record_silence(self, peer: str) -> None:
         self.state.note_silence(peer, anyio.current_time())
@@ -103,18 +103,18 @@
         status: int,
         answer: AnswerNote,
     ) -> str:
-        """Have the next sending avoid the target at fault; return its name.
+        """Exclude the target at fault from the next attempt; return its name.
 
-        A rejection may name a helper, which is then left alone for a while.
-        421 says that another incarnation has the address: this one has gone.
+        A rejection may name a helper, which is then suspect for a while.  421
+        means that another incarnation has the address: this one no longer runs.
         """
         peer = placement.target.incarnation
-        found = self._get_named_incarnation(placement, answer.at_fault)
-        at_fault = found or peer
+        named = self._get_named_incarnation(placement, answer.at_fault)
+        at_fault = named or peer
         job.tried.add(at_fault)
-        # One that says how long it wants rest, or that it leaves, is not ill.
-        if found and not answer.rest.rest_s and not answer.leaves:
-            self._record_silence(found)
+        # A target that asks for a back-off, or drains, is not faulty.
+        if named and not answer.rest.rest_s and not answer.leaves:
+            self._record_silence(named)
         if status == HTTPStatus.MISDIRECTED_REQUEST:
             now = anyio.current_time()
             self.state.fleet.note_leaving(at_fault, now)
@@ -124,11 +124,12 @@
     def _get_named_incarnation(self, placement: Placement, named: str) -> str:
         """Return the incarnation that an answer names by id or address.
 
-        It may have started again since it was sent to.
+        The targets of the attempt come first: the named target may have
+        restarted since the request was written.
         """
-        for one in placement.engaged:
-            if one.is_named(named):
-                return one.incarnation
+        for target in placement.engaged:
+            if target.is_named(named):
+                return target.incarnation
         return self.state.fleet.get_incarnation_by_name(named)
 
     async def _receive_whole(
@@ -169,7 +170,7 @@
     def _store_failure(
         self, job: Job, peer: str, answer: StoredAnswer
     ) -> Sending:
-        """Keep a target's own failure in case nothing better comes."""
+        """Store a target's error response in case no attempt succeeds."""
         job.fallback = answer
         if answer.head.status != HTTPStatus.GATEWAY_TIMEOUT:
             self.record_failure(peer)
--- a/trestledock/entry/_app.py
+++ b/trestledock/entry/_app.py
@@ -2,8 +2,8 @@
 Web application of an entry
 ===========================
 
-The ASGI application behind the listeners: callers on one address, the
-balancer's question for readiness on another.
+The ASGI application behind the listeners.  Callers, the balancer's readiness
+checks, other entries and metrics each have an address of their own.
 """
 
 from http import HTTPStatus
@@ -30,11 +30,11 @@
 
 
 class ClientDisconnected(Exception):
-    """The caller closed its connection before its request was whole."""
+    """The caller disconnected before its request was complete."""
 
 
 class EntryApp:
-    """The application of one entry process."""
+    """The ASGI application of one entry process."""
 
     def __init__(
         self,
@@ -44,7 +44,7 @@
         exchange: NewsExchange,
         loads: LoadExchange,
     ) -> None:
-        """Keep what requests are relayed by, and what peers ask for."""
+        """Store the relayer, and the exchanges that answer other entries."""
         self.state = state
         self.relayer = relayer
         self.dialect = dialect
@@ -68,12 +68,12 @@
         """Serve one request."""
         if scope['type'] != 'http':
             return
-        answer = self._handlers_by_port.get(scope['server'][1])
-        if answer:
-            await answer(scope, send)
+        handle = self._handlers_by_port.get(scope['server'][1])
+        if handle:
+            await handle(scope, send)
             return
-        # One that begins on a connection that is being closed gets no answer
-        # through, so it must not run: no target gets it.
+        # The answer to a request that starts on a closing connection can't be
+        # delivered, so the request must not be sent to a target.
         crossing = self.state.closing
         self.state.in_progress += 1
         try:
@@ -142,17 +142,17 @@
 
 
 def _read_version(query: bytes) -> int:
-    """Return the version that a peer has, as it says in its question.
+    """Return the configuration version that a peer has, from its query.
 
     >>> _read_version(b'version=7'), _read_version(b'') == NO_VERSION
     (7, True)
     """
-    found = _read_field(query, VERSION_FIELD)
-    return int(found) if found.isdigit() else NO_VERSION
+    version = _read_field(query, VERSION_FIELD)
+    return int(version) if version.isdigit() else NO_VERSION
 
 
 def _read_field(query: bytes, name: str) -> str:
-    """Return what a peer says in a field of its question.
+    """Return the value of a query field, empty if it is missing.
 
     >>> _read_field(b'version=7&past=1', 'past'), _read_field(b'', 'past')
     ('1', '')
@@ -180,7 +180,7 @@
     reply: Reply,
     call: Call,
 ) -> None:
-    """Cancel a request when its caller closes the connection."""
+    """Cancel a request when its caller disconnects."""
     while True:
         message = await receive()
         if message['type'] == 'http.disconnect':
--- a/trestledock/entry/_budgets.py
+++ b/trestledock/entry/_budgets.py
@@ -1,9 +1,9 @@
 """
-Budgets for repeats
-===================
+Retry budgets
+=============
 
-What an entry may send again of what all entries together may: by service, and
-for requests that are given up at their target early.
+The share of an entry in the retries that all entries together may send: one
+budget for each service, and one for requests that fail over early.
 """
 
 from dataclasses import dataclass, field
@@ -13,13 +13,13 @@
 
 
 def _make_early_window() -> RetryWindow:
-    """Return the window of requests that are given up early."""
+    """Return the budget window of early failovers."""
     return RetryWindow(EARLY_TERMS)
 
 
 @dataclass
 class Budgets:
-    """The budgets of one entry; `count_entries` says how many share them."""
+    """The budgets of one entry, shared by `count_entries()` entries."""
 
     terms: BudgetTerms
     count_entries: Callable[[], int]
@@ -27,24 +27,24 @@
     early: RetryWindow = field(default_factory=_make_early_window)
 
     def earn(self, service: str, now: float) -> None:
-        """Count the first sending of a request."""
+        """Count the first attempt of a request."""
         self._get_window(service).earn(now)
         self.early.earn(now)
 
     def is_repeat_left(self, service: str, now: float) -> bool:
-        """Whether there is a repeat for a service."""
+        """Return whether a retry is left for a service."""
         return self._get_window(service).is_left(now, self.count_entries())
 
     def spend_repeat(self, service: str, now: float) -> bool:
-        """Take a repeat; return whether one was left."""
+        """Take a retry for a service; return whether one was left."""
         return self._get_window(service).spend(now, self.count_entries())
 
     def may_leave_early(self, now: float) -> bool:
-        """Whether one more request may be given up at its target early."""
+        """Return whether one more request may fail over early."""
         return self.early.is_left(now, self.count_entries())
 
     def note_early(self, now: float) -> None:
-        """Count a request that was given up at its target early."""
+        """Count a request that failed over early."""
         self.early.spend(now, self.count_entries())
 
     def _get_window(self, service: str) -> RetryWindow:
--- a/trestledock/entry/_checks.py
+++ b/trestledock/entry/_checks.py
@@ -1,66 +1,66 @@
 """
-Checks of plain values
-======================
+Validation of JSON values
+=========================
 
-What came from another process and claims to be a text, a number or a flag.
-Each raises a `ValueError` where it is something else.
+Checks the type of a value that another process sent.  Each function raises a
+`ValueError` for a value of another type.
 """
 
 import math
 from typing import Any
 
 
-def read_text(plain: Any) -> str:
-    """Return a text."""
-    if isinstance(plain, str):
-        return plain
-    raise ValueError(f'no text: {plain!r}')
+def read_text(json_value: Any) -> str:
+    """Return a string."""
+    if isinstance(json_value, str):
+        return json_value
+    raise ValueError(f'not a string: {json_value!r}')
 
 
-def read_flag(plain: Any) -> bool:
-    """Return a truth value."""
-    if isinstance(plain, bool):
-        return plain
-    raise ValueError(f'no flag: {plain!r}')
+def read_flag(json_value: Any) -> bool:
+    """Return a boolean."""
+    if isinstance(json_value, bool):
+        return json_value
+    raise ValueError(f'not a boolean: {json_value!r}')
 
 
-def read_whole(plain: Any) -> int:
-    """Return a whole number; a flag is none, though Python counts with it."""
-    if isinstance(plain, int) and not isinstance(plain, bool):
-        return plain
-    raise ValueError(f'no whole number: {plain!r}')
+def read_whole(json_value: Any) -> int:
+    """Return an integer; a boolean is refused, although it is an `int`."""
+    if isinstance(json_value, int) and not isinstance(json_value, bool):
+        return json_value
+    raise ValueError(f'not an integer: {json_value!r}')
 
 
-def read_count(plain: Any) -> int:
-    """Return a whole number that is not negative."""
-    count = read_whole(plain)
+def read_count(json_value: Any) -> int:
+    """Return a non-negative integer."""
+    count = read_whole(json_value)
     if count < 0:
-        raise ValueError(f'negative: {count}')
+        raise ValueError(f'negative number: {count}')
     return count
 
 
-def read_optional_count(plain: Any) -> int | None:
-    """Return a whole number that is not negative, or None where there is none.
+def read_optional_count(json_value: Any) -> int | None:
+    """Return a non-negative integer, or None for None.
 
     >>> read_optional_count(None), read_optional_count(3)
     (None, 3)
     """
-    return None if plain is None else read_count(plain)
+    return None if json_value is None else read_count(json_value)
 
 
-def read_amount(plain: Any) -> float:
+def read_amount(json_value: Any) -> float:
     """Return a finite number.
 
     >>> read_amount(5), read_amount(0.5)
     (5, 0.5)
     """
-    if isinstance(plain, float) and math.isfinite(plain):
-        return plain
-    return read_whole(plain)
+    if isinstance(json_value, float) and math.isfinite(json_value):
+        return json_value
+    return read_whole(json_value)
 
 
-def read_list(plain: Any) -> list[Any]:
+def read_list(json_value: Any) -> list[Any]:
     """Return a list."""
-    if isinstance(plain, list):
-        return plain
-    raise ValueError(f'no list: {plain!r}')
+    if isinstance(json_value, list):
+        return json_value
+    raise ValueError(f'not a list: {json_value!r}')
--- a/trestledock/entry/_daemon.py
+++ b/trestledock/entry/_daemon.py
@@ -2,8 +2,8 @@
 Entry process
 =============
 
-An entry from its settings to its graceful end: listeners, the store, the other
-entries, signals.
+Runs an entry from reading its settings to its graceful shutdown: listeners, the
+store, the other entries, signals.
 """
 
 import asyncio
@@ -38,11 +38,11 @@
 from trestledock.entry._tickets import Tickets
 
 SIGNALS = (signal.SIGTERM, signal.SIGHUP, signal.SIGINT)
-#: How long new connections are taken after the request to stop, in seconds;
-#: the balancer asks once a second and needs two misses.
+#: How long new connections are accepted after the request to stop, in seconds:
+#: the balancer checks readiness once a second and needs two failures.
 NOTICE_S = 3.0
-#: What is kept of the time to stop for the last word to each request, and for
-#: the end itself, in seconds.
+#: The parts of the grace period that are reserved for the final answers to
+#: unanswered requests, and for the exit itself, in seconds.
 END_MARGIN_S = 0.7
 EXIT_MARGIN_S = 0.3
 MakeDirectory = Callable[[EntrySettings], Directory]
@@ -53,11 +53,10 @@
     dialect: Dialect,
     make_directory: MakeDirectory,
 ) -> None:
-    """Run an entry until SIGTERM, then end it gracefully.
+    """Run an entry until SIGTERM, then shut it down gracefully.
 
-    At a signal the settings are read again: the time to stop is the newest,
-    what a running process can't take over (addresses) is told and left for
-    the next start.
+    The settings are read again at each signal.  The newest grace period
+    applies; other changes, such as addresses, are logged and need a restart.
     """
     settings = read_settings()
     executor = ThreadPoolExecutor(initializer=_block_signals)
@@ -86,28 +85,28 @@
 
 
 def _block_signals() -> None:
-    """Keep signals from a thread: from others always, from the first at last.
+    """Block signals in the current thread.
 
-    Once the handlers are gone a signal would end the process, which ends by
-    itself.
+    Worker threads always block them.  The main thread does so before it exits:
+    once the handlers are removed, a signal would kill the process.
     """
     signal.pthread_sigmask(signal.SIG_BLOCK, SIGNALS)
 
 
 def _reload_settings(
     read_settings: Callable[[], EntrySettings],
-    known: EntrySettings,
+    current: EntrySettings,
 ) -> EntrySettings:
-    """Return the newest settings, or those known while they can't be read.
+    """Return the newest settings, or the current ones if that fails.
 
-    The file may be half written, and whatever is wrong with it is no reason
-    to end what is under way.
+    The file may be half written, and a fault in it is no reason to end the
+    requests in progress.
     """
     try:
         return read_settings()
     except Exception:
         emit(events.Failed('settings'), failed=True)
-        return known
+        return current
 
 
 def _start(
@@ -139,10 +138,11 @@
 
 
 async def _drain(state: EntryState, server: Server, grace_s: float) -> None:
-    """Turn unready, serve on until the balancer has turned away, finish.
+    """Report unready, serve until the balancer has noticed, then finish.
 
-    It is over when all connections are closed, since answers may still wait
-    in their buffers.  Whoever has no answer by the end is told so.
+    The drain lasts until all connections are closed, since answers may still
+    wait in their buffers.  Requests without an answer at its end are refused or
+    reported as failed.
     """
     state.leaving = True
     state.notify_own()
--- a/trestledock/entry/_dialect.py
+++ b/trestledock/entry/_dialect.py
@@ -1,9 +1,9 @@
 """
-Dialects
-========
+Platform interfaces
+===================
 
-What a platform's formats must offer for the entry to relay on it.  The entry
-decides; an implementation only translates.
+The formats and the store that a platform must provide for an entry to run on
+it.  The entry makes the decisions; an implementation only translates.
 """
 
 from dataclasses import dataclass
@@ -23,11 +23,11 @@
 
 @dataclass(frozen=True)
 class Passing:
-    """What is added to a call on its way to a target.
+    """What an entry adds to a call that it forwards to a target.
 
-    `left_s` is the time that the target may take, `tickets` the ids of the
-    memory reserved at other targets, by target, and `priority` its rank where
-    work waits at the target, 0 first.
+    `left_s` is the time that the target may take.  `tickets` has the ids of the
+    memory reservations at other targets, by target.  `priority` is the
+    request's place in the target's queue, 0 being first.
     """
 
     placement: Placement
@@ -40,10 +40,11 @@
 
 @dataclass(frozen=True)
 class NamedLimit:
-    """How many requests a second an answer's target takes from all entries.
+    """The rate limit in an answer: requests a second from all entries.
 
-    `per_s` is None where no number was given; `is_named` says that there was
-    a word on it, and `unreadable` has what made no sense.
+    `per_s` is None if no valid number was given.  `is_named` is true if the
+    answer has the header at all, and `unreadable` is the text that could not be
+    parsed.
     """
 
     per_s: float | None = None
@@ -53,9 +54,9 @@
 
 @dataclass(frozen=True)
 class NamedRest:
-    """For how many seconds an answer's target wants nothing more from here.
+    """The back-off in an answer: seconds without requests from this entry.
 
-    `unreadable` has what made no sense.
+    `unreadable` is the text that could not be parsed.
     """
 
     rest_s: float = 0
@@ -64,12 +65,12 @@
 
 @dataclass(frozen=True)
 class AnswerNote:
-    """What an answer's head says beside its status.
+    """The parsed headers of an answer.
 
-    `not_run` is the target's word that it did not run the request; `sealed`
-    says that the answer is the target's own, and `at_fault` and `instance` name
-    the target that is at fault and the one that answers.  One that `leaves`
-    takes nothing new.
+    `not_run` is true if the target states that it did not run the request, and
+    `sealed` if the answer is the target's own.  `at_fault` and `instance` name
+    the target at fault and the target that answers.  `leaves` is true if the
+    target drains and accepts no new requests.
     """
 
     req_id: str
@@ -87,7 +88,7 @@
 
 @dataclass(frozen=True)
 class Order:
-    """A request to a target's control interface."""
+    """An HTTP request to a target's control interface."""
 
     method: str
     path: str
@@ -97,7 +98,7 @@
 
 @dataclass(frozen=True)
 class TargetNews:
-    """What the directory says of one target; `listed` is None once removed."""
+    """The state of one target in the store; `listed` is None if removed."""
 
     target_id: str
     listed: Listed | None
@@ -105,7 +106,7 @@
 
 @dataclass(frozen=True)
 class HeldTarget:
-    """A target whose entry is missing, and for how long it is still held."""
+    """A target missing from the list, and how long it is still retained."""
 
     listed: Listed
     left_s: float
@@ -113,19 +114,19 @@
 
 @dataclass(frozen=True)
 class News:
-    """What a read of the store brought, or what another entry knows.
-
-    `document` is the text that `catalog` was read from, for the other
-    entries.  `targets` is true as of the instant `as_of`, or for a list that
-    was on its way as of `latest_at` at most; `whole` says that it has all that
-    there are, `settled` that its `source` followed the store
-    closely enough to know that what is missing has not only lapsed.  `held` has
-    what is missing and may have lapsed, for those that never knew it;
-    `revision` is that of the list at its source.  `quarantine` has the requests
-    that go to no target.  `epoch` is that of the copy of the store that was
-    read, None for a store that tells none; `gone` and `leaving` have the
-    targets that are gone and the incarnations that said that they leave, where
-    somebody asked for them.
+    """An update from a read of the store, or from another entry.
+
+    `document` is the text that `catalog` was parsed from, for other entries.
+    `targets` was current at the time `as_of`, or, for a list that was delayed
+    on its way, at `latest_at` at the latest.  `whole` is true if `targets` is
+    the complete list.  `settled` is true if its `source` has followed the store
+    closely enough to know that the records of missing targets were removed and
+    have not merely expired.  `held` has the missing targets whose records may
+    have expired, for entries that never knew them.  `revision` is the revision
+    of the list at its source.  `quarantine` has the requests that go to no
+    target.  `epoch` is the epoch of the copy of the store that was read, None
+    for a store without epochs.  `gone` has the removed targets and `leaving`
+    the draining incarnations; both are filled on request only.
     """
 
     catalog: Catalog | None = None
@@ -145,34 +146,34 @@
 
 
 class Dialect(Protocol):
-    """Formats of callers and targets."""
+    """The formats of callers and targets."""
 
     def read_call(
         self, scope: Mapping[str, Any], body: Body, now: float
     ) -> Call:
-        """Read a caller's request."""
+        """Parse a caller's request."""
 
     def make_headers(self, call: Call, passing: Passing) -> Headers:
         """Return the headers of a request to a target."""
 
     def read_head(self, head: Head) -> AnswerNote:
-        """Read the head of a target's answer."""
+        """Parse the head of a target's answer."""
 
     def make_reply_headers(self, head: Head) -> Headers:
-        """Return the headers of an answer that is passed on."""
+        """Return the headers of an answer that is forwarded."""
 
     def make_reserve(
         self, ticket: str, tokens: int, hold_s: float, holder: Listed
     ) -> Order:
-        """Return the order that reserves memory at a target alone."""
+        """Return the control request that reserves memory at one target."""
 
     def make_release(self, ticket: str, holder: Listed) -> Order:
-        """Return the order that gives memory back."""
+        """Return the control request that releases memory."""
 
 
 @dataclass(frozen=True)
 class Place:
-    """A place between records, in the copy of the store of an epoch."""
+    """An offset in the log of a copy of the store, with the copy's epoch."""
 
     offset: int
     epoch: int | None
@@ -180,7 +181,7 @@
 
 @dataclass(frozen=True)
 class StoredQuarantine:
-    """All records of quarantined requests; `end` is the place behind them."""
+    """All records of quarantined requests, and the position after them."""
 
     records: tuple[Quarantined, ...]
     end: Place
@@ -188,10 +189,10 @@
 
 @dataclass(frozen=True)
 class Announced:
-    """What entries have written: their addresses by name.
+    """The records of entries in the store: their addresses, by name.
 
-    `settled_epoch` is the newest epoch of the store in which one of them has
-    waited for what was lost, None where none ever has.
+    `settled_epoch` is the newest epoch of the store in which an entry has
+    waited for lost records to be written again, None if none has.
     """
 
     addresses: Mapping[str, str]
@@ -200,47 +201,47 @@
 
 
 class QuarantineStore(Protocol):
-    """What the platform's store remembers of quarantined requests."""
+    """The records of quarantined requests in the platform's store."""
 
     async def read_records(self, wait_s: float) -> tuple[Quarantined, ...]:
-        """Return what is new, once there is something or the time is over."""
+        """Wait for new records, up to `wait_s` seconds; return them."""
 
     async def read_whole(self) -> StoredQuarantine:
-        """Return all records, with the place at which they end."""
+        """Return all records, and the position after them."""
 
     async def write_records(
         self,
         records: Iterable[Quarantined],
         expected: Place | None = None,
     ) -> bool:
-        """Write records; return whether none had come behind that place."""
+        """Write records; return whether the log still ended at `expected`."""
 
 
 class Directory(Protocol):
-    """The platform's store, as far as the entry reads it."""
+    """The part of the platform's store that an entry uses."""
 
     @property
     def quarantine(self) -> QuarantineStore:
-        """Return the part that holds requests."""
+        """Return the store of quarantined requests."""
 
     @property
     def epoch(self) -> int | None:
-        """Return the newest epoch of the store that was heard, if any."""
+        """Return the newest known epoch of the store, if any."""
 
     async def read_catalog(self) -> News:
-        """Return the newest configuration where it changed."""
+        """Return the newest configuration if it has changed."""
 
     def decode_document(self, document: str) -> Catalog:
-        """Read the text of a configuration that another entry passed on."""
+        """Parse the text of a configuration received from another entry."""
 
     async def read_targets(self) -> News:
-        """Return what changed among the targets."""
+        """Return the changes in the list of targets."""
 
     async def read_peers(self) -> Announced:
-        """Return what the entries have written."""
+        """Return the records of the entries."""
 
     async def announce(self, addresses: Mapping[str, str]) -> None:
         """Publish addresses of entries, by name."""
 
     async def announce_settled(self, epoch: int) -> None:
-        """Publish that what the store lost before an epoch is there again."""
+        """Publish that records lost before an epoch have been restored."""
--- a/trestledock/entry/_job.py
+++ b/trestledock/entry/_job.py
@@ -2,7 +2,7 @@
 Jobs
 ====
 
-A relayed request from its admission to its final answer, and the refusals.
+A relayed request between admission and its final answer, and the refusals.
 """
 
 from dataclasses import dataclass, field
@@ -24,7 +24,7 @@
 
 
 class Refusal(str, Enum):
-    """Why a request is not answered by a target."""
+    """The reason why no target answers a request."""
 
     no_configuration = 'no_configuration'
     unknown_key = 'unknown_key'
@@ -43,7 +43,7 @@
     not_run_in_time = 'not_run_in_time'
 
 
-#: The status of each refusal; 503 is a promise that nothing has run.
+#: The status of each refusal; 503 promises that the request has not run.
 STATUSES: Mapping[Refusal, int] = MappingProxyType(
     {
         Refusal.no_configuration: 503,
@@ -67,7 +67,7 @@
 
 @dataclass(frozen=True)
 class StoredAnswer:
-    """A target's whole answer, kept to be passed on."""
+    """A target's complete answer, stored to be forwarded later."""
 
     head: Head
     body: bytes
@@ -77,15 +77,16 @@
 class Job:
     """One request in progress.
 
-    `last_event` is the id of the last event that the caller was sent, at the
-    instant `last_event_at`; the first one was sent at `first_event_at`, and the
-    longest pause since then took `longest_s`.  `fallback` is a target's
-    failure that is passed on if nothing better comes.
-    `writing` is true from before the first byte of a sending leaves until its
-    ending stands in the history.  `has_repeat` says that a repeat was taken
-    from the budget before the target was left.  `is_trial` says that one target
-    may get the request though quarantined.  `come_back_s` is when there may
-    be room for it, where it is refused.
+    `last_event_id` is the id of the last event sent to the caller, at the time
+    `last_event_at`; the first event was sent at `first_event_at`, and
+    `longest_pause_s` is the longest pause between events so far.  `fallback` is
+    a target's error response, which is forwarded if no attempt succeeds.
+    `is_writing` is true from before the first byte of an attempt is written
+    until its ending is in the history.  `has_reserved_retry` is true if a retry
+    was taken from the budget before the target was given up.  `is_trial` is
+    true if one target may run the request as a probe although it is
+    quarantined.  `retry_after_s` is the Retry-After of a refusal, without
+    jitter.
     """
 
     call: Call
@@ -108,29 +109,32 @@
 
     @property
     def may_have_run(self) -> bool:
-        """Whether any target may have begun to work on the request."""
+        """Return whether any target may have started to run the request."""
         return self.is_writing or self.history.may_have_run
 
     @property
     def response_begun(self) -> bool:
-        """Whether the caller has a part of its answer: no refusal any more."""
+        """Return whether the caller has a part of the answer.
+
+        The request can't be refused any more.
+        """
         return self.last_event_at is not None
 
     @property
     def resume_after(self) -> str:
-        """The event after which the stream is to go on."""
+        """The id of the event after which the stream resumes."""
         return self.last_event_id or self.call.resume_after
 
     @property
     def priority(self) -> int | None:
-        """The rank of the request: its team's, or else its route's."""
+        """The priority of the request: its team's, or else its route's."""
         if self.team.priority is None:
             return self.route.priority
         return self.team.priority
 
     @property
     def turn(self) -> Turn:
-        """The request as it waits where targets take only so many."""
+        """The request's place in the queue for rate-limited targets."""
         return Turn(
             req_id=self.call.req_id,
             service=self.service,
@@ -140,7 +144,7 @@
         )
 
     def record_event(self, now: float) -> None:
-        """Note that the caller is sent a part of its answer."""
+        """Record that a part of the answer is sent to the caller."""
         if self.last_event_at is None:
             self.first_event_at = now
         else:
@@ -151,24 +155,24 @@
 
     @property
     def timing(self) -> Timing:
-        """The instants that the request is judged by.
+        """The due time and deadlines of the request.
 
-        Its caller leaves after a silence, whether before the first event or
-        between two of them.
+        Its caller disconnects after a silence, before the first event as well
+        as between two events.
         """
         arrived_at = self.call.arrived_at
-        heard_at = self.last_event_at or arrived_at
+        last_sent_at = self.last_event_at or arrived_at
         return Timing(
             arrived_at=arrived_at,
             due=arrived_at + self.route.objective_s,
-            gone=min(self.deadline, heard_at + self.route.patience_s),
+            gone=min(self.deadline, last_sent_at + self.route.patience_s),
             deadline=self.deadline,
             begun=self.may_have_run,
         )
 
     @property
     def ask(self) -> Ask:
-        """The request as the decisions take it; a plain call has no size."""
+        """The request as input of placement; a plain call has size zero."""
         return Ask(
             req_id=self.call.req_id,
             size=self.call.size or PromptSize(0, 0),
--- a/trestledock/entry/_loads.py
+++ b/trestledock/entry/_loads.py
@@ -2,8 +2,8 @@
 Loads of other data centres
 ===========================
 
-Asks entries of other data centres, when a prompt needs it, what the targets
-there have to do, and answers those that ask.
+Queries entries of other data centres for the loads of their targets when a
+prompt needs it, and answers their queries.
 """
 
 import json
@@ -23,27 +23,27 @@
 from trestledock.relay import Flight, Load, summarize
 
 LOAD_PATH = '/load'
-#: The data centre of who asks, whose own flights it knows.
+#: The data centre of the querying entry, which knows the flights of its own
+#: entries.
 DATA_CENTRE_FIELD = 'from'
-#: How long an answer is waited for, in seconds: some twenty times the way there
-#: and back between data centres, and a hundredth of what the prompts wait for
-#: that ask.
+#: The timeout of a query, in seconds: some twenty round trips between data
+#: centres, and a hundredth of what the prompts that need it wait.
 TIMEOUT_S = 0.06
-#: How many data centres are asked, drawn anew each time: the better one of two
-#: is nearly as good as the best of all, for half of the questions where there
+#: How many data centres are queried, drawn at random each time: the better of
+#: two is nearly as good as the best of all, for half of the queries where there
 #: are four others.
 MAX_ASKED = 2
-#: For how long a data centre that did not answer is left alone, in seconds:
-#: each prompt that waits would ask it ten times a second while it is cut off.
+#: How long a data centre that did not answer is not queried, in seconds: each
+#: waiting prompt would query it ten times a second while it is cut off.
 RETRY_INTERVAL_S = 1.0
 LONG_AGO = float('-inf')
 
 
 class LoadExchange:
-    """Asks other data centres for their loads, and answers those that ask."""
+    """Queries the loads of other data centres, and answers queries."""
 
     def __init__(self, state: EntryState, gossip: Gossip) -> None:
-        """Ask whom the gossip knows, and answer by what it has told."""
+        """Store the state and the gossip that knows the other entries."""
         self.state = state
         self.gossip = gossip
         self._asking: anyio.Event | None = None
@@ -51,9 +51,9 @@
         state.learn_loads = self.learn
 
     async def learn(self) -> None:
-        """Know the loads of the other data centres, those that answer.
+        """Query the loads of other data centres.
 
-        Several prompts that need them at the same moment share the answers.
+        Prompts that need them at the same time share the answers.
         """
         if self._asking:
             await self._asking.wait()
@@ -61,67 +61,71 @@
         self._asking = anyio.Event()
         try:
             async with anyio.create_task_group() as group:
-                for place, where in self._choose_peers().items():
-                    group.start_soon(self._ask, place, where)
+                for data_centre, addresses in self._choose_peers().items():
+                    group.start_soon(self._ask, data_centre, addresses)
         finally:
             self._asking.set()
             self._asking = None
 
     def make_load(self, asker: str) -> bytes:
-        """Return what the own data centre's targets have to do.
+        """Return the answer to a query: the loads of the local targets.
 
-        What entries of the asking data centre have here is known there.
+        Flights of the querying data centre's entries are left out, as they are
+        known there.
         """
         self.state.catch_up()
         now = anyio.current_time()
-        own = self.state.settings.data_centre
+        local = self.state.settings.data_centre
         targets = {
-            one.incarnation
-            for one in self.state.fleet.targets.values()
-            if one.data_centre == own
+            target.incarnation
+            for target in self.state.fleet.targets.values()
+            if target.data_centre == local
         }
-        known = {
+        left_out = {
             name
             for name, peer in self.gossip.peers.known.items()
             if peer.data_centre == asker
         }
-        flights = self.state.board.get_all_but(known)
+        flights = self.state.board.get_all_but(left_out)
         rows = [
-            write_change(one.flight_id, one, now)
-            for one in summarize(flights, targets, now)
+            write_change(flight.flight_id, flight, now)
+            for flight in summarize(flights, targets, now)
         ]
         return json.dumps({'flights': rows}, separators=(',', ':')).encode()
 
     def _choose_peers(self) -> Mapping[str, Sequence[Address]]:
-        """Return whom to ask: entries of some data centres that answer."""
+        """Return entries to query in some data centres that answer."""
         now = anyio.current_time()
         far = self.gossip.neighbours.get_far(many=self.state.many_entries)
         answering = [
-            place
-            for place in far
-            if now - self._silent_at.get(place, LONG_AGO) >= RETRY_INTERVAL_S
+            data_centre
+            for data_centre in far
+            if now - self._silent_at.get(data_centre, LONG_AGO)
+            >= RETRY_INTERVAL_S
         ]
         self.state.rng.shuffle(answering)
-        return {place: far[place] for place in answering[:MAX_ASKED]}
+        return {name: far[name] for name in answering[:MAX_ASKED]}
 
-    async def _ask(self, place: str, where: Sequence[Address]) -> None:
+    async def _ask(
+        self, data_centre: str, addresses: Sequence[Address]
+    ) -> None:
         query = urlencode({DATA_CENTRE_FIELD: self.state.settings.data_centre})
-        address = self.state.rng.choice(where)
+        address = self.state.rng.choice(addresses)
         asked_at = anyio.current_time()
         try:
             with anyio.fail_after(TIMEOUT_S):
-                plain = await call_peer(address, f'{LOAD_PATH}?{query}')
-            flights = _read_flights(plain, anyio.current_time())
+                answer = await call_peer(address, f'{LOAD_PATH}?{query}')
+            flights = _read_flights(answer, anyio.current_time())
         except CALL_ERRORS as exc:
-            self._silent_at[place] = asked_at
-            emit(events.LoadLost(place, repr(exc)))
+            self._silent_at[data_centre] = asked_at
+            emit(events.LoadLost(data_centre, repr(exc)))
             return
-        self._silent_at.pop(place, None)
-        self.state.loads[place] = Load(asked_at, flights)
-        self.state.board.set_elsewhere(place, flights)
+        self._silent_at.pop(data_centre, None)
+        self.state.loads[data_centre] = Load(asked_at, flights)
+        self.state.board.set_elsewhere(data_centre, flights)
 
 
-def _read_flights(plain: Mapping[str, Any], now: float) -> tuple[Flight, ...]:
-    """Return the flights of an answer, or raise where it makes no sense."""
-    changes = [read_change(row, now) for row in read_list(plain['flights'])]
+def _read_flights(answer: Mapping[str, Any], now: float) -> tuple[Flight, ...]:
+    """Return the flights of an answer; raise if it is invalid."""
+    changes = [read_change(row, now) for row in read_list(answer['flights'])]
     return tuple([flight for _, flight in changes if flight])
--- a/trestledock/entry/_peer_calls.py
+++ b/trestledock/entry/_peer_calls.py
@@ -1,9 +1,9 @@
 """
-Calls of other entries
-======================
+Calls between entries
+=====================
 
-Questions between entries that a datagram has no room for: one HTTP request on a
-connection of its own, answered with a JSON object.
+Requests between entries whose answers don't fit into a datagram: one HTTP
+request on a connection of its own, answered with a JSON object.
 """
 
 import json
@@ -13,7 +13,7 @@
 from trestledock.entry._wire import Wire, WireError
 
 OK = 200
-#: What a call raises that fails, or whose answer makes no sense.
+#: The exceptions of a call that fails or has an invalid answer.
 CALL_ERRORS = (
     WireError,
     TimeoutError,
@@ -25,7 +25,7 @@
 
 
 async def call_peer(address: Address, path: str) -> dict[str, Any]:
-    """Return the object with which an entry answers a question.
+    """Return the JSON object with which another entry answers.
 
     Raises one of `BAD_ANSWER`.
     """
@@ -38,8 +38,8 @@
     finally:
         await wire.close()
     if head.status != OK:
-        raise ValueError(f'status {head.status}')
-    plain = json.loads(body)
-    if not isinstance(plain, dict):
-        raise ValueError('no object')
-    return plain
+        raise ValueError(f'unexpected status {head.status}')
+    answer = json.loads(body)
+    if not isinstance(answer, dict):
+        raise ValueError('answer is not a JSON object')
+    return answer
--- a/trestledock/entry/_pool.py
+++ b/trestledock/entry/_pool.py
@@ -1,9 +1,9 @@
 """
-Pools of connections
-====================
+Connection pool
+===============
 
-Idle connections by incarnation of a target.  Each idle connection is watched:
-one that closes or gets bytes that belong to no request is thrown away at once.
+Idle connections to targets, by incarnation.  Each idle connection is watched,
+and discarded as soon as it closes or receives bytes that belong to no request.
 """
 
 from collections import defaultdict
@@ -15,13 +15,13 @@
 from trestledock.entry._wire import Wire, WireError
 from trestledock.relay import Listed, Sign
 
-#: How long a connection may be idle where the target does not say, in seconds.
+#: How long a connection is kept idle unless the target says, in seconds.
 IDLE_S = 4.0
-#: How long before a target's own timeout a connection is dropped, in seconds.
+#: How long before the target's own timeout a connection is closed, in seconds.
 IDLE_MARGIN_S = 0.6
 
-#: How long a connection has to stay open to show that its target lives, in
-#: seconds, and how many are tried: a target resets those that are too many.
+#: How long a new connection must stay open to show that its target runs, in
+#: seconds, and how many are tried: a target resets connections above its limit.
 CHECK_OPEN_S = 0.03
 MAX_CHECKS = 3
 
@@ -30,7 +30,7 @@
 
 @dataclass
 class _Idle:
-    """An idle connection with its watcher and the end of its life."""
+    """An idle connection with its watcher and its expiry time."""
 
     wire: Wire
     until: float
@@ -38,7 +38,7 @@
     watch_ended: anyio.Event
 
     async def stop_watching(self) -> None:
-        """Return once nobody else reads from the connection."""
+        """Stop the watcher, and wait until it no longer reads."""
         self.watcher.cancel()
         await self.watch_ended.wait()
 
@@ -47,15 +47,15 @@
     """The connections of one process to its targets."""
 
     def __init__(self, spawn: Spawn) -> None:
-        """Keep the way to watch idle connections in the background."""
+        """Store the function that starts background tasks."""
         self._spawn = spawn
         self._idle: dict[str, list[_Idle]] = defaultdict(list)
 
     async def take(self, target: Listed) -> Wire:
         """Return an idle connection or a new one."""
-        waiting = self._idle[target.incarnation]
-        while waiting:
-            idle = waiting.pop()
+        idle_wires = self._idle[target.incarnation]
+        while idle_wires:
+            idle = idle_wires.pop()
             await idle.stop_watching()
             if not idle.wire.broken and idle.until > anyio.current_time():
                 return idle.wire
@@ -63,11 +63,11 @@
         return await Wire.connect(target.address)
 
     async def look(self, target: Listed) -> Sign:
-        """Connect to a target once more; return what is seen of it.
+        """Connect to a target again; return the evidence of a failure.
 
-        A process that ends closes its sockets one after the other, so what it
-        still accepts is watched for a moment.  A connection that stays open is
-        kept for the next request.
+        A process that exits closes its sockets one after the other, so an
+        accepted connection is watched for a moment.  A connection that stays
+        open is kept for the next request.
         """
         for _ in range(MAX_CHECKS):
             try:
@@ -80,9 +80,10 @@
         return Sign.closed
 
     async def give(self, target: Listed, wire: Wire, idle_s: float) -> None:
-        """Take a connection back after an answer.
+        """Return a connection to the pool after an answer.
 
-        It is closed where `idle_s` is zero, or where something is left on it.
+        It is closed if `idle_s` is zero or it can't be reused, for example for
+        unread bytes.
         """
         if idle_s <= 0 or not wire.recycle():
             await wire.close()
@@ -90,7 +91,7 @@
         self._store(target, wire, idle_s)
 
     def drop(self, incarnation: str) -> None:
-        """Close the idle connections to an incarnation that has gone."""
+        """Close the idle connections to an incarnation."""
         for idle in self._idle.pop(incarnation, []):
             idle.watcher.cancel()
             self._spawn(idle.wire.close)
@@ -102,32 +103,32 @@
         self._spawn(self._watch, target.incarnation, idle)
 
     async def _stays_open(self, wire: Wire) -> bool:
-        """Whether a connection stays open for a moment; else it is closed."""
-        settled = False
+        """Return whether a connection stays open; close it if it does not."""
+        stayed_open = False
         try:
             with anyio.move_on_after(CHECK_OPEN_S) as scope:
                 await wire.wait_for_surplus()
-            settled = scope.cancelled_caught
+            stayed_open = scope.cancelled_caught
         finally:
-            if not settled:
+            if not stayed_open:
                 await wire.close()
-        return settled
+        return stayed_open
 
     async def _watch(self, incarnation: str, idle: _Idle) -> None:
-        left_s = max(0, idle.until - anyio.current_time())
+        remaining_s = max(0, idle.until - anyio.current_time())
         try:
-            with idle.watcher, anyio.move_on_after(left_s):
+            with idle.watcher, anyio.move_on_after(remaining_s):
                 await idle.wire.wait_for_surplus()
         finally:
             idle.watch_ended.set()
-        waiting = self._idle.get(incarnation, [])
-        if idle in waiting:
-            waiting.remove(idle)
+        idle_wires = self._idle.get(incarnation, [])
+        if idle in idle_wires:
+            idle_wires.remove(idle)
             await idle.wire.close()
 
 
 def get_idle_s(keep_alive: str, connection: str) -> float:
-    """Return how long a connection may be kept, by an answer's headers.
+    """Return how long a connection may idle, from an answer's headers.
 
     >>> get_idle_s('timeout=5', ''), get_idle_s('', 'close')
     (4.4, 0)
--- a/trestledock/entry/_relaying.py
+++ b/trestledock/entry/_relaying.py
@@ -1,10 +1,9 @@
 """
-Relaying
-========
+Request relaying
+================
 
-The life of a relayed request: admitted, placed, sent, and answered, repeated
-elsewhere or given up.  Whatever happens, the caller gets one final answer
-within its time.
+Takes a request through admission, placement and one or more attempts.  In every
+case the caller gets exactly one final answer before its deadline.
 """
 
 from http import HTTPStatus
@@ -30,19 +29,20 @@
     get_worth,
 )
 
-#: When to come back after a refusal, in seconds and at least, before jitter.
+#: The smallest Retry-After of a refusal, in seconds, before jitter.
 RETRY_AFTER_S = 0.25
-#: The most that is added to it by chance, in seconds.
+#: The largest random addition to Retry-After, in seconds.
 RETRY_AFTER_JITTER_S = 0.25
-#: The pause before what was not sent is tried again, in seconds.
+#: The pause before a request that was not sent is tried again, in seconds.
 RESEND_PAUSE_S = 0.1
-#: Refusals in whose place a target's own failure is told: it is the truer word.
+#: Refusals that are replaced by a target's own error response where there is
+#: one, as that describes the failure better.
 FAILURE_REFUSALS = frozenset((Refusal.failed, Refusal.timeout))
 MS = 1000
 
 
 class Relayer:
-    """Relays calls for one entry process."""
+    """Relays the requests of one entry process."""
 
     def __init__(
         self,
@@ -50,13 +50,13 @@
         dialect: Dialect,
         sender: Sender,
     ) -> None:
-        """Keep the state, the platform's formats and the way to targets."""
+        """Store the state, the platform's formats and the sender."""
         self.state = state
         self.dialect = dialect
         self.sender = sender
 
     async def relay(self, call: Call, reply: Reply) -> None:
-        """Give a call its final answer, or raise `CutReply`."""
+        """Send the final answer to a call, or raise `CutReply`."""
         job = admit(self.state, call, anyio.current_time())
         if isinstance(job, Refusal):
             await self._refuse(call, reply, job)
@@ -68,16 +68,16 @@
             with self.state.keep_unanswered(reply, scope):
                 await self._run(job, reply)
         if scope.cancelled_caught:
-            over = anyio.current_time() >= job.deadline
-            reason = Refusal.timeout if over else Refusal.failed
+            expired = anyio.current_time() >= job.deadline
+            reason = Refusal.timeout if expired else Refusal.failed
             await self._end_unanswered(job, reply, reason)
 
     async def refuse_late(self, call: Call, reply: Reply) -> None:
-        """Refuse a call that comes too late to be relayed."""
+        """Refuse a call that arrives too late in the shutdown to be relayed."""
         await self._refuse(call, reply, Refusal.not_run)
 
     async def _run(self, job: Job, reply: Reply) -> None:
-        """Send to one target after the other until one has answered."""
+        """Try one target after another until one has answered."""
         while True:
             placement = await select(self.state, job)
             refusal = recheck(self.state, job)
@@ -109,19 +109,19 @@
         placement: Placement,
         reply: Reply,
     ) -> Sending:
-        began_at = anyio.current_time()
+        started_at = anyio.current_time()
         sending = await self.sender.send(job, placement, reply)
         job.history = job.history.add(sending)
         job.is_writing = False
         if sending.ending is Ending.answered:
             self.state.isolation.note_answered(job.fingerprint)
         _exclude_targets(job, placement, sending)
-        took_ms = round((anyio.current_time() - began_at) * MS)
+        took_ms = round((anyio.current_time() - started_at) * MS)
         _log_ending(job, sending, took_ms)
         return sending
 
     async def _may_retry(self, job: Job) -> bool:
-        """Whether to go on elsewhere; an answer that has begun waits for it."""
+        """Return whether to retry; a begun answer waits for the budget."""
         if (
             job.response_begun
             and job.history.sendings[-1].ending is Ending.not_sent
@@ -141,10 +141,11 @@
         return True
 
     async def _may_resend(self, job: Job) -> bool:
-        """Whether what was not sent is tried again, however often that was.
+        """Return whether to retry an attempt that sent nothing.
 
-        An answer that has begun has nothing to lose by it; a moment's pause
-        keeps targets that refuse connections from using up its time.
+        There is no limit on the number: a begun answer loses nothing by it.
+        The pause keeps a target that refuses connections from being tried in a
+        tight loop until the deadline.
         """
         if not job.history.may_run_again(job.route):
             return False
@@ -162,7 +163,7 @@
     async def _end_unanswered(
         self, job: Job, reply: Reply, reason: Refusal
     ) -> None:
-        """End a request that no target answered."""
+        """Finish a request that no target answered."""
         if reply.started:
             emit(events.Cut(job.call.req_id, reason.value))
             raise CutReply(reason.value)
@@ -197,21 +198,21 @@
                 sendings=len(job.history.sendings) if job else 0,
             ),
         )
-        come_back_s = max(RETRY_AFTER_S, job.retry_after_s if job else 0)
-        headers = self._make_headers(reason, come_back_s)
+        retry_after_s = max(RETRY_AFTER_S, job.retry_after_s if job else 0)
+        headers = self._make_headers(reason, retry_after_s)
         await reply.start(STATUSES[reason], headers)
         await reply.finish()
 
-    def _make_headers(self, reason: Refusal, come_back_s: float) -> Headers:
+    def _make_headers(self, reason: Refusal, retry_after_s: float) -> Headers:
         headers: Headers = ((b'content-length', b'0'),)
         if STATUSES[reason] != HTTPStatus.SERVICE_UNAVAILABLE:
             return headers
         jitter_s = self.state.rng.uniform(0, RETRY_AFTER_JITTER_S)
-        after = f'{come_back_s + jitter_s:.2f}'
-        return (*headers, (b'retry-after', after.encode()))
+        retry_after = f'{retry_after_s + jitter_s:.2f}'
+        return (*headers, (b'retry-after', retry_after.encode()))
 
     def _log_admitted(self, job: Job) -> None:
-        left_s = job.deadline - job.call.arrived_at
+        remaining_s = job.deadline - job.call.arrived_at
         emit(
             events.Admitted(
                 req=job.call.req_id,
@@ -219,7 +220,7 @@
                 service=job.service,
                 team=job.team.team,
                 version=self.state.version,
-                left_ms=round(left_s * MS),
+                left_ms=round(remaining_s * MS),
                 objective_ms=round(job.route.objective_s * MS),
                 pause_ms=round(job.route.pause_s * MS),
                 worth=round(get_worth(job.ask.size), 2),
@@ -231,14 +232,17 @@
 def _choose_refusal(
     refusal: Refusal | None, placement: Placement | Refusal
 ) -> Refusal:
-    """Return the refusal that came of checking or else of selecting."""
+    """Return the refusal of the recheck, or else that of the selection."""
     if refusal is None and isinstance(placement, Refusal):
         return placement
     return refusal or Refusal.no_target
 
 
 def _weaken_refusal(job: Job, reason: Refusal) -> Refusal:
-    """Return the refusal that says no more than what is known to be true."""
+    """Return a refusal that claims no more than is known.
+
+    Only a request that no target can have run gets a status that promises so.
+    """
     if job.may_have_run:
         return Refusal.timeout if reason is Refusal.timeout else Refusal.failed
     if reason is Refusal.timeout:
@@ -247,16 +251,16 @@
 
 
 def _exclude_targets(job: Job, placement: Placement, sending: Sending) -> None:
-    """Remember which targets the next sending should keep away from.
+    """Exclude the targets of a failed attempt from the next one.
 
-    Who is at fault in a rejection is noted where the answer is read; silence
-    may be anybody's who was involved.
+    The target at fault in a rejection is excluded where the answer is read.  A
+    lost attempt may be the fault of any target involved, helpers included.
     """
     if sending.ending is Ending.rejected:
         return
     job.tried.add(placement.target.incarnation)
     if sending.ending is Ending.lost:
-        job.tried.update(one.incarnation for one in placement.helpers)
+        job.tried.update(helper.incarnation for helper in placement.helpers)
 
 
 def _log_ending(job: Job, sending: Sending, took_ms: int) -> None:
--- a/trestledock/entry/_reply.py
+++ b/trestledock/entry/_reply.py
@@ -1,9 +1,9 @@
 """
-Replies
-=======
+Replies to callers
+==================
 
-The way back to a caller: nothing yet, begun, or finished.  A reply that was
-begun and can't be finished is cut, so that it can't look complete.
+A reply is not started, started or finished.  A started reply that can't be
+finished is cut by closing the connection, so that it can't look complete.
 """
 
 from typing import Any, Awaitable, Callable
@@ -14,7 +14,7 @@
 
 
 class CutReply(Exception):
-    """A reply can't be completed; the connection has to be closed."""
+    """A reply can't be completed; its connection must be closed."""
 
 
 class Reply:
@@ -25,7 +25,7 @@
         send: Send,
         is_draining: Callable[[], bool] = bool,
     ) -> None:
-        """Keep where to send, and whether connections should be closed."""
+        """Store the ASGI `send`, and the check for closing connections."""
         self._send = send
         self._is_draining = is_draining
         self.status = 0
@@ -33,7 +33,7 @@
 
     @property
     def started(self) -> bool:
-        """Whether the caller has got a status."""
+        """Return whether the caller has been sent a status."""
         return bool(self.status)
 
     async def start(self, status: int, headers: Headers) -> None:
--- a/trestledock/entry/_selecting.py
+++ b/trestledock/entry/_selecting.py
@@ -1,9 +1,9 @@
 """
-Selecting a target
-==================
+Target selection
+================
 
-Waits, where that pays, until a request can be placed without harm to it or to
-others, and says where it goes.
+Chooses the target of a request.  Waits, where that pays, until the request can
+be placed without a cost to itself or to others.
 """
 
 from dataclasses import replace
@@ -35,14 +35,15 @@
     pick_cheapest,
 )
 
-#: How many targets of the own data centre suffice where entries are many.
+#: With many entries, this many targets in the local data centre suffice.
 MIN_LOCAL_TARGETS = 8
-#: One in how many sound targets must be left for the others to be avoided.
+#: Targets already tried are avoided while at least one healthy target in this
+#: many is untried.
 MIN_UNTRIED_DIVISOR = 4
-#: When a caller comes back where all targets of a service leave, in seconds:
-#: starting the next one takes longer than a moment.
+#: Retry-After where all targets of a service are draining, in seconds: the
+#: replacements need time to start.
 SUCCESSOR_START_S = 1.0
-#: The refusal that each decision against a request means.
+#: The refusal for each decision against a request.
 REFUSALS: Mapping[Decision, Refusal] = MappingProxyType(
     {
         Decision.no_target: Refusal.no_target,
@@ -54,15 +55,15 @@
 
 
 def make_flight(job: Job, placement: Placement, now: float) -> Flight:
-    """Return what the board is told of a sending."""
+    """Return the load table entry of an attempt."""
     return job.ask.make_flight(placement, Phase.reading, now)
 
 
 async def select(state: EntryState, job: Job) -> Placement | Refusal:
-    """Return where a request goes, or why it can't go anywhere.
+    """Return the placement of a request, or the refusal.
 
-    An answer that has begun can't be refused, only cut: it waits for a place
-    for as long as its caller does.
+    A request whose answer has begun can no longer be refused, only cut, so it
+    waits for a placement as long as its caller does.
     """
     try:
         return await _select_in_turn(state, job)
@@ -95,7 +96,7 @@
     chosen: Placement | Refusal | None,
     now: float,
 ) -> bool:
-    """Whether to ask other data centres before a request is placed."""
+    """Return whether to query other data centres' loads before placement."""
     if not state.many_entries or job.call.size is None:
         return False
     if state.get_loads(now):
@@ -105,21 +106,21 @@
 
 
 def has_alternative(state: EntryState, job: Job, peer: str) -> bool:
-    """Whether another target than `peer` would take a request now.
+    """Return whether a target other than `peer` would take a request now.
 
-    One that is suspect, or was silent and has not answered since, is no such
-    target: others find out whether it is back.
+    A target that is suspect, or was silent and has not answered since, does not
+    count: other requests find out whether it has recovered.
     """
     now = anyio.current_time()
     elsewhere = replace(job, tried={*job.tried, peer})
     chosen = _select_now(state, elsewhere, now)
     if not isinstance(chosen, Placement):
         return False
-    one = chosen.target
-    if one.incarnation == peer or state.health.is_silent(one.incarnation):
+    target = chosen.target
+    if target.incarnation == peer or state.health.is_silent(target.incarnation):
         return False
     return not state.health.is_suspect(
-        one.incarnation, now, one.data_centre, small=job.ask.is_small
+        target.incarnation, now, target.data_centre, small=job.ask.is_small
     )
 
 
@@ -128,7 +129,7 @@
     job: Job,
     now: float,
 ) -> Placement | Refusal | None:
-    """Return a choice, or None where it is better to wait."""
+    """Return a placement or a refusal, or None to wait."""
     targets = get_candidates(state, job, now)
     if not targets and get_restrained(state, job):
         return decide_throttled(state, job, now)
@@ -148,7 +149,7 @@
     chosen = pick_cheapest(options)
     if isinstance(chosen, Placement):
         return chosen
-    # Nothing elsewhere is better: what binds is the own data centre.
+    # Nothing elsewhere is better: the local data centre's decision applies.
     job.retry_after_s = chosen.come_back_s
     return REFUSALS.get(chosen.decision)
 
@@ -156,74 +157,80 @@
 def _group_by_data_centre(
     state: EntryState, targets: Sequence[Listed], job: Job
 ) -> list[Sequence[Listed]]:
-    """Return the targets among which a request is placed, the own ones first.
+    """Group targets by data centre, the local one first.
 
-    Where other data centres were asked, a plan stays within one of them: a cut
-    of any that it touches would end it.
+    A large prompt stays within one data centre, since a network cut of any data
+    centre involved would end it.  A single group is returned where the entries
+    are few, the prompt is small, or a data centre has too few targets.
     """
     if not state.many_entries or job.ask.is_small:
         return [targets]
-    own = state.settings.data_centre
-    groups: dict[str, list[Listed]] = {own: []}
-    for one in targets:
-        groups.setdefault(one.data_centre, []).append(one)
+    local = state.settings.data_centre
+    groups: dict[str, list[Listed]] = {local: []}
+    for target in targets:
+        groups.setdefault(target.data_centre, []).append(target)
     if any(len(group) < MIN_LOCAL_TARGETS for group in groups.values()):
         return [targets]
     return list(groups.values())
 
 
 def get_candidates(state: EntryState, job: Job, now: float) -> list[Listed]:
-    """Return the targets that may get the request, better ones if any."""
+    """Return the targets that may get the request.
+
+    Healthy and untried targets are preferred where there are enough.
+    """
     usable = _get_available(state, job, now)
     small = job.ask.is_small
-    sound = [
-        one
-        for one in usable
+    healthy = [
+        target
+        for target in usable
         if not state.health.is_suspect(
-            one.incarnation, now, one.data_centre, small=small
+            target.incarnation, now, target.data_centre, small=small
         )
     ]
-    fresh = [one for one in sound if one.incarnation not in job.tried]
-    if len(fresh) * MIN_UNTRIED_DIVISOR < len(sound):
-        return sound or usable
-    return fresh or usable
+    untried = [
+        target for target in healthy if target.incarnation not in job.tried
+    ]
+    if len(untried) * MIN_UNTRIED_DIVISOR < len(healthy):
+        return healthy or usable
+    return untried or usable
 
 
 def _is_throttled(state: EntryState, job: Job, now: float) -> bool:
-    """Whether a request waits for nothing but restrained targets."""
+    """Return whether a request waits only for restrained targets."""
     if not state.throttle.restrains_any or get_candidates(state, job, now):
         return False
     return bool(get_restrained(state, job))
 
 
 def _get_available(state: EntryState, job: Job, now: float) -> list[Listed]:
-    """Return the targets that may get a request now, near ones if any."""
-    near = _get_local_targets(state, job, now)
-    free = get_available(state, job, near, now)
-    if free:
-        return free
+    """Return the targets that may get a request now, local ones if any."""
+    local = _get_local_targets(state, job, now)
+    available = get_available(state, job, local, now)
+    if available:
+        return available
     usable = list(state.fleet.get_usable(job.service))
     return get_available(state, job, usable, now)
 
 
 def _get_local_targets(state: EntryState, job: Job, now: float) -> list[Listed]:
-    """Return the usable targets, of the own data centre where those suffice.
+    """Return the usable targets, only local ones where these suffice.
 
-    Where there are many entries, those elsewhere are told too late of this
-    one's requests to share targets well; for a prompt that asked them what
-    their targets have to do these count as well.
+    With many entries, entries of other data centres learn of this entry's
+    requests too late to share targets well.  A large prompt may also use the
+    data centres whose loads were queried for it.
     """
     usable = list(state.fleet.get_usable(job.service))
     if not state.many_entries:
         return usable
-    known = set() if job.ask.is_small else state.get_loads(now)
-    places = {state.settings.data_centre, *known}
-    near = [one for one in usable if one.data_centre in places]
-    return near if len(near) >= MIN_LOCAL_TARGETS else usable
+    queried = set() if job.ask.is_small else state.get_loads(now)
+    data_centres = {state.settings.data_centre, *queried}
+    local = [target for target in usable if target.data_centre in data_centres]
+    return local if len(local) >= MIN_LOCAL_TARGETS else usable
 
 
 def get_engine(state: EntryState, job: Job) -> EngineModel | None:
-    """Return what runs a request, None for what is no engine."""
+    """Return the engine model of a request's service, None if it has none."""
     if state.catalog is None:
         return None
     service = state.catalog.services.get(job.service)
--- a/trestledock/entry/_sending.py
+++ b/trestledock/entry/_sending.py
@@ -1,10 +1,11 @@
 """
-Sending to one target
-=====================
+Attempts
+========
 
-One sending of a request: the flight is put on the board, memory is reserved
-where the prompt needs it, the request is written and its answer received.
-Whatever happens, nothing of it stays behind.
+One attempt to have a target run a request: the request enters the load table,
+memory is reserved where the prompt needs it, the request is written and the
+answer received.  The load table entry and the reservations are removed on every
+path.
 """
 
 import anyio
@@ -37,7 +38,7 @@
 
 
 class Sender:
-    """Sends requests for one entry process."""
+    """Sends the requests of one entry process."""
 
     def __init__(
         self,
@@ -46,7 +47,7 @@
         dialect: Dialect,
         tickets: Tickets,
     ) -> None:
-        """Keep the state, the connections and the platform's formats."""
+        """Store the state, the connections and the platform's formats."""
         self.state = state
         self.pool = pool
         self.dialect = dialect
@@ -59,7 +60,7 @@
         placement: Placement,
         reply: Reply,
     ) -> Sending:
-        """Send a request to a target and pass its answer on."""
+        """Send a request to a target and forward the answer."""
         now = anyio.current_time()
         flight = make_flight(job, placement, now)
         self._log_placed(job, placement, now)
@@ -92,18 +93,20 @@
     def _get_known_flights(
         self, flight: Flight, placement: Placement
     ) -> set[str] | None:
-        """Return what a claim reckons with; None for what needs no claim."""
+        """Return the flights known at placement; None if no claim is needed."""
         claims = self.state.placer.terms.claims
         if not claims or not needs_claim(placement, flight.worth):
             return None
-        return {one.flight_id for one in self.state.board.get_beside(flight)}
+        return {
+            other.flight_id for other in self.state.board.get_beside(flight)
+        }
 
     async def _claim(
         self, flight: Flight, known: set[str] | None
     ) -> Flight | None:
-        """Have others know of a long prompt before it is sent.
+        """Announce a long prompt to the other entries before it is sent.
 
-        Return what goes before it at an engine, if anything does.
+        Return the flight that takes precedence at one of its engines, if any.
         """
         if known is None:
             return None
@@ -141,11 +144,11 @@
         return await self._write_and_receive(job, placement, reply, held, wire)
 
     def _find_obstacle(self, job: Job, placement: Placement) -> Sending | None:
-        """Return why nothing may be written, as it is known by now.
+        """Return the failed attempt if the request must not be written now.
 
-        Reserving memory and connecting take up to a second, in which a key may
-        be taken away, a route may move to another service, or a target may
-        leave.
+        Reserving memory and connecting take up to a second, in which the key
+        may be revoked, the route may move to another service, or a target may
+        start to drain.
         """
         refusal = recheck(self.state, job)
         if refusal:
@@ -154,17 +157,17 @@
             return Sending(
                 Ending.not_sent, 'moved', placement.target.incarnation
             )
-        for one in placement.engaged:
-            if not self.state.fleet.is_usable(one.incarnation):
-                return Sending(Ending.not_sent, 'left', one.incarnation)
+        for target in placement.engaged:
+            if not self.state.fleet.is_usable(target.incarnation):
+                return Sending(Ending.not_sent, 'left', target.incarnation)
         return None
 
     def _consume_quota(self, job: Job, placement: Placement) -> Sending | None:
-        """Take the request's part of what its targets take a second.
+        """Take the request's share of the rate limits of its targets.
 
-        Return why nothing may be written, where nothing is left of it: others
-        may have been faster, or a target may have asked for less, or for rest,
-        meanwhile.
+        Return the failed attempt if a limit is exhausted or a target backs
+        off: since the placement other requests may have used up the limit, or
+        the target may have lowered it or asked for a back-off.
         """
         now = anyio.current_time()
         engaged = placement.engaged
@@ -185,7 +188,7 @@
         held: dict[str, str],
         wire: Wire,
     ) -> Sending:
-        """Write the request and take the answer on an open connection."""
+        """Write the request and receive the answer on an open connection."""
         peer = placement.target.incarnation
         idle_s: float = 0
         asked_at = anyio.current_time()
@@ -197,7 +200,7 @@
             )
         except WireError as exc:
             self.state.health.note_failure(peer, anyio.current_time())
-            # Connections that go silent do so together, while new ones work.
+            # Idle connections fall silent together, while new ones work.
             self.pool.drop(peer)
             await self._report_lost(job, placement, exc.sign)
             return Sending(Ending.lost, exc.step, peer, exc.detail, exc.sign)
@@ -208,10 +211,11 @@
     async def _report_lost(
         self, job: Job, placement: Placement, sign: Sign
     ) -> None:
-        """Have it found out whether a target has ended under a request.
+        """Have the cause checked: a target may have crashed on the request.
 
-        Once the answer has begun, those that helped to read it are done.  A
-        caller that leaves, or a deadline, would leave an end uncounted.
+        Helpers are done once the answer has begun.  The check is shielded:
+        otherwise a disconnect of the caller, or the deadline, would leave a
+        crash uncounted.
         """
         helpers = () if job.response_begun else placement.helpers
         with anyio.CancelScope(shield=True):
@@ -226,11 +230,11 @@
         held: dict[str, str],
         wire: Wire,
     ) -> None:
-        left_s = job.deadline - anyio.current_time()
+        remaining_s = job.deadline - anyio.current_time()
         passing = Passing(
             placement=placement,
             team=job.team.team,
-            left_s=left_s,
+            left_s=remaining_s,
             resume_after=job.resume_after,
             tickets=held,
             priority=job.priority,
@@ -253,7 +257,9 @@
             events.Placed(
                 req=job.call.req_id,
                 peer=placement.target.incarnation,
-                helpers=tuple(one.incarnation for one in placement.helpers),
+                helpers=tuple(
+                    helper.incarnation for helper in placement.helpers
+                ),
                 tickets=len(placement.tickets),
                 prompt_tokens=size.prompt_tokens if size else 0,
                 predicted_ms=round(placement.first_s * MS),
--- a/trestledock/entry/_server.py
+++ b/trestledock/entry/_server.py
@@ -2,7 +2,7 @@
 Web server of an entry
 ======================
 
-The listeners, and what becomes of connections when the process ends.
+The listeners, and the handling of connections at shutdown.
 """
 
 import asyncio
@@ -19,37 +19,39 @@
 from trestledock.entry._logger import emit
 from trestledock.entry._state import EntryState
 
-#: How long an idle connection of a caller is kept beyond the configured time.
+#: The keep-alive of callers' connections, as a multiple of the configured idle
+#: time.
 IDLE_FACTOR = 2.0
-#: How long the server itself waits for the last connection.
+#: How long the server library waits for the last connection, in seconds.
 FOREVER_S = float('inf')
-#: Requests on one connection before it is closed; none in practice.
+#: Requests after which a connection is closed; in practice no limit.
 MAX_REQUESTS = 1_000_000
-#: Bytes of a request's head that may be incomplete.
+#: The largest incomplete head of a request, in bytes.
 MAX_HEAD_BYTES = 65_536
-#: Connections that may wait to be accepted.
+#: The largest number of connections waiting to be accepted.
 BACKLOG = 1024
-#: How long idle connections are kept once the server was asked to stop, in
-#: seconds: above the time that the first request of a connection that was just
-#: taken is on its way.
+#: How long idle connections are kept after the request to stop, in seconds:
+#: longer than the first request on a newly accepted connection takes to arrive.
 LINGER_S = 0.5
 
 
 @dataclass(frozen=True)
 class Server:
-    """The web server: asked to `stop`, it has `ended` with no connection."""
+    """The events of the web server: `stop` requests it to stop.
+
+    `ended` is set once no connection is left.
+    """
 
     stop: anyio.Event = field(default_factory=anyio.Event)
     ended: anyio.Event = field(default_factory=anyio.Event)
 
 
 class LingeringConnection(TCPServer):
-    """A connection that waits for what is on its way before it is closed.
+    """A connection that waits for a request on its way before it is closed.
 
-    The library closes idle connections in the moment at which it is asked to
-    stop, new ones whose first request has not been read included.  A request
-    that comes in time ends the wait and is answered; the connection is closed
-    after that.
+    On a stop the library closes idle connections at once, including new ones
+    whose first request has not been read.  Here a request that arrives in time
+    ends the wait and is answered; then the connection is closed.
     """
 
     async def _idle_timeout(self) -> None:
@@ -59,7 +61,7 @@
         await asyncio.shield(self._initiate_server_close())
 
 
-# The library has no setting for it.
+# The library has no setting for the connection class.
 hypercorn_run.TCPServer = LingeringConnection  # type: ignore[misc]
 
 
@@ -68,7 +70,7 @@
     app: EntryApp,
     server: Server,
 ) -> None:
-    """Serve the application until the server was asked to stop."""
+    """Serve the application until the server is asked to stop."""
     config = Config()
     settings = state.settings
     config.bind = [settings.callers, settings.ready, settings.peers]
@@ -81,7 +83,7 @@
     config.keep_alive_max_requests = MAX_REQUESTS
     config.h11_max_incomplete_size = MAX_HEAD_BYTES
     config.backlog = BACKLOG
-    # `_drain` says when it is over.
+    # `_drain` in `_daemon` limits the wait.
     config.graceful_timeout = FOREVER_S
     state.spawn(_follow_limits, state, config)
     async with anyio.create_task_group() as group:
@@ -93,13 +95,13 @@
     try:
         await serve(app, config, shutdown_trigger=wait_for_stop)  # type: ignore
     except asyncio.InvalidStateError:
-        # The server asks for the result of its own cancelled wait.
+        # The library reads the result of its own cancelled wait.
         emit(events.Failed('server end'))
     server.ended.set()
 
 
 async def _follow_limits(state: EntryState, config: Config) -> None:
-    """Keep idle connections longer than callers reuse them."""
+    """Keep idle connections for longer than callers reuse them."""
     config.keep_alive_timeout = 60
     while True:
         if state.catalog:
--- a/trestledock/entry/_settings.py
+++ b/trestledock/entry/_settings.py
@@ -1,9 +1,8 @@
 """
-Settings of an entry
-====================
+Entry settings
+==============
 
-What an entry process learns about itself and its platform at start.  Times
-are in seconds.
+The settings that an entry process reads at start.  Times are in seconds.
 """
 
 from dataclasses import dataclass, field
@@ -13,14 +12,13 @@
 
 @dataclass(frozen=True)
 class EntrySettings:
-    """The settings; addresses are `IP:PORT`.
+    """The settings of an entry process; addresses are `IP:PORT`.
 
-    `callers` and `ready` are where callers and the balancer come, `peers`
-    where other entries do, `metrics` where metrics are read, if anywhere.
+    `callers`, `ready` and `peers` are the listening addresses for callers, the
+    balancer and other entries, `metrics` the one for metrics, if any.
     `settle_s` is the time within which a change in the store must be in force
-    here; `revoke_s` is how long a key that was taken away may still be served,
-    zero for any time; `grace_s` is the time between the request to stop and the
-    end.
+    here.  `revoke_s` is how long a revoked key may still be served, zero for no
+    limit.  `grace_s` is the time from the request to stop to the exit.
     """
 
     instance: str
--- a/trestledock/entry/_streaming.py
+++ b/trestledock/entry/_streaming.py
@@ -1,9 +1,9 @@
 """
-Passing streams on
-==================
+Stream forwarding
+=================
 
-Passes the events of one target on to the caller, whole ones only, so that
-another target can go on after the last of them.
+Forwards the events of a target to the caller, complete events only, so that
+another target can resume the stream after the last of them.
 """
 
 from typing import AsyncIterator, Callable
@@ -23,12 +23,12 @@
 
 MS = 1000
 
-#: Reads on where a wait for the body was left.
+#: Resumes reading the body after a wait was cancelled.
 IterBody = Callable[[], AsyncIterator[bytes]]
 
 
 class StreamForwarder:
-    """Passes one target's events on, whole ones only."""
+    """Forwards the complete events of one target."""
 
     def __init__(
         self,
@@ -38,7 +38,7 @@
         placement: Placement,
         reply: Reply,
     ) -> None:
-        """Keep the request and where its events go."""
+        """Store the request and the reply that its events go to."""
         self.state = state
         self.dialect = dialect
         self.limits = ResponseTimeouts(state)
@@ -57,7 +57,7 @@
         iter_body: IterBody,
         limit: ResponseTimeout,
     ) -> Sending:
-        """Pass on events until the stream ends."""
+        """Forward events until the stream ends."""
         self.body = iter_body()
         while True:
             raw = await self._read(iter_body, limit)
@@ -72,14 +72,15 @@
         iter_body: IterBody,
         limit: ResponseTimeout,
     ) -> bytes | None:
-        again = limit
+        timeout = limit
         while True:
-            with self.limits.wait(self.job, self.placement, again):
+            with self.limits.wait(self.job, self.placement, timeout):
                 return await anext(self.body, None)
-            # Who might have gone on when the silence began may have gone.
+            # Targets that could have resumed the stream when the silence began
+            # may be unavailable by now.
             if self.limits.may_fail_over(self.job, self.placement):
                 raise self.limits.record_timeout('events', self.peer, limit)
-            again = self.limits.get_recheck_timeout(self.job)
+            timeout = self.limits.get_recheck_timeout(self.job)
             self.body = iter_body()
 
     async def _forward(self, head: Head, raw: bytes) -> None:
@@ -136,7 +137,7 @@
 
 
 def _is_next(event_id: str, last: str) -> bool:
-    """Whether an event follows those that the caller has."""
+    """Return whether an event comes after those that the caller has."""
     if event_id.isdigit() and last.isdigit():
         return int(event_id) > int(last)
     return True
--- a/trestledock/entry/_throttling.py
+++ b/trestledock/entry/_throttling.py
@@ -1,10 +1,10 @@
 """
-Holding requests back
-=====================
+Throttled requests
+==================
 
-What is done where targets take only so many requests a second, or want rest:
-which of them a request may go to now, and whether it waits for its turn or is
-refused at once.
+Handles targets that are at their rate limit or have asked for a back-off: which
+targets a request may go to now, and whether it waits for its turn or is refused
+at once.
 """
 
 from math import inf
@@ -14,28 +14,28 @@
 from trestledock.entry._state import EntryState
 from trestledock.relay import Listed, get_come_back_s
 
-#: The part of its time left that a request may wait for its turn.
+#: The fraction of its remaining time that a request may wait for its turn.
 MAX_WAIT_SHARE = 0.5
-#: Targets that rest from other entries are spared while so large a part of the
-#: free ones is left.
+#: Targets that back off from other entries are avoided while at least this
+#: fraction of the available targets remains.
 MIN_REMAINING_SHARE = 0.5
-#: By which part of it the time is made longer at most, by chance, after which
-#: callers come back that no target takes while all rest.
+#: The largest random increase of Retry-After, as a fraction of it, for callers
+#: that are refused while all targets back off.
 RETRY_AFTER_SPREAD = 0.5
 
 
 def get_available(
     state: EntryState, job: Job, targets: Sequence[Listed], now: float
 ) -> list[Listed]:
-    """Return the targets that may get a request now, as they asked.
+    """Return the targets whose rate limits and back-offs allow a request now.
 
-    Where each of them is restrained, those go first that wait already.
+    If all of these are restrained, requests that wait already go first.
     """
     if not state.throttle.restrains_any:
         return list(targets)
     free = _without_backed_off(
         state,
-        [one for one in targets if state.throttle.is_free(one, now)],
+        [target for target in targets if state.throttle.is_free(target, now)],
         now,
     )
     if all(map(state.throttle.is_restrained, free)):
@@ -46,27 +46,29 @@
 def _without_backed_off(
     state: EntryState, free: list[Listed], now: float
 ) -> list[Listed]:
-    """Return the targets that rest from nobody, if enough of them do.
+    """Return the targets that back off from no entry, if there are enough.
 
-    Else each entry would learn of a rest by a request that is turned away; but
-    too few of them must not get the work of all.
+    Otherwise each entry would learn of a back-off from a rejected request of
+    its own.  But too few targets must not get the requests of all.
     """
-    rested = [one for one in free if not state.throttle.is_spared(one, now)]
-    return rested if len(rested) >= len(free) * MIN_REMAINING_SHARE else free
+    others = [
+        target for target in free if not state.throttle.is_spared(target, now)
+    ]
+    return others if len(others) >= len(free) * MIN_REMAINING_SHARE else free
 
 
 def get_restrained(state: EntryState, job: Job) -> list[Listed]:
     """Return the targets of a request's service that are restrained."""
     usable = state.fleet.get_usable(job.service)
-    return [one for one in usable if state.throttle.is_restrained(one)]
+    return [target for target in usable if state.throttle.is_restrained(target)]
 
 
 def decide_throttled(state: EntryState, job: Job, now: float) -> Refusal | None:
-    """Return why a request is refused that no target takes now; None: it waits.
+    """Return the refusal of a request that no target takes, None to wait.
 
-    It comes back when its turn would have been, or, where this entry has no
-    right to send at all, when its targets will have taken one more.  Those that
-    come back after a rest come at different moments.
+    Retry-After is the time until its turn.  Where this entry has no quota at
+    all, it is the time in which its targets take one more request.  After a
+    back-off it is spread at random, so that callers return at different times.
     """
     restrained = get_restrained(state, job)
     ahead = state.turns.count_ahead(job.turn)
@@ -76,7 +78,7 @@
         return None
     if wait_s == inf:
         wait_s = 1 / state.throttle.get_limit(restrained)
-    if all(state.throttle.is_resting(one, now) for one in restrained):
+    if all(state.throttle.is_resting(target, now) for target in restrained):
         job.retry_after_s = wait_s * state.rng.uniform(
             1, 1 + RETRY_AFTER_SPREAD
         )
--- a/trestledock/entry/_tickets.py
+++ b/trestledock/entry/_tickets.py
@@ -1,11 +1,11 @@
 """
-Memory reserved at engines
-==========================
+Memory reservations
+===================
 
-Tickets for prompts that need the memory of several engines: all or nothing,
-renewed while the request lives, given back on every path.  The lease of a
-ticket is short, so that the tickets of a process that died lapse by
-themselves.
+Reserves memory for prompts that need several engines: at all of them or at
+none.  A reservation is identified by a ticket, renewed while the request is in
+progress, and released on every path.  Its lease is short, so that the
+reservations of a crashed process expire by themselves.
 """
 
 import anyio
@@ -20,30 +20,30 @@
 from trestledock.entry._wire import Head, Wire, WireError
 from trestledock.relay import Listed, Placement
 
-#: The lease of a ticket, in seconds: below the time after which memory that
-#: nobody uses counts as leaked (4 s).
+#: The lease of a reservation, in seconds: below the 4 s after which unused
+#: memory counts as leaked.
 LEASE_S = 3.5
-#: How often a ticket is renewed, in seconds.
+#: The interval between renewals of a reservation, in seconds.
 RENEW_S = 1.2
-#: How long an order may take, in seconds.
+#: The timeout of a control request, in seconds.
 CONTROL_TIMEOUT_S = 0.6
-#: How long a connection that took an order is kept, in seconds.
+#: How long a connection is kept idle after a control request, in seconds.
 CONTROL_IDLE_S = 1.0
-#: How often a ticket is given back before its lease has to end it.
+#: How often a release is tried before it is left to the lease.
 RELEASE_TRIES = 3
 OK = 200
-#: Statuses after which a ticket is given back: another target that has the
-#: address by now (421) holds none.
+#: Statuses that mean that a reservation is released.  At 421 another target has
+#: the address by now, and holds no reservation.
 RELEASED_STATUSES = frozenset((OK, 421))
-#: What stands for the status where no answer came.
+#: The status of a control request without an answer.
 NO_ANSWER = 0
 
 
 class Tickets:
-    """Reserves and gives back memory for one entry process."""
+    """Reserves and releases engine memory for one entry process."""
 
     def __init__(self, state: EntryState, pool: Pool, dialect: Dialect) -> None:
-        """Keep the connections and the platform's formats."""
+        """Store the state, the connections and the platform's formats."""
         self.state = state
         self.pool = pool
         self.dialect = dialect
@@ -57,28 +57,33 @@
         placement: Placement,
         held: dict[str, str],
     ) -> bool:
-        """Fill `held` with tickets by target; False where one is missing.
+        """Reserve memory at all helpers; return False if one refuses.
 
-        What is held must be released by the caller, also after a failure.
+        The tickets are added to `held`, by target.  The caller must release
+        them, also after a failure.
         """
         if not placement.tickets:
             return True
-        by_name = {one.incarnation: one for one in placement.helpers}
+        helpers = {helper.incarnation: helper for helper in placement.helpers}
         async with anyio.create_task_group() as group:
-            for name, tokens in placement.tickets:
+            for incarnation, tokens in placement.tickets:
                 self._count += 1
                 ticket = f'{job.call.req_id}-{self._count}'
                 group.start_soon(
-                    self._reserve_one, by_name[name], ticket, tokens, held
+                    self._reserve_one,
+                    helpers[incarnation],
+                    ticket,
+                    tokens,
+                    held,
                 )
         if len(held) == len(placement.tickets):
             return True
-        asked = len(placement.tickets)
-        emit(events.MemoryRefused(job.call.req_id, len(held), asked))
+        wanted = len(placement.tickets)
+        emit(events.MemoryRefused(job.call.req_id, len(held), wanted))
         return False
 
     def release(self, held: dict[str, str]) -> None:
-        """Give tickets back in the background."""
+        """Release reservations in the background."""
         for ticket in tuple(held.values()):
             scope = self._renewals.pop(ticket, None)
             if scope:
@@ -95,7 +100,7 @@
         held: dict[str, str],
     ) -> None:
         order = self.dialect.make_reserve(ticket, tokens, LEASE_S, holder)
-        # From here on the memory may be set aside, whatever is answered.
+        # From here on the memory may be reserved, whatever the answer is.
         self._holders[ticket] = holder
         held[holder.incarnation] = ticket
         status = await self._send_control(holder, order)
@@ -116,10 +121,10 @@
         ticket: str,
         tokens: int,
     ) -> None:
-        """Renew a ticket until the scope ends, or the target's incarnation.
+        """Renew a reservation until it is released or its target restarts.
 
-        The next incarnation knows nothing of the ticket, and a renewal would
-        set memory aside there for nobody.
+        A new incarnation doesn't know the ticket, and a renewal would reserve
+        memory there that nobody uses.
         """
         with scope:
             while True:
@@ -138,7 +143,7 @@
                 return
 
     async def _send_control(self, holder: Listed, order: Order) -> int:
-        """Give an order; return its status, zero where none came."""
+        """Send a control request; return its status, zero without an answer."""
         try:
             with anyio.fail_after(CONTROL_TIMEOUT_S):
                 head = await self._exchange(holder, order)
--- a/trestledock/entry/_timeouts.py
+++ b/trestledock/entry/_timeouts.py
@@ -1,10 +1,10 @@
 """
-Limits on silence
+Response timeouts
 =================
 
-How long a target may be silent, and what it means when it is: a doubt where it
-was left early, silence, or a cut of the way to its data centre, which ends all
-waits for targets there.
+How long a target may be silent, and what a longer silence is recorded as: a
+doubt after an early failover, a silence of the target, or a network cut of its
+data centre.  A cut ends all waits for targets there.
 """
 
 from contextlib import contextmanager
@@ -26,29 +26,29 @@
     is_held_up,
 )
 
-#: How often it is looked again whether a silent target may be left, in seconds.
+#: The interval of checks whether to fail over from a silent target, in seconds.
 RECHECK_INTERVAL_S = 0.1
 
 
 @dataclass(frozen=True)
 class ResponseTimeout:
-    """How long a target may be silent, and whether that is but a doubt."""
+    """How long a target may be silent, and whether it only casts doubt."""
 
     wait_s: float
     early: bool = False
 
 
 class ResponseTimeouts:
-    """Limits the waits of one entry process."""
+    """Sets the response timeouts of one entry process."""
 
     def __init__(self, state: EntryState) -> None:
-        """Keep the state."""
+        """Store the state."""
         self.state = state
 
     def get_first_timeout(
         self, job: Job, placement: Placement
     ) -> ResponseTimeout:
-        """Return how long a target may be silent before another is asked."""
+        """Return the timeout for the first byte or event of an answer."""
         is_last = self._is_last_option(job)
         may_leave = self.state.budgets.may_leave_early(anyio.current_time())
         early = may_leave and not is_last and not placement.helpers
@@ -61,9 +61,10 @@
         return ResponseTimeout(min(patience_s, _get_remaining_s(job)), early)
 
     def get_pause_timeout(self, job: Job) -> ResponseTimeout:
-        """Return how long a stream may be silent between events.
+        """Return the timeout between the events of a stream.
 
-        The last target that may run it is waited for: nobody else would go on.
+        The last target that may run the request is waited for until the
+        deadline, as no other target may resume it.
         """
         left_s = _get_remaining_s(job)
         if job.history.is_last_run(job.route):
@@ -71,20 +72,20 @@
         return ResponseTimeout(min(get_pause_patience_s(job.route), left_s))
 
     def get_recheck_timeout(self, job: Job) -> ResponseTimeout:
-        """Return when to look again whether a silent target may be left."""
+        """Return how long to wait before the next check for a failover."""
         left_s = _get_remaining_s(job)
         if job.history.is_last_run(job.route):
             return ResponseTimeout(left_s)
         return ResponseTimeout(min(RECHECK_INTERVAL_S, left_s))
 
     def is_wait_over(self, job: Job, placement: Placement) -> bool:
-        """Whether there is nothing more to wait for."""
+        """Return whether the deadline or a network cut ends the wait."""
         now = anyio.current_time()
         peer = placement.target.incarnation
         return not _get_remaining_s(job) or self.state.is_cut_off(peer, now)
 
     def is_waiting_for_memory(self, job: Job, placement: Placement) -> bool:
-        """Whether a target's silence is known to be a wait for memory."""
+        """Return whether a silent target is known to wait for memory."""
         engine = get_engine(self.state, job)
         own = self.state.board.own.get(job.call.req_id)
         if engine is None or own is None:
@@ -93,11 +94,11 @@
         return is_held_up(own, flights, engine.capacity_tokens)
 
     def may_fail_over(self, job: Job, placement: Placement) -> bool:
-        """Whether a target that was silent for too long is left now.
+        """Return whether to fail over now from a target that timed out.
 
-        An answer that has begun would be cut where nobody else goes on with it:
-        another target must take it at once, and the repeat is taken from the
-        budget here, so that two don't leave for one.
+        A begun answer would be cut if no other target resumed it.  So another
+        target must be available at once, and the retry is taken from the budget
+        here: two requests must not fail over for one remaining retry.
         """
         if not job.response_begun or not _get_remaining_s(job):
             return True
@@ -117,13 +118,15 @@
         placement: Placement,
         limit: ResponseTimeout,
     ) -> Iterator[anyio.CancelScope]:
-        """Wait within a limit, or until the way to a target is cut."""
+        """Wait up to a timeout, or until a target involved is cut off."""
         with anyio.move_on_after(limit.wait_s) as scope:
             if job.history.is_last_run(job.route):
                 yield scope
                 return
             helpers = () if job.last_event_id else placement.helpers
-            names = [one.incarnation for one in (placement.target, *helpers)]
+            names = [
+                target.incarnation for target in (placement.target, *helpers)
+            ]
             wait = Wait(tuple(names), scope)
             self.state.waits.add(wait)
             try:
@@ -134,7 +137,7 @@
     def record_timeout(
         self, step: str, peer: str, limit: ResponseTimeout
     ) -> WireError:
-        """Note that a target was silent for too long; return the error."""
+        """Record that a target timed out; return the error to raise."""
         now = anyio.current_time()
         if limit.early:
             self.state.note_early(peer, now)
@@ -152,18 +155,20 @@
         return job.has_reserved_retry
 
     def _is_last_option(self, job: Job) -> bool:
-        """Whether nobody else may, or could, go on with a request now."""
+        """Return whether no other target may, or could, run a request now."""
         if job.history.is_last_run(job.route):
             return True
         if not self.state.budgets.is_repeat_left(
             job.service, anyio.current_time()
         ):
             return True
-        # A target that is leaving, or has had its share, takes nothing new.
+        # A draining target, or one at its rate limit, takes no new requests.
         usable = self.state.fleet.get_usable(job.service)
         now = anyio.current_time()
-        free = any(self.state.throttle.is_free(one, now) for one in usable)
-        return not free or not may_resume_elsewhere(self.state, job)
+        any_free = any(
+            self.state.throttle.is_free(target, now) for target in usable
+        )
+        return not any_free or not may_resume_elsewhere(self.state, job)
 
 
 def _get_remaining_s(job: Job) -> float:
--- a/trestledock/entry/_wire.py
+++ b/trestledock/entry/_wire.py
@@ -1,10 +1,10 @@
 """
-Connections to targets
-======================
+HTTP connections
+================
 
-One HTTP/1.1 connection that knows how far a request got: nothing written,
-written, answered.  That knowledge decides whether a request may be repeated,
-and pools of general clients don't tell it.
+An HTTP/1.1 client connection that knows how far a request got: nothing written,
+written, answered.  This decides whether a request may be retried, and
+general-purpose HTTP clients don't report it.
 """
 
 import socket
@@ -18,19 +18,20 @@
 
 from trestledock.relay import Sign, get_connect_sign, get_end_sign
 
-#: How long a target may take to accept a connection, in seconds: some hundred
-#: times the way there, and short beside the objectives of short requests.
+#: The timeout of connecting, in seconds: some hundred times the network delay,
+#: and short compared with the objectives of short requests.
 CONNECT_TIMEOUT_S = 0.2
-#: How long unacknowledged bytes keep a connection, in milliseconds.
+#: How long sent bytes may stay unacknowledged, in milliseconds.
 USER_TIMEOUT_MS = 2000
-#: Probes of a silent connection: first after, then every, and how many.
+#: TCP keepalive: the idle time before the first probe, which is also the
+#: interval between probes, in seconds, and the number of probes.
 KEEPALIVE_S = 1
 KEEPALIVE_PROBES = 2
 READ_BYTES = 65_536
-#: Bodies above this are written while the answer is awaited, in bytes.
+#: Requests above this size, in bytes, are written while the answer is awaited.
 SMALL_BODY_BYTES = 32_768
 
-#: How a stream says that it has ended.
+#: The exceptions of a stream that has ended or failed.
 STREAM_ERRORS = (
     OSError,
     anyio.EndOfStream,
@@ -42,12 +43,12 @@
 
 
 class WireError(Exception):
-    """A connection failed at a step."""
+    """A connection that failed at a step."""
 
     def __init__(
         self, step: str, detail: str, sign: Sign = Sign.garbled
     ) -> None:
-        """Keep the step, what went wrong, and what it was a sign of."""
+        """Store the step, the detail and the failure evidence."""
         super().__init__(f'{step}: {detail}')
         self.step = step
         self.detail = detail
@@ -56,21 +57,21 @@
 
 @dataclass(frozen=True)
 class Head:
-    """The beginning of an answer."""
+    """The status and headers of an answer."""
 
     status: int
     headers: Headers
 
     def get_header(self, name: bytes) -> str:
-        """Return a header by its name in lower case, or an empty text."""
+        """Return the first header of a lower-case name, or an empty string."""
         return next(iter(self.get_headers(name)), '')
 
     def get_headers(self, name: bytes) -> list[str]:
-        """Return all headers of a name in lower case, in their order."""
+        """Return all headers of a lower-case name, in order."""
         return [
             text.decode('latin-1')
-            for known, text in self.headers
-            if known.lower() == name
+            for key, text in self.headers
+            if key.lower() == name
         ]
 
 
@@ -78,7 +79,7 @@
     """One connection to one incarnation of a target."""
 
     def __init__(self, stream: SocketStream) -> None:
-        """Take over a stream that has just been connected."""
+        """Use a newly connected stream."""
         self.stream = stream
         self.http = h11.Connection(h11.CLIENT)
         self.written = True
@@ -87,7 +88,7 @@
 
     @classmethod
     async def connect(cls, address: str) -> 'Wire':
-        """Connect to `IP:PORT`, or raise a `WireError` with nothing sent."""
+        """Connect to `IP:PORT`; a `WireError` means that nothing was sent."""
         host, _, port = address.rpartition(':')
         try:
             with anyio.fail_after(CONNECT_TIMEOUT_S):
@@ -107,9 +108,10 @@
         body: bytes,
         spawn: Callable[..., Any] | None = None,
     ) -> None:
-        """Write a whole request; `spawn` takes a long body to the background.
+        """Write a complete request.
 
-        A target may answer before it has read a long body.
+        A long request is written in the background, with `spawn`, since a
+        target may answer before it has read the whole body.
         """
         request = h11.Request(
             method=method, target=target, headers=list(headers)
@@ -134,7 +136,7 @@
                 raise WireError('answer', 'connection closed', Sign.closed)
 
     async def iter_body(self) -> AsyncIterator[bytes]:
-        """Yield the body's bytes; raise a `WireError` where it is cut."""
+        """Yield the body's bytes; raise a `WireError` if it is truncated."""
         while True:
             event = await self._next_event('body')
             if isinstance(event, h11.Data):
@@ -145,11 +147,11 @@
                 raise WireError('body', f'unexpected {event!r}')
 
     async def read_body(self) -> bytes:
-        """Return the whole body."""
+        """Return the complete body."""
         return b''.join([raw async for raw in self.iter_body()])
 
     def recycle(self) -> bool:
-        """Prepare for the next request; False where that is not safe."""
+        """Prepare for the next request; return False if that is not safe."""
         if self.broken or not self.written:
             return False
         done = self.http.our_state is h11.DONE
@@ -161,13 +163,13 @@
         return True
 
     async def wait_for_surplus(self) -> None:
-        """Return when an idle connection closes or gets bytes unasked for."""
+        """Wait until an idle connection closes or receives unexpected bytes."""
         with suppress(*STREAM_ERRORS):
             await self.stream.receive(1)
         self.broken = True
 
     async def close(self) -> None:
-        """Close the connection, whatever is under way on it."""
+        """Close the connection, also during a request."""
         self.broken = True
         with anyio.CancelScope(shield=True):
             await self.stream.aclose()
@@ -196,7 +198,7 @@
             sign = Sign.closed if self._received_eof else Sign.garbled
             raise WireError(step, repr(exc), sign) from exc
         if isinstance(event, type):
-            raise WireError(step, 'answer out of turn')
+            raise WireError(step, 'unexpected protocol state')
         return event
 
     async def _receive(self, step: str) -> bytes:
@@ -211,7 +213,7 @@
 
 
 def _set_options(stream: SocketStream) -> None:
-    """Let a peer that has lost power end the connection within seconds."""
+    """Set TCP timeouts that detect a peer without power within seconds."""
     raw = stream.extra(SocketAttribute.raw_socket)
     options = (
         (socket.SOL_SOCKET, socket.SO_KEEPALIVE, 1),
