--- a/tests/test_entry_admission.py
+++ b/tests/test_entry_admission.py
@@ -1,4 +1,4 @@
-"""Admission: what is proven on arrival, and what is looked up again."""
+"""Admission: the check on arrival, and the recheck before each attempt."""
 
 import unittest
 from dataclasses import replace
@@ -23,31 +23,31 @@
 
 
 class AdmissionTest(unittest.TestCase):
-    """Requests with keys, early and late."""
+    """Requests with keys, on arrival and later."""
 
     def test_proof_counts_on_arrival(self):
-        """A request that was proven may go on when the store is away."""
+        """A request with a proven key may continue during a store outage."""
         state = make_state(make_route())
         job = admit(state, CALL, now=10)
         self.assertIs(admit(state, CALL, now=30), Refusal.stale_proof)
         self.assertIsNone(recheck(state, job))
 
-    def test_key_taken_away_meanwhile(self):
-        """A key that is known to be gone ends what has not been sent."""
+    def test_key_revoked_after_arrival(self):
+        """A revoked key refuses a request that has not been sent."""
         state = make_state(make_route())
         job = admit(state, CALL, now=10)
         state.catalog = replace(state.catalog, version=2, keys={})
         self.assertIs(recheck(state, job), Refusal.unknown_key)
 
     def test_unknown_route_needs_a_proof(self):
-        """Without a proof a missing route may be one that is new."""
+        """Without a recent proof, an unknown route may be a new one."""
         state = make_state(make_route())
         call = replace(CALL, path='/other/')
         self.assertIs(admit(state, call, now=10), Refusal.no_route)
         self.assertIs(admit(state, call, now=30), Refusal.stale_proof)
 
     def test_no_configuration(self):
-        """An entry that knows nothing yet says 503, not 404."""
+        """An entry without a configuration answers 503, not 404."""
         state = make_state(make_route())
         state.catalog = None
         self.assertIs(admit(state, CALL, now=10), Refusal.no_configuration)
--- a/tests/test_entry_budgets.py
+++ b/tests/test_entry_budgets.py
@@ -1,10 +1,9 @@
 """
-The budget for repeats is shared by all entries, also by those not heard.
+The retry budget is shared by all entries, including unreachable ones.
 
-Seen: two groups of entries that are cut off from each other repeat twice as
-often as one budget allows.  How: each entry takes its part by the entries that
-it hears, and each group hears only itself.  Cause: the same as of targets that
-got more than they asked for, what all share is kept by what each one hears.
+Guards against two groups of entries that are cut off from each other and retry
+twice as often as the budget allows: if each entry divided the budget by the
+entries that it hears, each group would use the whole budget.
 """
 
 import unittest
@@ -14,12 +13,13 @@
 from tests.limiting import run_fleet
 from tests.relaying import make_route
 
-#: Above the time after which entries that are cut off are not heard any more.
-UNHEARD_S = 3
+#: Longer than the time after which a cut-off entry counts as unreachable, in
+#: seconds.
+UNREACHABLE_S = 3
 
 
 def spend_all(fleet):
-    """Return how many repeats all entries together take at once."""
+    """Return how many retries all entries together take at once."""
     now = anyio.current_time()
     count = 0
     for entry in fleet.entries:
@@ -34,7 +34,7 @@
     def count(self, cut):
         async def scenario(fleet):
             fleet.cut = cut
-            await anyio.sleep(UNHEARD_S)
+            await anyio.sleep(UNREACHABLE_S)
             slack = fleet.entries[0].state.settings.budget.slack
             return spend_all(fleet), slack
 
--- a/tests/test_entry_closing.py
+++ b/tests/test_entry_closing.py
@@ -1,12 +1,10 @@
 """
 Requests that cross the close of an idle connection.
 
-Seen: a target got a request whose caller found its connection closed.  How:
-once the time of notice is over, all idle connections are closed; a request
-whose bytes come in the steps of the event loop between the beginning of that
-and the close itself was read and passed on, and its answer went nowhere.
-Cause: the web server lets a request begin on a connection that it is closing,
-and nothing but the server knew that it was.
+Guards against a target getting a request whose caller finds its connection
+closed.  At the end of the drain delay the web server closes all idle
+connections; a request that arrived in the event loop steps between the start of
+the close and the close itself was forwarded, and its answer was lost.
 """
 
 import socket
@@ -24,7 +22,7 @@
 from trestledock.entry._state import EntryState
 from trestledock.platform._headers import PlatformDialect
 
-#: Far above the steps that the close takes.
+#: Far above the number of event loop steps that the close takes.
 STEPS = 30
 REQUEST = (
     f'GET /p/x HTTP/1.1\r\nHost: {HOST}\r\nTrestledock-Request-Id: r\r\n\r\n'
@@ -32,7 +30,7 @@
 
 
 class StubRelayer:
-    """Passes each request on to a target, and answers after a moment."""
+    """Records each request as forwarded, and answers after a moment."""
 
     def __init__(self):
         self.calls = []
@@ -49,7 +47,7 @@
 
 
 class Connection:
-    """A caller's kept connection, used without waiting for anything."""
+    """A caller's idle connection on a non-blocking socket."""
 
     def __init__(self, port):
         self.sock = socket.create_connection(('127.0.0.1', port))
@@ -62,7 +60,7 @@
             return
 
     async def read(self, wanted):
-        """Read until some bytes have come, or the other side has ended."""
+        """Read until `wanted` has arrived or the connection is closed."""
         raw = b''
         while wanted not in raw:
             try:
@@ -79,7 +77,7 @@
 
 
 async def connect(port):
-    """Return a connection on which one request was answered."""
+    """Return a connection on which one request has been answered."""
     while True:
         try:
             connection = Connection(port)
@@ -92,9 +90,9 @@
 
 
 async def cross(steps):
-    """Send a request some steps after the end of the notice.
+    """Send a request `steps` event loop steps after the drain delay.
 
-    Return how often it was passed on, and what its caller got.
+    Return how often it was forwarded, and the bytes that its caller received.
     """
     port = get_free_port()
     settings = replace(
@@ -123,24 +121,24 @@
 
 
 class CrossingTest(unittest.TestCase):
-    """A request on an idle connection, at each step of its close."""
+    """A request on an idle connection, at each step of the close."""
 
-    def test_passed_on_is_answered(self):
-        """What was passed on is answered, whenever it came."""
+    def test_forwarded_request_is_answered(self):
+        """A forwarded request is answered, whenever it arrived."""
         lost = []
         with patch.object(_daemon, 'NOTICE_S', 0):
             for steps in range(STEPS):
-                passed, raw = anyio.run(cross, steps)
-                if passed and not raw.endswith(b'ok'):
+                forwarded, raw = anyio.run(cross, steps)
+                if forwarded and not raw.endswith(b'ok'):
                     lost.append(steps)
         self.assertEqual(lost, [])
 
-    def test_no_request_is_left_without_a_word(self):
-        """Whatever comes as the notice ends is answered, or refused.
+    def test_no_request_is_left_without_an_answer(self):
+        """Each request that arrives as the delay ends is answered or refused.
 
-        Seen on a machine that was busy: a request whose connection was closed
-        0.2 s after it had been sent, without an answer.  The connection was
-        new, and closed as an idle one before its request had been read.
+        Guards against a close without an answer, seen on a busy machine 0.2 s
+        after the request was sent: a new connection was closed as idle before
+        its first request had been read.
         """
         silent = []
         with patch.object(_daemon, 'NOTICE_S', 0):
--- a/tests/test_entry_leaving.py
+++ b/tests/test_entry_leaving.py
@@ -1,8 +1,8 @@
 """
-Targets that are left though their caller could still be served.
+Failover from a silent target while its caller could still be served.
 
-A caller waits, its target works, and nobody else takes over: the entry has
-left the target for somebody who could not go on, or ends the request itself.
+Guards against an entry that fails over from a working target although no other
+target can continue the request, or that ends the request itself.
 """
 
 import unittest
@@ -41,16 +41,16 @@
 
 ENGINE = EngineModel(8, 232_000, 0.001, 100_000, stride=40)
 ALL = [1, 2, 3, 4]
-#: Above twice the longest silence here, in milliseconds.
+#: More than twice the longest silence here, in milliseconds.
 LONG = {'trestledock-request-deadline': '8000'}
 SIZES = {'trestledock-token-counts': '1000,400'}
 NO_BUDGET = BudgetTerms(ratio=0, slack=0)
-#: Of the slack a share of 0.7 is used.
-ONE_REPEAT = BudgetTerms(ratio=0, slack=1.5)
+#: One retry: a share of 0.7 of the slack is used.
+ONE_RETRY = BudgetTerms(ratio=0, slack=1.5)
 
 
 class StreamTarget(StubTarget):
-    """Streams four events; one that begins falls silent after two."""
+    """Streams four events; a new stream falls silent after two."""
 
     def __init__(self, silence_s=1.5):
         super().__init__()
@@ -60,14 +60,14 @@
         while True:
             head = await read_request(stream)
             self.requests.append(head)
-            fields = dict(
+            headers = dict(
                 line.lower().split(': ', 1)
                 for line in head.splitlines()[1:]
                 if ': ' in line
             )
-            req_id = fields['trestledock-request-id']
-            if 'last-event-id' in fields:
-                first = int(fields['last-event-id']) + 1
+            req_id = headers['trestledock-request-id']
+            if 'last-event-id' in headers:
+                first = int(headers['last-event-id']) + 1
                 await stream.send(make_stream(first, 4, req_id=req_id))
                 continue
             raw = make_stream(1, 4, req_id=req_id)
@@ -89,67 +89,67 @@
 
 
 async def ask_all(world, names):
-    """Send some requests at once; return what came back by their names."""
-    found = {}
+    """Send some requests at once; return their outcomes by request id."""
+    outcomes = {}
 
     async def ask(name):
-        found[name] = await world.ask(name)
+        outcomes[name] = await world.ask(name)
 
     async with anyio.create_task_group() as group:
         for name in names:
             group.start_soon(ask, name)
-    return found
+    return outcomes
 
 
-async def look_at_each_beat(state):
-    """Look for silent data centres as the product does."""
+async def check_each_beat(state):
+    """Check for silent data centres at the interval of the product."""
     while True:
         state.check_reach(anyio.current_time())
         await anyio.sleep(BEAT_S)
 
 
 def put_elsewhere(state):
-    """Have the targets be in a data centre whose only entry falls silent."""
+    """Move the targets to a data centre whose only entry falls silent."""
     for number in range(2):
         listed = state.fleet.targets[f't{number}']
         there = replace(listed, data_centre='dc-2', sequence=1)
         state.fleet.put(there)
     state.note_heard('dc-2', 'entry-2', anyio.current_time())
-    state.spawn(look_at_each_beat, state)
+    state.spawn(check_each_beat, state)
 
 
 async def wait_for_request(targets):
-    """Wait until a target has got a request."""
+    """Wait until a target has received a request."""
     while not any(target.requests for target in targets):
         await anyio.sleep(0.01)
 
 
 def play(route, targets, scenario, engine=None):
-    """Run a scenario with an end; return what it returns."""
-    found = []
+    """Run a scenario with a timeout; return its result."""
+    results = []
 
     async def run(world):
         with anyio.fail_after(PATIENCE_S):
-            found.append(await scenario(world))
+            results.append(await scenario(world))
 
     run_world(route, targets, run, engine=engine)
-    return found[0]
+    return results[0]
 
 
 class BegunTest(unittest.TestCase):
-    """Streams that have begun at a target which is silent for 1.5 s."""
+    """Begun streams of a target that is silent for 1.5 s."""
 
-    def check(self, found):
-        """Expect that the caller got all events."""
-        self.assertFalse(found.cut)
-        self.assertEqual(get_event_ids(found), ALL)
-        self.assertTrue(found.whole)
+    def check(self, outcome):
+        """Assert that the caller received all events."""
+        self.assertFalse(outcome.cut)
+        self.assertEqual(get_event_ids(outcome), ALL)
+        self.assertTrue(outcome.whole)
 
-    def test_two_leave_for_one_repeat(self):
-        """Two that fall silent at once don't both leave for one repeat."""
+    def test_two_streams_and_one_retry(self):
+        """Two streams that fall silent at once don't both use the one retry."""
 
         async def scenario(world):
-            world.state.budgets.windows['svc'] = RetryWindow(ONE_REPEAT)
+            world.state.budgets.windows['svc'] = RetryWindow(ONE_RETRY)
             return await ask_all(world, ('r1', 'r2'))
 
         found = play(RESUMABLE, [StreamTarget(), StreamTarget()], scenario)
@@ -157,8 +157,8 @@
             with self.subTest(req_id=req_id):
                 self.check(found[req_id])
 
-    def test_many_leave_for_few_repeats(self):
-        """All streams of a busy moment go on, with the part of one of six."""
+    def test_many_streams_and_few_retries(self):
+        """Ten streams all complete with one sixth of the budget."""
         names = [f'r{number}' for number in range(10)]
 
         async def scenario(world):
@@ -169,10 +169,10 @@
         found = play(RESUMABLE, [StreamTarget(), StreamTarget()], scenario)
         self.assertEqual([name for name in names if found[name].cut], [])
 
-    def test_neighbour_ends(self):
-        """The planned end of the only entry of a data centre cuts nothing.
+    def test_peer_shuts_down(self):
+        """The shutdown of a data centre's only entry cuts no stream.
 
-        Its targets work on; none is silent for as long as has it left.
+        Its targets go on working; none is silent long enough for a failover.
         """
         names = [f'r{number}' for number in range(10)]
 
@@ -187,8 +187,8 @@
         found = play(RESUMABLE, targets, scenario)
         self.assertEqual([name for name in names if found[name].cut], [])
 
-    def test_neighbour_ends_beside_a_flow(self):
-        """A stream that flows is not left for the silence of others."""
+    def test_peer_shuts_down_beside_a_flowing_stream(self):
+        """A flowing stream does not fail over because an entry is silent."""
         targets = [FlowingTarget(), FlowingTarget()]
 
         async def scenario(world):
@@ -197,11 +197,11 @@
             return await world.ask()
 
         self.check(play(RESUMABLE, targets, scenario))
-        requests = [one for target in targets for one in target.requests]
+        requests = [head for target in targets for head in target.requests]
         self.assertEqual(len(requests), 1)
 
-    def test_no_place_elsewhere(self):
-        """One is not left where all others are busy for longer than it has."""
+    def test_no_capacity_elsewhere(self):
+        """No failover while the other targets are busy beyond the deadline."""
         targets = [StreamTarget(), StreamTarget()]
 
         async def scenario(world):
@@ -214,8 +214,8 @@
 
         self.check(play(RESUMABLE, targets, scenario, engine=ENGINE))
 
-    def test_others_are_dead(self):
-        """One is not left for a target that can't be reached."""
+    def test_other_target_is_unreachable(self):
+        """No failover to a target that can't be reached."""
         port = get_free_port()
 
         async def scenario(world):
@@ -235,15 +235,15 @@
         self.check(play(RESUMABLE, [target], scenario))
         self.assertEqual(len(target.requests), 1)
 
-    def test_left_for_itself(self):
-        """The only usable target is not left in order to ask it again."""
+    def test_only_usable_target(self):
+        """No failover from the only usable target to itself."""
         target = StreamTarget()
         found = play(RESUMABLE, [target], lambda world: world.ask())
         self.check(found)
         self.assertEqual(len(target.requests), 1)
 
     def test_other_refuses_connections(self):
-        """One that broke off waits for a target that is just starting."""
+        """A broken stream waits for a target that is still starting."""
         first = StubTarget(Torn(make_stream(1, 2, end=b'')))
         second = StreamTarget()
         port = get_free_port()
@@ -271,8 +271,8 @@
 
         self.check(play(RESUMABLE, [first], scenario))
 
-    def test_dead_is_left_once_a_repeat_is_there(self):
-        """A silent target is left as soon as another one may go on."""
+    def test_failover_once_a_retry_is_available(self):
+        """A stream fails over as soon as another target may resume it."""
         route = make_route(
             RouteKind.streaming, resumable=True, timeout_s=9, pause_s=0.5
         )
@@ -286,7 +286,7 @@
             state.budgets.windows['svc'] = RetryWindow(NO_BUDGET)
 
             def recheck(timeouts, job):
-                """Let a repeat be there from the first look on."""
+                """Make retries available from the first recheck on."""
                 waits.append(get_recheck_timeout(timeouts, job).wait_s)
                 state.budgets.windows['svc'] = RetryWindow(BudgetTerms())
                 return get_recheck_timeout(timeouts, job)
@@ -299,16 +299,16 @@
 
 
 class NotBegunTest(unittest.TestCase):
-    """Requests without an answer yet, and nobody else who may go on here.
+    """Requests without any answer, and no other target that may run them.
 
-    Their callers have nothing yet, and may come back to another entry: a word
-    after the limit is worth more to them than a wait for a target that may be
-    dead (a limit of 0.8 s in place of a longer one gained 0.013 and 0.006 of
-    worth on two deployments).
+    Their callers have received nothing and may retry at another entry, so an
+    early error is worth more to them than waiting for a target that may have
+    crashed: a timeout of 0.8 s instead of a longer one gained 0.013 and 0.006
+    of worth on two deployments.
     """
 
     def ask(self, route, answers, prepare=None, during=None):
-        """Ask once; return what the caller got."""
+        """Send one request; return its outcome."""
         targets = [StubTarget(), StubTarget()]
         for target in targets:
             target.answers = answers
@@ -331,41 +331,41 @@
         return play(route, targets, scenario)
 
     def spend(self, state):
-        """Leave no repeat in the budget."""
+        """Leave no retry in the budget."""
         state.budgets.windows['svc'] = RetryWindow(NO_BUDGET)
 
-    def check_given_back(self, route, answers, **how):
-        """Expect a word that promises nothing, before the deadline."""
-        found = self.ask(route, answers, **how)
-        # At the deadline it would be 504.
-        self.assertEqual(found.status, 502)
-        self.assertTrue(found.whole)
+    def check_failed_early(self, route, answers, **fields):
+        """Assert a 502, which promises nothing, before the deadline."""
+        outcome = self.ask(route, answers, **fields)
+        # At the deadline the status would be 504.
+        self.assertEqual(outcome.status, 502)
+        self.assertTrue(outcome.whole)
 
     def test_stream_without_budget(self):
-        """A stream without an event is given back after its target's limit."""
+        """A stream without an event fails after the first-event timeout."""
         late = Late(b'', make_stream(1, 4), pause_s=PATIENCE_S)
-        self.check_given_back(RESUMABLE, [late], prepare=self.spend)
+        self.check_failed_early(RESUMABLE, [late], prepare=self.spend)
 
     def test_plain_without_budget(self):
-        """So is a plain request."""
+        """A plain request fails too."""
         route = make_route(objective_s=0.3)
         late = Late(b'', make_answer(), pause_s=PATIENCE_S)
-        self.check_given_back(route, [late], prepare=self.spend)
+        self.check_failed_early(route, [late], prepare=self.spend)
 
     def test_last_run(self):
-        """So is one whose last target may be dead."""
+        """A request whose last target may have crashed fails too."""
         route = make_route(objective_s=0.3, max_attempts=1)
         late = Late(b'', make_answer(), pause_s=PATIENCE_S)
-        self.check_given_back(route, [late])
+        self.check_failed_early(route, [late])
 
-    def test_failure_passed_on_where_no_target(self):
-        """The target's own failure is told where nobody else is left."""
+    def test_failure_is_forwarded_without_another_target(self):
+        """The target's own error is forwarded if no other target is left."""
         route = make_route()
 
-        def leave(state):
+        def drain(state):
             for name in ('t0', 't1'):
                 state.fleet.note_leaving(name, 0)
 
         answers = [Late(b'', make_answer(b'bad', 500), pause_s=0.3)]
-        found = self.ask(route, answers, during=leave)
+        found = self.ask(route, answers, during=drain)
         self.assertEqual(found.status, 500)
--- a/tests/test_entry_limits.py
+++ b/tests/test_entry_limits.py
@@ -1,11 +1,11 @@
 """
-Answers that have begun are not cut for a silence.
+Begun answers are not cut because of a silence.
 
-Seen: beside a new version, a stream that its caller had in part was cut after
-a second of its target's silence, well before its time was over.  How: it was
-left for another target, and then nobody else could or might go on with it.
-Cause: whether to leave was asked of the route's attempts alone, and only for
-the target that the stream had begun at; and once left, it could be refused.
+Guards against a begun stream that is cut after one second of silence, well
+before its deadline: the entry failed over although no other target could or was
+allowed to resume the stream.  The check considered only the attempts of the
+route, and only for the target at which the stream had begun; after the failover
+the request could still be refused.
 """
 
 import unittest
@@ -42,11 +42,11 @@
 
 
 class BegunTest(unittest.TestCase):
-    """Streams that have begun, by who else might go on with them."""
+    """Begun streams, by the other targets that might resume them."""
 
     def check(self, targets, prepare=None, during=None):
-        """Ask once; the caller must get all four events."""
-        found = []
+        """Send one request; the caller must receive all four events."""
+        outcomes = []
 
         async def scenario(world):
             if prepare:
@@ -58,15 +58,15 @@
             async with anyio.create_task_group() as group:
                 if during:
                     group.start_soon(during, world.state)
-                found.append(await world.ask())
+                outcomes.append(await world.ask())
 
         run_world(RESUMABLE, targets, scenario)
-        self.assertFalse(found[0].cut)
-        self.assertEqual(get_event_ids(found[0]), [1, 2, 3, 4])
-        self.assertTrue(found[0].whole)
+        self.assertFalse(outcomes[0].cut)
+        self.assertEqual(get_event_ids(outcomes[0]), [1, 2, 3, 4])
+        self.assertTrue(outcomes[0].whole)
 
     def test_resumed_at_the_last_target(self):
-        """The last target that may run it is waited for from its start."""
+        """The last target that may run the request is waited for."""
         shared = [
             Torn(make_stream(1, 2, end=b'')),
             Late(b'', make_stream(3, 4)),
@@ -77,7 +77,7 @@
         self.check(targets)
 
     def test_without_budget(self):
-        """It is not left where no repeat is left."""
+        """No failover if no retry is left in the budget."""
 
         def prepare(state):
             state.budgets.windows['svc'] = RetryWindow(NO_BUDGET)
@@ -85,18 +85,18 @@
         self.check([StubTarget(SILENT), StubTarget(SILENT)], prepare)
 
     def test_no_other_target(self):
-        """It is not left where its target, a leaving one, is the only one."""
+        """No failover if the only target is the draining one."""
         target = StubTarget(SILENT)
 
-        async def leave(state):
+        async def drain(state):
             while not target.requests:
                 await anyio.sleep(0.01)
             state.fleet.note_leaving('t0', 0)
 
-        self.check([target], during=leave)
+        self.check([target], during=drain)
 
     def test_route_moves(self):
-        """It is not left where a new version takes the route elsewhere."""
+        """No failover if a new version moves the route to another service."""
         targets = [StubTarget(SILENT), StubTarget(SILENT)]
 
         async def move(state):
@@ -112,7 +112,7 @@
         self.check(targets, during=move)
 
     def test_waits_for_budget(self):
-        """One that its target has broken off waits for a repeat."""
+        """A stream that its target broke off waits for a retry."""
         shared = [Torn(make_stream(1, 2, end=b'')), make_stream(3, 4)]
         targets = [StubTarget(), StubTarget()]
         for target in targets:
@@ -121,14 +121,14 @@
         def prepare(state):
             state.budgets.windows['svc'] = RetryWindow(NO_BUDGET)
 
-        async def earn(state):
+        async def add_budget(state):
             await wait_for_loss(state, targets)
             state.budgets.windows['svc'] = RetryWindow(BudgetTerms())
 
-        self.check(targets, prepare, earn)
+        self.check(targets, prepare, add_budget)
 
     def test_waits_for_a_target(self):
-        """One whose targets are all gone waits until there is another."""
+        """A stream whose targets all drain waits until there is another."""
         first, second = (
             StubTarget(Torn(make_stream(1, 2, end=b''))),
             StubTarget(),
@@ -138,18 +138,18 @@
         def prepare(state):
             state.fleet.note_leaving('t1', 0)
 
-        async def come(state):
+        async def add_target(state):
             while not first.requests:
                 await anyio.sleep(0.01)
             state.fleet.note_leaving('t0', 0)
             await wait_for_loss(state, [first])
             state.fleet.put(make_listed(2, second.port))
 
-        self.check([first, second], prepare, come)
+        self.check([first, second], prepare, add_target)
 
 
 async def wait_for_loss(state, targets):
-    """Wait until a target was left, and then longer than for any target."""
+    """Wait until an attempt has ended, and then longer than any timeout."""
     while not any(target.requests for target in targets):
         await anyio.sleep(0.01)
     while state.board.own:
@@ -157,38 +157,38 @@
     await anyio.sleep(0.4)
 
 
-#: Longer than a prompt is waited for that an engine of these reads, in seconds.
-HELD_S = 2.5
+#: Longer than the timeout of a prompt that such an engine prefills, in seconds.
+SILENCE_S = 2.5
 ENGINE = EngineModel(8, 100_000, 0.001, 500_000)
 
 
 class MemoryTest(unittest.TestCase):
-    """An engine says nothing: it has no memory until another prompt ends."""
+    """A silent engine has no free memory until another prompt ends."""
 
     def play(self, tokens):
-        """Return how many sendings a prompt took beside another one."""
-        first = Late(b'', make_answer(), HELD_S)
+        """Return how many attempts a prompt took beside another one."""
+        first = Late(b'', make_answer(), SILENCE_S)
         targets = [StubTarget(first, make_answer())]
         targets.append(StubTarget(make_answer()))
-        found = []
+        outcomes = []
 
         async def scenario(world):
             other = Flight('o', 't0', tokens, 10, Phase.reading, since=0)
             world.state.board.hear('p', 1, [('o', other)], whole=True)
             world.state.fleet.drop('t1', 0, 0)
             with anyio.fail_after(PATIENCE_S):
-                found.append(await world.ask(headers=SIZES))
+                outcomes.append(await world.ask(headers=SIZES))
 
         run_world(make_route(timeout_s=8), targets, scenario, engine=ENGINE)
-        self.assertEqual(found[0].status, 200)
+        self.assertEqual(outcomes[0].status, 200)
         return len(targets[0].requests)
 
-    def test_it_is_waited_for(self):
-        """It was given up after 0.8 s, and sent once more."""
+    def test_wait_for_memory(self):
+        """Guards against a failover after 0.8 s, with a second attempt."""
         self.assertEqual(self.play(tokens=90_000), 1)
 
     def test_silence_without_a_reason(self):
-        """With room for both the engine is left as ever."""
+        """With memory for both prompts, the timeout applies."""
         self.assertEqual(self.play(tokens=1_000), 2)
 
 
--- a/tests/test_entry_loads.py
+++ b/tests/test_entry_loads.py
@@ -1,4 +1,4 @@
-"""Entries of two data centres, many of them, and a prompt without a place."""
+"""Load queries between data centres with many entries."""
 
 import json
 import unittest
@@ -29,7 +29,7 @@
 
 
 class Entry:
-    """One entry of a data centre with many beside it, all on two targets."""
+    """One entry of many, in two data centres with one target each."""
 
     def __init__(self, place):
         settings = replace(SETTINGS, data_centre=place)
@@ -46,15 +46,15 @@
             raw = make_message(f'p{number}', there, again_ms=3000)
             self.gossip.take(raw, ('10.0.0.1', number))
 
-    def _send(self, word, where):
-        self.sent.append((word, list(where)))
+    def _send(self, message, addresses):
+        self.sent.append((message, list(addresses)))
 
 
 class LoadTest(unittest.TestCase):
-    """What is asked, and what is answered."""
+    """Queries and answers."""
 
     def run_pair(self, scenario):
-        """Run `scenario(own, other)`, whose calls reach one another."""
+        """Run `scenario(own, other, calls)`; calls of `own` reach `other`."""
 
         async def main():
             own, other = Entry(OWN), Entry(OTHER)
@@ -70,17 +70,19 @@
 
         return run_virtually(main)
 
-    def test_flights_there_are_known(self):
+    def test_remote_flights_are_known(self):
         async def scenario(own, other, calls):
             other.state.board.put(make_flight('a', 't1'))
             await own.state.learn_loads()
             now = anyio.current_time()
-            found = own.state.board.get_flights('t1')
-            return [one.target for one in found], own.state.get_loads(now)
+            flights = own.state.board.get_flights('t1')
+            return [flight.target for flight in flights], own.state.get_loads(
+                now
+            )
 
         self.assertEqual(self.run_pair(scenario), (['t1'], {OTHER}))
 
-    def test_they_are_forgotten_after_a_moment(self):
+    def test_remote_flights_expire(self):
         async def scenario(own, other, calls):
             other.state.board.put(make_flight('a', 't1'))
             await own.state.learn_loads()
@@ -90,8 +92,8 @@
 
         self.assertEqual(self.run_pair(scenario), (set(), ()))
 
-    def test_own_flights_there_count_once(self):
-        """The other side has heard of them, and leaves them out."""
+    def test_own_flights_are_counted_once(self):
+        """The other entry knows these flights, and leaves them out."""
 
         async def scenario(own, other, calls):
             flight = make_flight('a', 't1')
@@ -101,7 +103,7 @@
 
         self.assertEqual(self.run_pair(scenario), ())
 
-    def test_prompts_of_one_moment_share_an_answer(self):
+    def test_simultaneous_prompts_share_an_answer(self):
         async def scenario(own, other, calls):
             async with anyio.create_task_group() as group:
                 for _ in range(3):
@@ -110,8 +112,8 @@
 
         self.assertEqual(self.run_pair(scenario), 1)
 
-    def test_nobody_answers(self):
-        """A cut data centre costs a prompt a moment, and nothing else."""
+    def test_no_answer(self):
+        """Without an answer no remote load is known, and the query ends."""
 
         async def scenario(own, other, calls):
             async def call(address, path):
@@ -123,7 +125,7 @@
 
         self.assertEqual(self.run_pair(scenario), set())
 
-    def test_answer_without_sense(self):
+    def test_invalid_answer(self):
         async def scenario(own, other, calls):
             for plain in ({}, {'flights': 5}, {'flights': [['a', 'b']]}):
 
@@ -137,11 +139,11 @@
         self.assertEqual(self.run_pair(scenario), set())
 
 
-class ToldTest(unittest.TestCase):
-    """The other data centre hears at once of what goes to its targets."""
+class RemoteUpdateTest(unittest.TestCase):
+    """Flights at remote targets are sent to their data centre at once."""
 
     def play(self, target):
-        """Return what is told there of a flight that begins and ends."""
+        """Return the messages about a flight that starts and ends."""
 
         async def main():
             entry = Entry(OWN)
@@ -155,26 +157,29 @@
             entry.gossip._tell_changes_far(changes)
             places = entry.gossip.neighbours.places
             return [
-                (word.changes[0][1] is None, {places[one] for one in where})
-                for word, where in entry.sent
+                (
+                    message.changes[0][1] is None,
+                    {places[address] for address in addresses},
+                )
+                for message, addresses in entry.sent
             ]
 
         return run_virtually(main)
 
-    def test_flight_there(self):
-        """Its begin and its end are told to that data centre alone."""
-        told = self.play('t1')
-        self.assertEqual(told, [(False, {OTHER}), (True, {OTHER})])
+    def test_flight_at_a_remote_target(self):
+        """Its start and end are sent to that data centre only."""
+        sent = self.play('t1')
+        self.assertEqual(sent, [(False, {OTHER}), (True, {OTHER})])
 
-    def test_flight_here(self):
+    def test_flight_at_a_local_target(self):
         self.assertEqual(self.play('t0'), [])
 
 
-class AskedTest(unittest.TestCase):
-    """Whom a prompt asks."""
+class QueriedTest(unittest.TestCase):
+    """The data centres that a prompt queries."""
 
     def play(self, places, fails=()):
-        """Return how many calls three questions in a row took."""
+        """Return the data centres that three queries in a row called."""
 
         async def main():
             entry = Entry(OWN)
@@ -202,7 +207,7 @@
         self.assertEqual(len(asked), 6)
         self.assertNotIn(OWN, asked)
 
-    def test_one_that_does_not_answer_is_left_alone(self):
-        """While it is cut off, what waits does not ask it again and again."""
+    def test_silent_data_centre_is_skipped(self):
+        """Waiting prompts don't query a cut-off data centre repeatedly."""
         asked = self.play([], fails=(OTHER,))
         self.assertEqual(asked, [OTHER])
--- a/tests/test_entry_pool.py
+++ b/tests/test_entry_pool.py
@@ -1,4 +1,4 @@
-"""What is seen of a target that is connected to once more."""
+"""The failure kind found by another connection to a target."""
 
 import unittest
 
@@ -10,9 +10,9 @@
 from trestledock.relay import Sign
 
 
-def look(handle, closes_after_s=None):
-    """Look at a target that handles connections so; return what is seen."""
-    found = []
+def check_connection(handle, closes_after_s=None):
+    """Return a target's failure kind and the number of idle connections."""
+    results = []
 
     async def main():
         listener = await anyio.create_tcp_listener(local_host='127.0.0.1')
@@ -24,12 +24,12 @@
             pool = Pool(group.start_soon)
             if closes_after_s is not None:
                 group.start_soon(close_later, listener, scope, closes_after_s)
-            found.append(await pool.look(target))
-            found.append(len(pool._idle['t0']))
+            results.append(await pool.look(target))
+            results.append(len(pool._idle['t0']))
             group.cancel_scope.cancel()
 
     anyio.run(main)
-    return found
+    return results
 
 
 async def serve(listener, handle, scope):
@@ -53,17 +53,17 @@
     await stream.aclose()
 
 
-class LookTest(unittest.TestCase):
-    """Targets that live, are full, or are just ending."""
+class CheckConnectionTest(unittest.TestCase):
+    """Targets that run, are at their connection limit, or are exiting."""
 
-    def test_one_that_lives(self):
+    def test_running_target(self):
         """The connection is kept for the next request."""
-        self.assertEqual(look(stay), [Sign.none, 1])
+        self.assertEqual(check_connection(stay), [Sign.none, 1])
 
-    def test_one_that_closes_what_is_too_much(self):
-        self.assertEqual(look(leave), [Sign.closed, 0])
+    def test_target_at_its_connection_limit(self):
+        self.assertEqual(check_connection(leave), [Sign.closed, 0])
 
-    def test_one_that_is_just_ending(self):
-        """It still accepts, closes that, and then nobody listens."""
+    def test_exiting_target(self):
+        """It accepts, closes the connection, and then refuses connections."""
 
-        self.assertEqual(look(stay, 0.005), [Sign.refused, 0])
+        self.assertEqual(check_connection(stay, 0.005), [Sign.refused, 0])
--- a/tests/test_entry_processes.py
+++ b/tests/test_entry_processes.py
@@ -1,4 +1,4 @@
-"""Signals and restarts of real entry processes, without the bench."""
+"""Signals and restarts of real entry processes."""
 
 import signal
 import subprocess
@@ -16,12 +16,12 @@
 from tests.soak.entries import ROOT
 from tests.soak.world import PRODUCT, Size, World
 
-#: Far above what anything here takes on a busy machine, in seconds.
-PATIENCE_S = 60
+#: Far above what any scenario takes on a busy machine, in seconds.
+TIMEOUT_S = 60
 SIZE = Size(entries=2, engines=2, plain=1)
-#: Token counts of a stream of about a second and a half.
+#: Token counts of a stream of about 1.5 s.
 LONG_STREAM = '1000,1300'
-#: Runs an entry up to its first import, and prints whether SIGHUP is ignored.
+#: Starts an entry up to its first import, and prints whether SIGHUP is ignored.
 PROBE = """
 import signal, sys
 import trestledock.platform
@@ -52,7 +52,7 @@
                 group.cancel_scope.cancel()
 
     async def run(world):
-        with anyio.fail_after(PATIENCE_S):
+        with anyio.fail_after(TIMEOUT_S):
             await world.start()
             await wait_for(world.is_ready)
             await scenario(world)
@@ -61,13 +61,13 @@
 
 
 async def wait_for(check):
-    """Wait until something holds; the limit is that of the scenario."""
+    """Wait until a condition holds; the scenario has the timeout."""
     while not check():
         await anyio.sleep(0.05)
 
 
 async def ask(entry, path, req_id, sizes='', key='key-desk-0', wait_s=8):
-    """Send one request on a connection of its own; return the answer."""
+    """Send one request on a new connection; return the answer."""
     headers = {
         'Host': HOST,
         'Trestledock-Request-Id': req_id,
@@ -76,29 +76,29 @@
     }
     if sizes:
         headers['Trestledock-Token-Counts'] = sizes
-    async with httpx.AsyncClient(timeout=PATIENCE_S) as client:
+    async with httpx.AsyncClient(timeout=TIMEOUT_S) as client:
         return await client.post(f'{entry.front}{path}', headers=headers)
 
 
 async def stream_while(world, entry, disturb):
-    """Ask for a stream, disturb it once it runs; return its answer."""
-    found = []
+    """Request a stream, disturb it once it runs; return its answer."""
+    answers = []
 
     async def stream():
-        found.append(await ask(entry, '/notes/x', 's', LONG_STREAM))
+        answers.append(await ask(entry, '/notes/x', 's', LONG_STREAM))
 
     async with anyio.create_task_group() as group:
         group.start_soon(stream)
         await wait_for(lambda: world.ledger.runs)
         await disturb()
-    return found[0]
+    return answers[0]
 
 
 class SignalTest(unittest.TestCase):
-    """What signals do to requests that are under way."""
+    """The effect of signals on requests in progress."""
 
-    def test_graceful_end_cuts_nothing(self):
-        """A stream that began before SIGTERM ends whole after it."""
+    def test_graceful_shutdown_cuts_nothing(self):
+        """A stream that began before SIGTERM is completed after it."""
 
         async def scenario(world):
             entry = world.entries[0]
@@ -116,7 +116,7 @@
         play(scenario)
 
     def test_unready_after_sigterm(self):
-        """The balancer is turned away while the process drains."""
+        """The process reports unready to the balancer while it drains."""
 
         async def scenario(world):
             entry = world.entries[0]
@@ -129,7 +129,7 @@
         play(scenario)
 
     def test_hang_up_ends_nothing(self):
-        """SIGHUP with other settings cuts no stream and ends no process."""
+        """SIGHUP with changed settings cuts no stream and ends no process."""
 
         async def scenario(world):
             entry = world.entries[0]
@@ -151,24 +151,24 @@
 
 
 class StartTest(unittest.TestCase):
-    """Signals that come before the process is ready."""
+    """Signals before the process is ready."""
 
     def test_hang_up_is_ignored_before_the_imports(self):
-        """SIGHUP must not end a process that still loads its modules."""
-        found = subprocess.run(
+        """SIGHUP doesn't end a process that still imports its modules."""
+        completed = subprocess.run(
             (sys.executable, '-c', PROBE),
             cwd=ROOT,
             capture_output=True,
             check=False,
         )
-        self.assertEqual(found.stdout.split(), [b'True'], found.stderr)
+        self.assertEqual(completed.stdout.split(), [b'True'], completed.stderr)
 
 
 class RestartTest(unittest.TestCase):
-    """All entries die together, with the store there and away."""
+    """All entries are killed together, with and without the store."""
 
     def test_all_at_once(self):
-        """All are back with the newest configuration and serve."""
+        """All restart with the newest configuration and serve."""
 
         async def scenario(world):
             world.revoke()
@@ -184,7 +184,7 @@
         play(scenario)
 
     def test_without_the_store(self):
-        """Without the store: 503 with a time to come back, never 404."""
+        """Without the store: 503 with Retry-After, never 404."""
 
         async def scenario(world):
             world.store.status = 503
@@ -215,24 +215,24 @@
         entry.send(signal.SIGKILL)
     await wait_for(
         lambda: all(
-            entry.child is not one
-            for entry, one in zip(world.entries, old, strict=True)
+            entry.child is not child
+            for entry, child in zip(world.entries, old, strict=True)
         )
     )
 
 
 class PromiseTest(unittest.TestCase):
-    """The checks of the soak hold for a calm run."""
+    """The checks of the soak test hold for a run without faults."""
 
-    def test_calm_run(self):
+    def test_run_without_faults(self):
         async def scenario(world):
             world.start_callers()
             await wait_for(lambda: len(world.ledger.attempts) > 60)
             world.over = True
             await wait_for(
                 lambda: all(
-                    one.ended_at or one.left_at
-                    for one in world.ledger.attempts.values()
+                    attempt.ended_at or attempt.left_at
+                    for attempt in world.ledger.attempts.values()
                 )
             )
             broken = [line for check in SAFE for line in check(world.ledger)]
--- a/tests/test_entry_selecting.py
+++ b/tests/test_entry_selecting.py
@@ -1,7 +1,7 @@
-"""Which targets a request is placed among, where entries are many.
+"""Target selection with many entries.
 
-Three data centres with ten engines each; those of the own one all read long
-prompts, those of one that was asked are idle.
+Three data centres have ten engines each.  The local engines all prefill long
+prompts; those of the data centre that was queried are idle.
 """
 
 import unittest
@@ -38,7 +38,7 @@
 
 
 def make_state():
-    """Return the state of an entry among many."""
+    """Return the state of one of many entries."""
     state = EntryState(SETTINGS, 'entry-1#a', Random(1), None)
     state.many_entries = True
     state.catalog = Catalog(
@@ -50,8 +50,8 @@
     for place in (OWN, ASKED, SILENT):
         for number in range(EACH):
             name = f'{place}-{number}'
-            one = Listed(name, 'svc', 'a:1', place, Standing.ready, 8, 1)
-            state.fleet.put(one)
+            target = Listed(name, 'svc', 'a:1', place, Standing.ready, 8, 1)
+            state.fleet.put(target)
             if place == OWN:
                 state.board.put(make_reading(name))
     return state
@@ -78,63 +78,67 @@
 
 
 class SelectingTest(unittest.TestCase):
-    """What is asked, and among which targets is chosen."""
+    """The queries, and the targets that are considered."""
 
     def choose(self, size):
-        """Return a choice, and how often other data centres were asked."""
+        """Return a placement, and how often other data centres were queried."""
 
         async def main():
             state = make_state()
-            asked = []
+            queries = []
 
-            async def learn():
-                asked.append(1)
+            async def query_loads():
+                queries.append(1)
                 state.loads[ASKED] = Load(0.0, ())
 
-            state.learn_loads = learn
-            found = await select(state, make_job(size))
-            return found, len(asked)
+            state.learn_loads = query_loads
+            chosen = await select(state, make_job(size))
+            return chosen, len(queries)
 
         return run_virtually(main)
 
     def test_long_prompt_goes_where_engines_are_idle(self):
-        """All of it: a plan over two data centres ends with either."""
-        found, asked = self.choose(LONG)
-        self.assertIsInstance(found, Placement)
-        places = {one.data_centre for one in (found.target, *found.helpers)}
-        self.assertEqual((places, asked), ({ASKED}, 1))
-        self.assertLess(found.first_s, 4.0)
-
-    def test_short_one_stays(self):
-        """It asks nobody, and is placed among its own."""
-        found, asked = self.choose(SHORT)
-        self.assertIsInstance(found, Placement)
-        self.assertEqual((found.target.data_centre, asked), (OWN, 0))
-
-    def test_few_engines_are_planned_for_together(self):
-        """Where a data centre has too few, no plan could stay within it."""
+        """Completely: a cut of either of two data centres would end it."""
+        chosen, queries = self.choose(LONG)
+        self.assertIsInstance(chosen, Placement)
+        places = {
+            target.data_centre for target in (chosen.target, *chosen.helpers)
+        }
+        self.assertEqual((places, queries), ({ASKED}, 1))
+        self.assertLess(chosen.first_s, 4.0)
+
+    def test_short_prompt_stays_local(self):
+        """It needs no query, and is placed at a local target."""
+        chosen, queries = self.choose(SHORT)
+        self.assertIsInstance(chosen, Placement)
+        self.assertEqual((chosen.target.data_centre, queries), (OWN, 0))
+
+    def test_few_engines_form_one_group(self):
+        """A data centre with too few engines can't hold a plan of its own."""
         state = make_state()
         targets = list(state.fleet.get_usable('svc'))
         job = make_job(LONG)
-        split = _selecting._group_by_data_centre
-        self.assertEqual(len(split(state, targets, job)), 3)
-        few = [one for one in targets if one.target_id != 'asked-1']
+        group = _selecting._group_by_data_centre
+        self.assertEqual(len(group(state, targets, job)), 3)
+        few = [target for target in targets if target.target_id != 'asked-1']
         few = [
-            one for one in few if one.target_id not in ('asked-2', 'asked-3')
+            target
+            for target in few
+            if target.target_id not in ('asked-2', 'asked-3')
         ]
-        self.assertEqual(split(state, few, job), [few])
+        self.assertEqual(group(state, few, job), [few])
 
     def test_own_data_centre_comes_first(self):
-        """Its word counts where nothing can be placed."""
+        """Its decision applies if nothing can be placed."""
         state = make_state()
         targets = sorted(
-            state.fleet.get_usable('svc'), key=lambda one: one.data_centre
+            state.fleet.get_usable('svc'), key=lambda target: target.data_centre
         )
         groups = _selecting._group_by_data_centre(
             state, targets, make_job(LONG)
         )
-        self.assertEqual({one.data_centre for one in groups[0]}, {OWN})
-        mixed = [replace(one, data_centre=ASKED) for one in groups[0]]
+        self.assertEqual({target.data_centre for target in groups[0]}, {OWN})
+        mixed = [replace(target, data_centre=ASKED) for target in groups[0]]
         self.assertEqual(
             _selecting._group_by_data_centre(state, mixed, make_job(LONG)),
             [mixed],
--- a/tests/test_entry_sending.py
+++ b/tests/test_entry_sending.py
@@ -1,4 +1,4 @@
-"""One sending: what is looked at again right before the write."""
+"""One attempt: the checks right before the request is written."""
 
 import unittest
 from dataclasses import replace
@@ -21,59 +21,59 @@
 )
 
 
-class LastLookTest(unittest.TestCase):
-    """A target leaves between its choice and the write."""
+class LastCheckTest(unittest.TestCase):
+    """A target becomes unusable between its selection and the write."""
 
     def play(self, change):
-        """Ask once; `change(fleet, target)` comes while the first connects."""
+        """Send one request; call `change` during the first connect."""
         targets = [StubTarget(make_answer()), StubTarget(make_answer())]
-        found = []
+        results = []
 
         async def scenario(world):
             pool = world.relayer.sender.pool
             take = pool.take
-            taken = []
+            connected = []
 
             async def take_late(target):
                 wire = await take(target)
-                taken.append(target.target_id)
-                if len(taken) == 1:
+                connected.append(target.target_id)
+                if len(connected) == 1:
                     change(world.state.fleet, target)
                 return wire
 
             pool.take = take_late
-            found.append((await world.ask(), taken))
+            results.append((await world.ask(), connected))
 
         run_world(make_route(), targets, scenario)
-        return (*found[0], targets)
+        return (*results[0], targets)
 
     def check(self, change):
-        """Expect that only the second choice gets the request."""
-        outcome, taken, targets = self.play(change)
+        """Assert that only the second target receives the request."""
+        outcome, connected, targets = self.play(change)
         self.assertEqual(outcome.status, 200)
-        self.assertEqual(len(set(taken)), 2)
-        first = targets[int(taken[0].removeprefix('t'))]
+        self.assertEqual(len(set(connected)), 2)
+        first = targets[int(connected[0].removeprefix('t'))]
         self.assertEqual(first.requests, [])
 
-    def test_target_leaves_while_connecting(self):
-        """It said that it leaves, so it gets nothing more."""
+    def test_target_drains_while_connecting(self):
+        """A target listed as draining gets no request."""
 
-        def leave(fleet, target):
+        def drain(fleet, target):
             fleet.put(replace(target, standing=Standing.leaving, sequence=1))
 
-        self.check(leave)
+        self.check(drain)
 
-    def test_target_goes_while_connecting(self):
-        """Its entry vanished, so it gets nothing more."""
+    def test_target_is_removed_while_connecting(self):
+        """A target missing from the list gets no request."""
 
-        def drop(fleet, target):
+        def remove(fleet, target):
             fleet.drop(target.target_id, 0, 0)
 
-        self.check(drop)
+        self.check(remove)
 
 
 def move(state, route):
-    """Put a version in force that sends the route to another service."""
+    """Apply a version that moves the route to another service."""
     moved = replace(route, shares=(Share('new'),))
     state.catalog = Catalog(
         2,
@@ -84,10 +84,10 @@
 
 
 class MovedRouteTest(unittest.TestCase):
-    """A version comes between the choice of a target and the write."""
+    """A new version is applied between target selection and the write."""
 
     def test_old_service_gets_nothing(self):
-        """The entry knows the newer version, so it follows it."""
+        """The entry follows the newest version that it knows."""
         route = make_route()
         targets = [StubTarget(make_answer()), StubTarget(make_answer())]
 
@@ -108,51 +108,51 @@
             await world.ask()
 
         run_world(route, targets, scenario)
-        counts = [len(one.requests) for one in targets]
+        counts = [len(target.requests) for target in targets]
         self.assertEqual(counts, [0, 1])
 
 
 ENGINE = EngineModel(8, 382_500, 0.001, 50_000)
-#: A prompt that an engine reads for 1.2 s.
+#: A prompt that an engine prefills in 1.2 s.
 LONG = {'trestledock-token-counts': '60000,400'}
 
 
 class ClaimTest(unittest.TestCase):
-    """Another entry gives a long prompt to the same engine meanwhile."""
+    """Another entry places a long prompt at the same engine meanwhile."""
 
     def play(self, make_other):
-        """Ask once; another's word comes while this one is claimed."""
-        answers = [StubTarget(make_answer()) for _ in range(2)]
-        found = []
+        """Send one request; another claim arrives while it is claimed."""
+        targets = [StubTarget(make_answer()) for _ in range(2)]
+        results = []
 
         async def scenario(world):
             board = world.state.board
-            tell = world.state.tell_own
+            send_own = world.state.tell_own
 
-            def tell_and_hear():
-                tell()
-                if not found:
+            def send_and_receive():
+                send_own()
+                if not results:
                     flight = next(iter(board.own.values()))
-                    found.append(flight)
+                    results.append(flight)
                     other = make_other(flight)
                     board.hear('p', 1, [(other.flight_id, other)], whole=True)
 
-            world.state.tell_own = tell_and_hear
-            found.append(await world.ask(headers=LONG))
+            world.state.tell_own = send_and_receive
+            results.append(await world.ask(headers=LONG))
 
         route = make_route(objective_s=4, timeout_s=15)
-        run_world(route, answers, scenario, engine=ENGINE)
-        flight, outcome = found
+        run_world(route, targets, scenario, engine=ENGINE)
+        flight, outcome = results
         self.assertEqual(outcome.status, 200)
-        first = answers[int(flight.target.removeprefix('t'))]
+        first = targets[int(flight.target.removeprefix('t'))]
         return len(first.requests)
 
-    def test_other_goes_first(self):
-        """The engine gets one of them; this one goes elsewhere."""
+    def test_other_takes_precedence(self):
+        """The engine gets the other prompt; this one goes elsewhere."""
         count = self.play(lambda own: replace(own, flight_id='0', helpers=()))
         self.assertEqual(count, 0)
 
-    def test_own_goes_first(self):
+    def test_own_takes_precedence(self):
         count = self.play(lambda own: replace(own, flight_id='z'))
         self.assertEqual(count, 1)
 
--- a/tests/test_entry_shutdown.py
+++ b/tests/test_entry_shutdown.py
@@ -1,10 +1,10 @@
 """
-Requests at the end of an entry process.
+Requests during the shutdown of an entry process.
 
-Seen: under planned work alone, callers whose whole request an entry had read
-got neither an answer nor a refusal.  Real processes on loopback; each test
-forces one way in which a connection can end between the last byte read and the
-last byte answered.
+Guards against callers that get neither an answer nor a refusal although the
+entry has read their whole request, as seen in planned restarts.  Real processes
+run on loopback; each test forces one way in which a connection can end between
+the last byte read and the last byte answered.
 """
 
 import signal
@@ -24,45 +24,45 @@
     wait_for,
 )
 
-#: The end comes 4.3 s after the request to stop.
+#: Requests are ended 4.3 s after the request to stop.
 SIZE = Size(entries=1, engines=1, plain=1, grace_s=5)
 NARROW = ('tests.soak.narrow',)
-#: Far above the time to stop, in seconds.
+#: Far above the grace period, in seconds.
 LONG_S = 40
-#: Token counts of a stream of some 15 s that fills an engine's memory.
+#: Token counts of a 15 s stream that fills an engine's memory.
 FULL_STREAM = '200000,13000'
-#: Makes a target's body some 40 KB long.
+#: A request id that makes a target's body some 40 KB long.
 LONG_ID = 'l' * 2000
 RECEIVE_BYTES = 4096
 
 
 def read_log(entry):
-    """Return what a process has told so far."""
+    """Return the log of a process so far."""
     return (entry.folder / f'{entry.name}.log').read_text()
 
 
 async def wait_for_log(entry, *words):
     """Wait until a line of the log has all words."""
 
-    def is_told():
+    def is_logged():
         return any(
             all(f'"{word}"' in line for word in words)
             for line in read_log(entry).splitlines()
         )
 
-    await wait_for(is_told)
+    await wait_for(is_logged)
 
 
-async def begin_to_end(entry):
-    """Ask a process to stop and wait until it has begun to."""
+async def begin_shutdown(entry):
+    """Request a process to stop, and wait until it drains."""
     entry.ending = True
     entry.last = True
     entry.send(signal.SIGTERM)
     await wait_for_log(entry, 'draining')
 
 
-async def wait_for_notice_over(entry):
-    """Wait until no new connections are taken any more."""
+async def wait_for_drain_delay(entry):
+    """Wait until new connections are no longer accepted."""
     while True:
         try:
             stream = await anyio.connect_tcp(entry.host, PORTS['front'])
@@ -73,7 +73,7 @@
 
 
 def open_narrow(entry):
-    """Return a connection that takes few bytes at a time."""
+    """Return a connection with a small receive buffer."""
     sock = socket.socket()
     sock.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, RECEIVE_BYTES)
     sock.connect((entry.host, PORTS['front']))
@@ -81,7 +81,7 @@
 
 
 def make_request(method, path, req_id, length=0):
-    """Return the bytes of a request's head."""
+    """Return the bytes of a request head."""
     lines = (
         f'{method} {path} HTTP/1.1',
         f'Host: {HOST}',
@@ -96,7 +96,7 @@
 
 
 def read_all(sock):
-    """Read until the other side ends; return the answer's head and body."""
+    """Read until the connection ends; return the answer's head and body."""
     raw = b''
     while True:
         try:
@@ -111,7 +111,7 @@
 
 
 class Asked:
-    """One request in the background; `answer` stays None where it was cut."""
+    """A request in the background; `answer` is None if it was cut."""
 
     def __init__(self, group, *args, **fields):
         self.answer = None
@@ -126,8 +126,8 @@
         self.done.set()
 
 
-def give_time(world):
-    """Let no request end by its route's time, nor be refused for it."""
+def lift_timeouts(world):
+    """Raise the routes' timeouts so that no request ends or fails by them."""
     world.objective_s = LONG_S
     for name in world.timeouts_s:
         world.timeouts_s[name] = LONG_S
@@ -135,20 +135,20 @@
 
 
 async def wait_for_version(world, entry):
-    """Wait until an entry has the newest version in force."""
+    """Wait until an entry has applied the newest version."""
     wanted = f'"version":{world.version}'
     await wait_for(lambda: wanted in read_log(entry).replace(' ', ''))
 
 
 class EndTest(unittest.TestCase):
-    """The end of the time to stop, for each state of a request."""
+    """The end of the grace period, for each state of a request."""
 
     def check(self, scenario, size=SIZE, command=PRODUCT):
-        """Play a scenario with much time for requests, up to the end."""
+        """Run a scenario whose requests only end by the shutdown."""
 
         async def run(world):
             entry = world.entries[0]
-            give_time(world)
+            lift_timeouts(world)
             await wait_for_version(world, entry)
             async with anyio.create_task_group() as group:
                 await scenario(world, entry, group)
@@ -158,12 +158,12 @@
         play(run, size, command)
 
     def test_waiting_is_refused(self):
-        """A request that still waits for a place is refused.
+        """A request that still waits for placement is refused.
 
-        Seen: its connection ends without a word, or with a failure that
-        promises nothing.  How: the only engine is full until after the end.
-        Cause: at the end everything was cancelled, and whoever waited never
-        got to its own ending.
+        The only engine is full until after the shutdown.  Guards against a
+        connection that ends without an answer, or with an error that promises
+        nothing: the shutdown cancelled everything, so waiting requests did not
+        reach their refusal.
         """
 
         async def scenario(world, entry, group):
@@ -171,7 +171,7 @@
                 group, entry, '/ledgers/x', 'f', FULL_STREAM, wait_s=LONG_S
             )
             await wait_for(lambda: world.ledger.runs)
-            await begin_to_end(entry)
+            await begin_shutdown(entry)
             waiting = Asked(
                 group, entry, '/ledgers/x', 'w', FULL_STREAM, wait_s=LONG_S
             )
@@ -181,16 +181,16 @@
             self.assertIsNotNone(waiting.answer)
             self.assertEqual(waiting.answer.status_code, 503)
             self.assertGreater(float(waiting.answer.headers['Retry-After']), 0)
-            self.assertEqual([one.req_id for one in world.ledger.runs], ['f'])
+            self.assertEqual([run.req_id for run in world.ledger.runs], ['f'])
 
         self.check(scenario)
 
-    def test_sent_is_answered_as_failed(self):
-        """A request that a target has and doesn't answer gets a failure.
+    def test_sent_request_is_answered_as_failed(self):
+        """A request that its target doesn't answer gets an error.
 
-        Seen: the connection ends without a word, or by the server's own
-        answer, that no line of the log tells of.  How: the target is mute.
-        Cause: as above.
+        The target is mute.  Guards against a connection that ends without an
+        answer, or with the server library's own answer, which is not logged:
+        the shutdown cancelled everything.
         """
 
         async def scenario(world, entry, group):
@@ -198,7 +198,7 @@
                 target.quirks.mute = 1
             sent = Asked(group, entry, '/book/x', 'b', wait_s=LONG_S)
             await wait_for(lambda: world.ledger.runs)
-            await begin_to_end(entry)
+            await begin_shutdown(entry)
             await sent.done.wait()
             await entry.ended.wait()
             self.assertIsNotNone(sent.answer)
@@ -208,20 +208,19 @@
         self.check(scenario)
 
     def test_slow_caller_gets_all(self):
-        """A caller that reads slowly gets the end of its answer.
+        """A caller that reads slowly gets the complete answer.
 
-        Seen: an answer without its end.  How: the caller reads nothing until
-        the process has ended, or is seen to wait.  Cause: a request counted
-        as over once its answer was written into the process's own buffer,
-        and what was there was dropped.
+        The caller reads nothing until the process has ended or visibly waits.
+        Guards against a truncated answer: a request counted as finished once
+        its answer was in the process's own write buffer, which was dropped.
         """
 
         async def scenario(world, entry, group):
             sock = open_narrow(entry)
-            await begin_to_end(entry)
+            await begin_shutdown(entry)
             sock.sendall(make_request('GET', '/look/x', LONG_ID))
             await wait_for_log(entry, 'answered')
-            await wait_for_notice_over(entry)
+            await wait_for_drain_delay(entry)
             with anyio.move_on_after(0.5):
                 await entry.ended.wait()
             head, body = await anyio.to_thread.run_sync(read_all, sock)
@@ -233,11 +232,11 @@
         self.check(scenario, command=NARROW)
 
     def test_changed_time_to_stop(self):
-        """The time to stop is that of the settings file as it is by then.
+        """The grace period is that of the newest settings file.
 
-        Seen: a request gets no answer, since the process is killed before it
-        would have ended itself.  How: the file gets a shorter time, with a
-        hang-up.  Cause: the file was read again, and nothing was taken over.
+        The file gets a shorter grace period, followed by SIGHUP.  Guards
+        against a request without an answer because the process is killed before
+        it ends by itself: the file was read again but not applied.
         """
 
         async def scenario(world, entry, group):
@@ -258,14 +257,14 @@
         self.check(scenario, Size(entries=1, engines=1, plain=1, grace_s=20))
 
     def test_half_read_is_served(self):
-        """A request whose body comes after the notice is served."""
+        """A request whose body arrives after the drain delay is served."""
 
         async def scenario(world, entry, group):
             sock = socket.create_connection((entry.host, PORTS['front']))
             sock.sendall(make_request('POST', '/book/x', 'h', length=4))
             sock.sendall(b'ab')
-            await begin_to_end(entry)
-            await wait_for_notice_over(entry)
+            await begin_shutdown(entry)
+            await wait_for_drain_delay(entry)
             sock.sendall(b'cd')
             head, _ = await anyio.to_thread.run_sync(read_all, sock)
             sock.close()
@@ -276,7 +275,7 @@
 
 
 class SettingsTest(unittest.TestCase):
-    """A hang-up while the settings file can't be read."""
+    """SIGHUP while the settings file can't be read."""
 
     def check(self, spoil):
         async def scenario(world):
@@ -293,7 +292,7 @@
         play(scenario, SIZE)
 
     async def hang_up(self, entry, path, spoil):
-        """Spoil the file, hang up, and wait until that was taken in."""
+        """Damage the file, send SIGHUP, and wait until it is handled."""
         spoil(path)
         entry.send(signal.SIGHUP)
         before = entry.child
@@ -303,19 +302,19 @@
         self.assertIsNone(before.poll())
 
     def test_half_written(self):
-        """The process goes on with the settings that it has.
+        """The process continues with its current settings.
 
-        Seen: the process ends, and all its connections with it.  Cause: the
-        error of reading went up to the top.
+        Guards against the end of the process and all its connections by an
+        uncaught error of reading the file.
         """
         self.check(lambda path: path.write_text(path.read_text()[:40]))
 
     def test_missing(self):
-        """A file that is being replaced is no reason to end."""
+        """A file that is being replaced doesn't end the process."""
         self.check(lambda path: path.unlink())
 
     def test_other_shape(self):
-        """So is a file with a table where a word should be."""
+        """A table in place of a string doesn't end the process."""
         self.check(
             lambda path: path.write_text(
                 path.read_text().replace('[listen]', '[[listen]]')
@@ -324,20 +323,20 @@
 
 
 class MoreSignalsTest(unittest.TestCase):
-    """Signals that come while the process ends."""
+    """Signals during the shutdown."""
 
     def test_signals_while_ending(self):
-        """They change nothing, to the last moment of the process.
+        """Signals have no effect until the process has exited.
 
-        Seen: the process ends by a signal.  Cause: the handlers were taken
-        away before all that they protect was done.
+        Guards against a process killed by a signal: the handlers were removed
+        before the shutdown was finished.
         """
 
         async def scenario(world):
             entry = world.entries[0]
 
             async def end():
-                await begin_to_end(entry)
+                await begin_shutdown(entry)
                 entry.send(signal.SIGHUP)
                 while entry.child.poll() is None:
                     entry.send(signal.SIGTERM)
--- a/tests/test_entry_unread.py
+++ b/tests/test_entry_unread.py
@@ -1,8 +1,8 @@
 """
-Callers that read nothing while their entry ends.
+Callers that read nothing during the shutdown of their entry.
 
-The end waits until every connection is closed, so a caller that takes no more
-bytes could hold it beyond the time to stop.
+The shutdown waits until every connection is closed, so a caller that reads no
+more bytes could delay it beyond the grace period.
 """
 
 import unittest
@@ -15,8 +15,8 @@
     NARROW,
     SIZE,
     Asked,
-    begin_to_end,
-    give_time,
+    begin_shutdown,
+    lift_timeouts,
     make_request,
     open_narrow,
     read_log,
@@ -26,14 +26,14 @@
 
 
 class UnreadTest(unittest.TestCase):
-    """The end of a process beside a caller that never reads."""
+    """The shutdown of a process with a caller that never reads."""
 
     def check(self, scenario):
-        """Play a scenario; the process must end by itself, in its time."""
+        """Run a scenario; the process must exit by itself in time."""
 
         async def run(world):
             entry = world.entries[0]
-            give_time(world)
+            lift_timeouts(world)
             await wait_for_version(world, entry)
             sock = open_narrow(entry)
             sock.sendall(make_request('GET', '/look/x', LONG_ID))
@@ -47,10 +47,10 @@
         play(run, SIZE, NARROW)
 
     def test_ends_in_time(self):
-        """The process ends by itself, though its connection is never closed."""
+        """The process exits although its connection is never closed."""
 
         async def scenario(world, entry, group):
-            await begin_to_end(entry)
+            await begin_shutdown(entry)
             while entry.child.poll() is None:
                 await anyio.sleep(0.02)
             self.assertEqual(entry.child.returncode, 0)
@@ -58,17 +58,17 @@
 
         self.check(scenario)
 
-    def test_others_get_their_last_word(self):
-        """Beside it, a request without an answer is told so."""
+    def test_other_requests_get_their_answer(self):
+        """Another request, whose target is mute, gets an error."""
 
         async def scenario(world, entry, group):
             for target in world.targets:
                 target.quirks.mute = 1
             sent = Asked(group, entry, '/book/x', 'b', wait_s=40)
             await wait_for(
-                lambda: 'b' in [one.req_id for one in world.ledger.runs]
+                lambda: 'b' in [run.req_id for run in world.ledger.runs]
             )
-            await begin_to_end(entry)
+            await begin_shutdown(entry)
             await sent.done.wait()
             self.assertIsNotNone(sent.answer)
             self.assertEqual(sent.answer.status_code, 502)
--- a/tests/test_relaying.py
+++ b/tests/test_relaying.py
@@ -1,4 +1,4 @@
-"""Relayed requests from end to end, with targets that misbehave."""
+"""End-to-end tests of relayed requests, with misbehaving targets."""
 
 import unittest
 from dataclasses import replace
@@ -21,7 +21,7 @@
 
 NOT_RUN = ('Trestledock-Not-Executed: 1',)
 IDEMPOTENT = make_route()
-#: An engine that reads 100,000 tokens in a second.
+#: An engine with a prefill rate of 100,000 tokens a second.
 ENGINE = EngineModel(8, 232_000, 0.001, 100_000, stride=40)
 ONCE = make_route(RouteKind.non_idempotent, max_attempts=1)
 STREAM = make_route(
@@ -30,50 +30,50 @@
 
 
 class OutcomeTest(unittest.TestCase):
-    """What a caller gets by what its targets do."""
+    """The answer to a caller for each behaviour of the targets."""
 
     def check(self, route, answers, status, arrivals, body=None):
-        """Ask once; every target gives the same list of answers in turn."""
+        """Send one request; the targets answer from one shared list."""
         shared = list(answers)
         targets = [StubTarget(), StubTarget()]
         for target in targets:
             target.answers = shared
-        found = []
+        outcomes = []
 
         async def scenario(world):
-            found.append(await world.ask())
+            outcomes.append(await world.ask())
 
         run_world(route, targets, scenario)
-        self.assertEqual(found[0].status, status)
+        self.assertEqual(outcomes[0].status, status)
         count = sum(len(target.requests) for target in targets)
         self.assertEqual(count, arrivals)
         if body is not None:
-            self.assertEqual(found[0].body, body)
-        return found[0]
+            self.assertEqual(outcomes[0].body, body)
+        return outcomes[0]
 
     def test_answer_passes_unchanged(self):
-        """Status, body and seal are the target's."""
+        """The caller gets the status, body and seal of the target."""
         found = self.check(ONCE, [make_answer()], 200, 1, b'ok')
         self.assertEqual(found.headers['trestledock-response-seal'], 's')
 
-    def test_rejected_goes_elsewhere(self):
-        """A target's word that it did not run allows another one."""
+    def test_rejected_request_is_retried(self):
+        """A request that a target did not run goes to another target."""
         full = make_answer(b'', 503, seal=False, more=NOT_RUN)
         self.check(ONCE, [full, make_answer()], 200, 2)
 
-    def test_rejected_by_all_is_not_run(self):
-        """A refusal after rejections alone promises that nothing ran."""
+    def test_rejected_by_all_is_refused(self):
+        """After rejections only, the refusal promises that nothing ran."""
         full = make_answer(b'', 503, seal=False, more=NOT_RUN)
         found = self.check(ONCE, repeat(full, 9), 503, 6)
         self.assertIn('retry-after', found.headers)
 
-    def test_misdirected_goes_elsewhere(self):
+    def test_misdirected_request_is_retried(self):
         """421 proves that the request has not run."""
         other = make_answer(b'', 421, seal=False)
         self.check(ONCE, [other, make_answer()], 200, 2)
 
-    def test_gone_incarnation_is_left_for_good(self):
-        """A target that answers 421 gets nothing more under that id."""
+    def test_replaced_incarnation_gets_no_more_requests(self):
+        """A target that answers 421 gets no more requests under its id."""
         other = make_answer(b'', 421, seal=False)
         targets = [StubTarget(*repeat(other, 9)), StubTarget(make_answer())]
 
@@ -89,7 +89,7 @@
         self.assertEqual(len(targets[0].requests), 1)
 
     def test_rejecting_target_with_helpers(self):
-        """A first target that rejects a helped prompt is not asked again."""
+        """A primary engine that rejects a helped prompt is not retried."""
         other = make_answer(b'', 421, seal=False)
         targets = [StubTarget() for _ in range(4)]
         shared = [other, make_stream(1, 2)]
@@ -102,61 +102,61 @@
             self.assertEqual(found.status, 200)
 
         run_world(STREAM, targets, scenario, engine=ENGINE)
-        asked = [one for target in targets for one in target.requests]
-        self.assertEqual(len(asked), 2)
-        self.assertIn('trestledock-helpers', asked[0].lower())
-        self.assertEqual(max(len(one.requests) for one in targets), 1)
+        requests = [head for target in targets for head in target.requests]
+        self.assertEqual(len(requests), 2)
+        self.assertIn('trestledock-helpers', requests[0].lower())
+        self.assertEqual(max(len(target.requests) for target in targets), 1)
 
     def test_reset_may_have_run(self):
-        """A request that was sent and got a reset is not sent again."""
+        """A non-idempotent request is not retried after a reset."""
         self.check(ONCE, [Reset, make_answer()], 502, 1)
 
-    def test_reset_is_repeated(self):
-        """An idempotent one is."""
+    def test_reset_is_retried(self):
+        """An idempotent request is retried after a reset."""
         self.check(IDEMPOTENT, [Reset, make_answer()], 200, 2)
 
-    def test_failure_is_repeated(self):
-        """An idempotent request gets a second chance after a failure."""
+    def test_failure_is_retried(self):
+        """An idempotent request is retried after a 500."""
         failed = make_answer(b'bad', 500)
         self.check(IDEMPOTENT, [failed, make_answer()], 200, 2, b'ok')
 
-    def test_last_failure_is_passed_on(self):
-        """The target's own failure is better than one of ours."""
+    def test_last_failure_is_forwarded(self):
+        """The target's own error response is preferred to the entry's."""
         failed = make_answer(b'bad', 500)
         found = self.check(IDEMPOTENT, repeat(failed, 5), 500, 2, b'bad')
         self.assertIn('trestledock-response-seal', found.headers)
 
     def test_false_promise(self):
-        """A 503 without the word that nothing ran is no promise."""
+        """A 503 without the not-executed header may have run."""
         self.check(ONCE, [make_answer(b'', 503)], 502, 1)
 
     def test_other_id(self):
-        """An answer to another request goes to nobody."""
+        """An answer with another request's id is discarded."""
         late = make_answer(b'other', req_id='r0')
         self.check(ONCE, [late], 502, 1, b'')
 
     def test_without_seal(self):
-        """A success without the target's seal is no success."""
+        """A 200 without the target's seal is a failure."""
         self.check(ONCE, [make_answer(seal=False)], 502, 1, b'')
 
     def test_cut_body(self):
-        """An answer that is cut short is no answer."""
+        """A truncated answer is not forwarded."""
         whole = make_answer(b'ten bytes.')
         self.check(ONCE, [whole[:-3], Reset], 504, 1, b'')
 
     def test_garbage(self):
-        """Bytes that are no answer are none."""
+        """Bytes that are not HTTP are a failure."""
         self.check(IDEMPOTENT, [b'\x00\x01\r\n\r\n', make_answer()], 200, 2)
 
     def test_hanging_target_at_the_deadline(self):
-        """A request that may be running is not called refused (REFUSED)."""
+        """A request that may be running is not reported as refused."""
         route = make_route(
             RouteKind.non_idempotent, max_attempts=1, timeout_s=0.3
         )
         self.check(route, [Hang], 504, 1)
 
     def test_surplus_answer(self):
-        """A second answer on a kept connection goes to nobody."""
+        """A second answer on an idle connection is discarded."""
         targets = [StubTarget(make_answer() * 2, make_answer(req_id='r2'))]
 
         async def scenario(world):
@@ -170,11 +170,11 @@
 
 
 class SilentConnectionTest(unittest.TestCase):
-    """Kept connections that have gone silent, while new ones work."""
+    """Idle connections that have fallen silent, while new ones work."""
 
     def test_others_are_not_tried(self):
-        """After one was silent, the next sending has a new connection."""
-        answers = [make_answer(req_id=one) for one in ('r1', 'r2', 'r3')]
+        """After a silence the next attempt uses a new connection."""
+        answers = [make_answer(req_id=req_id) for req_id in ('r1', 'r2', 'r3')]
         target = StubTarget(*answers[:2], Hang, answers[2])
 
         async def scenario(world):
@@ -191,51 +191,53 @@
 
 
 class StreamTest(unittest.TestCase):
-    """Streams are whole, resumed or cut."""
+    """Streams are complete, resumed or cut."""
 
     def ask(self, route, answers, headers=()):
         targets = [StubTarget(), StubTarget()]
         shared = list(answers)
         for target in targets:
             target.answers = shared
-        found = []
+        outcomes = []
 
         async def scenario(world):
-            began_at = anyio.current_time()
-            found.append(await world.ask(headers=headers))
-            self.took_s = anyio.current_time() - began_at
+            started_at = anyio.current_time()
+            outcomes.append(await world.ask(headers=headers))
+            self.took_s = anyio.current_time() - started_at
 
         run_world(route, targets, scenario)
-        requests = [one for target in targets for one in target.requests]
-        return found[0], requests
+        requests = [head for target in targets for head in target.requests]
+        return outcomes[0], requests
 
     def get_ids(self, outcome):
         lines = outcome.body.decode().split('\n')
-        return [int(one[4:]) for one in lines if one.startswith('id: ')]
+        return [int(line[4:]) for line in lines if line.startswith('id: ')]
 
     def test_whole(self):
-        """All events pass, and the end is told."""
+        """All events and the end of the stream are forwarded."""
         found, _ = self.ask(STREAM, [make_stream(1, 5)])
         self.assertEqual(self.get_ids(found), [1, 2, 3, 4, 5])
         self.assertTrue(found.whole)
 
     def test_resumed_elsewhere(self):
-        """A stream that breaks goes on after the last whole event."""
+        """A broken stream is resumed after the last complete event."""
         broken = make_stream(1, 3, end=BROKEN)
         found, requests = self.ask(STREAM, [broken, make_stream(4, 6)])
         self.assertEqual(self.get_ids(found), [1, 2, 3, 4, 5, 6])
         self.assertTrue(found.whole)
-        resumed = [one for one in requests if 'last-event-id: 3' in one.lower()]
+        resumed = [
+            head for head in requests if 'last-event-id: 3' in head.lower()
+        ]
         self.assertEqual(len(resumed), 1)
 
     def test_silent_stream_is_resumed(self):
-        """A target that falls silent is left for another one."""
+        """A stream fails over from a silent target."""
         answers = [make_stream(1, 2, end=b''), make_stream(3, 4)]
         found, _ = self.ask(STREAM, answers)
         self.assertEqual(self.get_ids(found), [1, 2, 3, 4])
 
     def test_last_target_is_waited_for(self):
-        """A silent stream is not cut where nobody else may go on with it."""
+        """A silent stream is not cut if no other target may resume it."""
         route = make_route(
             RouteKind.streaming,
             resumable=True,
@@ -248,8 +250,8 @@
         self.assertGreater(self.took_s, 1.4)
         self.assertTrue(found.cut)
 
-    def test_stream_across_a_cut_goes_on_elsewhere(self):
-        """What waits for a data centre that falls silent is not kept there."""
+    def test_stream_across_a_cut_is_resumed_elsewhere(self):
+        """A stream from a data centre that falls silent fails over."""
         targets = [StubTarget(make_stream(1, 2, end=b'')), StubTarget()]
         targets[1].answers = [make_stream(3, 4)]
         found = []
@@ -284,14 +286,14 @@
         self.assertEqual(self.get_ids(found[0]), [1, 2, 3, 4])
         self.assertEqual(len(targets[1].requests), 1)
 
-    def test_repeated_events_are_dropped(self):
-        """Events that the caller has are not sent twice."""
+    def test_duplicate_events_are_dropped(self):
+        """Events that the caller already has are not sent again."""
         broken = make_stream(1, 3, end=BROKEN)
         found, _ = self.ask(STREAM, [broken, make_stream(2, 5)])
         self.assertEqual(self.get_ids(found), [1, 2, 3, 4, 5])
 
     def test_not_resumable_is_cut(self):
-        """A stream that may not be resumed never looks complete."""
+        """A broken stream that may not be resumed is cut, not completed."""
         route = make_route(RouteKind.streaming, pause_s=0.2)
         broken = make_stream(1, 3, end=BROKEN)
         found, requests = self.ask(route, [broken, make_stream(4, 6)])
@@ -300,7 +302,7 @@
         self.assertEqual(len(requests), 1)
 
     def test_callers_own_resumption(self):
-        """The caller's last event goes on to the target."""
+        """The caller's own Last-Event-ID is forwarded to the target."""
         _, requests = self.ask(
             STREAM, [make_stream(8, 9)], {'last-event-id': '7'}
         )
@@ -308,7 +310,7 @@
 
 
 class KeyTest(unittest.TestCase):
-    """Keys, and how old their proof may be."""
+    """Keys, and the age of their proof."""
 
     def ask(self, key, age_s=0, route=IDEMPOTENT):
         target = StubTarget(make_answer())
@@ -322,54 +324,54 @@
         return found[0], target.requests
 
     def test_unknown_key(self):
-        """A key that nobody holds is refused."""
+        """An unknown key is refused."""
         found, requests = self.ask('other')
         self.assertEqual((found.status, requests), (401, []))
 
     def test_team_replaces_the_key(self):
-        """The target learns the team and never the key."""
+        """The target gets the team and never the key."""
         _, requests = self.ask('key-1')
         self.assertIn('trestledock-tenant: kiosks', requests[0].lower())
         self.assertNotIn('key-1', requests[0])
 
-    def test_rank_of_the_team_goes_before_the_routes(self):
-        """The caller's own word on its rank counts for nothing."""
+    def test_priority_of_the_team_precedes_the_routes(self):
+        """A priority header sent by the caller is ignored."""
         name = 'trestledock-request-priority'
-        for team_rank, route_rank, expected in (
+        for team_priority, route_priority, expected in (
             (None, None, None),
             (None, 1, '1'),
             (0, 1, '0'),
             (12, 1, '9'),
         ):
             target = StubTarget(make_answer())
-            key = TeamKey('kiosks', team_rank)
+            key = TeamKey('kiosks', team_priority)
 
             async def scenario(world, key=key):
                 world.state.catalog.keys[KEY] = key
                 await world.ask(headers={name: '3'})
 
-            run_world(make_route(priority=route_rank), [target], scenario)
+            run_world(make_route(priority=route_priority), [target], scenario)
             lines = target.requests[0].lower().split('\r\n')
-            found = [one for one in lines if one.startswith(name)]
+            sent = [line for line in lines if line.startswith(name)]
             wanted = [f'{name}: {expected}'] if expected else []
-            self.assertEqual(found, wanted)
+            self.assertEqual(sent, wanted)
 
     def test_old_proof(self):
-        """Without a recent proof a key is not served."""
+        """A key without a recent proof is refused."""
         found, requests = self.ask('key-1', age_s=4)
         self.assertEqual((found.status, requests), (503, []))
 
     def test_public_route_with_an_old_proof(self):
-        """A route without keys is served on."""
+        """A public route is still served."""
         found, _ = self.ask('key-1', age_s=99, route=make_route(public=True))
         self.assertEqual(found.status, 200)
 
 
 class CallerLeftTest(unittest.TestCase):
-    """A caller that leaves takes its work with it."""
+    """A caller's disconnect ends its request."""
 
     def test_cancel_closes_the_connection(self):
-        """The target sees the connection close."""
+        """The connection to the target is closed."""
         target = StubTarget(Hang)
 
         async def scenario(world):
