--- a/tests/limiting.py
+++ b/tests/limiting.py
@@ -1,10 +1,10 @@
-"""Whole entries before targets that give notices, on a virtual clock.
+"""Complete entries and targets that give notices, on a virtual clock.
 
 The network between entries and the connections to targets are calls within the
-process.  What a target gets is counted as its own operators would: of its rate
-limit, from the entries that had heard of it half a second before, and from all;
-of its leave, from each entry since that was told; of a rest, from the entry
-that it was asked of.
+process.  The requests at a target are counted as its operators would count
+them.  For a rate limit: those of the entries that were told at least half a
+second before, and those of all entries.  For a drain: those of each entry since
+it was told.  For a back-off: those of the entry that was asked for it.
 """
 
 from contextlib import contextmanager
@@ -28,31 +28,31 @@
 from trestledock.platform._headers import HELPERS, REQUEST_ID, PlatformDialect
 from trestledock.relay import Catalog, Listed, Service, Standing, TeamKey
 
-#: One way to a target, and to another entry, in seconds.
+#: The one-way delay to a target and to another entry, in seconds.
 WAY_S = 0.001
-#: What a target takes for one request, in seconds.
+#: The time in which a target runs one request, in seconds.
 WORK_S = 0.02
-#: A word binds whom it was told so long ago, and from so long after the first
-#: naming on, in seconds.
+#: A rate limit binds an entry this long after the entry was told, and all
+#: entries this long after it was first set, in seconds.
 TOLD_S = 0.5
 BINDS_S = 3.0
-#: In such a stretch a target may get one and a half times what it asked for,
-#: and a few requests more.
+#: In a window of this length, in seconds, a target may get one and a half times
+#: its rate limit, and a few requests more.
 STRETCH_S = 4.0
 OVER_SHARE = 1.5
 OVER_COUNT = 5
-#: For how long after an entry was told of it requests may reach a target that
-#: leaves, in seconds.
+#: How long requests from an entry may still reach a draining target after the
+#: entry was told, in seconds.
 DRAIN_S = 2.0
-#: From so long after a target has asked an entry for rest, in seconds, until
-#: the rest is over, so many requests may come from there.
+#: A back-off binds an entry this long after it was asked for, in seconds; until
+#: it is over, at most this many requests may come from that entry.
 REST_BINDS_S = 0.5
 REST_COUNT = 2
 
 
 @dataclass(frozen=True)
 class Arrival:
-    """A request, or a part of a prompt, that reached a target."""
+    """A request, or a chunk of a prompt, that reached a target."""
 
     at: float
     entry: str
@@ -61,7 +61,7 @@
 
 @dataclass(frozen=True)
 class AskedRest:
-    """A target has turned an entry away until an instant."""
+    """A back-off that a target asked of an entry."""
 
     entry: str
     at: float
@@ -70,11 +70,11 @@
 
 @dataclass
 class LimitedTarget:
-    """A target with what it asks for, and what it got.
+    """A target with its notices, and the requests that it received.
 
-    While it rests, it turns away all that comes, with `rest` as the text that
-    says for how long; with `leaves` it says that it leaves, and `sealed` says
-    whether its answers bear its seal.
+    With `rest` it rejects all requests, with that text as Retry-After.  With
+    `leaves` its answers say that it drains, and `sealed` is true if its answers
+    have its seal.
     """
 
     number: int
@@ -108,68 +108,73 @@
         )
 
     def name(self, per_s):
-        """Ask for another number from now on; None for any."""
+        """Set the rate limit from now on; None for no limit."""
         self.per_s = per_s
         if per_s is not None:
             self.named_at = min(self.named_at, anyio.current_time())
 
     def count(self, since, until):
-        """Return how many requests came within a stretch."""
-        return sum(since <= one.at < until for one in self.arrivals)
+        """Return how many requests came within a period."""
+        return sum(since <= arrival.at < until for arrival in self.arrivals)
 
     def count_told(self, since, until):
-        """Return how many came from entries that had long been told."""
+        """Return how many came from entries that the rate limit binds."""
         return sum(
-            since <= one.at < until
-            and self.told.get(one.entry, float('inf')) <= one.at - TOLD_S
-            for one in self.arrivals
+            since <= arrival.at < until
+            and self.told.get(arrival.entry, float('inf'))
+            <= arrival.at - TOLD_S
+            for arrival in self.arrivals
         )
 
     def leave(self):
-        """Say in all answers from now on that it leaves."""
+        """Drain, and say so in all answers from now on."""
         self.leaves = '1'
 
     def shed(self, rest):
-        """Turn all away from now on, and ask for rest; none to serve again."""
+        """Reject all requests with a back-off; an empty text serves again."""
         self.status = 503 if rest else 200
         self.rest = rest
 
     def get_late_s(self):
-        """Return how long after an entry was told the last request came."""
+        """Return how long after its entry was told the latest request came."""
         return max(
             (
-                one.at - self.left_told[one.entry]
-                for one in self.arrivals
-                if one.entry in self.left_told
+                arrival.at - self.left_told[arrival.entry]
+                for arrival in self.arrivals
+                if arrival.entry in self.left_told
             ),
             default=0,
         )
 
     def get_most_in_rest(self):
-        """Return the most that came from an entry within one rest."""
+        """Return the most requests of an entry within one back-off."""
         return max(map(self._count_in_rest, self.rests), default=0)
 
     def _count_in_rest(self, rest):
         return sum(
-            rest.at + REST_BINDS_S < one.at <= rest.until
-            for one in self.arrivals
-            if one.entry == rest.entry
+            rest.at + REST_BINDS_S < arrival.at <= rest.until
+            for arrival in self.arrivals
+            if arrival.entry == rest.entry
         )
 
     def get_most(self, count, since, until):
-        """Return the most that came within any stretch."""
-        starts = [one.at for one in self.arrivals if since <= one.at < until]
+        """Return the largest count within any window."""
+        starts = [
+            arrival.at
+            for arrival in self.arrivals
+            if since <= arrival.at < until
+        ]
         ends = [min(until, start + STRETCH_S) for start in starts]
         return max(map(count, starts, ends), default=0)
 
 
 def get_allowed(per_s):
-    """Return how many requests a limit allows within any stretch."""
+    """Return how many requests a rate limit allows within any window."""
     return OVER_SHARE * STRETCH_S * per_s + OVER_COUNT
 
 
 class TargetWire:
-    """A connection to a target that is a call within the process."""
+    """A connection to a target by calls within the process."""
 
     def __init__(self, fleet, entry, target):
         self.fleet = fleet
@@ -179,11 +184,11 @@
 
     async def send(self, method, path, headers, body, spawn):
         await anyio.sleep(WAY_S)
-        found = dict(headers)
-        self.req_id = found.get(REQUEST_ID, b'')
+        fields = dict(headers)
+        self.req_id = fields.get(REQUEST_ID, b'')
         arrival = Arrival(anyio.current_time(), self.entry)
-        helpers = found.get(HELPERS, b'').decode().split(',')
-        addresses = [one.partition('/')[0] for one in helpers if one]
+        helpers = fields.get(HELPERS, b'').decode().split(',')
+        addresses = [helper.partition('/')[0] for helper in helpers if helper]
         for target in self.fleet.targets:
             if target is self.target or target.address in addresses:
                 target.arrivals.append(arrival)
@@ -223,7 +228,7 @@
         return b'ok'
 
     async def close(self):
-        """Nothing is open."""
+        """Do nothing: there is no socket."""
 
 
 class TargetPool:
@@ -240,14 +245,14 @@
         raise WireError('connect', 'refused')
 
     async def give(self, listed, wire, idle_s):
-        """Nothing is kept."""
+        """Do nothing: no connection is kept."""
 
     def drop(self, incarnation):
-        """Nothing is kept."""
+        """Do nothing: no connection is kept."""
 
 
 class Entry(World):
-    """One entry with its words to the others."""
+    """One entry with its messages to the others."""
 
     def __init__(self, fleet, number, data_centre, life=1):
         self.fleet = fleet
@@ -278,7 +283,7 @@
             state.fleet.put(target.get_listed())
 
     async def live(self):
-        """Tell the others until killed."""
+        """Send messages to the other entries until killed."""
         self.fleet.network[self.address] = self
         self.gossip.meet(self.fleet.get_addresses())
         self.state.tell_own = self.gossip.tell_own
@@ -289,7 +294,7 @@
                 group.start_soon(self._renew)
 
     def connect_slowly(self, wait_s):
-        """Have each connection to a target take so long from now on."""
+        """Delay each connection to a target from now on."""
         pool = self.relayer.sender.pool
         take = pool.take
 
@@ -300,27 +305,27 @@
         pool.take = take_slowly
 
     def kill(self):
-        """End without a word."""
+        """End without a message to the others."""
         if self.fleet.network.get(self.address) is self:
             self.fleet.network.pop(self.address)
         self.scope.cancel()
 
     async def stand_still_for(self, pause_s):
-        """Hear and send nothing for a while, then take all that came."""
+        """Suspend messages for a while, then receive all that arrived."""
         self.running = anyio.Event()
         await anyio.sleep(pause_s)
         self.running.set()
 
     async def _renew(self):
-        """Have keys count as proven: the store is not what is tested."""
+        """Keep keys proven: these tests are not about the store."""
         while True:
             self.state.proof.renew(anyio.current_time())
             await anyio.sleep(0.5)
 
-    def _send(self, word, where):
-        raw = write_word(word, anyio.current_time())
-        self.fleet.note_words(len(where), len(raw))
-        for address in where:
+    def _send(self, message, addresses):
+        raw = write_word(message, anyio.current_time())
+        self.fleet.count_messages(len(addresses), len(raw))
+        for address in addresses:
             self.state.group.start_soon(self._deliver, raw, address)
 
     async def _deliver(self, raw, address):
@@ -336,7 +341,7 @@
 
 @dataclass
 class Demand:
-    """What callers got."""
+    """The outcomes of callers' requests."""
 
     statuses: list = field(default_factory=list)
     come_back_s: list = field(default_factory=list)
@@ -345,16 +350,16 @@
     def count(self, status):
         return self.statuses.count(status)
 
-    def note(self, found, took_s):
-        self.statuses.append(found.status)
+    def record(self, outcome, took_s):
+        self.statuses.append(outcome.status)
         self.took_s.append(took_s)
-        if 'retry-after' in found.headers:
-            self.come_back_s.append(float(found.headers['retry-after']))
+        if 'retry-after' in outcome.headers:
+            self.come_back_s.append(float(outcome.headers['retry-after']))
 
 
 @dataclass
 class Fleet:
-    """Entries, targets and what lies between them."""
+    """Entries, targets and the network between them."""
 
     group: anyio.abc.TaskGroup
     routes: tuple
@@ -382,16 +387,16 @@
     def get_addresses(self):
         """Return the addresses of all entries, as the store lists them."""
         return {
-            f'entry-{one.number}': f'127.0.0.1:{one.number + 1}'
-            for one in self.entries
+            f'entry-{entry.number}': f'127.0.0.1:{entry.number + 1}'
+            for entry in self.entries
         }
 
     def start(self, number=None):
-        """Start an entry, in the place of another one if there is a number."""
+        """Start an entry; with a number, replace that entry."""
         self.lives += 1
-        place = len(self.entries) if number is None else number
+        index = len(self.entries) if number is None else number
         entry = Entry(
-            self, place, self.places[place % len(self.places)], self.lives
+            self, index, self.places[index % len(self.places)], self.lives
         )
         if number is None:
             self.entries.append(entry)
@@ -400,7 +405,7 @@
         return entry
 
     async def restart(self, number, pause_s):
-        """Kill an entry; another one starts in its place after a pause."""
+        """Kill an entry, and start its replacement after a pause."""
         self.entries[number].kill()
         await anyio.sleep(pause_s)
         self.group.start_soon(self.start(number).live)
@@ -411,16 +416,16 @@
         self.targets.append(target)
         return target
 
-    def is_cut(self, one, other):
-        """Whether words between two entries are lost."""
-        return (one.number in self.cut) != (other.number in self.cut)
+    def is_cut(self, entry, other):
+        """Return whether messages between two entries are lost."""
+        return (entry.number in self.cut) != (other.number in self.cut)
 
-    def note_words(self, count, size):
+    def count_messages(self, count, size):
         self.words += count
         self.word_bytes += count * size
 
     async def ask_for(self, for_s, rate, headers=(), entries=None, key=KEY):
-        """Have callers ask `rate` times a second at each entry."""
+        """Send `rate` requests a second to each entry for a while."""
         demand = Demand()
         async with anyio.create_task_group() as group:
             for number in entries or range(len(self.entries)):
@@ -445,19 +450,19 @@
             return
         self.asked += 1
         asked_at = anyio.current_time()
-        found = await entry.ask(f'r{self.asked}', headers=headers, key=key)
-        demand.note(found, anyio.current_time() - asked_at)
+        outcome = await entry.ask(f'r{self.asked}', headers=headers, key=key)
+        demand.record(outcome, anyio.current_time() - asked_at)
 
 
 @contextmanager
 def without_lines():
-    """Leave out the lines that the entries write."""
+    """Suppress the log of the entries."""
     with patch.object(logger, 'disabled', new=True):
         yield
 
 
 def run_fleet(scenario, routes, *, entries=6, targets=5, **fields):
-    """Run `scenario(fleet)` a while after all started; return its result."""
+    """Run `scenario(fleet)` one second after the start; return its result."""
 
     async def main():
         async with anyio.create_task_group() as group:
@@ -469,9 +474,9 @@
             for entry in fleet.entries:
                 group.start_soon(entry.live)
             await anyio.sleep(1)
-            found = await scenario(fleet)
+            result = await scenario(fleet)
             group.cancel_scope.cancel()
-        return found
+        return result
 
     with without_lines():
         return run_virtually(main)
--- a/tests/relaying.py
+++ b/tests/relaying.py
@@ -27,7 +27,7 @@
     TeamKey,
 )
 
-#: The chunk that ends a body, and bytes that break a stream off.
+#: The last chunk of a body, and bytes that are no valid chunk.
 END_CHUNK = b'0\r\n\r\n'
 BROKEN = b'zz'
 KEY = 'key-1'
@@ -44,7 +44,7 @@
 
 
 def make_route(kind=RouteKind.idempotent, **fields):
-    """Return a route of the one stub service."""
+    """Return a route to the stub service."""
     fields.setdefault('max_attempts', 2)
     fields.setdefault('timeout_s', 5)
     return Route('r', HOST, '/p/', kind, (Share('svc'),), **fields)
@@ -61,7 +61,7 @@
 
 
 def make_stream(first, last, *, end=END_CHUNK, req_id='r1'):
-    """Return a chunked event stream from one event to another."""
+    """Return a chunked stream of the events from `first` to `last`."""
     head = (
         'HTTP/1.1 200 X\r\nTransfer-Encoding: chunked\r\n'
         f'Trestledock-Request-Id: {req_id}\r\n'
@@ -75,16 +75,16 @@
 
 
 class Hang:
-    """What a target does that takes a request and never answers."""
+    """An answer that is never sent."""
 
 
 class Reset:
-    """What a target does that reads a request and resets the connection."""
+    """A connection reset instead of an answer."""
 
 
 @dataclass(frozen=True)
 class Late:
-    """What a target does that says nothing between two parts of its answer."""
+    """An answer with a pause between its two parts."""
 
     first: bytes
     rest: bytes
@@ -93,14 +93,14 @@
 
 @dataclass(frozen=True)
 class Torn:
-    """What a target does that breaks an answer off after a moment."""
+    """A partial answer, and a closed connection after a pause."""
 
     first: bytes
     pause_s: float = 0.3
 
 
 class StubTarget:
-    """Gives one prepared answer a request and remembers the requests."""
+    """Sends one prepared answer for each request and records the requests."""
 
     def __init__(self, *answers):
         self.answers = list(answers)
@@ -142,7 +142,7 @@
 
 
 async def read_request(stream):
-    """Read one request with an optional body by length."""
+    """Read one request, with a body of `Content-Length`; return its head."""
     raw = b''
     while b'\r\n\r\n' not in raw:
         raw += await stream.receive()
@@ -158,7 +158,7 @@
 
 
 class Outcome:
-    """What a caller got."""
+    """The answer that a caller received."""
 
     def __init__(self):
         self.status = 0
@@ -167,7 +167,7 @@
         self.whole = False
         self.cut = False
 
-    async def take(self, message):
+    async def receive(self, message):
         if message['type'] == 'http.response.start':
             self.status = message['status']
             self.headers = {
@@ -180,7 +180,7 @@
 
 
 class World:
-    """One relayer with its targets."""
+    """A relayer with its state."""
 
     def __init__(self, state, relayer):
         self.state = state
@@ -190,20 +190,20 @@
     async def ask(
         self, req_id='r1', method='POST', key=KEY, headers=(), body=b''
     ):
-        """Send a request through the relayer; return what came back."""
-        found = {
+        """Relay a request; return its outcome."""
+        fields = {
             'host': HOST,
             'trestledock-request-id': req_id,
             'trestledock-request-deadline': '4000',
             'authorization': f'Bearer {key}',
         }
-        found.update(headers)
+        fields.update(headers)
         scope = {
             'method': method,
             'raw_path': b'/p/x',
             'query_string': b'',
             'headers': [
-                (name.encode(), text.encode()) for name, text in found.items()
+                (name.encode(), text.encode()) for name, text in fields.items()
             ],
         }
         outcome = Outcome()
@@ -211,7 +211,7 @@
         call = self.dialect.read_call(scope, Body.of(body), now)
         try:
             await self.relayer.relay(
-                call, Reply(outcome.take, lambda: self.state.leaving)
+                call, Reply(outcome.receive, lambda: self.state.leaving)
             )
         except CutReply:
             outcome.cut = True
@@ -249,29 +249,29 @@
 
 
 def make_listed(number, port):
-    """Return the entry of a stub target."""
+    """Return the listed target of a stub target."""
     return Listed(
         f't{number}', 'svc', f'127.0.0.1:{port}', 'dc', Standing.ready, 8
     )
 
 
-#: A stream whose target is left after a silence of 0.8 s.
+#: A stream that fails over after a silence of 0.8 s.
 RESUMABLE = make_route(
     RouteKind.streaming, resumable=True, objective_s=0.3, pause_s=0.2
 )
-#: Four events, and where the third one begins.
+#: Four events, and the offset of the third.
 WHOLE = make_stream(1, 4)
 HALF = WHOLE.index(b'id: 3') - 4
-#: Two events, a silence above that, and two more.
+#: Two events, a silence above that timeout, and two more events.
 SILENT = Late(WHOLE[:HALF], WHOLE[HALF:])
-#: Far above what any scenario with stub targets takes, in seconds.
+#: Far above the time of any scenario with stub targets, in seconds.
 PATIENCE_S = 30
 
 
-def get_event_ids(found):
-    """Return the ids of the events that a caller has got."""
+def get_event_ids(outcome):
+    """Return the ids of the events that a caller received."""
     return [
         int(line.partition(b' ')[2])
-        for line in found.body.splitlines()
+        for line in outcome.body.splitlines()
         if line.startswith(b'id:')
     ]
--- a/tests/test_entry_leaving.py
+++ b/tests/test_entry_leaving.py
@@ -152,10 +152,10 @@
             world.state.budgets.windows['svc'] = RetryWindow(ONE_RETRY)
             return await ask_all(world, ('r1', 'r2'))
 
-        found = play(RESUMABLE, [StreamTarget(), StreamTarget()], scenario)
+        outcomes = play(RESUMABLE, [StreamTarget(), StreamTarget()], scenario)
         for req_id in ('r1', 'r2'):
             with self.subTest(req_id=req_id):
-                self.check(found[req_id])
+                self.check(outcomes[req_id])
 
     def test_many_streams_and_few_retries(self):
         """Ten streams all complete with one sixth of the budget."""
@@ -166,8 +166,8 @@
             world.state.budgets.windows['svc'] = RetryWindow(terms)
             return await ask_all(world, names)
 
-        found = play(RESUMABLE, [StreamTarget(), StreamTarget()], scenario)
-        self.assertEqual([name for name in names if found[name].cut], [])
+        outcomes = play(RESUMABLE, [StreamTarget(), StreamTarget()], scenario)
+        self.assertEqual([name for name in names if outcomes[name].cut], [])
 
     def test_peer_shuts_down(self):
         """The shutdown of a data centre's only entry cuts no stream.
@@ -184,8 +184,8 @@
             return await ask_all(world, names)
 
         targets = [StreamTarget(0.7), StreamTarget(0.7)]
-        found = play(RESUMABLE, targets, scenario)
-        self.assertEqual([name for name in names if found[name].cut], [])
+        outcomes = play(RESUMABLE, targets, scenario)
+        self.assertEqual([name for name in names if outcomes[name].cut], [])
 
     def test_peer_shuts_down_beside_a_flowing_stream(self):
         """A flowing stream does not fail over because an entry is silent."""
@@ -219,17 +219,17 @@
         port = get_free_port()
 
         async def scenario(world):
-            found = []
+            outcomes = []
 
             async def ask():
-                found.append(await world.ask())
+                outcomes.append(await world.ask())
 
             async with anyio.create_task_group() as group:
                 group.start_soon(ask)
                 await anyio.sleep(0.1)
                 world.state.fleet.put(make_listed(1, port))
                 world.state.note_silence('t1', anyio.current_time())
-            return found[0]
+            return outcomes[0]
 
         target = StreamTarget()
         self.check(play(RESUMABLE, [target], scenario))
@@ -238,8 +238,8 @@
     def test_only_usable_target(self):
         """No failover from the only usable target to itself."""
         target = StreamTarget()
-        found = play(RESUMABLE, [target], lambda world: world.ask())
-        self.check(found)
+        outcome = play(RESUMABLE, [target], lambda world: world.ask())
+        self.check(outcome)
         self.assertEqual(len(target.requests), 1)
 
     def test_other_refuses_connections(self):
@@ -252,10 +252,10 @@
             state = world.state
             state.fleet.put(make_listed(1, port))
             state.fleet.note_leaving('t1', 0)
-            found = []
+            outcomes = []
 
             async def ask():
-                found.append(await world.ask())
+                outcomes.append(await world.ask())
 
             async with anyio.create_task_group() as group:
                 group.start_soon(ask)
@@ -267,7 +267,7 @@
                     local_host='127.0.0.1', local_port=port
                 )
                 state.group.start_soon(second.serve, listener)
-            return found[0]
+            return outcomes[0]
 
         self.check(play(RESUMABLE, [first], scenario))
 
@@ -316,17 +316,17 @@
         async def scenario(world):
             if prepare:
                 prepare(world.state)
-            found = []
+            outcomes = []
 
             async def run():
-                found.append(await world.ask())
+                outcomes.append(await world.ask())
 
             async with anyio.create_task_group() as group:
                 group.start_soon(run)
                 if during:
                     await wait_for_request(targets)
                     during(world.state)
-            return found[0]
+            return outcomes[0]
 
         return play(route, targets, scenario)
 
@@ -367,5 +367,5 @@
                 state.fleet.note_leaving(name, 0)
 
         answers = [Late(b'', make_answer(b'bad', 500), pause_s=0.3)]
-        found = self.ask(route, answers, during=drain)
-        self.assertEqual(found.status, 500)
+        outcome = self.ask(route, answers, during=drain)
+        self.assertEqual(outcome.status, 500)
--- a/tests/test_leaving_targets.py
+++ b/tests/test_leaving_targets.py
@@ -1,4 +1,4 @@
-"""A target that says in its answers that it leaves gets nothing new."""
+"""A target whose answers say that it drains gets no new requests."""
 
 import unittest
 from dataclasses import replace
@@ -11,70 +11,70 @@
 from tests.relaying import make_route
 
 ROUTE = make_route()
-#: Prompt and answer of a request to an engine, in tokens.
+#: The prompt and answer of a request to an engine, in tokens.
 SIZES = (('trestledock-token-counts', '1500,20'),)
-#: A prompt that engines read in parts.
+#: A prompt that engines prefill in chunks.
 LONG = (
     ('trestledock-token-counts', '133000,20'),
     ('trestledock-request-deadline', '15000'),
 )
-#: Requests a second at each entry, and for how long they come, in seconds.
+#: Requests a second at each entry, and the duration of the load, in seconds.
 RATE = 8
-ASK_S = 12
+LOAD_S = 12
 
 
-def ask_while_some_leave(numbers, headers=(), **fields):
-    """Return how late the last request reached one, and what callers got."""
+def ask_while_some_drain(numbers, headers=(), **fields):
+    """Return the age of the notice at the last request, and the outcomes."""
 
     async def scenario(fleet):
         demands = []
 
         async def ask():
-            demands.append(await fleet.ask_for(ASK_S, RATE, headers))
+            demands.append(await fleet.ask_for(LOAD_S, RATE, headers))
 
         async with anyio.create_task_group() as group:
             group.start_soon(ask)
             await anyio.sleep(2)
             for number in numbers:
                 fleet.targets[number].leave()
-        return max(one.get_late_s() for one in fleet.targets), demands[0]
+        return max(target.get_late_s() for target in fleet.targets), demands[0]
 
     return run_fleet(scenario, [ROUTE], **fields)
 
 
-class SaidInAnswersTest(unittest.TestCase):
-    """The list says that it is ready, as the store may be away."""
+class DrainInAnswersTest(unittest.TestCase):
+    """The list still has the target as ready, as in a store outage."""
 
-    # Guards against requests to a target that told this entry that it leaves.
-    def test_plain_target_that_leaves_gets_nothing_late(self):
-        late_s, demand = ask_while_some_leave([0])
+    # Guards against requests to a target that told this entry that it drains.
+    def test_draining_plain_target_gets_no_late_requests(self):
+        late_s, demand = ask_while_some_drain([0])
         self.assertLessEqual(late_s, DRAIN_S)
         self.assertEqual(demand.count(200), len(demand.statuses))
 
-    # Guards against the same where prompts are packed on the nearest engines.
-    def test_engines_that_leave_get_nothing_late(self):
-        late_s, demand = ask_while_some_leave(
+    # Guards against the same for prompts that are packed on local engines.
+    def test_draining_engines_get_no_late_requests(self):
+        late_s, demand = ask_while_some_drain(
             [0, 3], SIZES, engine=SMALL_ENGINE
         )
         self.assertLessEqual(late_s, DRAIN_S)
         self.assertEqual(demand.count(200), len(demand.statuses))
 
 
-def count_after(target, instant):
-    """Return how many requests reached a target after an instant."""
-    return target.count(instant, inf)
+def count_after(target, time):
+    """Return how many requests reached a target after a time."""
+    return target.count(time, inf)
 
 
-#: A word is everywhere so soon, in seconds, and what the entry that heard it
-#: says again, if that was lost.
+#: The time in which a notice reaches all entries, in seconds, and the time in
+#: which it is sent again, in case a message was lost.
 SOON_S = 0.05
 AGAIN_S = 1.0
 
 
-class ToldTest(unittest.TestCase):
-    """Entries that no answer told."""
+class SharedNoticeTest(unittest.TestCase):
+    """Entries that learn of the drain from another entry."""
 
-    # Guards against each entry being told by an answer of its own.
+    # Guards against each entry needing an answer of its own.
     def test_one_answer_suffices_for_all_entries(self):
         async def scenario(fleet):
             target = fleet.targets[0]
@@ -85,13 +85,13 @@
                     await anyio.sleep(SOON_S)
                 group.cancel_scope.cancel()
             told_at = max(target.left_told.values()) + SOON_S
-            await fleet.ask_for(ASK_S, RATE)
+            await fleet.ask_for(LOAD_S, RATE)
             return len(target.left_told), count_after(target, told_at)
 
         self.assertEqual(run_fleet(scenario, [ROUTE]), (1, 0))
 
-    # Guards against a word that is lost on its way to another entry.
-    def test_lost_word_is_told_again(self):
+    # Guards against a notice that is lost on its way to another entry.
+    def test_lost_message_is_sent_again(self):
         async def scenario(fleet):
             target = fleet.targets[2]
             fleet.cut = {5}
@@ -106,8 +106,8 @@
 
         self.assertEqual(run_fleet(scenario, [ROUTE]), (1, 0))
 
-    # Guards against a lost word between entries: one is cut off meanwhile.
-    def test_entry_that_was_cut_off_hears_it_on_return(self):
+    # Guards against a lost notice for an entry that is cut off meanwhile.
+    def test_entry_that_was_cut_off_is_told_on_return(self):
         async def scenario(fleet):
             target = fleet.targets[2]
             fleet.cut = {5}
@@ -122,8 +122,8 @@
 
         self.assertEqual(run_fleet(scenario, [ROUTE]), 0)
 
-    # Guards against an entry that starts and knows only the list.
-    def test_entry_that_starts_hears_it_from_its_neighbours(self):
+    # Guards against a new entry that knows only the list.
+    def test_new_entry_is_told_by_other_entries(self):
         async def scenario(fleet):
             target = fleet.targets[0]
             target.leave()
@@ -138,11 +138,11 @@
         self.assertEqual(run_fleet(scenario, [ROUTE]), 0)
 
 
-class HeldAgainstOthersTest(unittest.TestCase):
-    """What may not take the word back, and what ends it."""
+class NoticeValidityTest(unittest.TestCase):
+    """The drain notice holds until the next incarnation."""
 
     def ask_after(self, make_record):
-        """Return what comes once a record was listed behind the word."""
+        """Return how many requests follow a record newer than the notice."""
 
         async def scenario(fleet):
             target = fleet.targets[0]
@@ -150,7 +150,7 @@
             await fleet.ask_for(1, RATE)
             for entry in fleet.entries:
                 entry.state.fleet.put(make_record(target))
-            # A start answers for itself.
+            # The new incarnation does not drain.
             target.leaves = ''
             target.born = make_record(target).born
             listed_at = anyio.current_time()
@@ -159,22 +159,22 @@
 
         return run_fleet(scenario, [ROUTE])
 
-    # Guards against a list that is read later and says something older.
-    def test_record_that_says_ready_takes_nothing_back(self):
+    # Guards against a list that is read later but has an older state.
+    def test_ready_record_does_not_revoke_the_notice(self):
         def make_later(target):
             return replace(target.get_listed(), sequence=9)
 
         self.assertEqual(self.ask_after(make_later), 0)
 
-    # Guards against a word that outlives the start that said it.
-    def test_next_start_under_the_id_serves(self):
+    # Guards against a notice that outlives the incarnation that gave it.
+    def test_next_incarnation_of_the_id_serves(self):
         def make_next(target):
             return replace(target.get_listed(), born=2)
 
         self.assertGreater(self.ask_after(make_next), 0)
 
-    # Guards against an answer without the word that overtook one with it.
-    def test_answer_without_the_word_takes_nothing_back(self):
+    # Guards against an answer without the notice that overtook one with it.
+    def test_answer_without_the_notice_does_not_revoke_it(self):
         async def scenario(fleet):
             target = fleet.targets[0]
             target.leave()
@@ -187,11 +187,11 @@
         self.assertEqual(run_fleet(scenario, [ROUTE]), 0)
 
 
-class AllLeaveTest(unittest.TestCase):
-    """All targets of a service leave, and no other one is known yet."""
+class AllDrainTest(unittest.TestCase):
+    """All targets of a service drain, and no replacement is known yet."""
 
-    # Guards against callers that wait for nobody, and come back at once.
-    def test_refused_at_once_with_when_to_come_back(self):
+    # Guards against callers that wait in vain, or retry at once.
+    def test_refused_at_once_with_retry_after(self):
         async def scenario(fleet):
             for target in fleet.targets:
                 target.leave()
@@ -216,48 +216,54 @@
         self.assertEqual(set(demand.statuses), {200})
 
 
-class LastLookTest(unittest.TestCase):
-    """What was chosen before the word and is not written yet."""
+class LastCheckTest(unittest.TestCase):
+    """Requests placed before the notice and not yet written."""
 
-    # Guards against a choice that is written after the word came.
-    def test_chosen_before_the_word_goes_elsewhere(self):
+    # Guards against a placed request that is written after the notice.
+    def test_placed_before_the_notice_goes_elsewhere(self):
         async def scenario(fleet):
             entry = fleet.entries[0]
             target = fleet.targets[1]
             entry.connect_slowly(1)
-            found = []
+            outcomes = []
 
             async def ask(number):
-                found.append(await entry.ask(f'x{number}'))
+                outcomes.append(await entry.ask(f'x{number}'))
 
             async with anyio.create_task_group() as group:
                 for number in range(20):
                     group.start_soon(ask, number)
                 target.leave()
                 await fleet.ask_for(0.3, 20, entries=[1])
-            sent = [one for one in target.arrivals if one.entry == entry.name]
-            return len(sent), {one.status for one in found}
+            sent = [
+                arrival
+                for arrival in target.arrivals
+                if arrival.entry == entry.name
+            ]
+            return len(sent), {outcome.status for outcome in outcomes}
 
-        found = run_fleet(scenario, [ROUTE], targets=2, entries=2)
-        self.assertEqual(found, (0, {200}))
+        result = run_fleet(scenario, [ROUTE], targets=2, entries=2)
+        self.assertEqual(result, (0, {200}))
 
-    # Guards against parts of prompts that a leaving engine reads for another.
-    def test_helper_that_leaves_reads_no_new_part(self):
-        """A helper answers nobody; its own short answers tell of it."""
+    # Guards against chunks that a draining engine prefills for another one.
+    def test_draining_helper_gets_no_new_chunk(self):
+        """Helpers send no answer; answers to short prompts have the notice."""
 
         async def scenario(fleet):
-            leaving = [fleet.targets[number] for number in (0, 3)]
-            for target in leaving:
+            draining = [fleet.targets[number] for number in (0, 3)]
+            for target in draining:
                 target.leave()
             await fleet.ask_for(1, RATE, SIZES)
-            told = [one for one in leaving if one.left_told]
+            told = [target for target in draining if target.left_told]
             told_at = anyio.current_time()
             await fleet.ask_for(6, 1, LONG)
-            parts = sum(count_after(one, told_at) for one in fleet.targets)
-            late = sum(count_after(one, told_at) for one in told)
-            return len(told), parts, late
+            chunks = sum(
+                count_after(target, told_at) for target in fleet.targets
+            )
+            late = sum(count_after(target, told_at) for target in told)
+            return len(told), chunks, late
 
-        told, parts, late = run_fleet(scenario, [ROUTE], engine=SMALL_ENGINE)
+        told, chunks, late = run_fleet(scenario, [ROUTE], engine=SMALL_ENGINE)
         self.assertGreater(told, 0)
-        self.assertGreater(parts, 40)
+        self.assertGreater(chunks, 40)
         self.assertEqual(late, 0)
--- a/tests/test_rate_limit_property.py
+++ b/tests/test_rate_limit_property.py
@@ -1,9 +1,9 @@
 """
-Whatever happens to entries and limits, a target gets no more than it asked for.
+Property test: a target gets no more requests than its rate limit allows.
 
-Entries are cut off, killed, started again and made deaf for a while; targets
-name numbers, change them, take them back and say what makes no sense.  Counted
-is all that a target gets, in stretches in which it named one number throughout.
+Entries are cut off, killed, restarted and suspended for a while; targets set
+rate limits, change and withdraw them, and send invalid ones.  All requests at a
+target are counted, in periods with an unchanged limit.
 """
 
 import unittest
@@ -20,15 +20,15 @@
 ROUTE = make_route()
 #: Requests a second at all entries together.
 RATE = 24
-#: For how long what was named holds at least, in seconds.
-HOLDS_S = 8
+#: The shortest time for which a limit stays unchanged, in seconds.
+SLOT_S = 8
 NAMES = st.sampled_from([0, 0.2, 1, 3, 10, None, 'x', 0.2, 1])
 SLOTS = st.lists(st.integers(0, 8), max_size=3)
 
 
 @dataclass(frozen=True)
 class Slot:
-    """What happens within some seconds: to limits, then to entries."""
+    """The events of one period: a limit, then faults of entries."""
 
     name: object
     cut: tuple
@@ -43,17 +43,17 @@
 
 
 async def play(fleet, slots):
-    """Live through some slots; return how far each limit was passed."""
+    """Run through some slots; return the excess over each limit."""
     over = []
     target = fleet.targets[0]
     count = len(fleet.entries)
     for slot in slots:
         target.name(slot.name)
-        began_at = anyio.current_time()
+        started_at = anyio.current_time()
         async with anyio.create_task_group() as group:
-            group.start_soon(fleet.ask_for, HOLDS_S, RATE / count)
+            group.start_soon(fleet.ask_for, SLOT_S, RATE / count)
             await anyio.sleep(1)
-            fleet.cut = {one % count for one in slot.cut}
+            fleet.cut = {number % count for number in slot.cut}
             if slot.deaf is not None:
                 deaf = fleet.entries[slot.deaf % count]
                 group.start_soon(deaf.stand_still_for, 2.5)
@@ -61,14 +61,14 @@
                 await fleet.restart(slot.killed % count, 2)
         fleet.cut = set()
         if isinstance(slot.name, int | float):
-            since = began_at + BINDS_S
-            most = target.get_most(target.count, since, began_at + HOLDS_S)
+            since = started_at + BINDS_S
+            most = target.get_most(target.count, since, started_at + SLOT_S)
             over.append(most - get_allowed(slot.name))
     return over
 
 
 class RateLimitPropertyTest(unittest.TestCase):
-    """Small fleets, disturbed."""
+    """Small fleets with faults."""
 
     @given(st.integers(2, 9), st.integers(1, 3), draw_slots(), st.integers(0))
     @settings(max_examples=25)
--- a/tests/test_relaying.py
+++ b/tests/test_relaying.py
@@ -53,8 +53,8 @@
 
     def test_answer_passes_unchanged(self):
         """The caller gets the status, body and seal of the target."""
-        found = self.check(ONCE, [make_answer()], 200, 1, b'ok')
-        self.assertEqual(found.headers['trestledock-response-seal'], 's')
+        outcome = self.check(ONCE, [make_answer()], 200, 1, b'ok')
+        self.assertEqual(outcome.headers['trestledock-response-seal'], 's')
 
     def test_rejected_request_is_retried(self):
         """A request that a target did not run goes to another target."""
@@ -64,8 +64,8 @@
     def test_rejected_by_all_is_refused(self):
         """After rejections only, the refusal promises that nothing ran."""
         full = make_answer(b'', 503, seal=False, more=NOT_RUN)
-        found = self.check(ONCE, repeat(full, 9), 503, 6)
-        self.assertIn('retry-after', found.headers)
+        outcome = self.check(ONCE, repeat(full, 9), 503, 6)
+        self.assertIn('retry-after', outcome.headers)
 
     def test_misdirected_request_is_retried(self):
         """421 proves that the request has not run."""
@@ -81,8 +81,8 @@
             world.state.board.put(
                 Flight('x', 't1', 9, 9, Phase.reading, since=0)
             )
-            found = await world.ask()
-            self.assertEqual(found.status, 200)
+            outcome = await world.ask()
+            self.assertEqual(outcome.status, 200)
             self.assertEqual(set(world.state.fleet.leaving), {'t0'})
 
         run_world(ONCE, targets, scenario)
@@ -98,8 +98,8 @@
         sizes = {'trestledock-token-counts': '100000,400'}
 
         async def scenario(world):
-            found = await world.ask(headers=sizes)
-            self.assertEqual(found.status, 200)
+            outcome = await world.ask(headers=sizes)
+            self.assertEqual(outcome.status, 200)
 
         run_world(STREAM, targets, scenario, engine=ENGINE)
         requests = [head for target in targets for head in target.requests]
@@ -123,8 +123,8 @@
     def test_last_failure_is_forwarded(self):
         """The target's own error response is preferred to the entry's."""
         failed = make_answer(b'bad', 500)
-        found = self.check(IDEMPOTENT, repeat(failed, 5), 500, 2, b'bad')
-        self.assertIn('trestledock-response-seal', found.headers)
+        outcome = self.check(IDEMPOTENT, repeat(failed, 5), 500, 2, b'bad')
+        self.assertIn('trestledock-response-seal', outcome.headers)
 
     def test_false_promise(self):
         """A 503 without the not-executed header may have run."""
@@ -183,8 +183,8 @@
                 await anyio.sleep(0)
                 group.start_soon(world.ask, 'r2')
             self.assertEqual(target.connections, 2)
-            found = await world.ask('r3')
-            self.assertEqual(found.status, 200)
+            outcome = await world.ask('r3')
+            self.assertEqual(outcome.status, 200)
             self.assertEqual(target.connections, 3)
 
         run_world(IDEMPOTENT, [target], scenario)
@@ -215,16 +215,16 @@
 
     def test_whole(self):
         """All events and the end of the stream are forwarded."""
-        found, _ = self.ask(STREAM, [make_stream(1, 5)])
-        self.assertEqual(self.get_ids(found), [1, 2, 3, 4, 5])
-        self.assertTrue(found.whole)
+        outcome, _ = self.ask(STREAM, [make_stream(1, 5)])
+        self.assertEqual(self.get_ids(outcome), [1, 2, 3, 4, 5])
+        self.assertTrue(outcome.whole)
 
     def test_resumed_elsewhere(self):
         """A broken stream is resumed after the last complete event."""
         broken = make_stream(1, 3, end=BROKEN)
-        found, requests = self.ask(STREAM, [broken, make_stream(4, 6)])
-        self.assertEqual(self.get_ids(found), [1, 2, 3, 4, 5, 6])
-        self.assertTrue(found.whole)
+        outcome, requests = self.ask(STREAM, [broken, make_stream(4, 6)])
+        self.assertEqual(self.get_ids(outcome), [1, 2, 3, 4, 5, 6])
+        self.assertTrue(outcome.whole)
         resumed = [
             head for head in requests if 'last-event-id: 3' in head.lower()
         ]
@@ -233,8 +233,8 @@
     def test_silent_stream_is_resumed(self):
         """A stream fails over from a silent target."""
         answers = [make_stream(1, 2, end=b''), make_stream(3, 4)]
-        found, _ = self.ask(STREAM, answers)
-        self.assertEqual(self.get_ids(found), [1, 2, 3, 4])
+        outcome, _ = self.ask(STREAM, answers)
+        self.assertEqual(self.get_ids(outcome), [1, 2, 3, 4])
 
     def test_last_target_is_waited_for(self):
         """A silent stream is not cut if no other target may resume it."""
@@ -245,16 +245,16 @@
             max_attempts=1,
             timeout_s=1.5,
         )
-        found, requests = self.ask(route, [make_stream(1, 2, end=b'')])
+        outcome, requests = self.ask(route, [make_stream(1, 2, end=b'')])
         self.assertEqual(len(requests), 1)
         self.assertGreater(self.took_s, 1.4)
-        self.assertTrue(found.cut)
+        self.assertTrue(outcome.cut)
 
     def test_stream_across_a_cut_is_resumed_elsewhere(self):
         """A stream from a data centre that falls silent fails over."""
         targets = [StubTarget(make_stream(1, 2, end=b'')), StubTarget()]
         targets[1].answers = [make_stream(3, 4)]
-        found = []
+        outcomes = []
 
         async def scenario(world):
             state = world.state
@@ -264,7 +264,7 @@
             state.note_heard('far', 'e', anyio.current_time())
             async with anyio.create_task_group() as group:
                 group.start_soon(cut)
-                found.append(await world.ask())
+                outcomes.append(await world.ask())
 
             self.assertEqual(state.waits, set())
 
@@ -283,22 +283,22 @@
             RouteKind.streaming, resumable=True, pause_s=1.0, timeout_s=5
         )
         run_world(route, targets, with_state)
-        self.assertEqual(self.get_ids(found[0]), [1, 2, 3, 4])
+        self.assertEqual(self.get_ids(outcomes[0]), [1, 2, 3, 4])
         self.assertEqual(len(targets[1].requests), 1)
 
     def test_duplicate_events_are_dropped(self):
         """Events that the caller already has are not sent again."""
         broken = make_stream(1, 3, end=BROKEN)
-        found, _ = self.ask(STREAM, [broken, make_stream(2, 5)])
-        self.assertEqual(self.get_ids(found), [1, 2, 3, 4, 5])
+        outcome, _ = self.ask(STREAM, [broken, make_stream(2, 5)])
+        self.assertEqual(self.get_ids(outcome), [1, 2, 3, 4, 5])
 
     def test_not_resumable_is_cut(self):
         """A broken stream that may not be resumed is cut, not completed."""
         route = make_route(RouteKind.streaming, pause_s=0.2)
         broken = make_stream(1, 3, end=BROKEN)
-        found, requests = self.ask(route, [broken, make_stream(4, 6)])
-        self.assertTrue(found.cut)
-        self.assertFalse(found.whole)
+        outcome, requests = self.ask(route, [broken, make_stream(4, 6)])
+        self.assertTrue(outcome.cut)
+        self.assertFalse(outcome.whole)
         self.assertEqual(len(requests), 1)
 
     def test_callers_own_resumption(self):
@@ -314,19 +314,19 @@
 
     def ask(self, key, age_s=0, route=IDEMPOTENT):
         target = StubTarget(make_answer())
-        found = []
+        outcomes = []
 
         async def scenario(world):
             world.state.proof.proven_at = anyio.current_time() - age_s
-            found.append(await world.ask(key=key))
+            outcomes.append(await world.ask(key=key))
 
         run_world(route, [target], scenario)
-        return found[0], target.requests
+        return outcomes[0], target.requests
 
     def test_unknown_key(self):
         """An unknown key is refused."""
-        found, requests = self.ask('other')
-        self.assertEqual((found.status, requests), (401, []))
+        outcome, requests = self.ask('other')
+        self.assertEqual((outcome.status, requests), (401, []))
 
     def test_team_replaces_the_key(self):
         """The target gets the team and never the key."""
@@ -358,13 +358,13 @@
 
     def test_old_proof(self):
         """A key without a recent proof is refused."""
-        found, requests = self.ask('key-1', age_s=4)
-        self.assertEqual((found.status, requests), (503, []))
+        outcome, requests = self.ask('key-1', age_s=4)
+        self.assertEqual((outcome.status, requests), (503, []))
 
     def test_public_route_with_an_old_proof(self):
         """A public route is still served."""
-        found, _ = self.ask('key-1', age_s=99, route=make_route(public=True))
-        self.assertEqual(found.status, 200)
+        outcome, _ = self.ask('key-1', age_s=99, route=make_route(public=True))
+        self.assertEqual(outcome.status, 200)
 
 
 class CallerLeftTest(unittest.TestCase):
