--- a/tests/test_entry_shutdown.py
+++ b/tests/test_entry_shutdown.py
@@ -275,7 +275,7 @@
 
 
 class SettingsTest(unittest.TestCase):
-    """SIGHUP while the settings file can't be read."""
+    """A hang-up signal while the settings file can't be read."""
 
     def check(self, spoil):
         async def scenario(world):
