--- a/trestledock/entry/_answering.py
+++ b/trestledock/entry/_answering.py
@@ -33,7 +33,7 @@
         """Store the state and the platform's formats."""
         self.state = state
         self.dialect = dialect
-        self.limits = ResponseTimeouts(state)
+        self.timeouts = ResponseTimeouts(state)
 
     async def receive(
         self,
@@ -47,8 +47,8 @@
 
         The request was written at the time `asked_at` or later.
         """
-        limit = self.limits.get_first_timeout(job, placement)
-        head = await self._read_head(job, placement, wire, limit)
+        timeout = self.timeouts.get_first_timeout(job, placement)
+        head = await self._read_head(job, placement, wire, timeout)
         answer = self.dialect.read_head(head)
         if answer.req_id and answer.req_id != job.call.req_id:
             raise WireError('answer', 'of another request')
@@ -58,7 +58,7 @@
             forwarder = StreamForwarder(
                 self.state, self.dialect, job, placement, reply
             )
-            sending = await forwarder.run(head, wire.iter_body, limit)
+            sending = await forwarder.run(head, wire.iter_body, timeout)
         else:
             sending = await self._receive_whole(
                 job, placement, wire, head, answer, reply
@@ -78,20 +78,28 @@
         job: Job,
         placement: Placement,
         wire: Wire,
-        limit: ResponseTimeout,
+        timeout: ResponseTimeout,
     ) -> Head:
-        timeout = limit
+        current = timeout
         while True:
-            held_up = self.limits.is_waiting_for_memory(job, placement)
-            step = self.limits.get_recheck_timeout(job) if held_up else timeout
-            with self.limits.wait(job, placement, step):
+            waits_for_memory = self.timeouts.is_waiting_for_memory(
+                job, placement
+            )
+            next_wait = (
+                self.timeouts.get_recheck_timeout(job)
+                if waits_for_memory
+                else current
+            )
+            with self.timeouts.wait(job, placement, next_wait):
                 return await wire.read_head()
-            if held_up and not self.limits.is_wait_over(job, placement):
+            if waits_for_memory and not self.timeouts.is_wait_over(
+                job, placement
+            ):
                 continue
-            if self.limits.may_fail_over(job, placement):
+            if self.timeouts.may_fail_over(job, placement):
                 peer = placement.target.incarnation
-                raise self.limits.record_timeout('answer', peer, limit)
-            timeout = self.limits.get_recheck_timeout(job)
+                raise self.timeouts.record_timeout('answer', peer, timeout)
+            current = self.timeouts.get_recheck_timeout(job)
 
     def _record_silence(self, peer: str) -> None:
         self.state.note_silence(peer, anyio.current_time())
--- a/trestledock/entry/_limits.py
+++ b/trestledock/entry/_limits.py
@@ -116,10 +116,10 @@
         self,
         job: Job,
         placement: Placement,
-        limit: ResponseTimeout,
+        timeout: ResponseTimeout,
     ) -> Iterator[anyio.CancelScope]:
         """Wait up to a timeout, or until a target involved is cut off."""
-        with anyio.move_on_after(limit.wait_s) as scope:
+        with anyio.move_on_after(timeout.wait_s) as scope:
             if job.history.is_last_run(job.route):
                 yield scope
                 return
@@ -135,17 +135,19 @@
                 self.state.waits.discard(wait)
 
     def record_timeout(
-        self, step: str, peer: str, limit: ResponseTimeout
+        self, step: str, peer: str, timeout: ResponseTimeout
     ) -> WireError:
         """Record that a target timed out; return the error to raise."""
         now = anyio.current_time()
-        if limit.early:
+        if timeout.early:
             self.state.note_early(peer, now)
         else:
             self.state.note_silence(peer, now)
         if self.state.is_cut_off(peer, now):
             return WireError(step, 'its data centre is silent', Sign.silent)
-        return WireError(step, f'silent for {limit.wait_s:.2f} s', Sign.silent)
+        return WireError(
+            step, f'silent for {timeout.wait_s:.2f} s', Sign.silent
+        )
 
     def _reserve_retry(self, job: Job) -> bool:
         now = anyio.current_time()
--- a/trestledock/entry/_sending.py
+++ b/trestledock/entry/_sending.py
@@ -52,7 +52,7 @@
         self.pool = pool
         self.dialect = dialect
         self.tickets = tickets
-        self.answering = AnswerReceiver(state, dialect)
+        self.answer_receiver = AnswerReceiver(state, dialect)
 
     async def send(
         self,
@@ -195,7 +195,7 @@
         note_sent(self.state, job.call.req_id, placement)
         try:
             await self._write(job, placement, held, wire)
-            sending, idle_s = await self.answering.receive(
+            sending, idle_s = await self.answer_receiver.receive(
                 job, placement, wire, reply, asked_at
             )
         except WireError as exc:
--- a/trestledock/entry/_streaming.py
+++ b/trestledock/entry/_streaming.py
@@ -41,7 +41,7 @@
         """Store the request and the reply that its events go to."""
         self.state = state
         self.dialect = dialect
-        self.limits = ResponseTimeouts(state)
+        self.timeouts = ResponseTimeouts(state)
         self.job = job
         self.placement = placement
         self.peer = placement.target.incarnation
@@ -55,32 +55,32 @@
         self,
         head: Head,
         iter_body: IterBody,
-        limit: ResponseTimeout,
+        timeout: ResponseTimeout,
     ) -> Sending:
         """Forward events until the stream ends."""
         self.body = iter_body()
         while True:
-            raw = await self._read(iter_body, limit)
+            raw = await self._read(iter_body, timeout)
             if raw is None:
                 return await self._finish(head)
             await self._forward(head, raw)
             if self.event_count:
-                limit = self.limits.get_pause_timeout(self.job)
+                timeout = self.timeouts.get_pause_timeout(self.job)
 
     async def _read(
         self,
         iter_body: IterBody,
-        limit: ResponseTimeout,
+        timeout: ResponseTimeout,
     ) -> bytes | None:
-        timeout = limit
+        current = timeout
         while True:
-            with self.limits.wait(self.job, self.placement, timeout):
+            with self.timeouts.wait(self.job, self.placement, current):
                 return await anext(self.body, None)
             # Targets that could have resumed the stream when the silence began
             # may be unavailable by now.
-            if self.limits.may_fail_over(self.job, self.placement):
-                raise self.limits.record_timeout('events', self.peer, limit)
-            timeout = self.limits.get_recheck_timeout(self.job)
+            if self.timeouts.may_fail_over(self.job, self.placement):
+                raise self.timeouts.record_timeout('events', self.peer, timeout)
+            current = self.timeouts.get_recheck_timeout(self.job)
             self.body = iter_body()
 
     async def _forward(self, head: Head, raw: bytes) -> None:
