--- a/trestledock/entry/_job.py
+++ b/trestledock/entry/_job.py
@@ -172,7 +172,7 @@
 
     @property
     def ask(self) -> Ask:
-        """The request as input of placement; a plain call has size zero."""
+        """The request as the input of placement; a plain call has size zero."""
         return Ask(
             req_id=self.call.req_id,
             size=self.call.size or PromptSize(0, 0),
--- a/trestledock/entry/_limits.py
+++ b/trestledock/entry/_limits.py
@@ -50,15 +50,15 @@
     ) -> ResponseTimeout:
         """Return the timeout for the first byte or event of an answer."""
         is_last = self._is_last_option(job)
-        may_leave = self.state.budgets.may_leave_early(anyio.current_time())
-        early = may_leave and not is_last and not placement.helpers
-        patience_s = get_first_patience_s(
+        may_fail_over = self.state.budgets.may_leave_early(anyio.current_time())
+        early = may_fail_over and not is_last and not placement.helpers
+        timeout_s = get_first_patience_s(
             job.route,
             placement.first_s,
             early=early,
             helped=bool(placement.helpers),
         )
-        return ResponseTimeout(min(patience_s, _get_remaining_s(job)), early)
+        return ResponseTimeout(min(timeout_s, _get_remaining_s(job)), early)
 
     def get_pause_timeout(self, job: Job) -> ResponseTimeout:
         """Return the timeout between the events of a stream.
@@ -66,17 +66,19 @@
         The last target that may run the request is waited for until the
         deadline, as no other target may resume it.
         """
-        left_s = _get_remaining_s(job)
+        remaining_s = _get_remaining_s(job)
         if job.history.is_last_run(job.route):
-            return ResponseTimeout(left_s)
-        return ResponseTimeout(min(get_pause_patience_s(job.route), left_s))
+            return ResponseTimeout(remaining_s)
+        return ResponseTimeout(
+            min(get_pause_patience_s(job.route), remaining_s)
+        )
 
     def get_recheck_timeout(self, job: Job) -> ResponseTimeout:
         """Return how long to wait before the next check for a failover."""
-        left_s = _get_remaining_s(job)
+        remaining_s = _get_remaining_s(job)
         if job.history.is_last_run(job.route):
-            return ResponseTimeout(left_s)
-        return ResponseTimeout(min(RECHECK_INTERVAL_S, left_s))
+            return ResponseTimeout(remaining_s)
+        return ResponseTimeout(min(RECHECK_INTERVAL_S, remaining_s))
 
     def is_wait_over(self, job: Job, placement: Placement) -> bool:
         """Return whether the deadline or a network cut ends the wait."""
@@ -94,7 +96,7 @@
         return is_held_up(own, flights, engine.capacity_tokens)
 
     def may_fail_over(self, job: Job, placement: Placement) -> bool:
-        """Return whether to fail over now from a target that timed out.
+        """Return whether to give up a target that timed out.
 
         A begun answer would be cut if no other target resumed it.  So another
         target must be available at once, and the retry is taken from the budget
