--- a/trestledock/entry/_loads.py
+++ b/trestledock/entry/_loads.py
@@ -32,7 +32,7 @@
 #: How many data centres are queried, drawn at random each time: the better of
 #: two is nearly as good as the best of all, for half of the queries where there
 #: are four others.
-MAX_ASKED = 2
+MAX_QUERIED = 2
 #: How long a data centre that did not answer is not queried, in seconds: each
 #: waiting prompt would query it ten times a second while it is cut off.
 RETRY_INTERVAL_S = 1.0
@@ -46,7 +46,7 @@
         """Store the state and the gossip that knows the other entries."""
         self.state = state
         self.gossip = gossip
-        self._asking: anyio.Event | None = None
+        self._query_done: anyio.Event | None = None
         self._silent_at: dict[str, float] = {}
         state.learn_loads = self.learn
 
@@ -55,19 +55,19 @@
 
         Prompts that need them at the same time share the answers.
         """
-        if self._asking:
-            await self._asking.wait()
+        if self._query_done:
+            await self._query_done.wait()
             return
-        self._asking = anyio.Event()
+        self._query_done = anyio.Event()
         try:
             async with anyio.create_task_group() as group:
                 for data_centre, addresses in self._choose_peers().items():
-                    group.start_soon(self._ask, data_centre, addresses)
+                    group.start_soon(self._query, data_centre, addresses)
         finally:
-            self._asking.set()
-            self._asking = None
+            self._query_done.set()
+            self._query_done = None
 
-    def make_load(self, asker: str) -> bytes:
+    def make_load(self, data_centre: str) -> bytes:
         """Return the answer to a query: the loads of the local targets.
 
         Flights of the querying data centre's entries are left out, as they are
@@ -84,7 +84,7 @@
         left_out = {
             name
             for name, peer in self.gossip.peers.known.items()
-            if peer.data_centre == asker
+            if peer.data_centre == data_centre
         }
         flights = self.state.board.get_all_but(left_out)
         rows = [
@@ -96,17 +96,17 @@
     def _choose_peers(self) -> Mapping[str, Sequence[Address]]:
         """Return entries to query in some data centres that answer."""
         now = anyio.current_time()
-        far = self.gossip.neighbours.get_far(many=self.state.many_entries)
+        remote = self.gossip.neighbours.get_far(many=self.state.many_entries)
         answering = [
             data_centre
-            for data_centre in far
+            for data_centre in remote
             if now - self._silent_at.get(data_centre, LONG_AGO)
             >= RETRY_INTERVAL_S
         ]
         self.state.rng.shuffle(answering)
-        return {name: far[name] for name in answering[:MAX_ASKED]}
+        return {name: remote[name] for name in answering[:MAX_QUERIED]}
 
-    async def _ask(
+    async def _query(
         self, data_centre: str, addresses: Sequence[Address]
     ) -> None:
         query = urlencode({DATA_CENTRE_FIELD: self.state.settings.data_centre})
