--- a/trestledock/entry/_dialect.py
+++ b/trestledock/entry/_dialect.py
@@ -27,7 +27,7 @@
 
     `left_s` is the time that the target may take.  `tickets` has the ids of the
     memory reservations at other targets, by target.  `priority` is the
-    request's place in the target's queue, 0 being first.
+    request's priority in the target's queue, 0 being the highest.
     """
 
     placement: Placement
