--- a/tests/limiting.py
+++ b/tests/limiting.py
@@ -24,9 +24,9 @@
 from trestledock.entry._sending import Sender
 from trestledock.entry._state import EntryState
 from trestledock.entry._tickets import Tickets
-from trestledock.entry._word_codec import write_word
+from trestledock.entry._message_codec import encode_message
 from trestledock.platform._headers import HELPERS, REQUEST_ID, PlatformDialect
-from trestledock.relay import Catalog, Listed, Service, Standing, TeamKey
+from trestledock.relay import Catalog, ListedTarget, Service, Standing, TeamKey
 
 #: The one-way delay to a target and to another entry, in seconds.
 WAY_S = 0.001
@@ -34,11 +34,11 @@
 WORK_S = 0.02
 #: A rate limit binds an entry this long after the entry was told, and all
 #: entries this long after it was first set, in seconds.
-TOLD_S = 0.5
-BINDS_S = 3.0
+NOTICE_LATENCY_S = 0.5
+LIMIT_EFFECT_S = 3.0
 #: In a window of this length, in seconds, a target may get one and a half times
 #: its rate limit, and a few requests more.
-STRETCH_S = 4.0
+WINDOW_S = 4.0
 OVER_SHARE = 1.5
 OVER_COUNT = 5
 #: How long requests from an entry may still reach a draining target after the
@@ -47,7 +47,7 @@
 #: A back-off binds an entry this long after it was asked for, in seconds; until
 #: it is over, at most this many requests may come from that entry.
 REST_BINDS_S = 0.5
-REST_COUNT = 2
+MAX_REQUESTS_IN_BACKOFF = 2
 
 
 @dataclass(frozen=True)
@@ -96,7 +96,7 @@
         return f'10.0.0.{self.number}:80'
 
     def get_listed(self, service='svc'):
-        return Listed(
+        return ListedTarget(
             f't{self.number}',
             service,
             self.address,
@@ -122,7 +122,7 @@
         return sum(
             since <= arrival.at < until
             and self.told.get(arrival.entry, float('inf'))
-            <= arrival.at - TOLD_S
+            <= arrival.at - NOTICE_LATENCY_S
             for arrival in self.arrivals
         )
 
@@ -164,13 +164,13 @@
             for arrival in self.arrivals
             if since <= arrival.at < until
         ]
-        ends = [min(until, start + STRETCH_S) for start in starts]
+        ends = [min(until, start + WINDOW_S) for start in starts]
         return max(map(count, starts, ends), default=0)
 
 
 def get_allowed(per_s):
     """Return how many requests a rate limit allows within any window."""
-    return OVER_SHARE * STRETCH_S * per_s + OVER_COUNT
+    return OVER_SHARE * WINDOW_S * per_s + OVER_COUNT
 
 
 class TargetWire:
@@ -238,16 +238,16 @@
         self.fleet = fleet
         self.entry = entry
 
-    async def take(self, listed):
+    async def acquire(self, listed):
         for target in self.fleet.targets:
             if target.get_listed().incarnation == listed.incarnation:
                 return TargetWire(self.fleet, self.entry, target)
         raise WireError('connect', 'refused')
 
-    async def give(self, listed, wire, idle_s):
+    async def release(self, listed, wire, idle_s):
         """Do nothing: no connection is kept."""
 
-    def drop(self, incarnation):
+    def close_idle(self, incarnation):
         """Do nothing: no connection is kept."""
 
 
@@ -285,8 +285,8 @@
     async def live(self):
         """Send messages to the other entries until killed."""
         self.fleet.network[self.address] = self
-        self.gossip.meet(self.fleet.get_addresses())
-        self.state.tell_own = self.gossip.tell_own
+        self.gossip.add_addresses(self.fleet.get_addresses())
+        self.state.tell_own = self.gossip.send_own_changes
         with self.scope:
             async with anyio.create_task_group() as group:
                 group.start_soon(self.gossip._tell_all)
@@ -323,7 +323,7 @@
             await anyio.sleep(0.5)
 
     def _send(self, message, addresses):
-        raw = write_word(message, anyio.current_time())
+        raw = encode_message(message, anyio.current_time())
         self.fleet.count_messages(len(addresses), len(raw))
         for address in addresses:
             self.state.group.start_soon(self._deliver, raw, address)
--- a/tests/relaying.py
+++ b/tests/relaying.py
@@ -18,7 +18,7 @@
 from trestledock.relay import (
     Body,
     Catalog,
-    Listed,
+    ListedTarget,
     Route,
     RouteKind,
     Service,
@@ -83,7 +83,7 @@
 
 
 @dataclass(frozen=True)
-class Late:
+class DelayedAnswer:
     """An answer with a pause between its two parts."""
 
     first: bytes
@@ -92,7 +92,7 @@
 
 
 @dataclass(frozen=True)
-class Torn:
+class AbortedAnswer:
     """A partial answer, and a closed connection after a pause."""
 
     first: bytes
@@ -129,11 +129,11 @@
             elif answer is Reset:
                 reset(stream)
                 return
-            elif isinstance(answer, Torn):
+            elif isinstance(answer, AbortedAnswer):
                 await stream.send(answer.first)
                 await anyio.sleep(answer.pause_s)
                 return
-            elif isinstance(answer, Late):
+            elif isinstance(answer, DelayedAnswer):
                 await stream.send(answer.first)
                 await anyio.sleep(answer.pause_s)
                 await stream.send(answer.rest)
@@ -208,7 +208,7 @@
         }
         outcome = Outcome()
         now = anyio.current_time()
-        call = self.dialect.read_call(scope, Body.of(body), now)
+        call = self.dialect.read_call(scope, Body.from_bytes(body), now)
         try:
             await self.relayer.relay(
                 call, Reply(outcome.receive, lambda: self.state.leaving)
@@ -250,7 +250,7 @@
 
 def make_listed(number, port):
     """Return the listed target of a stub target."""
-    return Listed(
+    return ListedTarget(
         f't{number}', 'svc', f'127.0.0.1:{port}', 'dc', Standing.ready, 8
     )
 
@@ -263,9 +263,9 @@
 WHOLE = make_stream(1, 4)
 HALF = WHOLE.index(b'id: 3') - 4
 #: Two events, a silence above that timeout, and two more events.
-SILENT = Late(WHOLE[:HALF], WHOLE[HALF:])
+SILENT = DelayedAnswer(WHOLE[:HALF], WHOLE[HALF:])
 #: Far above the time of any scenario with stub targets, in seconds.
-PATIENCE_S = 30
+SCENARIO_TIMEOUT_S = 30
 
 
 def get_event_ids(outcome):
--- a/tests/test_entry_leaving.py
+++ b/tests/test_entry_leaving.py
@@ -12,12 +12,12 @@
 import anyio
 
 from tests.relaying import (
-    PATIENCE_S,
+    SCENARIO_TIMEOUT_S,
     RESUMABLE,
     WHOLE,
-    Late,
+    DelayedAnswer,
     StubTarget,
-    Torn,
+    AbortedAnswer,
     get_event_ids,
     make_answer,
     make_listed,
@@ -28,14 +28,14 @@
 )
 from trestledock.demo import get_free_port
 from trestledock.entry._limits import RECHECK_INTERVAL_S, ResponseTimeouts
-from trestledock.relay import Leave
+from trestledock.relay import Drain
 from trestledock.relay import (
-    BEAT_S,
-    BudgetTerms,
+    BEAT_INTERVAL_S,
+    RetryLimits,
     EngineModel,
     Flight,
     Phase,
-    RetryWindow,
+    RetryBudget,
     RouteKind,
 )
 
@@ -44,9 +44,9 @@
 #: More than twice the longest silence here, in milliseconds.
 LONG = {'trestledock-request-deadline': '8000'}
 SIZES = {'trestledock-token-counts': '1000,400'}
-NO_BUDGET = BudgetTerms(ratio=0, slack=0)
+NO_BUDGET = RetryLimits(ratio=0, slack=0)
 #: One retry: a share of 0.7 of the slack is used.
-ONE_RETRY = BudgetTerms(ratio=0, slack=1.5)
+ONE_RETRY = RetryLimits(ratio=0, slack=1.5)
 
 
 class StreamTarget(StubTarget):
@@ -105,7 +105,7 @@
     """Check for silent data centres at the interval of the product."""
     while True:
         state.check_reach(anyio.current_time())
-        await anyio.sleep(BEAT_S)
+        await anyio.sleep(BEAT_INTERVAL_S)
 
 
 def put_elsewhere(state):
@@ -129,7 +129,7 @@
     results = []
 
     async def run(world):
-        with anyio.fail_after(PATIENCE_S):
+        with anyio.fail_after(SCENARIO_TIMEOUT_S):
             results.append(await scenario(world))
 
     run_world(route, targets, run, engine=engine)
@@ -149,7 +149,7 @@
         """Two streams that fall silent at once don't both use the one retry."""
 
         async def scenario(world):
-            world.state.budgets.windows['svc'] = RetryWindow(ONE_RETRY)
+            world.state.budgets.windows['svc'] = RetryBudget(ONE_RETRY)
             return await ask_all(world, ('r1', 'r2'))
 
         outcomes = play(RESUMABLE, [StreamTarget(), StreamTarget()], scenario)
@@ -162,8 +162,8 @@
         names = [f'r{number}' for number in range(10)]
 
         async def scenario(world):
-            terms = BudgetTerms(slack=BudgetTerms().slack / 6)
-            world.state.budgets.windows['svc'] = RetryWindow(terms)
+            terms = RetryLimits(slack=RetryLimits().slack / 6)
+            world.state.budgets.windows['svc'] = RetryBudget(terms)
             return await ask_all(world, names)
 
         outcomes = play(RESUMABLE, [StreamTarget(), StreamTarget()], scenario)
@@ -178,8 +178,8 @@
 
         async def scenario(world):
             state = world.state
-            terms = BudgetTerms(slack=BudgetTerms().slack / 6)
-            state.budgets.windows['svc'] = RetryWindow(terms)
+            terms = RetryLimits(slack=RetryLimits().slack / 6)
+            state.budgets.windows['svc'] = RetryBudget(terms)
             put_elsewhere(state)
             return await ask_all(world, names)
 
@@ -208,7 +208,7 @@
             now = anyio.current_time()
             for name in 'xyz':
                 world.state.board.put(
-                    Flight(name, 't1', 230_000, 900, Phase.reading, since=now)
+                    Flight(name, 't1', 230_000, 900, Phase.prefill, since=now)
                 )
             return await world.ask(headers=SIZES)
 
@@ -244,7 +244,7 @@
 
     def test_other_refuses_connections(self):
         """A broken stream waits for a target that is still starting."""
-        first = StubTarget(Torn(make_stream(1, 2, end=b'')))
+        first = StubTarget(AbortedAnswer(make_stream(1, 2, end=b'')))
         second = StreamTarget()
         port = get_free_port()
 
@@ -260,7 +260,7 @@
             async with anyio.create_task_group() as group:
                 group.start_soon(ask)
                 await wait_for_request([first])
-                state.notices.drop(Leave, 't1')
+                state.notices.drop(Drain, 't1')
                 state.fleet.note_leaving('t0', 0)
                 await anyio.sleep(1)
                 listener = await anyio.create_tcp_listener(
@@ -276,19 +276,19 @@
         route = make_route(
             RouteKind.streaming, resumable=True, timeout_s=9, pause_s=0.5
         )
-        targets = [StreamTarget(PATIENCE_S), StreamTarget(PATIENCE_S)]
+        targets = [StreamTarget(SCENARIO_TIMEOUT_S), StreamTarget(SCENARIO_TIMEOUT_S)]
 
         waits = []
         get_recheck_timeout = ResponseTimeouts.get_recheck_timeout
 
         async def scenario(world):
             state = world.state
-            state.budgets.windows['svc'] = RetryWindow(NO_BUDGET)
+            state.budgets.windows['svc'] = RetryBudget(NO_BUDGET)
 
             def recheck(timeouts, job):
                 """Make retries available from the first recheck on."""
                 waits.append(get_recheck_timeout(timeouts, job).wait_s)
-                state.budgets.windows['svc'] = RetryWindow(BudgetTerms())
+                state.budgets.windows['svc'] = RetryBudget(RetryLimits())
                 return get_recheck_timeout(timeouts, job)
 
             with patch.object(ResponseTimeouts, 'get_recheck_timeout', recheck):
@@ -332,7 +332,7 @@
 
     def spend(self, state):
         """Leave no retry in the budget."""
-        state.budgets.windows['svc'] = RetryWindow(NO_BUDGET)
+        state.budgets.windows['svc'] = RetryBudget(NO_BUDGET)
 
     def check_failed_early(self, route, answers, **fields):
         """Assert a 502, which promises nothing, before the deadline."""
@@ -343,19 +343,19 @@
 
     def test_stream_without_budget(self):
         """A stream without an event fails after the first-event timeout."""
-        late = Late(b'', make_stream(1, 4), pause_s=PATIENCE_S)
+        late = DelayedAnswer(b'', make_stream(1, 4), pause_s=SCENARIO_TIMEOUT_S)
         self.check_failed_early(RESUMABLE, [late], prepare=self.spend)
 
     def test_plain_without_budget(self):
         """A plain request fails too."""
         route = make_route(objective_s=0.3)
-        late = Late(b'', make_answer(), pause_s=PATIENCE_S)
+        late = DelayedAnswer(b'', make_answer(), pause_s=SCENARIO_TIMEOUT_S)
         self.check_failed_early(route, [late], prepare=self.spend)
 
     def test_last_run(self):
         """A request whose last target may have crashed fails too."""
         route = make_route(objective_s=0.3, max_attempts=1)
-        late = Late(b'', make_answer(), pause_s=PATIENCE_S)
+        late = DelayedAnswer(b'', make_answer(), pause_s=SCENARIO_TIMEOUT_S)
         self.check_failed_early(route, [late])
 
     def test_failure_is_forwarded_without_another_target(self):
@@ -366,6 +366,6 @@
             for name in ('t0', 't1'):
                 state.fleet.note_leaving(name, 0)
 
-        answers = [Late(b'', make_answer(b'bad', 500), pause_s=0.3)]
+        answers = [DelayedAnswer(b'', make_answer(b'bad', 500), pause_s=0.3)]
         outcome = self.ask(route, answers, during=drain)
         self.assertEqual(outcome.status, 500)
--- a/tests/test_entry_pool.py
+++ b/tests/test_entry_pool.py
@@ -7,7 +7,7 @@
 
 from tests.relaying import make_listed
 from trestledock.entry._pool import Pool
-from trestledock.relay import Sign
+from trestledock.relay import FailureKind
 
 
 def check_connection(handle, closes_after_s=None):
@@ -24,7 +24,7 @@
             pool = Pool(group.start_soon)
             if closes_after_s is not None:
                 group.start_soon(close_later, listener, scope, closes_after_s)
-            results.append(await pool.look(target))
+            results.append(await pool.check_connection(target))
             results.append(len(pool._idle['t0']))
             group.cancel_scope.cancel()
 
@@ -58,12 +58,12 @@
 
     def test_running_target(self):
         """The connection is kept for the next request."""
-        self.assertEqual(check_connection(stay), [Sign.none, 1])
+        self.assertEqual(check_connection(stay), [FailureKind.none, 1])
 
     def test_target_at_its_connection_limit(self):
-        self.assertEqual(check_connection(leave), [Sign.closed, 0])
+        self.assertEqual(check_connection(leave), [FailureKind.closed, 0])
 
     def test_exiting_target(self):
         """It accepts, closes the connection, and then refuses connections."""
 
-        self.assertEqual(check_connection(stay, 0.005), [Sign.refused, 0])
+        self.assertEqual(check_connection(stay, 0.005), [FailureKind.refused, 0])
--- a/tests/test_entry_selecting.py
+++ b/tests/test_entry_selecting.py
@@ -20,8 +20,8 @@
     Catalog,
     EngineModel,
     Flight,
-    Listed,
-    Load,
+    ListedTarget,
+    RemoteLoad,
     Phase,
     Placement,
     PromptSize,
@@ -50,7 +50,7 @@
     for place in (OWN, ASKED, SILENT):
         for number in range(EACH):
             name = f'{place}-{number}'
-            target = Listed(name, 'svc', 'a:1', place, Standing.ready, 8, 1)
+            target = ListedTarget(name, 'svc', 'a:1', place, Standing.ready, 8, 1)
             state.fleet.put(target)
             if place == OWN:
                 state.board.put(make_reading(name))
@@ -63,17 +63,17 @@
         target,
         300_000,
         700,
-        Phase.reading,
+        Phase.prefill,
         since=0.0,
         pause_s=0.8,
         worth=20,
-        due=4.0,
+        due_at=4.0,
     )
 
 
 def make_job(size):
     route = make_route(objective_s=4.0, timeout_s=15, pause_s=0.8)
-    call = Call('r1', 'POST', '/p/', '', HOST, (), Body.of(b''), 0.0, size=size)
+    call = Call('r1', 'POST', '/p/', '', HOST, (), Body.from_bytes(b''), 0.0, size=size)
     return Job(call, route, 'svc', TeamKey('kiosks'), deadline=15.0)
 
 
@@ -89,9 +89,9 @@
 
             async def query_loads():
                 queries.append(1)
-                state.loads[ASKED] = Load(0.0, ())
+                state.remote_loads[ASKED] = RemoteLoad(0.0, ())
 
-            state.learn_loads = query_loads
+            state.refresh_loads = query_loads
             chosen = await select(state, make_job(size))
             return chosen, len(queries)
 
@@ -105,7 +105,7 @@
             target.data_centre for target in (chosen.target, *chosen.helpers)
         }
         self.assertEqual((places, queries), ({ASKED}, 1))
-        self.assertLess(chosen.first_s, 4.0)
+        self.assertLess(chosen.first_token_s, 4.0)
 
     def test_short_prompt_stays_local(self):
         """It needs no query, and is placed at a local target."""
--- a/tests/test_resting_targets.py
+++ b/tests/test_resting_targets.py
@@ -5,7 +5,7 @@
 import anyio
 
 from tests.engines import SMALL_ENGINE
-from tests.limiting import REST_COUNT, run_fleet
+from tests.limiting import MAX_REQUESTS_IN_BACKOFF, run_fleet
 from tests.relaying import make_route
 
 ROUTE = make_route()
@@ -49,13 +49,13 @@
     # Guards against requests to a plain target within its back-off.
     def test_back_off_of_a_plain_target(self):
         most, demand = ask_while_some_reject([0])
-        self.assertLessEqual(most, REST_COUNT)
+        self.assertLessEqual(most, MAX_REQUESTS_IN_BACKOFF)
         self.assertEqual(demand.count(200), len(demand.statuses))
 
     # Guards against the same for prompts that are packed on local engines.
     def test_back_off_of_engines(self):
         most, demand = ask_while_some_reject([0, 3], SIZES, engine=SMALL_ENGINE)
-        self.assertLessEqual(most, REST_COUNT)
+        self.assertLessEqual(most, MAX_REQUESTS_IN_BACKOFF)
         # Six entries are rejected twice each; the retries use up their budget.
         self.assertGreater(demand.count(200), len(demand.statuses) * 0.99)
         self.assertEqual(
@@ -66,12 +66,12 @@
     def test_any_length(self):
         for backoff in ('0.7', '1.5', '6'):
             most, _ = ask_while_some_reject([0], backoff=backoff)
-            self.assertLessEqual(most, REST_COUNT, backoff)
+            self.assertLessEqual(most, MAX_REQUESTS_IN_BACKOFF, backoff)
 
     # Guards against callers that wait in vain while all targets back off.
     def test_all_back_off(self):
         most, demand = ask_while_some_reject(range(5))
-        self.assertLessEqual(most, REST_COUNT)
+        self.assertLessEqual(most, MAX_REQUESTS_IN_BACKOFF)
         self.assertLess(max(demand.took_s), 2)
         self.assertEqual(
             demand.count(503) + demand.count(200), len(demand.statuses)
--- a/trestledock/entry/_answering.py
+++ b/trestledock/entry/_answering.py
@@ -11,16 +11,16 @@
 
 import anyio
 
-from trestledock.entry._dialect import AnswerNote, Dialect
+from trestledock.entry._dialect import AnswerMetadata, Dialect
 from trestledock.entry._job import StoredAnswer, Job
 from trestledock.entry._limits import ResponseTimeout, ResponseTimeouts
 from trestledock.entry._pool import get_idle_s
-from trestledock.entry._notices import note_answer
+from trestledock.entry._notices import record_answer_notices
 from trestledock.entry._reply import Reply
 from trestledock.entry._state import EntryState
 from trestledock.entry._streaming import StreamForwarder
 from trestledock.entry._wire import Head, Wire, WireError
-from trestledock.relay import Ending, Placement, RouteKind, Sending
+from trestledock.relay import AttemptOutcome, Placement, RouteKind, RelayAttempt
 
 #: Statuses that promise that the request has not run.
 NOT_RUN_STATUSES = frozenset((408, 421, 429, 503))
@@ -42,7 +42,7 @@
         wire: Wire,
         reply: Reply,
         asked_at: float,
-    ) -> tuple[Sending, float]:
+    ) -> tuple[RelayAttempt, float]:
         """Receive an answer; return the ending and how long `wire` may idle.
 
         The request was written at the time `asked_at` or later.
@@ -52,7 +52,7 @@
         answer = self.dialect.read_head(head)
         if answer.req_id and answer.req_id != job.call.req_id:
             raise WireError('answer', 'of another request')
-        note_answer(self.state, job, placement, head.status, answer, asked_at)
+        record_answer_notices(self.state, job, placement, head.status, answer, asked_at)
         idle_s = get_idle_s(answer.keep_alive, answer.connection)
         if _is_stream(job, head, answer):
             forwarder = StreamForwarder(
@@ -67,11 +67,11 @@
 
     def record_success(self, peer: str) -> None:
         """Record that a target answered correctly."""
-        self.state.note_success(peer, anyio.current_time())
+        self.state.record_success(peer, anyio.current_time())
 
     def record_failure(self, peer: str) -> None:
         """Record that a target failed."""
-        self.state.health.note_failure(peer, anyio.current_time())
+        self.state.health.record_failure(peer, anyio.current_time())
 
     async def _read_head(
         self,
@@ -102,14 +102,14 @@
             current = self.timeouts.get_recheck_timeout(job)
 
     def _record_silence(self, peer: str) -> None:
-        self.state.note_silence(peer, anyio.current_time())
+        self.state.record_silence(peer, anyio.current_time())
 
     def _find_at_fault(
         self,
         job: Job,
         placement: Placement,
         status: int,
-        answer: AnswerNote,
+        answer: AnswerMetadata,
     ) -> str:
         """Exclude the target at fault from the next attempt; return its name.
 
@@ -121,12 +121,12 @@
         at_fault = named or peer
         job.tried.add(at_fault)
         # A target that asks for a back-off, or drains, is not faulty.
-        if named and not answer.rest.rest_s and not answer.leaves:
+        if named and not answer.rest.backoff_s and not answer.leaves:
             self._record_silence(named)
         if status == HTTPStatus.MISDIRECTED_REQUEST:
             now = anyio.current_time()
-            self.state.fleet.note_leaving(at_fault, now)
-            self.state.isolation.note_replaced(at_fault)
+            self.state.fleet.record_draining(at_fault, now)
+            self.state.isolation.record_replaced(at_fault)
         return at_fault
 
     def _get_named_incarnation(self, placement: Placement, named: str) -> str:
@@ -135,7 +135,7 @@
         The targets of the attempt come first: the named target may have
         restarted since the request was written.
         """
-        for target in placement.engaged:
+        for target in placement.engaged_targets:
             if target.is_named(named):
                 return target.incarnation
         return self.state.fleet.get_incarnation_by_name(named)
@@ -146,46 +146,46 @@
         placement: Placement,
         wire: Wire,
         head: Head,
-        answer: AnswerNote,
+        answer: AnswerMetadata,
         reply: Reply,
-    ) -> Sending:
+    ) -> RelayAttempt:
         peer = placement.target.incarnation
         body = await wire.read_body()
         if answer.not_run:
             at_fault = self._find_at_fault(job, placement, head.status, answer)
             detail = f'{head.status} at {at_fault}'
-            return Sending(Ending.rejected, 'answer', peer, detail)
+            return RelayAttempt(AttemptOutcome.rejected, 'answer', peer, detail)
         if (
             head.status in NOT_RUN_STATUSES
             or not answer.sealed
             or answer.encoded
         ):
             self.record_failure(peer)
-            return Sending(Ending.lost, 'answer', peer, f'{head.status}')
+            return RelayAttempt(AttemptOutcome.lost, 'answer', peer, f'{head.status}')
         if (
             head.status >= HTTPStatus.INTERNAL_SERVER_ERROR
             and not reply.started
         ):
             return self._store_failure(job, peer, StoredAnswer(head, body))
         if reply.started:
-            return Sending(Ending.lost, 'answer', peer, f'{head.status}')
+            return RelayAttempt(AttemptOutcome.lost, 'answer', peer, f'{head.status}')
         self.record_success(peer)
         job.record_event(anyio.current_time())
         await reply.start(head.status, self.dialect.make_reply_headers(head))
         await reply.finish(body)
-        return Sending(Ending.answered, 'answer', peer, f'{head.status}')
+        return RelayAttempt(AttemptOutcome.answered, 'answer', peer, f'{head.status}')
 
     def _store_failure(
         self, job: Job, peer: str, answer: StoredAnswer
-    ) -> Sending:
+    ) -> RelayAttempt:
         """Store a target's error response in case no attempt succeeds."""
         job.fallback = answer
         if answer.head.status != HTTPStatus.GATEWAY_TIMEOUT:
             self.record_failure(peer)
-        return Sending(Ending.failed, 'answer', peer, f'{answer.head.status}')
+        return RelayAttempt(AttemptOutcome.failed, 'answer', peer, f'{answer.head.status}')
 
 
-def _is_stream(job: Job, head: Head, answer: AnswerNote) -> bool:
+def _is_stream(job: Job, head: Head, answer: AnswerMetadata) -> bool:
     if (
         job.route.kind is not RouteKind.streaming
         or head.status != HTTPStatus.OK
--- a/trestledock/entry/_checks.py
+++ b/trestledock/entry/_checks.py
@@ -17,14 +17,14 @@
     raise ValueError(f'not a string: {json_value!r}')
 
 
-def read_flag(json_value: Any) -> bool:
+def read_bool(json_value: Any) -> bool:
     """Return a boolean."""
     if isinstance(json_value, bool):
         return json_value
     raise ValueError(f'not a boolean: {json_value!r}')
 
 
-def read_whole(json_value: Any) -> int:
+def read_int(json_value: Any) -> int:
     """Return an integer; a boolean is refused, although it is an `int`."""
     if isinstance(json_value, int) and not isinstance(json_value, bool):
         return json_value
@@ -33,7 +33,7 @@
 
 def read_count(json_value: Any) -> int:
     """Return a non-negative integer."""
-    count = read_whole(json_value)
+    count = read_int(json_value)
     if count < 0:
         raise ValueError(f'negative number: {count}')
     return count
@@ -48,7 +48,7 @@
     return None if json_value is None else read_count(json_value)
 
 
-def read_amount(json_value: Any) -> float:
+def read_number(json_value: Any) -> float:
     """Return a finite number.
 
     >>> read_amount(5), read_amount(0.5)
@@ -56,7 +56,7 @@
     """
     if isinstance(json_value, float) and math.isfinite(json_value):
         return json_value
-    return read_whole(json_value)
+    return read_int(json_value)
 
 
 def read_list(json_value: Any) -> list[Any]:
--- a/trestledock/entry/_dialect.py
+++ b/trestledock/entry/_dialect.py
@@ -14,15 +14,15 @@
     Body,
     Call,
     Catalog,
-    GoneTarget,
-    Listed,
+    RemovedTarget,
+    ListedTarget,
     Placement,
-    Quarantined,
+    QuarantineRecord,
 )
 
 
 @dataclass(frozen=True)
-class Passing:
+class ForwardingContext:
     """What an entry adds to a call that it forwards to a target.
 
     `left_s` is the time that the target may take.  `tickets` has the ids of the
@@ -39,7 +39,7 @@
 
 
 @dataclass(frozen=True)
-class NamedLimit:
+class RateLimitHeader:
     """The rate limit in an answer: requests a second from all entries.
 
     `per_s` is None if no valid number was given.  `is_named` is true if the
@@ -48,23 +48,23 @@
     """
 
     per_s: float | None = None
-    is_named: bool = False
-    unreadable: str = ''
+    is_present: bool = False
+    invalid_text: str = ''
 
 
 @dataclass(frozen=True)
-class NamedRest:
+class BackoffHeader:
     """The back-off in an answer: seconds without requests from this entry.
 
     `unreadable` is the text that could not be parsed.
     """
 
-    rest_s: float = 0
-    unreadable: str = ''
+    backoff_s: float = 0
+    invalid_text: str = ''
 
 
 @dataclass(frozen=True)
-class AnswerNote:
+class AnswerMetadata:
     """The parsed headers of an answer.
 
     `not_run` is true if the target states that it did not run the request, and
@@ -81,13 +81,13 @@
     connection: str
     at_fault: str = ''
     instance: str = ''
-    limit: NamedLimit = NamedLimit()
+    limit: RateLimitHeader = RateLimitHeader()
     leaves: bool = False
-    rest: NamedRest = NamedRest()
+    rest: BackoffHeader = BackoffHeader()
 
 
 @dataclass(frozen=True)
-class Order:
+class ControlRequest:
     """An HTTP request to a target's control interface."""
 
     method: str
@@ -97,23 +97,23 @@
 
 
 @dataclass(frozen=True)
-class TargetNews:
+class TargetUpdate:
     """The state of one target in the store; `listed` is None if removed."""
 
     target_id: str
-    listed: Listed | None
+    listed: ListedTarget | None
 
 
 @dataclass(frozen=True)
-class HeldTarget:
+class RetainedTarget:
     """A target missing from the list, and how long it is still retained."""
 
-    listed: Listed
+    listed: ListedTarget
     left_s: float
 
 
 @dataclass(frozen=True)
-class News:
+class StoreUpdate:
     """An update from a read of the store, or from another entry.
 
     `document` is the text that `catalog` was parsed from, for other entries.
@@ -131,17 +131,17 @@
 
     catalog: Catalog | None = None
     document: str = ''
-    targets: tuple[TargetNews, ...] = ()
-    held: tuple[HeldTarget, ...] = ()
+    targets: tuple[TargetUpdate, ...] = ()
+    held: tuple[RetainedTarget, ...] = ()
     as_of: float = float('-inf')
     latest_at: float | None = None
     whole: bool = False
     settled: bool = False
     source: str = 'store'
     revision: int = 0
-    quarantine: tuple[Quarantined, ...] = ()
+    quarantine: tuple[QuarantineRecord, ...] = ()
     epoch: int | None = None
-    gone: tuple[GoneTarget, ...] = ()
+    gone: tuple[RemovedTarget, ...] = ()
     leaving: tuple[str, ...] = ()
 
 
@@ -153,26 +153,26 @@
     ) -> Call:
         """Parse a caller's request."""
 
-    def make_headers(self, call: Call, passing: Passing) -> Headers:
+    def make_headers(self, call: Call, passing: ForwardingContext) -> Headers:
         """Return the headers of a request to a target."""
 
-    def read_head(self, head: Head) -> AnswerNote:
+    def read_head(self, head: Head) -> AnswerMetadata:
         """Parse the head of a target's answer."""
 
     def make_reply_headers(self, head: Head) -> Headers:
         """Return the headers of an answer that is forwarded."""
 
     def make_reserve(
-        self, ticket: str, tokens: int, hold_s: float, holder: Listed
-    ) -> Order:
+        self, ticket: str, tokens: int, lease_s: float, holder: ListedTarget
+    ) -> ControlRequest:
         """Return the control request that reserves memory at one target."""
 
-    def make_release(self, ticket: str, holder: Listed) -> Order:
+    def make_release(self, ticket: str, holder: ListedTarget) -> ControlRequest:
         """Return the control request that releases memory."""
 
 
 @dataclass(frozen=True)
-class Place:
+class LogPosition:
     """An offset in the log of a copy of the store, with the copy's epoch."""
 
     offset: int
@@ -183,12 +183,12 @@
 class StoredQuarantine:
     """All records of quarantined requests, and the position after them."""
 
-    records: tuple[Quarantined, ...]
-    end: Place
+    records: tuple[QuarantineRecord, ...]
+    end: LogPosition
 
 
 @dataclass(frozen=True)
-class Announced:
+class EntryAnnouncements:
     """The records of entries in the store: their addresses, by name.
 
     `settled_epoch` is the newest epoch of the store in which an entry has
@@ -203,7 +203,7 @@
 class QuarantineStore(Protocol):
     """The records of quarantined requests in the platform's store."""
 
-    async def read_records(self, wait_s: float) -> tuple[Quarantined, ...]:
+    async def read_records(self, wait_s: float) -> tuple[QuarantineRecord, ...]:
         """Wait for new records, up to `wait_s` seconds; return them."""
 
     async def read_whole(self) -> StoredQuarantine:
@@ -211,8 +211,8 @@
 
     async def write_records(
         self,
-        records: Iterable[Quarantined],
-        expected: Place | None = None,
+        records: Iterable[QuarantineRecord],
+        expected: LogPosition | None = None,
     ) -> bool:
         """Write records; return whether the log still ended at `expected`."""
 
@@ -228,16 +228,16 @@
     def epoch(self) -> int | None:
         """Return the newest known epoch of the store, if any."""
 
-    async def read_catalog(self) -> News:
+    async def read_catalog(self) -> StoreUpdate:
         """Return the newest configuration if it has changed."""
 
     def decode_document(self, document: str) -> Catalog:
         """Parse the text of a configuration received from another entry."""
 
-    async def read_targets(self) -> News:
+    async def read_targets(self) -> StoreUpdate:
         """Return the changes in the list of targets."""
 
-    async def read_peers(self) -> Announced:
+    async def read_peers(self) -> EntryAnnouncements:
         """Return the records of the entries."""
 
     async def announce(self, addresses: Mapping[str, str]) -> None:
--- a/trestledock/entry/_holding_back.py
+++ b/trestledock/entry/_holding_back.py
@@ -12,7 +12,7 @@
 
 from trestledock.entry._job import Job, Refusal
 from trestledock.entry._state import EntryState
-from trestledock.relay import Listed, get_come_back_s
+from trestledock.relay import ListedTarget, get_retry_after_s
 
 #: The fraction of its remaining time that a request may wait for its turn.
 MAX_WAIT_SHARE = 0.5
@@ -25,17 +25,17 @@
 
 
 def get_available(
-    state: EntryState, job: Job, targets: Sequence[Listed], now: float
-) -> list[Listed]:
+    state: EntryState, job: Job, targets: Sequence[ListedTarget], now: float
+) -> list[ListedTarget]:
     """Return the targets whose rate limits and back-offs allow a request now.
 
     If all of these are restrained, requests that wait already go first.
     """
-    if not state.throttle.restrains_any:
+    if not state.throttle.has_restraints:
         return list(targets)
     free = _without_backed_off(
         state,
-        [target for target in targets if state.throttle.is_free(target, now)],
+        [target for target in targets if state.throttle.can_send(target, now)],
         now,
     )
     if all(map(state.throttle.is_restrained, free)):
@@ -44,20 +44,20 @@
 
 
 def _without_backed_off(
-    state: EntryState, free: list[Listed], now: float
-) -> list[Listed]:
+    state: EntryState, free: list[ListedTarget], now: float
+) -> list[ListedTarget]:
     """Return the targets that back off from no entry, if there are enough.
 
     Otherwise each entry would learn of a back-off from a rejected request of
     its own.  But too few targets must not get the requests of all.
     """
     others = [
-        target for target in free if not state.throttle.is_spared(target, now)
+        target for target in free if not state.throttle.has_peer_backoff(target, now)
     ]
     return others if len(others) >= len(free) * MIN_REMAINING_SHARE else free
 
 
-def get_restrained(state: EntryState, job: Job) -> list[Listed]:
+def get_restrained(state: EntryState, job: Job) -> list[ListedTarget]:
     """Return the targets of a request's service that are restrained."""
     usable = state.fleet.get_usable(job.service)
     return [target for target in usable if state.throttle.is_restrained(target)]
@@ -74,14 +74,14 @@
     ahead = state.turns.count_ahead(job.turn)
     wait_s = state.throttle.get_wait_s(restrained, ahead, now)
     timing = job.timing
-    if wait_s <= (min(timing.due, timing.gone) - now) * MAX_WAIT_SHARE:
+    if wait_s <= (min(timing.due_at, timing.abandoned_at) - now) * MAX_WAIT_SHARE:
         return None
     if wait_s == inf:
-        wait_s = 1 / state.throttle.get_limit(restrained)
-    if all(state.throttle.is_resting(target, now) for target in restrained):
+        wait_s = 1 / state.throttle.get_total_limit(restrained)
+    if all(state.throttle.is_backing_off(target, now) for target in restrained):
         job.retry_after_s = wait_s * state.rng.uniform(
             1, 1 + RETRY_AFTER_SPREAD
         )
         return Refusal.resting
-    job.retry_after_s = get_come_back_s(timing, wait_s, now)
+    job.retry_after_s = get_retry_after_s(timing, wait_s, now)
     return Refusal.limited
--- a/trestledock/entry/_limits.py
+++ b/trestledock/entry/_limits.py
@@ -20,10 +20,10 @@
 from trestledock.entry._wire import WireError
 from trestledock.relay import (
     Placement,
-    Sign,
-    get_first_patience_s,
-    get_pause_patience_s,
-    is_held_up,
+    FailureKind,
+    get_first_event_timeout_s,
+    get_pause_timeout_s,
+    is_waiting_for_memory,
 )
 
 #: The interval of checks whether to fail over from a silent target, in seconds.
@@ -50,11 +50,11 @@
     ) -> ResponseTimeout:
         """Return the timeout for the first byte or event of an answer."""
         is_last = self._is_last_option(job)
-        may_fail_over = self.state.budgets.may_leave_early(anyio.current_time())
+        may_fail_over = self.state.budgets.may_fail_over_early(anyio.current_time())
         early = may_fail_over and not is_last and not placement.helpers
-        timeout_s = get_first_patience_s(
+        timeout_s = get_first_event_timeout_s(
             job.route,
-            placement.first_s,
+            placement.first_token_s,
             early=early,
             helped=bool(placement.helpers),
         )
@@ -67,16 +67,16 @@
         deadline, as no other target may resume it.
         """
         remaining_s = _get_remaining_s(job)
-        if job.history.is_last_run(job.route):
+        if job.history.is_last_attempt(job.route):
             return ResponseTimeout(remaining_s)
         return ResponseTimeout(
-            min(get_pause_patience_s(job.route), remaining_s)
+            min(get_pause_timeout_s(job.route), remaining_s)
         )
 
     def get_recheck_timeout(self, job: Job) -> ResponseTimeout:
         """Return how long to wait before the next check for a failover."""
         remaining_s = _get_remaining_s(job)
-        if job.history.is_last_run(job.route):
+        if job.history.is_last_attempt(job.route):
             return ResponseTimeout(remaining_s)
         return ResponseTimeout(min(RECHECK_INTERVAL_S, remaining_s))
 
@@ -84,7 +84,7 @@
         """Return whether the deadline or a network cut ends the wait."""
         now = anyio.current_time()
         peer = placement.target.incarnation
-        return not _get_remaining_s(job) or self.state.is_cut_off(peer, now)
+        return not _get_remaining_s(job) or self.state.is_unreachable(peer, now)
 
     def is_waiting_for_memory(self, job: Job, placement: Placement) -> bool:
         """Return whether a silent target is known to wait for memory."""
@@ -93,7 +93,7 @@
         if engine is None or own is None:
             return False
         flights = self.state.board.get_flights(placement.target.incarnation)
-        return is_held_up(own, flights, engine.capacity_tokens)
+        return is_waiting_for_memory(own, flights, engine.capacity_tokens)
 
     def may_fail_over(self, job: Job, placement: Placement) -> bool:
         """Return whether to give up a target that timed out.
@@ -104,7 +104,7 @@
         """
         if not job.response_begun or not _get_remaining_s(job):
             return True
-        if job.history.is_last_run(job.route):
+        if job.history.is_last_attempt(job.route):
             return False
         if not may_resume_elsewhere(self.state, job):
             return False
@@ -122,7 +122,7 @@
     ) -> Iterator[anyio.CancelScope]:
         """Wait up to a timeout, or until a target involved is cut off."""
         with anyio.move_on_after(timeout.wait_s) as scope:
-            if job.history.is_last_run(job.route):
+            if job.history.is_last_attempt(job.route):
                 yield scope
                 return
             helpers = () if job.last_event_id else placement.helpers
@@ -142,27 +142,27 @@
         """Record that a target timed out; return the error to raise."""
         now = anyio.current_time()
         if timeout.early:
-            self.state.note_early(peer, now)
+            self.state.record_early_failover(peer, now)
         else:
-            self.state.note_silence(peer, now)
-        if self.state.is_cut_off(peer, now):
-            return WireError(step, 'its data centre is silent', Sign.silent)
+            self.state.record_silence(peer, now)
+        if self.state.is_unreachable(peer, now):
+            return WireError(step, 'its data centre is silent', FailureKind.silent)
         return WireError(
-            step, f'silent for {timeout.wait_s:.2f} s', Sign.silent
+            step, f'silent for {timeout.wait_s:.2f} s', FailureKind.silent
         )
 
     def _reserve_retry(self, job: Job) -> bool:
         now = anyio.current_time()
-        job.has_reserved_retry = self.state.budgets.spend_repeat(
+        job.has_reserved_retry = self.state.budgets.spend_retry(
             job.service, now
         )
         return job.has_reserved_retry
 
     def _is_last_option(self, job: Job) -> bool:
         """Return whether no other target may, or could, run a request now."""
-        if job.history.is_last_run(job.route):
+        if job.history.is_last_attempt(job.route):
             return True
-        if not self.state.budgets.is_repeat_left(
+        if not self.state.budgets.has_retry_left(
             job.service, anyio.current_time()
         ):
             return True
@@ -170,7 +170,7 @@
         usable = self.state.fleet.get_usable(job.service)
         now = anyio.current_time()
         any_free = any(
-            self.state.throttle.is_free(target, now) for target in usable
+            self.state.throttle.can_send(target, now) for target in usable
         )
         return not any_free or not may_resume_elsewhere(self.state, job)
 
--- a/trestledock/entry/_loads.py
+++ b/trestledock/entry/_loads.py
@@ -18,9 +18,9 @@
 from trestledock.entry._gossip import Gossip
 from trestledock.entry._logger import emit
 from trestledock.entry._peer_calls import CALL_ERRORS, call_peer
-from trestledock.entry._rows import read_change, write_change
+from trestledock.entry._flight_codec import decode_change, encode_change
 from trestledock.entry._state import EntryState
-from trestledock.relay import Flight, Load, summarize
+from trestledock.relay import Flight, RemoteLoad, summarize_load
 
 LOAD_PATH = '/load'
 #: The data centre of the querying entry, which knows the flights of its own
@@ -48,9 +48,9 @@
         self.gossip = gossip
         self._query_done: anyio.Event | None = None
         self._silent_at: dict[str, float] = {}
-        state.learn_loads = self.learn
+        state.refresh_loads = self.refresh
 
-    async def learn(self) -> None:
+    async def refresh(self) -> None:
         """Query the loads of other data centres.
 
         Prompts that need them at the same time share the answers.
@@ -73,7 +73,7 @@
         Flights of the querying data centre's entries are left out, as they are
         known there.
         """
-        self.state.catch_up()
+        self.state.receive_messages()
         now = anyio.current_time()
         local = self.state.settings.data_centre
         targets = {
@@ -86,17 +86,17 @@
             for name, peer in self.gossip.peers.known.items()
             if peer.data_centre == data_centre
         }
-        flights = self.state.board.get_all_but(left_out)
+        flights = self.state.board.get_flights_except(left_out)
         rows = [
-            write_change(flight.flight_id, flight, now)
-            for flight in summarize(flights, targets, now)
+            encode_change(flight.flight_id, flight, now)
+            for flight in summarize_load(flights, targets, now)
         ]
         return json.dumps({'flights': rows}, separators=(',', ':')).encode()
 
     def _choose_peers(self) -> Mapping[str, Sequence[Address]]:
         """Return entries to query in some data centres that answer."""
         now = anyio.current_time()
-        remote = self.gossip.neighbours.get_far(many=self.state.many_entries)
+        remote = self.gossip.addresses.get_far(many=self.state.many_entries)
         answering = [
             data_centre
             for data_centre in remote
@@ -121,11 +121,11 @@
             emit(events.LoadLost(data_centre, repr(exc)))
             return
         self._silent_at.pop(data_centre, None)
-        self.state.loads[data_centre] = Load(asked_at, flights)
-        self.state.board.set_elsewhere(data_centre, flights)
+        self.state.remote_loads[data_centre] = RemoteLoad(asked_at, flights)
+        self.state.board.set_remote_load(data_centre, flights)
 
 
 def _read_flights(answer: Mapping[str, Any], now: float) -> tuple[Flight, ...]:
     """Return the flights of an answer; raise if it is invalid."""
-    changes = [read_change(row, now) for row in read_list(answer['flights'])]
+    changes = [decode_change(row, now) for row in read_list(answer['flights'])]
     return tuple([flight for _, flight in changes if flight])
--- a/trestledock/entry/_pool.py
+++ b/trestledock/entry/_pool.py
@@ -13,7 +13,7 @@
 import anyio
 
 from trestledock.entry._wire import Wire, WireError
-from trestledock.relay import Listed, Sign
+from trestledock.relay import ListedTarget, FailureKind
 
 #: How long a connection is kept idle unless the target says, in seconds.
 IDLE_S = 4.0
@@ -51,7 +51,7 @@
         self._spawn = spawn
         self._idle: dict[str, list[_Idle]] = defaultdict(list)
 
-    async def take(self, target: Listed) -> Wire:
+    async def acquire(self, target: ListedTarget) -> Wire:
         """Return an idle connection or a new one."""
         idle_wires = self._idle[target.incarnation]
         while idle_wires:
@@ -62,7 +62,7 @@
             await idle.wire.close()
         return await Wire.connect(target.address)
 
-    async def look(self, target: Listed) -> Sign:
+    async def check_connection(self, target: ListedTarget) -> FailureKind:
         """Connect to a target again; return the evidence of a failure.
 
         A process that exits closes its sockets one after the other, so an
@@ -76,10 +76,10 @@
                 return exc.sign
             if await self._stays_open(wire):
                 self._store(target, wire, IDLE_S)
-                return Sign.none
-        return Sign.closed
+                return FailureKind.none
+        return FailureKind.closed
 
-    async def give(self, target: Listed, wire: Wire, idle_s: float) -> None:
+    async def release(self, target: ListedTarget, wire: Wire, idle_s: float) -> None:
         """Return a connection to the pool after an answer.
 
         It is closed if `idle_s` is zero or it can't be reused, for example for
@@ -90,13 +90,13 @@
             return
         self._store(target, wire, idle_s)
 
-    def drop(self, incarnation: str) -> None:
+    def close_idle(self, incarnation: str) -> None:
         """Close the idle connections to an incarnation."""
         for idle in self._idle.pop(incarnation, []):
             idle.watcher.cancel()
             self._spawn(idle.wire.close)
 
-    def _store(self, target: Listed, wire: Wire, idle_s: float) -> None:
+    def _store(self, target: ListedTarget, wire: Wire, idle_s: float) -> None:
         until = anyio.current_time() + idle_s
         idle = _Idle(wire, until, anyio.CancelScope(), anyio.Event())
         self._idle[target.incarnation].append(idle)
@@ -107,7 +107,7 @@
         stayed_open = False
         try:
             with anyio.move_on_after(CHECK_OPEN_S) as scope:
-                await wire.wait_for_surplus()
+                await wire.wait_for_unexpected_data()
             stayed_open = scope.cancelled_caught
         finally:
             if not stayed_open:
@@ -118,7 +118,7 @@
         remaining_s = max(0, idle.until - anyio.current_time())
         try:
             with idle.watcher, anyio.move_on_after(remaining_s):
-                await idle.wire.wait_for_surplus()
+                await idle.wire.wait_for_unexpected_data()
         finally:
             idle.watch_ended.set()
         idle_wires = self._idle.get(incarnation, [])
--- a/trestledock/entry/_relaying.py
+++ b/trestledock/entry/_relaying.py
@@ -18,14 +18,14 @@
 from trestledock.entry._reply import CutReply, Reply
 from trestledock.entry._selecting import select
 from trestledock.entry._sending import Sender
-from trestledock.entry._state import MOST_AGE_S, EntryState
+from trestledock.entry._state import MAX_AGE_S, EntryState
 from trestledock.entry._wire import Headers
 from trestledock.relay import (
-    LOOK_S,
+    PLACEMENT_RETRY_S,
     Call,
-    Ending,
+    AttemptOutcome,
     Placement,
-    Sending,
+    RelayAttempt,
     get_worth,
 )
 
@@ -63,9 +63,9 @@
             return
         self._log_admitted(job)
         if is_quarantined(self.state, job):
-            job.is_trial = await self.state.isolation.may_try(job.fingerprint)
+            job.is_trial = await self.state.isolation.may_probe(job.fingerprint)
         with anyio.CancelScope(deadline=job.deadline) as scope:
-            with self.state.keep_unanswered(reply, scope):
+            with self.state.track_unanswered(reply, scope):
                 await self._run(job, reply)
         if scope.cancelled_caught:
             expired = anyio.current_time() >= job.deadline
@@ -87,7 +87,7 @@
                 )
                 return
             sending = await self._send(job, placement, reply)
-            if sending.ending is Ending.answered:
+            if sending.outcome is AttemptOutcome.answered:
                 return
             if is_quarantined(self.state, job):
                 await self._end_unanswered(job, reply, Refusal.quarantined)
@@ -98,7 +98,7 @@
             emit(
                 events.Repeated(
                     job.call.req_id,
-                    len(job.history.sendings),
+                    len(job.history.attempts),
                     job.resume_after,
                 )
             )
@@ -108,13 +108,13 @@
         job: Job,
         placement: Placement,
         reply: Reply,
-    ) -> Sending:
+    ) -> RelayAttempt:
         started_at = anyio.current_time()
         sending = await self.sender.send(job, placement, reply)
         job.history = job.history.add(sending)
         job.is_writing = False
-        if sending.ending is Ending.answered:
-            self.state.isolation.note_answered(job.fingerprint)
+        if sending.outcome is AttemptOutcome.answered:
+            self.state.isolation.record_answered(job.fingerprint)
         _exclude_targets(job, placement, sending)
         took_ms = round((anyio.current_time() - started_at) * MS)
         _log_ending(job, sending, took_ms)
@@ -124,20 +124,20 @@
         """Return whether to retry; a begun answer waits for the budget."""
         if (
             job.response_begun
-            and job.history.sendings[-1].ending is Ending.not_sent
+            and job.history.attempts[-1].outcome is AttemptOutcome.not_sent
         ):
             return await self._may_resend(job)
         if not job.history.may_repeat(job.route):
             return False
-        if job.history.sendings[-1].ending is Ending.not_sent:
+        if job.history.attempts[-1].outcome is AttemptOutcome.not_sent:
             return True
         while not self._spend_retry(job):
             if (
                 not job.response_begun
-                or anyio.current_time() >= job.timing.gone
+                or anyio.current_time() >= job.timing.abandoned_at
             ):
                 return False
-            await self.state.wait_for_change(LOOK_S)
+            await self.state.wait_for_change(PLACEMENT_RETRY_S)
         return True
 
     async def _may_resend(self, job: Job) -> bool:
@@ -150,13 +150,13 @@
         if not job.history.may_run_again(job.route):
             return False
         await anyio.sleep(RESEND_PAUSE_S)
-        return anyio.current_time() < job.timing.gone
+        return anyio.current_time() < job.timing.abandoned_at
 
     def _spend_retry(self, job: Job) -> bool:
         if job.has_reserved_retry:
             job.has_reserved_retry = False
             return True
-        return self.state.budgets.spend_repeat(
+        return self.state.budgets.spend_retry(
             job.service, anyio.current_time()
         )
 
@@ -170,7 +170,7 @@
         refusal = _weaken_refusal(job, reason)
         if refusal is Refusal.quarantined:
             isolation = self.state.isolation
-            job.retry_after_s = isolation.get_come_back_s(job.fingerprint)
+            job.retry_after_s = isolation.get_retry_after_s(job.fingerprint)
         if job.fallback and refusal in FAILURE_REFUSALS:
             head = job.fallback.head
             emit(events.FailurePassedOn(job.call.req_id, head.status))
@@ -193,9 +193,9 @@
                 req=call.req_id,
                 reason=reason.value,
                 status=STATUSES[reason],
-                proof_age_ms=round(min(age_s, MOST_AGE_S) * MS),
+                proof_age_ms=round(min(age_s, MAX_AGE_S) * MS),
                 version=self.state.version,
-                sendings=len(job.history.sendings) if job else 0,
+                sendings=len(job.history.attempts) if job else 0,
             ),
         )
         retry_after_s = max(RETRY_AFTER_S, job.retry_after_s if job else 0)
@@ -250,40 +250,40 @@
     return Refusal.not_run if reason is Refusal.failed else reason
 
 
-def _exclude_targets(job: Job, placement: Placement, sending: Sending) -> None:
+def _exclude_targets(job: Job, placement: Placement, sending: RelayAttempt) -> None:
     """Exclude the targets of a failed attempt from the next one.
 
     The target at fault in a rejection is excluded where the answer is read.  A
     lost attempt may be the fault of any target involved, helpers included.
     """
-    if sending.ending is Ending.rejected:
+    if sending.outcome is AttemptOutcome.rejected:
         return
     job.tried.add(placement.target.incarnation)
-    if sending.ending is Ending.lost:
+    if sending.outcome is AttemptOutcome.lost:
         job.tried.update(helper.incarnation for helper in placement.helpers)
 
 
-def _log_ending(job: Job, sending: Sending, took_ms: int) -> None:
+def _log_ending(job: Job, sending: RelayAttempt, took_ms: int) -> None:
     req = job.call.req_id
-    if sending.ending is Ending.answered:
+    if sending.outcome is AttemptOutcome.answered:
         emit(_make_answered_event(job, sending, took_ms))
         return
     emit(
         events.SendingEnded(
             req=req,
-            ending=sending.ending.value,
+            ending=sending.outcome.value,
             step=sending.step,
             peer=sending.peer,
             detail=sending.detail,
             took_ms=took_ms,
-            sign=sending.sign.value,
+            sign=sending.failure_kind.value,
             fingerprint=job.fingerprint,
         )
     )
 
 
 def _make_answered_event(
-    job: Job, sending: Sending, took_ms: int
+    job: Job, sending: RelayAttempt, took_ms: int
 ) -> events.Answered:
     arrived_at = job.call.arrived_at
     first_s = (job.first_event_at or arrived_at) - arrived_at
--- a/trestledock/entry/_selecting.py
+++ b/trestledock/entry/_selecting.py
@@ -21,17 +21,17 @@
 from trestledock.entry._job import Job, Refusal
 from trestledock.entry._state import EntryState
 from trestledock.relay import (
-    LOOK_S,
+    PLACEMENT_RETRY_S,
     Decision,
     EngineModel,
     Flight,
-    Listed,
+    ListedTarget,
     Phase,
     Placement,
     choose_least_busy,
-    decide_without_place,
-    get_come_back_s,
-    is_worth_asking,
+    decide_unplaced,
+    get_retry_after_s,
+    should_query_remote,
     pick_cheapest,
 )
 
@@ -56,7 +56,7 @@
 
 def make_flight(job: Job, placement: Placement, now: float) -> Flight:
     """Return the load table entry of an attempt."""
-    return job.ask.make_flight(placement, Phase.reading, now)
+    return job.ask.make_flight(placement, Phase.prefill, now)
 
 
 async def select(state: EntryState, job: Job) -> Placement | Refusal:
@@ -68,26 +68,26 @@
     try:
         return await _select_in_turn(state, job)
     finally:
-        state.turns.leave(job.call.req_id)
+        state.turns.remove(job.call.req_id)
 
 
 async def _select_in_turn(state: EntryState, job: Job) -> Placement | Refusal:
     while True:
-        state.catch_up()
+        state.receive_messages()
         if is_quarantined(state, job):
             return Refusal.quarantined
         now = anyio.current_time()
         chosen = _select_now(state, job, now)
         if _needs_loads(state, job, chosen, now):
-            await state.learn_loads()
+            await state.refresh_loads()
             now = anyio.current_time()
             chosen = _select_now(state, job, now)
-        waits = job.response_begun and now < job.timing.gone
+        waits = job.response_begun and now < job.timing.abandoned_at
         if isinstance(chosen, Placement) or (chosen and not waits):
             return chosen
         if _is_throttled(state, job, now):
-            state.turns.join(job.turn)
-        await state.wait_for_change(LOOK_S)
+            state.turns.add(job.turn)
+        await state.wait_for_change(PLACEMENT_RETRY_S)
 
 
 def _needs_loads(
@@ -99,10 +99,10 @@
     """Return whether to query other data centres' loads before placement."""
     if not state.many_entries or job.call.size is None:
         return False
-    if state.get_loads(now):
+    if state.get_known_remote_loads(now):
         return False
     cost = chosen.cost if isinstance(chosen, Placement) else None
-    return state.placer.terms.elsewhere and is_worth_asking(job.ask.worth, cost)
+    return state.placer.policy.remote_targets and should_query_remote(job.ask.worth, cost)
 
 
 def has_alternative(state: EntryState, job: Job, peer: str) -> bool:
@@ -136,11 +136,11 @@
     engine = get_engine(state, job)
     if targets and (engine is None or job.call.size is None):
         return _choose_least_busy(state, targets, now)
-    if state.fleet.have_all_left(job.service) and not job.response_begun:
-        job.retry_after_s = get_come_back_s(job.timing, SUCCESSOR_START_S, now)
+    if state.fleet.are_all_draining(job.service) and not job.response_begun:
+        job.retry_after_s = get_retry_after_s(job.timing, SUCCESSOR_START_S, now)
         return Refusal.no_target
     if engine is None or job.call.size is None:
-        decision = decide_without_place(job.timing, now, any_target=False)
+        decision = decide_unplaced(job.timing, now, any_target=False)
         return REFUSALS.get(decision)
     options = [
         job.ask.choose(state.placer, engine, group, now)
@@ -150,13 +150,13 @@
     if isinstance(chosen, Placement):
         return chosen
     # Nothing elsewhere is better: the local data centre's decision applies.
-    job.retry_after_s = chosen.come_back_s
+    job.retry_after_s = chosen.retry_after_s
     return REFUSALS.get(chosen.decision)
 
 
 def _group_by_data_centre(
-    state: EntryState, targets: Sequence[Listed], job: Job
-) -> list[Sequence[Listed]]:
+    state: EntryState, targets: Sequence[ListedTarget], job: Job
+) -> list[Sequence[ListedTarget]]:
     """Group targets by data centre, the local one first.
 
     A large prompt stays within one data centre, since a network cut of any data
@@ -166,7 +166,7 @@
     if not state.many_entries or job.ask.is_small:
         return [targets]
     local = state.settings.data_centre
-    groups: dict[str, list[Listed]] = {local: []}
+    groups: dict[str, list[ListedTarget]] = {local: []}
     for target in targets:
         groups.setdefault(target.data_centre, []).append(target)
     if any(len(group) < MIN_LOCAL_TARGETS for group in groups.values()):
@@ -174,7 +174,7 @@
     return list(groups.values())
 
 
-def get_candidates(state: EntryState, job: Job, now: float) -> list[Listed]:
+def get_candidates(state: EntryState, job: Job, now: float) -> list[ListedTarget]:
     """Return the targets that may get the request.
 
     Healthy and untried targets are preferred where there are enough.
@@ -198,12 +198,12 @@
 
 def _is_throttled(state: EntryState, job: Job, now: float) -> bool:
     """Return whether a request waits only for restrained targets."""
-    if not state.throttle.restrains_any or get_candidates(state, job, now):
+    if not state.throttle.has_restraints or get_candidates(state, job, now):
         return False
     return bool(get_restrained(state, job))
 
 
-def _get_available(state: EntryState, job: Job, now: float) -> list[Listed]:
+def _get_available(state: EntryState, job: Job, now: float) -> list[ListedTarget]:
     """Return the targets that may get a request now, local ones if any."""
     local = _get_local_targets(state, job, now)
     available = get_available(state, job, local, now)
@@ -213,7 +213,7 @@
     return get_available(state, job, usable, now)
 
 
-def _get_local_targets(state: EntryState, job: Job, now: float) -> list[Listed]:
+def _get_local_targets(state: EntryState, job: Job, now: float) -> list[ListedTarget]:
     """Return the usable targets, only local ones where these suffice.
 
     With many entries, entries of other data centres learn of this entry's
@@ -223,7 +223,7 @@
     usable = list(state.fleet.get_usable(job.service))
     if not state.many_entries:
         return usable
-    queried = set() if job.ask.is_small else state.get_loads(now)
+    queried = set() if job.ask.is_small else state.get_known_remote_loads(now)
     data_centres = {state.settings.data_centre, *queried}
     local = [target for target in usable if target.data_centre in data_centres]
     return local if len(local) >= MIN_LOCAL_TARGETS else usable
@@ -239,7 +239,7 @@
 
 def _choose_least_busy(
     state: EntryState,
-    targets: list[Listed],
+    targets: list[ListedTarget],
     now: float,
 ) -> Placement | Refusal:
     chosen = choose_least_busy(
--- a/trestledock/entry/_tickets.py
+++ b/trestledock/entry/_tickets.py
@@ -11,20 +11,20 @@
 import anyio
 
 from trestledock.entry import _events as events
-from trestledock.entry._dialect import Dialect, Order
+from trestledock.entry._dialect import Dialect, ControlRequest
 from trestledock.entry._job import Job
 from trestledock.entry._logger import emit
-from trestledock.entry._notices import note_order
+from trestledock.entry._notices import record_order_notices
 from trestledock.entry._pool import Pool
 from trestledock.entry._state import EntryState
 from trestledock.entry._wire import Head, Wire, WireError
-from trestledock.relay import Listed, Placement
+from trestledock.relay import ListedTarget, Placement
 
 #: The lease of a reservation, in seconds: below the 4 s after which unused
 #: memory counts as leaked.
 LEASE_S = 3.5
 #: The interval between renewals of a reservation, in seconds.
-RENEW_S = 1.2
+RENEW_INTERVAL_S = 1.2
 #: The timeout of a control request, in seconds.
 CONTROL_TIMEOUT_S = 0.6
 #: How long a connection is kept idle after a control request, in seconds.
@@ -48,7 +48,7 @@
         self.pool = pool
         self.dialect = dialect
         self._renewals: dict[str, anyio.CancelScope] = {}
-        self._holders: dict[str, Listed] = {}
+        self._holders: dict[str, ListedTarget] = {}
         self._count = 0
 
     async def reserve(
@@ -62,11 +62,11 @@
         The tickets are added to `held`, by target.  The caller must release
         them, also after a failure.
         """
-        if not placement.tickets:
+        if not placement.reservations:
             return True
         helpers = {helper.incarnation: helper for helper in placement.helpers}
         async with anyio.create_task_group() as group:
-            for incarnation, tokens in placement.tickets:
+            for incarnation, tokens in placement.reservations:
                 self._count += 1
                 ticket = f'{job.call.req_id}-{self._count}'
                 group.start_soon(
@@ -76,9 +76,9 @@
                     tokens,
                     held,
                 )
-        if len(held) == len(placement.tickets):
+        if len(held) == len(placement.reservations):
             return True
-        wanted = len(placement.tickets)
+        wanted = len(placement.reservations)
         emit(events.MemoryRefused(job.call.req_id, len(held), wanted))
         return False
 
@@ -94,7 +94,7 @@
 
     async def _reserve_one(
         self,
-        holder: Listed,
+        holder: ListedTarget,
         ticket: str,
         tokens: int,
         held: dict[str, str],
@@ -117,7 +117,7 @@
     async def _renew(
         self,
         scope: anyio.CancelScope,
-        holder: Listed,
+        holder: ListedTarget,
         ticket: str,
         tokens: int,
     ) -> None:
@@ -128,7 +128,7 @@
         """
         with scope:
             while True:
-                await anyio.sleep(RENEW_S)
+                await anyio.sleep(RENEW_INTERVAL_S)
                 if self.state.fleet.is_superseded(holder):
                     return
                 order = self.dialect.make_reserve(
@@ -136,13 +136,13 @@
                 )
                 await self._send_control(holder, order)
 
-    async def _release_one(self, holder: Listed, ticket: str) -> None:
+    async def _release_one(self, holder: ListedTarget, ticket: str) -> None:
         for _ in range(RELEASE_TRIES):
             order = self.dialect.make_release(ticket, holder)
             if await self._send_control(holder, order) in RELEASED_STATUSES:
                 return
 
-    async def _send_control(self, holder: Listed, order: Order) -> int:
+    async def _send_control(self, holder: ListedTarget, order: ControlRequest) -> int:
         """Send a control request; return its status, zero without an answer."""
         try:
             with anyio.fail_after(CONTROL_TIMEOUT_S):
@@ -152,8 +152,8 @@
             return NO_ANSWER
         return head.status
 
-    async def _exchange(self, holder: Listed, order: Order) -> Head:
-        wire = await self.pool.take(holder)
+    async def _exchange(self, holder: ListedTarget, order: ControlRequest) -> Head:
+        wire = await self.pool.acquire(holder)
         idle_s: float = 0
         asked_at = anyio.current_time()
         try:
@@ -167,14 +167,14 @@
             head = await self._read_answer(holder, wire, asked_at)
             idle_s = CONTROL_IDLE_S
         finally:
-            await self.pool.give(holder, wire, idle_s)
+            await self.pool.release(holder, wire, idle_s)
         return head
 
     async def _read_answer(
-        self, holder: Listed, wire: Wire, asked_at: float
+        self, holder: ListedTarget, wire: Wire, asked_at: float
     ) -> Head:
         head = await wire.read_head()
         answer = self.dialect.read_head(head)
-        note_order(self.state, holder, head.status, answer, asked_at)
+        record_order_notices(self.state, holder, head.status, answer, asked_at)
         await wire.read_body()
         return head
--- a/trestledock/entry/_wire.py
+++ b/trestledock/entry/_wire.py
@@ -16,7 +16,7 @@
 import h11
 from anyio.abc import SocketAttribute, SocketStream
 
-from trestledock.relay import Sign, get_connect_sign, get_end_sign
+from trestledock.relay import FailureKind, classify_connect_error, classify_disconnect
 
 #: The timeout of connecting, in seconds: some hundred times the network delay,
 #: and short compared with the objectives of short requests.
@@ -46,13 +46,13 @@
     """A connection that failed at a step."""
 
     def __init__(
-        self, step: str, detail: str, sign: Sign = Sign.garbled
+        self, step: str, detail: str, failure_kind: FailureKind = FailureKind.garbled
     ) -> None:
         """Store the step, the detail and the failure evidence."""
         super().__init__(f'{step}: {detail}')
         self.step = step
         self.detail = detail
-        self.sign = sign
+        self.sign = failure_kind
 
 
 @dataclass(frozen=True)
@@ -95,7 +95,7 @@
                 stream = await anyio.connect_tcp(host, int(port))
         except (OSError, TimeoutError) as exc:
             raise WireError(
-                'connect', repr(exc), get_connect_sign(exc)
+                'connect', repr(exc), classify_connect_error(exc)
             ) from exc
         _set_options(stream)
         return cls(stream)
@@ -133,7 +133,7 @@
             if isinstance(event, h11.Response):
                 return Head(event.status_code, tuple(event.headers))
             if isinstance(event, h11.ConnectionClosed):
-                raise WireError('answer', 'connection closed', Sign.closed)
+                raise WireError('answer', 'connection closed', FailureKind.closed)
 
     async def iter_body(self) -> AsyncIterator[bytes]:
         """Yield the body's bytes; raise a `WireError` if it is truncated."""
@@ -162,7 +162,7 @@
         self.http.start_next_cycle()
         return True
 
-    async def wait_for_surplus(self) -> None:
+    async def wait_for_unexpected_data(self) -> None:
         """Wait until an idle connection closes or receives unexpected bytes."""
         with suppress(*STREAM_ERRORS):
             await self.stream.receive(1)
@@ -178,7 +178,7 @@
         try:
             await self.stream.send(raw)
         except STREAM_ERRORS as exc:
-            raise WireError('write', repr(exc), get_end_sign(exc)) from exc
+            raise WireError('write', repr(exc), classify_disconnect(exc)) from exc
         self.written = True
 
     async def _write_quietly(self, raw: bytes) -> None:
@@ -195,7 +195,7 @@
                 event = self.http.next_event()
         except h11.RemoteProtocolError as exc:
             self.broken = True
-            sign = Sign.closed if self._received_eof else Sign.garbled
+            sign = FailureKind.closed if self._received_eof else FailureKind.garbled
             raise WireError(step, repr(exc), sign) from exc
         if isinstance(event, type):
             raise WireError(step, 'unexpected protocol state')
@@ -209,7 +209,7 @@
             return b''
         except STREAM_ERRORS as exc:
             self.broken = True
-            raise WireError(step, repr(exc), get_end_sign(exc)) from exc
+            raise WireError(step, repr(exc), classify_disconnect(exc)) from exc
 
 
 def _set_options(stream: SocketStream) -> None:
