--- a/tests/limiting.py
+++ b/tests/limiting.py
@@ -296,13 +296,13 @@
     def connect_slowly(self, wait_s):
         """Delay each connection to a target from now on."""
         pool = self.relayer.sender.pool
-        take = pool.take
+        take = pool.acquire
 
         async def take_slowly(listed):
             await anyio.sleep(wait_s)
             return await take(listed)
 
-        pool.take = take_slowly
+        pool.acquire = take_slowly
 
     def kill(self):
         """End without a message to the others."""
@@ -336,7 +336,7 @@
             return
         await other.running.wait()
         if self.fleet.network.get(address) is other:
-            other.gossip.take(raw, self.address)
+            other.gossip.handle_datagram(raw, self.address)
 
 
 @dataclass
--- a/tests/test_entry_closing.py
+++ b/tests/test_entry_closing.py
@@ -126,7 +126,7 @@
     def test_forwarded_request_is_answered(self):
         """A forwarded request is answered, whenever it arrived."""
         lost = []
-        with patch.object(_daemon, 'NOTICE_S', 0):
+        with patch.object(_daemon, 'DRAIN_DELAY_S', 0):
             for steps in range(STEPS):
                 forwarded, raw = anyio.run(cross, steps)
                 if forwarded and not raw.endswith(b'ok'):
@@ -141,7 +141,7 @@
         its first request had been read.
         """
         silent = []
-        with patch.object(_daemon, 'NOTICE_S', 0):
+        with patch.object(_daemon, 'DRAIN_DELAY_S', 0):
             for steps in range(STEPS):
                 _, raw = anyio.run(cross, steps)
                 if not raw.startswith((b'HTTP/1.1 200', b'HTTP/1.1 503')):
--- a/tests/test_entry_incarnations.py
+++ b/tests/test_entry_incarnations.py
@@ -103,10 +103,10 @@
             reader.stand_still(3)
             write(store, None)
             await reader.read()
-            held = set(reader.state.fleet.held)
+            held = set(reader.state.fleet.retained)
             write(store, make_born(NEW))
             await reader.read()
-            gone = reader.state.fleet.expire(anyio.current_time() + 60)
+            gone = reader.state.fleet.expire_retained(anyio.current_time() + 60)
             return held, gone, get_births(reader)
 
         found = self.play(scenario, make_born(OLD, 90))
@@ -133,7 +133,7 @@
         async def scenario(store, reader, _):
             health = reader.state.health
             now = anyio.current_time()
-            health.note_silence(f't1@{OLD}', now)
+            health.record_silence(f't1@{OLD}', now)
             write(store, make_born(NEW))
             await reader.read()
             suspect = health.is_suspect(f't1@{NEW}', now)
--- a/tests/test_entry_leaving.py
+++ b/tests/test_entry_leaving.py
@@ -364,7 +364,7 @@
 
         def drain(state):
             for name in ('t0', 't1'):
-                state.fleet.note_leaving(name, 0)
+                state.fleet.record_draining(name, 0)
 
         answers = [DelayedAnswer(b'', make_answer(b'bad', 500), pause_s=0.3)]
         outcome = self.ask(route, answers, during=drain)
--- a/tests/test_entry_loads.py
+++ b/tests/test_entry_loads.py
@@ -73,7 +73,7 @@
     def test_remote_flights_are_known(self):
         async def scenario(own, other, calls):
             other.state.board.put(make_flight('a', 't1'))
-            await own.state.learn_loads()
+            await own.state.refresh_loads()
             now = anyio.current_time()
             flights = own.state.board.get_flights('t1')
             return [flight.target for flight in flights], own.state.get_loads(
@@ -85,9 +85,9 @@
     def test_remote_flights_expire(self):
         async def scenario(own, other, calls):
             other.state.board.put(make_flight('a', 't1'))
-            await own.state.learn_loads()
+            await own.state.refresh_loads()
             await anyio.sleep(1)
-            known = own.state.get_loads(anyio.current_time())
+            known = own.state.get_known_remote_loads(anyio.current_time())
             return known, tuple(own.state.board.get_flights('t1'))
 
         self.assertEqual(self.run_pair(scenario), (set(), ()))
@@ -97,8 +97,8 @@
 
         async def scenario(own, other, calls):
             flight = make_flight('a', 't1')
-            other.state.board.hear('p0', 9, [('a', flight)], whole=True)
-            await own.state.learn_loads()
+            other.state.board.apply_update('p0', 9, [('a', flight)], whole=True)
+            await own.state.refresh_loads()
             return tuple(own.state.board.get_flights('t1'))
 
         self.assertEqual(self.run_pair(scenario), ())
@@ -107,7 +107,7 @@
         async def scenario(own, other, calls):
             async with anyio.create_task_group() as group:
                 for _ in range(3):
-                    group.start_soon(own.state.learn_loads)
+                    group.start_soon(own.state.refresh_loads)
             return len(calls)
 
         self.assertEqual(self.run_pair(scenario), 1)
@@ -120,8 +120,8 @@
                 raise WireError('connect', 'timed out')
 
             with patch.object(_loads, 'call_peer', call):
-                await own.state.learn_loads()
-            return own.state.get_loads(anyio.current_time())
+                await own.state.refresh_loads()
+            return own.state.get_known_remote_loads(anyio.current_time())
 
         self.assertEqual(self.run_pair(scenario), set())
 
@@ -133,8 +133,8 @@
                     return plain
 
                 with patch.object(_loads, 'call_peer', call):
-                    await own.state.learn_loads()
-            return own.state.get_loads(anyio.current_time())
+                    await own.state.refresh_loads()
+            return own.state.get_known_remote_loads(anyio.current_time())
 
         self.assertEqual(self.run_pair(scenario), set())
 
--- a/tests/test_entry_peers.py
+++ b/tests/test_entry_peers.py
@@ -10,7 +10,7 @@
 def hear(peers, name, *, place='dc', now=0.0, port=1):
     """Have an entry be heard."""
     word = Flights(name, 1, True, place, False, 0.1, 0.5, ())
-    return peers.hear(word, ('10.0.0.1', port), now)
+    return peers.update(word, ('10.0.0.1', port), now)
 
 
 class PeersTest(unittest.TestCase):
--- a/tests/test_entry_sending.py
+++ b/tests/test_entry_sending.py
@@ -94,7 +94,7 @@
         async def scenario(world):
             state = world.state
             pool = world.relayer.sender.pool
-            take = pool.take
+            take = pool.acquire
             moved = replace(state.fleet.targets['t1'], service='new')
             state.fleet.put(replace(moved, sequence=1))
 
@@ -104,7 +104,7 @@
                     move(state, route)
                 return wire
 
-            pool.take = take_late
+            pool.acquire = take_late
             await world.ask()
 
         run_world(route, targets, scenario)
@@ -135,7 +135,9 @@
                     flight = next(iter(board.own.values()))
                     results.append(flight)
                     other = make_other(flight)
-                    board.hear('p', 1, [(other.flight_id, other)], whole=True)
+                    board.apply_update(
+                        'p', 1, [(other.flight_id, other)], whole=True
+                    )
 
             world.state.tell_own = send_and_receive
             results.append(await world.ask(headers=LONG))
--- a/tests/test_platform_quarantine.py
+++ b/tests/test_platform_quarantine.py
@@ -86,7 +86,7 @@
             ]
             self.assertEqual(granted, [True, False, False])
             found = await other.read_records(0)
-            self.assertEqual(found[0].trials, 1)
+            self.assertEqual(found[0].probes, 1)
             self.assertLess(found[0].age_s, 30)
 
         run_with_store(scenario)
--- a/tests/test_relay_asking.py
+++ b/tests/test_relay_asking.py
@@ -179,7 +179,7 @@
         ask = make_ask(160_000, arrived_at=-5)
         found = self.choose(ask)
         self.assertIs(found.decision, Decision.no_room)
-        begun = replace(ask, timing=replace(ask.timing, begun=True))
+        begun = replace(ask, timing=replace(ask.timing, started=True))
         self.assertIsInstance(self.choose(begun), Placement)
 
     def test_come_back_when_there_is_room(self):
--- a/tests/test_relay_placing.py
+++ b/tests/test_relay_placing.py
@@ -48,7 +48,7 @@
                 work.worth,
                 now + work.objective_s,
                 tuple(one.target_id for one in placement.helpers),
-                placement.tickets,
+                placement.reservations,
             )
         )
 
--- a/trestledock/entry/_checks.py
+++ b/trestledock/entry/_checks.py
@@ -51,7 +51,7 @@
 def read_number(json_value: Any) -> float:
     """Return a finite number.
 
-    >>> read_amount(5), read_amount(0.5)
+    >>> read_number(5), read_number(0.5)
     (5, 0.5)
     """
     if isinstance(json_value, float) and math.isfinite(json_value):
--- a/trestledock/entry/_isolation.py
+++ b/trestledock/entry/_isolation.py
@@ -101,7 +101,7 @@
 class IsolationHooks:
     """How an isolation learns and tells.
 
-    `look` connects to a target once more; `claim` takes the right to try a
+    `reconnect` connects to a target once more; `claim` takes the right to try a
     quarantined request from all other entries; the others tell these at once.
     """
 
@@ -114,7 +114,7 @@
 class Isolation:
     """Keeps requests from targets that would end under them.
 
-    `to_keep` has what the store is to know, and `wants_keeping` is set with it;
+    `unsaved` has what the store is to know, and `unsaved_added` is set with it;
     `revision` grows with each change of what is quarantined.
     """
 
--- a/trestledock/entry/_target_list.py
+++ b/trestledock/entry/_target_list.py
@@ -200,7 +200,7 @@
 ) -> tuple[list[ListedTarget], list[ListedTarget]]:
     """Return the records before and after the last removal, if any.
 
-    >>> one, two = Listed('t', 's', 'a'), Listed('t', 's', 'b')
+    >>> one, two = ListedTarget('t', 's', 'a'), ListedTarget('t', 's', 'b')
     >>> _split_at_removal([one, None, two]) == ([one], [two])
     True
     """
--- a/trestledock/relay/_events.py
+++ b/trestledock/relay/_events.py
@@ -25,7 +25,7 @@
 class EventSplitter:
     """Collects bytes and gives out whole events.
 
-    >>> Splitter().push(b'id: 1')
+    >>> EventSplitter().push(b'id: 1')
     []
     """
 
--- a/trestledock/relay/_fleet.py
+++ b/trestledock/relay/_fleet.py
@@ -32,11 +32,11 @@
 class Fleet:
     """The targets by incarnation, and until when those are held that miss.
 
-    `newest` has the incarnation of each id.  `gone` keeps the order of the last
-    word of what was dropped, by id, so that a record that is written late
+    `newest` has the incarnation of each id.  `removed` keeps the order of the
+    last word of what was dropped, by id, so that a record that is written late
     brings nothing back.  `revision` grows with every change that matters to
     others; that a target is only held is one of them, since others must judge
-    for themselves whether to hold it, too.  `births` is how many of the
+    for themselves whether to hold it, too.  `known_births` is how many of the
     targets tell when they were born.  `notices` has what targets said of
     themselves, here or to others.
     """
--- a/trestledock/relay/_listed.py
+++ b/trestledock/relay/_listed.py
@@ -32,8 +32,8 @@
     `born` is the Unix time of its start in milliseconds; `sequence` counts its
     words and begins anew with each incarnation.
 
-    >>> old = Listed('t', 's', 'a', sequence=90, born=1_000)
-    >>> new = Listed('t', 's', 'a', sequence=1, born=2_000)
+    >>> old = ListedTarget('t', 's', 'a', sequence=90, born=1_000)
+    >>> new = ListedTarget('t', 's', 'a', sequence=1, born=2_000)
     >>> new.order > old.order, new.incarnation
     (True, 't@2000')
     """
--- a/trestledock/relay/_proof.py
+++ b/trestledock/relay/_proof.py
@@ -25,7 +25,7 @@
     instance or the one it asks: a read need not prove anything, and where it
     doesn't, more reads would not either.
 
-    >>> proof = Proof(bound_s=4.0)
+    >>> proof = FreshnessProof(max_age_s=4.0)
     >>> proof.renew(asked_at=1.0)
     >>> proof.is_fresh(3.9), proof.is_fresh(4.1)
     (True, False)
--- a/trestledock/relay/_quarantine.py
+++ b/trestledock/relay/_quarantine.py
@@ -84,7 +84,7 @@
 class Suspect:
     """A request with the targets that ended under it.
 
-    One was given the request again, on purpose, `trials` times; `since` is when
+    One was given the request again, on purpose, `probes` times; `since` is when
     that was, or the last one ended.  What an answer has `cleared` is kept: some
     instances hear of it late, and tell the old ends on meanwhile.  It is in the
     order in which it was cleared.
@@ -105,10 +105,10 @@
 
     >>> known = Quarantine()
     >>> for name in ('t1', 't2', 't3'):
-    ...     _ = known.note_end(End('f', name), now=0)
+    ...     _ = known.record_crash(Crash('f', name), now=0)
     >>> known.is_quarantined('f'), known.is_quarantined('g')
     (True, False)
-    >>> known.is_due('f', now=1), known.is_due('f', now=10)
+    >>> known.is_probe_due('f', now=1), known.is_probe_due('f', now=10)
     (False, True)
     """
 
--- a/trestledock/relay/_reach.py
+++ b/trestledock/relay/_reach.py
@@ -30,9 +30,9 @@
 class Reachability:
     """When each instance of another data centre was last heard.
 
-    >>> reach = Reach()
-    >>> reach.note_heard('dc-2', 'entry-1', now=0)
-    >>> reach.get_quiet(now=0.4), reach.get_quiet(now=0.6)
+    >>> reach = Reachability()
+    >>> reach.record_message('dc-2', 'entry-1', now=0)
+    >>> reach.get_silent(now=0.4), reach.get_silent(now=0.6)
     (set(), {'dc-2'})
     """
 
--- a/trestledock/relay/_restores.py
+++ b/trestledock/relay/_restores.py
@@ -22,18 +22,20 @@
     """Which copy of the store this instance knows, and what its word is worth.
 
     An `epoch` is the number of one copy; a store without any is never restored.
-    `told` is the newest one that another instance knew, `recorded` the newest
-    one of which the store says that somebody has waited there for what was
-    lost, and `settled_epoch` the newest one of which that is known.
+    `peer_epoch` is the newest one that another instance knew, `recorded_epoch`
+    the newest one of which the store says that somebody has waited there for
+    what was lost, and `complete_epoch` the newest one of which that is known.
 
-    >>> restores = Restores()
-    >>> restores.note(3, now=0), restores.is_settled(0)
+    >>> restores = RestoreTracker()
+    >>> restores.record_epoch(3, now=0), restores.is_complete(0)
     (False, False)
-    >>> restores.note_recorded(3)
-    >>> restores.is_settled(0)
+    >>> restores.set_recorded_epoch(3)
+    >>> restores.is_complete(0)
     True
-    >>> restores.note(4, now=9), restores.is_settled(9), restores.is_settled(12)
-    (True, False, True)
+    >>> restores.record_epoch(4, now=9)
+    True
+    >>> restores.is_complete(9), restores.is_complete(12)
+    (False, True)
     """
 
     epoch: int | None = None
--- a/trestledock/relay/_token_bucket.py
+++ b/trestledock/relay/_token_bucket.py
@@ -17,8 +17,8 @@
 class TokenBucket:
     """A token bucket; `tokens` is what it held at the instant `filled_at`.
 
-    >>> bucket = Bucket(tokens=1, filled_at=0)
-    >>> bucket.take(now=0, per_s=2), bucket.take(now=0, per_s=2)
+    >>> bucket = TokenBucket(tokens=1, filled_at=0)
+    >>> bucket.try_take(now=0, per_s=2), bucket.try_take(now=0, per_s=2)
     (True, False)
     >>> bucket.get_wait_s(1, now=0, per_s=2)
     0.5
--- a/trestledock/relay/_watch.py
+++ b/trestledock/relay/_watch.py
@@ -31,19 +31,19 @@
     A gap alone is no disturbance: whoever reads for all may have stood still,
     and holding what left meanwhile would send work to it for as long as the gap
     and the grace together.  A disturbance is a gap in which the directory was
-    asked in vain, for the last time at `troubled_at`.  `resumed_at` is the end
-    of the last gap of any kind, `disturbed_at` that of the last disturbance,
-    after which a missing entry is held until `grace_end`.
+    asked in vain, for the last time at `last_failure_at`.  `resumed_at` is the
+    end of the last gap of any kind, `disturbed_at` that of the last
+    disturbance, after which a missing entry is held until `grace_end`.
 
     What is known was true at `read_at`, and may be as young as `latest_at`,
     since a list was on its way for some time: only one that is surely younger
     may replace it.
 
-    >>> watch = Watch()
-    >>> watch.note_read(0, 0)
-    >>> watch.note_trouble(3)
-    >>> watch.note_read(4, 4)
-    >>> watch.grace_end, watch.is_settled(6), watch.is_settled(6.3)
+    >>> watch = ListWatch()
+    >>> watch.record_read(0, 0)
+    >>> watch.record_failure(3)
+    >>> watch.record_read(4, 4)
+    >>> watch.grace_end, watch.is_synchronized(6), watch.is_synchronized(6.3)
     (5.7, False, True)
     """
 
