--- a/tests/relaying.py
+++ b/tests/relaying.py
@@ -211,7 +211,7 @@
         call = self.dialect.read_call(scope, Body.from_bytes(body), now)
         try:
             await self.relayer.relay(
-                call, Reply(outcome.receive, lambda: self.state.leaving)
+                call, Reply(outcome.receive, lambda: self.state.draining)
             )
         except CutReply:
             outcome.cut = True
--- a/tests/soak/mutants.py
+++ b/tests/soak/mutants.py
@@ -23,7 +23,13 @@
 )
 from trestledock.entry._job import STATUSES, Job, Refusal
 from trestledock.platform import _epochs, _headers, run
-from trestledock.relay import Fleet, AttemptHistory, FreshnessProof, Quarantine, Throttle
+from trestledock.relay import (
+    Fleet,
+    AttemptHistory,
+    FreshnessProof,
+    Quarantine,
+    Throttle,
+)
 from trestledock.relay._backoff import BackoffGate
 
 
@@ -59,7 +65,9 @@
 
 def runs() -> None:
     """Pass callers' keys on to targets."""
-    _headers.REPLACED_HEADERS = _headers.REPLACED_HEADERS - {_headers.AUTHORIZATION}
+    _headers.REPLACED_HEADERS = _headers.REPLACED_HEADERS - {
+        _headers.AUTHORIZATION
+    }
 
 
 def exits() -> None:
--- a/tests/test_bench_ablation.py
+++ b/tests/test_bench_ablation.py
@@ -49,7 +49,9 @@
     def test_helpers_matter(self):
         """Long prompts that no helper reads are late."""
         without = play_day(replace(DEFAULT_POLICY, helpers=False), 0, 6.0)
-        self.assertGreater(play_day(DEFAULT_POLICY, 0, 6.0).whole, without.whole + 0.05)
+        self.assertGreater(
+            play_day(DEFAULT_POLICY, 0, 6.0).whole, without.whole + 0.05
+        )
 
     def test_bad_option(self):
         """A count of seeds that makes no sense is an error."""
--- a/tests/test_claims.py
+++ b/tests/test_claims.py
@@ -133,7 +133,9 @@
 
     def test_repeat_gets_the_first_answer(self):
         self.ask('1', 0)
-        self.table.handle_result(ClaimResult('k', '1', 1, 'answered', 200, 'done'))
+        self.table.handle_result(
+            ClaimResult('k', '1', 1, 'answered', 200, 'done')
+        )
         answer = self.ask('2', 1)
         self.assertEqual((answer.grant, answer.body), ('done', 'done'))
 
@@ -151,7 +153,9 @@
         self.table.enter_epoch(Epoch(2, body), 0)
         self.table.forget({'b', 'c'}, 1)
         ask = ClaimAsk('k', '1', 2, 10)
-        self.assertEqual(self.table.handle_ask('x', ask, 2)[0][1].grant, 'blind')
+        self.assertEqual(
+            self.table.handle_ask('x', ask, 2)[0][1].grant, 'blind'
+        )
         self.table.forget({'b', 'c'}, KEEP_S + 2)
         late = self.table.handle_ask('x', ask, KEEP_S + 3)
         self.assertEqual(late[0][1].grant, 'granted')
--- a/tests/test_clock.py
+++ b/tests/test_clock.py
@@ -39,7 +39,9 @@
         """Run a program on an event loop that has this machine's clock."""
         return anyio.run(
             main,
-            backend_options={'loop_factory': lambda: BoottimeEventLoop(self.read)},
+            backend_options={
+                'loop_factory': lambda: BoottimeEventLoop(self.read)
+            },
         )
 
 
--- a/tests/test_entry_isolation.py
+++ b/tests/test_entry_isolation.py
@@ -8,7 +8,13 @@
 from tests.relaying import SETTINGS, make_listed
 from tests.virtual_loop import run_virtually
 from trestledock.entry._state import EntryState
-from trestledock.relay import Crash, ListedTarget, QuarantineRecord, FailureKind, Standing
+from trestledock.relay import (
+    Crash,
+    ListedTarget,
+    QuarantineRecord,
+    FailureKind,
+    Standing,
+)
 from trestledock.relay._unconfirmed_crashes import UNCONFIRMED_TTL_S
 from trestledock.relay._recent_answers import ANSWER_TTL_S
 
@@ -48,26 +54,38 @@
         return isolation.quarantine.count_crashes('f'), len(isolation.looks)
 
     def test_closed_and_nobody_listens(self):
-        self.assertEqual(self.count(FailureKind.closed, FailureKind.refused), (3, 3))
+        self.assertEqual(
+            self.count(FailureKind.closed, FailureKind.refused), (3, 3)
+        )
 
     def test_closed_by_one_that_lives(self):
         """Connections that are reset say nothing of the request."""
-        self.assertEqual(self.count(FailureKind.closed, FailureKind.none), (0, 3))
+        self.assertEqual(
+            self.count(FailureKind.closed, FailureKind.none), (0, 3)
+        )
 
     def test_closed_by_one_that_is_not_reached(self):
         """It may be cut off."""
-        self.assertEqual(self.count(FailureKind.closed, FailureKind.unreachable), (0, 3))
+        self.assertEqual(
+            self.count(FailureKind.closed, FailureKind.unreachable), (0, 3)
+        )
 
     def test_silence_and_wrong_bytes(self):
         """Nobody is connected to for them."""
-        self.assertEqual(self.count(FailureKind.silent, FailureKind.refused), (0, 0))
-        self.assertEqual(self.count(FailureKind.garbled, FailureKind.refused), (0, 0))
+        self.assertEqual(
+            self.count(FailureKind.silent, FailureKind.refused), (0, 0)
+        )
+        self.assertEqual(
+            self.count(FailureKind.garbled, FailureKind.refused), (0, 0)
+        )
 
     def test_one_end_a_sending(self):
         """Whoever reads a prompt and those that help may end together."""
 
         async def scenario(isolation):
-            await isolation.note_lost('f', FailureKind.closed, TARGETS)
+            await isolation.investigate_failure(
+                'f', FailureKind.closed, TARGETS
+            )
 
         isolation = run_isolation(scenario)
         self.assertEqual(isolation.quarantine.count_crashes('f'), 1)
@@ -80,8 +98,10 @@
                 is_first = target is TARGETS[0]
                 return FailureKind.none if is_first else FailureKind.refused
 
-            isolation.ways.look = look
-            await isolation.note_lost('f', FailureKind.closed, TARGETS)
+            isolation.hooks.reconnect = look
+            await isolation.investigate_failure(
+                'f', FailureKind.closed, TARGETS
+            )
 
         isolation = run_isolation(scenario)
         self.assertEqual(isolation.told, [Crash('f', TARGETS[1].incarnation)])
@@ -94,7 +114,9 @@
         async def scenario(isolation):
             isolation.record_answered('f')
             for target in TARGETS[:3]:
-                await isolation.note_lost('f', FailureKind.closed, [target])
+                await isolation.investigate_failure(
+                    'f', FailureKind.closed, [target]
+                )
 
         isolation = run_isolation(scenario)
         self.assertFalse(isolation.is_quarantined('f'))
@@ -106,16 +128,20 @@
         async def scenario(isolation):
             isolation.record_answered('f')
             for target in TARGETS:
-                await isolation.note_lost('f', FailureKind.closed, [target])
+                await isolation.investigate_failure(
+                    'f', FailureKind.closed, [target]
+                )
 
         self.assertTrue(run_isolation(scenario).is_quarantined('f'))
 
     def test_an_answer_does_not_speak_for_ever(self):
         async def scenario(isolation):
-            isolation.note_answered('f')
+            isolation.record_answered('f')
             await anyio.sleep(ANSWER_TTL_S + 1)
             for target in TARGETS[:3]:
-                await isolation.note_lost('f', FailureKind.closed, [target])
+                await isolation.investigate_failure(
+                    'f', FailureKind.closed, [target]
+                )
 
         self.assertTrue(run_isolation(scenario).is_quarantined('f'))
 
@@ -158,7 +184,9 @@
 
     def test_store_is_told_by_whoever_has_seen_an_end(self):
         async def scenario(isolation):
-            await isolation.note_lost('f', FailureKind.closed, [TARGETS[0]])
+            await isolation.investigate_failure(
+                'f', FailureKind.closed, [TARGETS[0]]
+            )
             others = [
                 (Crash(name, f'o{one}'), 0) for name in 'fg' for one in '123'
             ]
@@ -171,7 +199,9 @@
 
     def test_store_is_not_told_what_it_told(self):
         async def scenario(isolation):
-            isolation.take_records([QuarantineRecord('f', ('a', 'b', 'c'))], 'store')
+            isolation.merge_records(
+                [QuarantineRecord('f', ('a', 'b', 'c'))], 'store'
+            )
 
         isolation = run_isolation(scenario)
         self.assertTrue(isolation.is_quarantined('f'))
@@ -181,10 +211,12 @@
         told = []
 
         async def scenario(isolation):
-            isolation.ways.tell_cleared = lambda name, _: told.append(name)
-            isolation.take_ends([(Crash('one', 'a'), 0)], 'e#b')
-            isolation.take_ends([(Crash('two', x), 0) for x in 'ab'], 'e#b')
-            isolation.take_ends([(Crash('held', x), 0) for x in 'abc'], 'e#b')
+            isolation.hooks.send_cleared = lambda name, _: told.append(name)
+            isolation.merge_crashes([(Crash('one', 'a'), 0)], 'e#b')
+            isolation.merge_crashes([(Crash('two', x), 0) for x in 'ab'], 'e#b')
+            isolation.merge_crashes(
+                [(Crash('held', x), 0) for x in 'abc'], 'e#b'
+            )
             for name in ('none', 'one', 'two', 'held'):
                 isolation.record_answered(name)
 
@@ -205,8 +237,10 @@
         async def scenario(isolation):
             for number in range(2):
                 isolation.fleet.put(make_listed(number, 80))
-            isolation.take_ends([(Crash('f', 't9'), 0)], 'b')
-            isolation.take_ends([(Crash('f', 't0'), 0), (Crash('f', 't1'), 9)], 'b')
+            isolation.merge_crashes([(Crash('f', 't9'), 0)], 'b')
+            isolation.merge_crashes(
+                [(Crash('f', 't0'), 0), (Crash('f', 't1'), 9)], 'b'
+            )
             now = anyio.current_time()
             isolation.found = [
                 isolation.health.is_suspect(name, now) for name in ('t0', 't1')
@@ -225,7 +259,9 @@
             for number in range(3):
                 listed = ListedTarget(f't{number}', 'svc', 'a:1', 'far')
                 state.fleet.put(listed)
-                state.isolation.merge_crashes([(Crash('f', f't{number}'), 9)], 'b')
+                state.isolation.merge_crashes(
+                    [(Crash('f', f't{number}'), 9)], 'b'
+                )
                 state.record_silence(f't{number}', anyio.current_time())
             found.extend(state.health.data_centres)
 
@@ -248,8 +284,8 @@
             async def ask():
                 found.append(await isolation.may_probe('f'))
 
-            isolation.ways.claim = claim
-            isolation.take_ends([(Crash('f', x), 0) for x in 'abc'], 'e#b')
+            isolation.hooks.claim = claim
+            isolation.merge_crashes([(Crash('f', x), 0) for x in 'abc'], 'e#b')
             await ask()
             await anyio.sleep(isolation.get_retry_after_s('f'))
             async with anyio.create_task_group() as group:
@@ -272,10 +308,10 @@
                 isolation.merge_cleared('f', ('a', 'b', 'c'), 'e#b')
                 return True
 
-            isolation.ways.claim = claim
-            isolation.take_ends([(Crash('f', x), 0) for x in 'abc'], 'e#b')
-            await anyio.sleep(isolation.get_come_back_s('f'))
-            found.append(await isolation.may_try('f'))
+            isolation.hooks.claim = claim
+            isolation.merge_crashes([(Crash('f', x), 0) for x in 'abc'], 'e#b')
+            await anyio.sleep(isolation.get_retry_after_s('f'))
+            found.append(await isolation.may_probe('f'))
             found.append(isolation.is_quarantined('f'))
 
         run_isolation(scenario)
--- a/tests/test_entry_keeping.py
+++ b/tests/test_entry_keeping.py
@@ -61,7 +61,9 @@
     async def see_ends(self, count):
         """See so many targets end under a request."""
         for target in TARGETS[:count]:
-            await self.isolation.investigate_failure('f', FailureKind.closed, [target])
+            await self.isolation.investigate_failure(
+                'f', FailureKind.closed, [target]
+            )
 
     async def _look(self, _):
         return FailureKind.refused
--- a/tests/test_entry_leaving.py
+++ b/tests/test_entry_leaving.py
@@ -104,7 +104,7 @@
 async def check_each_beat(state):
     """Check for silent data centres at the interval of the product."""
     while True:
-        state.check_reach(anyio.current_time())
+        state.check_reachability(anyio.current_time())
         await anyio.sleep(BEAT_INTERVAL_S)
 
 
@@ -114,7 +114,7 @@
         listed = state.fleet.targets[f't{number}']
         there = replace(listed, data_centre='dc-2', sequence=1)
         state.fleet.put(there)
-    state.note_heard('dc-2', 'entry-2', anyio.current_time())
+    state.record_remote_entry('dc-2', 'entry-2', anyio.current_time())
     state.spawn(check_each_beat, state)
 
 
@@ -228,7 +228,7 @@
                 group.start_soon(ask)
                 await anyio.sleep(0.1)
                 world.state.fleet.put(make_listed(1, port))
-                world.state.note_silence('t1', anyio.current_time())
+                world.state.record_silence('t1', anyio.current_time())
             return outcomes[0]
 
         target = StreamTarget()
@@ -251,7 +251,7 @@
         async def scenario(world):
             state = world.state
             state.fleet.put(make_listed(1, port))
-            state.fleet.note_leaving('t1', 0)
+            state.fleet.record_draining('t1', 0)
             outcomes = []
 
             async def ask():
@@ -260,8 +260,8 @@
             async with anyio.create_task_group() as group:
                 group.start_soon(ask)
                 await wait_for_request([first])
-                state.notices.drop(Drain, 't1')
-                state.fleet.note_leaving('t0', 0)
+                state.notices.discard(Drain, 't1')
+                state.fleet.record_draining('t0', 0)
                 await anyio.sleep(1)
                 listener = await anyio.create_tcp_listener(
                     local_host='127.0.0.1', local_port=port
@@ -276,7 +276,10 @@
         route = make_route(
             RouteKind.streaming, resumable=True, timeout_s=9, pause_s=0.5
         )
-        targets = [StreamTarget(SCENARIO_TIMEOUT_S), StreamTarget(SCENARIO_TIMEOUT_S)]
+        targets = [
+            StreamTarget(SCENARIO_TIMEOUT_S),
+            StreamTarget(SCENARIO_TIMEOUT_S),
+        ]
 
         waits = []
         get_recheck_timeout = ResponseTimeouts.get_recheck_timeout
--- a/tests/test_entry_listing.py
+++ b/tests/test_entry_listing.py
@@ -29,7 +29,9 @@
                 state.fleet.put(replace(make_listed(1, 80), sequence=known))
             listing = TargetListUpdater(state, Pool(state.spawn))
             records = tuple(map(make_record, sequences))
-            listing.apply(StoreUpdate(targets=records, as_of=anyio.current_time()))
+            listing.apply(
+                StoreUpdate(targets=records, as_of=anyio.current_time())
+            )
             return state.fleet
 
         return anyio.run(main)
--- a/tests/test_entry_loads.py
+++ b/tests/test_entry_loads.py
@@ -76,9 +76,9 @@
             await own.state.refresh_loads()
             now = anyio.current_time()
             flights = own.state.board.get_flights('t1')
-            return [flight.target for flight in flights], own.state.get_loads(
-                now
-            )
+            return [
+                flight.target for flight in flights
+            ], own.state.get_known_remote_loads(now)
 
         self.assertEqual(self.run_pair(scenario), (['t1'], {OTHER}))
 
--- a/tests/test_entry_pool.py
+++ b/tests/test_entry_pool.py
@@ -66,4 +66,6 @@
     def test_exiting_target(self):
         """It accepts, closes the connection, and then refuses connections."""
 
-        self.assertEqual(check_connection(stay, 0.005), [FailureKind.refused, 0])
+        self.assertEqual(
+            check_connection(stay, 0.005), [FailureKind.refused, 0]
+        )
--- a/tests/test_entry_selecting.py
+++ b/tests/test_entry_selecting.py
@@ -50,7 +50,9 @@
     for place in (OWN, ASKED, SILENT):
         for number in range(EACH):
             name = f'{place}-{number}'
-            target = ListedTarget(name, 'svc', 'a:1', place, Standing.ready, 8, 1)
+            target = ListedTarget(
+                name, 'svc', 'a:1', place, Standing.ready, 8, 1
+            )
             state.fleet.put(target)
             if place == OWN:
                 state.board.put(make_reading(name))
@@ -73,7 +75,9 @@
 
 def make_job(size):
     route = make_route(objective_s=4.0, timeout_s=15, pause_s=0.8)
-    call = Call('r1', 'POST', '/p/', '', HOST, (), Body.from_bytes(b''), 0.0, size=size)
+    call = Call(
+        'r1', 'POST', '/p/', '', HOST, (), Body.from_bytes(b''), 0.0, size=size
+    )
     return Job(call, route, 'svc', TeamKey('kiosks'), deadline=15.0)
 
 
--- a/tests/test_entry_sending.py
+++ b/tests/test_entry_sending.py
@@ -31,7 +31,7 @@
 
         async def scenario(world):
             pool = world.relayer.sender.pool
-            take = pool.take
+            take = pool.acquire
             connected = []
 
             async def take_late(target):
@@ -41,7 +41,7 @@
                     change(world.state.fleet, target)
                 return wire
 
-            pool.take = take_late
+            pool.acquire = take_late
             results.append((await world.ask(), connected))
 
         run_world(make_route(), targets, scenario)
@@ -67,7 +67,7 @@
         """A target missing from the list gets no request."""
 
         def remove(fleet, target):
-            fleet.drop(target.target_id, 0, 0)
+            fleet.record_removal(target.target_id, 0, 0)
 
         self.check(remove)
 
@@ -127,7 +127,7 @@
 
         async def scenario(world):
             board = world.state.board
-            send_own = world.state.tell_own
+            send_own = world.state.send_own_changes
 
             def send_and_receive():
                 send_own()
@@ -139,7 +139,7 @@
                         'p', 1, [(other.flight_id, other)], whole=True
                     )
 
-            world.state.tell_own = send_and_receive
+            world.state.send_own_changes = send_and_receive
             results.append(await world.ask(headers=LONG))
 
         route = make_route(objective_s=4, timeout_s=15)
--- a/tests/test_entry_words.py
+++ b/tests/test_entry_words.py
@@ -99,7 +99,9 @@
     def test_there_and_back(self):
         """Instants move with the clock of whoever reads."""
         for word in WORDS:
-            self.assertEqual(decode_message(encode_message(word, now=2), now=2), word)
+            self.assertEqual(
+                decode_message(encode_message(word, now=2), now=2), word
+            )
 
     def test_rest_is_elsewhere_for_who_is_told(self):
         told = ToldNotices('e', (TargetNotice('t', Backoff(9, 0, 1)),))
@@ -111,14 +113,18 @@
 
     def test_each_kind_is_written(self):
         """What can be read is what can be written."""
-        kinds = {json.loads(encode_message(one, now=0))['kind'] for one in WORDS}
+        kinds = {
+            json.loads(encode_message(one, now=0))['kind'] for one in WORDS
+        }
         self.assertEqual(kinds, set(READERS))
 
     def test_older_version(self):
         """It does not say when it tells everything again."""
         told = json.loads(encode_message(WORDS[0], now=2))
         told.pop('again_ms')
-        self.assertEqual(decode_message(json.dumps(told).encode(), 2).again_s, 0.5)
+        self.assertEqual(
+            decode_message(json.dumps(told).encode(), 2).again_s, 0.5
+        )
 
     @given(st.binary(max_size=80) | ANY_JSON.map(json.dumps))
     def test_anything(self, text):
--- a/tests/test_limited_targets.py
+++ b/tests/test_limited_targets.py
@@ -39,7 +39,9 @@
             group.start_soon(ask)
         most = [
             target.get_most(
-                target.count_told, target.named_at + LIMIT_EFFECT_S, float('inf')
+                target.count_told,
+                target.named_at + LIMIT_EFFECT_S,
+                float('inf'),
             )
             for target in limited_targets
         ]
--- a/tests/test_relay_asking.py
+++ b/tests/test_relay_asking.py
@@ -113,7 +113,9 @@
         3,000 tokens take 3.9 s, but most answers use a third of that.
         """
         timing = Timing(-5.5, due_at=-5.2, abandoned_at=2.0, deadline=4.5)
-        ask = PlacementRequest('r1', PromptSize(8_000, 3_300), timing, 0.25, 2.0)
+        ask = PlacementRequest(
+            'r1', PromptSize(8_000, 3_300), timing, 0.25, 2.0
+        )
         self.assertIsInstance(self.choose(ask), Placement)
 
 
--- a/tests/test_relay_open_ends.py
+++ b/tests/test_relay_open_ends.py
@@ -3,7 +3,10 @@
 import unittest
 
 from trestledock.relay import ListedTarget, UnconfirmedCrashes
-from trestledock.relay._unconfirmed_crashes import MAX_UNCONFIRMED, UNCONFIRMED_TTL_S
+from trestledock.relay._unconfirmed_crashes import (
+    MAX_UNCONFIRMED,
+    UNCONFIRMED_TTL_S,
+)
 
 FIRST = ListedTarget('t1', 's', 'a:1', born=1)
 AGAIN = ListedTarget('t1', 's', 'a:2', born=2)
@@ -39,7 +42,9 @@
         self.assertEqual(get_names(ends), ['f'])
 
     def test_not_for_ever(self):
-        self.assertEqual(make_open('f').pop_confirmed('t1@1', UNCONFIRMED_TTL_S), [])
+        self.assertEqual(
+            make_open('f').pop_confirmed('t1@1', UNCONFIRMED_TTL_S), []
+        )
 
     def test_so_many_at_most(self):
         found = UnconfirmedCrashes()
@@ -47,4 +52,6 @@
             found.add('f', ListedTarget(f't{number}', 's', 'a:1'), now=0)
         self.assertEqual(found.pop_confirmed(f't{MAX_UNCONFIRMED}', 1), [])
         found.add('f', FIRST, now=UNCONFIRMED_TTL_S + 1)
-        self.assertEqual(get_names(found.pop_confirmed('t1@1', UNCONFIRMED_TTL_S + 2)), ['f'])
+        self.assertEqual(
+            get_names(found.pop_confirmed('t1@1', UNCONFIRMED_TTL_S + 2)), ['f']
+        )
--- a/tests/test_relay_parts.py
+++ b/tests/test_relay_parts.py
@@ -29,7 +29,9 @@
 
 
 def make_history(*endings):
-    return AttemptHistory(tuple(RelayAttempt(one, 'step', 'peer') for one in endings))
+    return AttemptHistory(
+        tuple(RelayAttempt(one, 'step', 'peer') for one in endings)
+    )
 
 
 class SplitterTest(unittest.TestCase):
@@ -87,7 +89,11 @@
     def test_promise(self):
         """A promise that nothing ran needs proof from every sending."""
         self.assertFalse(make_history(AttemptOutcome.rejected).may_have_run)
-        self.assertTrue(make_history(AttemptOutcome.rejected, AttemptOutcome.lost).may_have_run)
+        self.assertTrue(
+            make_history(
+                AttemptOutcome.rejected, AttemptOutcome.lost
+            ).may_have_run
+        )
 
     def test_last_run(self):
         """The last target is the one after which nobody else may run it."""
@@ -98,7 +104,11 @@
             (RESUMABLE, make_history(AttemptOutcome.rejected), False),
             (STREAM, make_history(), True),
             (NON_IDEMPOTENT, make_history(), True),
-            (IDEMPOTENT, make_history(*repeat(AttemptOutcome.not_sent, 5)), True),
+            (
+                IDEMPOTENT,
+                make_history(*repeat(AttemptOutcome.not_sent, 5)),
+                True,
+            ),
         ):
             with self.subTest(route=route.kind, sendings=history.attempts):
                 self.assertEqual(history.is_last_attempt(route), expected)
--- a/tests/test_relay_patience.py
+++ b/tests/test_relay_patience.py
@@ -36,7 +36,8 @@
         wait_s = get_first_event_timeout_s(STREAM, 0.06, early=True)
         self.assertLess(wait_s + 0.06, STREAM.objective_s)
         self.assertLess(
-            get_first_event_timeout_s(PLAIN, 0, early=True) + 0.03, PLAIN.objective_s
+            get_first_event_timeout_s(PLAIN, 0, early=True) + 0.03,
+            PLAIN.objective_s,
         )
 
     def test_prediction_is_waited_for(self):
@@ -54,7 +55,9 @@
 
     def test_helpers(self):
         """A dead helper is named after a stall, which is waited for."""
-        wait_s = get_first_event_timeout_s(STREAM, 0.5, early=False, helped=True)
+        wait_s = get_first_event_timeout_s(
+            STREAM, 0.5, early=False, helped=True
+        )
         self.assertGreater(wait_s, 0.5 + 1.5)
 
     def test_once_only(self):
@@ -128,7 +131,9 @@
         self.second = Flight('b', 't', 260_922, 600, Phase.prefill, since=2)
 
     def check(self, own, capacity_tokens):
-        return is_waiting_for_memory(own, [self.first, self.second], capacity_tokens)
+        return is_waiting_for_memory(
+            own, [self.first, self.second], capacity_tokens
+        )
 
     def test_younger_one_waits(self):
         self.assertTrue(self.check(self.second, 382_500))
--- a/tests/test_relay_quarantine.py
+++ b/tests/test_relay_quarantine.py
@@ -18,7 +18,7 @@
 def note(quarantine, fingerprint, *targets, now=0):
     """Note that targets ended while they ran a request."""
     for target in targets:
-        quarantine.note_end(Crash(fingerprint, target), now)
+        quarantine.record_crash(Crash(fingerprint, target), now)
 
 
 def make_quarantine(*targets):
@@ -104,7 +104,8 @@
             later.merge(record, now=0)
         self.assertTrue(later.is_quarantined(DEADLY))
         self.assertEqual(
-            later.get_probe_delay_s(DEADLY, 0), known.get_probe_delay_s(DEADLY, 100)
+            later.get_probe_delay_s(DEADLY, 0),
+            known.get_probe_delay_s(DEADLY, 100),
         )
 
 
--- a/tests/test_relay_quotas.py
+++ b/tests/test_relay_quotas.py
@@ -88,9 +88,13 @@
     def test_restart_keeps_its_place(self):
         """An entry is known by its address, whichever start it is."""
         own, *others = make_members(9)
-        before = get_quota(Membership(own, tuple(others), 9), TargetRate('t', '', 2))
+        before = get_quota(
+            Membership(own, tuple(others), 9), TargetRate('t', '', 2)
+        )
         again = Member(own.name, own.data_centre)
-        after = get_quota(Membership(again, tuple(others), 9), TargetRate('t', '', 2))
+        after = get_quota(
+            Membership(again, tuple(others), 9), TargetRate('t', '', 2)
+        )
         self.assertEqual(before, after)
 
     def test_kept_until_the_members_change(self):
--- a/tests/test_relay_rate_limits.py
+++ b/tests/test_relay_rate_limits.py
@@ -21,7 +21,12 @@
         changes, last = note((2, 0, 1), (3, 1, 2), (None, 2, 3), (1, 3, 4))
         self.assertEqual(
             changes,
-            [NoticeChange.learnt, NoticeChange.changed, NoticeChange.lifted, NoticeChange.learnt],
+            [
+                NoticeChange.learnt,
+                NoticeChange.changed,
+                NoticeChange.lifted,
+                NoticeChange.learnt,
+            ],
         )
         self.assertEqual(last.per_s, 1)
 
--- a/tests/test_relay_readers.py
+++ b/tests/test_relay_readers.py
@@ -27,7 +27,11 @@
 
     def test_two_readers_cut(self):
         """With two cut off, the third in order reads."""
-        known = [ReaderCandidate('a', 2), ReaderCandidate('b', 3), ReaderCandidate('c', 0.5)]
+        known = [
+            ReaderCandidate('a', 2),
+            ReaderCandidate('b', 3),
+            ReaderCandidate('c', 0.5),
+        ]
         self.assertEqual(choose_reader(known), 'c')
 
     def test_reader_that_is_lost_is_made_good_in_time(self):
@@ -41,7 +45,9 @@
         """A read, a question and an answer later a change is known."""
         for settle_s in (2, 3, 4, 10):
             pace = ReadSchedule(settle_s)
-            self.assertLess(pace.read_interval_s + pace.ask_interval_s, settle_s / 2)
+            self.assertLess(
+                pace.read_interval_s + pace.ask_interval_s, settle_s / 2
+            )
             self.assertLessEqual(pace.ask_interval_s, 0.6)
 
     def test_own_reads_are_spread(self):
--- a/tests/test_relay_resting.py
+++ b/tests/test_relay_resting.py
@@ -36,9 +36,12 @@
 
     # Guards against a short rest that cuts an earlier, longer one.
     def test_later_end_counts(self):
-        changes, known = self.note(Backoff(9, 0, 1), Backoff(4, 1, 2), Backoff(12, 3, 4))
+        changes, known = self.note(
+            Backoff(9, 0, 1), Backoff(4, 1, 2), Backoff(12, 3, 4)
+        )
         self.assertEqual(
-            changes, [NoticeChange.learnt, NoticeChange.nothing, NoticeChange.changed]
+            changes,
+            [NoticeChange.learnt, NoticeChange.nothing, NoticeChange.changed],
         )
         self.assertEqual(known.get(Backoff, 't').until, 12)
 
--- a/tests/test_relay_throttle.py
+++ b/tests/test_relay_throttle.py
@@ -55,5 +55,7 @@
     def test_limit_of_nothing_lets_few_through(self):
         """Else nobody would hear that it is over."""
         throttle = make_throttle(t1=0)
-        left = [now for now in range(100) if throttle.acquire([ONE], now) is None]
+        left = [
+            now for now in range(100) if throttle.acquire([ONE], now) is None
+        ]
         self.assertEqual(len(left), 10)
--- a/tests/test_relay_turns.py
+++ b/tests/test_relay_turns.py
@@ -60,4 +60,6 @@
 
     def test_other_services_are_not_in_the_way(self):
         turns = make_turns([('a', 0)])
-        self.assertEqual(turns.count_ahead(WaitingRequest('x', 'other', 'a', 9)), 0)
+        self.assertEqual(
+            turns.count_ahead(WaitingRequest('x', 'other', 'a', 9)), 0
+        )
--- a/tests/test_relaying.py
+++ b/tests/test_relaying.py
@@ -83,7 +83,7 @@
             )
             outcome = await world.ask()
             self.assertEqual(outcome.status, 200)
-            self.assertEqual(set(world.state.fleet.leaving), {'t0'})
+            self.assertEqual(set(world.state.fleet.draining), {'t0'})
 
         run_world(ONCE, targets, scenario)
         self.assertEqual(len(targets[0].requests), 1)
--- a/trestledock/bench/_sharing.py
+++ b/trestledock/bench/_sharing.py
@@ -187,7 +187,9 @@
             self._send(one, placement)
             return
         flight = one.ask.make_flight(placement, Phase.prefill, self.now)
-        known = {beside.flight_id for beside in entry.board.get_colocated(flight)}
+        known = {
+            beside.flight_id for beside in entry.board.get_colocated(flight)
+        }
         self._put(one, flight)
         self._at(
             self.now + CLAIM_DELAY_S,
@@ -381,12 +383,17 @@
     return worths[True] / worths[False]
 
 
-def _get_near(listed: tuple[ListedTarget, ...], place: str) -> tuple[ListedTarget, ...]:
+def _get_near(
+    listed: tuple[ListedTarget, ...], place: str
+) -> tuple[ListedTarget, ...]:
     return tuple([one for one in listed if one.data_centre == place])
 
 
 def _make_entry(
-    number: int, place: str, terms: PlacementPolicy, near: tuple[ListedTarget, ...]
+    number: int,
+    place: str,
+    terms: PlacementPolicy,
+    near: tuple[ListedTarget, ...],
 ) -> Entry:
     board = LoadTable()
     name = f'entry-{number}'
@@ -401,4 +408,6 @@
         abandoned_at=prompt.at + min(kind.patience_s, kind.deadline_s),
         deadline=prompt.at + kind.deadline_s,
     )
-    return PlacementRequest(req_id, prompt.size, timing, kind.pause_s, kind.patience_s)
+    return PlacementRequest(
+        req_id, prompt.size, timing, kind.pause_s, kind.patience_s
+    )
--- a/trestledock/entry/_admission.py
+++ b/trestledock/entry/_admission.py
@@ -80,7 +80,9 @@
 
 
 def _make_fingerprint(call: Call, team: TeamKey) -> str:
-    traits = RequestIdentity(call.method, call.host, call.path, call.query, team.team)
+    traits = RequestIdentity(
+        call.method, call.host, call.path, call.query, team.team
+    )
     return get_fingerprint(traits, call.body.digest)
 
 
--- a/trestledock/entry/_answering.py
+++ b/trestledock/entry/_answering.py
@@ -52,7 +52,9 @@
         answer = self.dialect.read_head(head)
         if answer.req_id and answer.req_id != job.call.req_id:
             raise WireError('answer', 'of another request')
-        record_answer_notices(self.state, job, placement, head.status, answer, asked_at)
+        record_answer_notices(
+            self.state, job, placement, head.status, answer, asked_at
+        )
         idle_s = get_idle_s(answer.keep_alive, answer.connection)
         if _is_stream(job, head, answer):
             forwarder = StreamForwarder(
@@ -161,19 +163,25 @@
             or answer.encoded
         ):
             self.record_failure(peer)
-            return RelayAttempt(AttemptOutcome.lost, 'answer', peer, f'{head.status}')
+            return RelayAttempt(
+                AttemptOutcome.lost, 'answer', peer, f'{head.status}'
+            )
         if (
             head.status >= HTTPStatus.INTERNAL_SERVER_ERROR
             and not reply.started
         ):
             return self._store_failure(job, peer, StoredAnswer(head, body))
         if reply.started:
-            return RelayAttempt(AttemptOutcome.lost, 'answer', peer, f'{head.status}')
+            return RelayAttempt(
+                AttemptOutcome.lost, 'answer', peer, f'{head.status}'
+            )
         self.record_success(peer)
         job.record_event(anyio.current_time())
         await reply.start(head.status, self.dialect.make_reply_headers(head))
         await reply.finish(body)
-        return RelayAttempt(AttemptOutcome.answered, 'answer', peer, f'{head.status}')
+        return RelayAttempt(
+            AttemptOutcome.answered, 'answer', peer, f'{head.status}'
+        )
 
     def _store_failure(
         self, job: Job, peer: str, answer: StoredAnswer
@@ -182,7 +190,9 @@
         job.fallback = answer
         if answer.head.status != HTTPStatus.GATEWAY_TIMEOUT:
             self.record_failure(peer)
-        return RelayAttempt(AttemptOutcome.failed, 'answer', peer, f'{answer.head.status}')
+        return RelayAttempt(
+            AttemptOutcome.failed, 'answer', peer, f'{answer.head.status}'
+        )
 
 
 def _is_stream(job: Job, head: Head, answer: AnswerMetadata) -> bool:
--- a/trestledock/entry/_app.py
+++ b/trestledock/entry/_app.py
@@ -19,7 +19,11 @@
 from trestledock.entry._loads import LOAD_PATH, DATA_CENTRE_FIELD, LoadExchange
 from trestledock.entry._logger import emit
 from trestledock.entry._metrics import METRICS
-from trestledock.entry._update_exchange import PAST_FIELD, VERSION_FIELD, UpdateExchange
+from trestledock.entry._update_exchange import (
+    PAST_FIELD,
+    VERSION_FIELD,
+    UpdateExchange,
+)
 from trestledock.entry._relaying import Relayer
 from trestledock.entry._reply import CutReply, Reply, Send
 from trestledock.entry._state import NO_VERSION, EntryState
--- a/trestledock/entry/_gossip.py
+++ b/trestledock/entry/_gossip.py
@@ -20,7 +20,11 @@
 from trestledock.entry._peers import Peers
 from trestledock.entry._flight_codec import Change
 from trestledock.entry._state import EntryState
-from trestledock.entry._message_codec import InvalidMessage, decode_message, encode_message
+from trestledock.entry._message_codec import (
+    InvalidMessage,
+    decode_message,
+    encode_message,
+)
 from trestledock.entry._messages import Beat, Flights, Fresh, Message
 from trestledock.relay import BEAT_INTERVAL_S, ReaderCandidate, Flight
 
@@ -82,7 +86,9 @@
 
     def get_candidates(self, now: float) -> list[ReaderCandidate]:
         """Return the entries that may read the store, this one included."""
-        own = ReaderCandidate(self.state.member, self.state.get_advertised_age_s(now))
+        own = ReaderCandidate(
+            self.state.member, self.state.get_advertised_age_s(now)
+        )
         return [own, *self.peers.get_candidates(now)]
 
     async def run(self) -> None:
--- a/trestledock/entry/_holding_back.py
+++ b/trestledock/entry/_holding_back.py
@@ -52,7 +52,9 @@
     its own.  But too few targets must not get the requests of all.
     """
     others = [
-        target for target in free if not state.throttle.has_peer_backoff(target, now)
+        target
+        for target in free
+        if not state.throttle.has_peer_backoff(target, now)
     ]
     return others if len(others) >= len(free) * MIN_REMAINING_SHARE else free
 
@@ -74,7 +76,10 @@
     ahead = state.turns.count_ahead(job.turn)
     wait_s = state.throttle.get_wait_s(restrained, ahead, now)
     timing = job.timing
-    if wait_s <= (min(timing.due_at, timing.abandoned_at) - now) * MAX_WAIT_SHARE:
+    if (
+        wait_s
+        <= (min(timing.due_at, timing.abandoned_at) - now) * MAX_WAIT_SHARE
+    ):
         return None
     if wait_s == inf:
         wait_s = 1 / state.throttle.get_total_limit(restrained)
--- a/trestledock/entry/_isolation.py
+++ b/trestledock/entry/_isolation.py
@@ -195,12 +195,16 @@
     def record_replaced(self, incarnation: str) -> None:
         """Note that another start of a target is known: this one has ended."""
         now = anyio.current_time()
-        self._note_own(self._open.pop_confirmed(incarnation, now), FailureKind.none)
+        self._note_own(
+            self._open.pop_confirmed(incarnation, now), FailureKind.none
+        )
 
     def record_listed(self, listed: ListedTarget) -> None:
         """Note a target: what had its address before has ended."""
         now = anyio.current_time()
-        self._note_own(self._open.pop_replaced_by(listed, now), FailureKind.none)
+        self._note_own(
+            self._open.pop_replaced_by(listed, now), FailureKind.none
+        )
 
     def record_answered(self, fingerprint: str) -> None:
         """Note that a target has answered a request: it ends none."""
@@ -261,7 +265,9 @@
 
     def needs_resending(self, end: Crash) -> bool:
         """Whether a lost word of an end would matter."""
-        return self.quarantine.count_crashes(end.fingerprint) >= MIN_SHARED_CRASHES
+        return (
+            self.quarantine.count_crashes(end.fingerprint) >= MIN_SHARED_CRASHES
+        )
 
     def record_restore(self) -> None:
         """Have the store know again of trials that it may have lost.
--- a/trestledock/entry/_job.py
+++ b/trestledock/entry/_job.py
@@ -165,7 +165,9 @@
         return Timing(
             arrived_at=arrived_at,
             due_at=arrived_at + self.route.objective_s,
-            abandoned_at=min(self.deadline, last_sent_at + self.route.patience_s),
+            abandoned_at=min(
+                self.deadline, last_sent_at + self.route.patience_s
+            ),
             deadline=self.deadline,
             started=self.may_have_run,
         )
--- a/trestledock/entry/_limits.py
+++ b/trestledock/entry/_limits.py
@@ -50,7 +50,9 @@
     ) -> ResponseTimeout:
         """Return the timeout for the first byte or event of an answer."""
         is_last = self._is_last_option(job)
-        may_fail_over = self.state.budgets.may_fail_over_early(anyio.current_time())
+        may_fail_over = self.state.budgets.may_fail_over_early(
+            anyio.current_time()
+        )
         early = may_fail_over and not is_last and not placement.helpers
         timeout_s = get_first_event_timeout_s(
             job.route,
@@ -69,9 +71,7 @@
         remaining_s = _get_remaining_s(job)
         if job.history.is_last_attempt(job.route):
             return ResponseTimeout(remaining_s)
-        return ResponseTimeout(
-            min(get_pause_timeout_s(job.route), remaining_s)
-        )
+        return ResponseTimeout(min(get_pause_timeout_s(job.route), remaining_s))
 
     def get_recheck_timeout(self, job: Job) -> ResponseTimeout:
         """Return how long to wait before the next check for a failover."""
@@ -146,7 +146,9 @@
         else:
             self.state.record_silence(peer, now)
         if self.state.is_unreachable(peer, now):
-            return WireError(step, 'its data centre is silent', FailureKind.silent)
+            return WireError(
+                step, 'its data centre is silent', FailureKind.silent
+            )
         return WireError(
             step, f'silent for {timeout.wait_s:.2f} s', FailureKind.silent
         )
--- a/trestledock/entry/_message_codec.py
+++ b/trestledock/entry/_message_codec.py
@@ -199,22 +199,24 @@
     return ToldNotices(sender, decode_notices(plain, now))
 
 
-READERS: Mapping[str, Callable[[Plain, str, float], Message]] = MappingProxyType(
-    {
-        'flights': _read_flights,
-        'beat': _read_beat,
-        'fresh': _read_fresh,
-        'ask': _read_question,
-        'reply': _read_reply,
-        'ends': _read_ends,
-        'cleared': _read_cleared,
-        'limits': _read_notices,
-    }
+READERS: Mapping[str, Callable[[Plain, str, float], Message]] = (
+    MappingProxyType(
+        {
+            'flights': _read_flights,
+            'beat': _read_beat,
+            'fresh': _read_fresh,
+            'ask': _read_question,
+            'reply': _read_reply,
+            'ends': _read_ends,
+            'cleared': _read_cleared,
+            'limits': _read_notices,
+        }
+    )
 )
 
 
 def decode_message(raw: bytes, now: float) -> Message:
-    """Return a word that came in, or raise `BadWord`.
+    """Return a word that came in, or raise `InvalidMessage`.
 
     >>> decode_message(b'{"kind":"fresh","from":"e","news_age_ms":250}', now=0)
     Fresh(sender='e', news_age_s=0.25)
--- a/trestledock/entry/_messages.py
+++ b/trestledock/entry/_messages.py
@@ -106,4 +106,6 @@
     notices: tuple[TargetNotice, ...]
 
 
-Message = ToldNotices | Flights | Beat | Fresh | Question | Reply | Ends | Cleared
+Message = (
+    ToldNotices | Flights | Beat | Fresh | Question | Reply | Ends | Cleared
+)
--- a/trestledock/entry/_metrics.py
+++ b/trestledock/entry/_metrics.py
@@ -203,7 +203,9 @@
         """Observe a time on one of the direct histograms."""
         self.times[name].add(seconds)
 
-    def count_messages(self, way: str, kind: str, size: int, count: int) -> None:
+    def count_messages(
+        self, way: str, kind: str, size: int, count: int
+    ) -> None:
         """Count words between entries, sent or heard, of `size` bytes each."""
         labels = (way, kind)
         self.words[labels] = self.words.get(labels, 0) + count
--- a/trestledock/entry/_notices.py
+++ b/trestledock/entry/_notices.py
@@ -213,7 +213,9 @@
     return events.RestHeard(peer, _get_left_ms(notice), left_ms, 0, source)
 
 
-def log_send_against_notices(state: EntryState, req: str, placement: Placement) -> None:
+def log_send_against_notices(
+    state: EntryState, req: str, placement: Placement
+) -> None:
     """Write down that a request goes to targets that asked for something."""
     for one in placement.engaged_targets:
         peer = one.incarnation
--- a/trestledock/entry/_notices_exchange.py
+++ b/trestledock/entry/_notices_exchange.py
@@ -15,7 +15,14 @@
 from trestledock.entry._gossip import Gossip
 from trestledock.entry._notices import apply_notice
 from trestledock.entry._messages import TargetNotice, ToldNotices
-from trestledock.relay import Drain, Member, Membership, Notice, RateLimit, Backoff
+from trestledock.relay import (
+    Drain,
+    Member,
+    Membership,
+    Notice,
+    RateLimit,
+    Backoff,
+)
 
 #: The kinds of notices that concern all entries.
 SHARED = (RateLimit, Drain, Backoff)
--- a/trestledock/entry/_peer_addresses.py
+++ b/trestledock/entry/_peer_addresses.py
@@ -32,7 +32,9 @@
         self._seen_at: dict[Address, float] = {}
         self._near: list[Address] | None = None
 
-    def add_addresses(self, addresses: Iterable[Address], now: float) -> list[Address]:
+    def add_addresses(
+        self, addresses: Iterable[Address], now: float
+    ) -> list[Address]:
         """Take addresses; return those that are new."""
         new = [
             one
--- a/trestledock/entry/_peer_calls.py
+++ b/trestledock/entry/_peer_calls.py
@@ -27,7 +27,7 @@
 async def call_peer(address: Address, path: str) -> dict[str, Any]:
     """Return the JSON object with which another entry answers.
 
-    Raises one of `BAD_ANSWER`.
+    Raises one of `CALL_ERRORS`.
     """
     host, port = address
     wire = await Wire.connect(f'{host}:{port}')
--- a/trestledock/entry/_pool.py
+++ b/trestledock/entry/_pool.py
@@ -73,13 +73,15 @@
             try:
                 wire = await Wire.connect(target.address)
             except WireError as exc:
-                return exc.sign
+                return exc.failure_kind
             if await self._stays_open(wire):
                 self._store(target, wire, IDLE_S)
                 return FailureKind.none
         return FailureKind.closed
 
-    async def release(self, target: ListedTarget, wire: Wire, idle_s: float) -> None:
+    async def release(
+        self, target: ListedTarget, wire: Wire, idle_s: float
+    ) -> None:
         """Return a connection to the pool after an answer.
 
         It is closed if `idle_s` is zero or it can't be reused, for example for
--- a/trestledock/entry/_quarantine_sync.py
+++ b/trestledock/entry/_quarantine_sync.py
@@ -88,9 +88,12 @@
         if not self.state.restores.is_complete(now):
             return False
         for known in stored.records:
-            if known.fingerprint == record.fingerprint and not known.is_probe_due:
+            if (
+                known.fingerprint == record.fingerprint
+                and not known.is_probe_due
+            ):
                 return False
-        tried = replace(record, age_s=0, trials=record.probes + 1)
+        tried = replace(record, age_s=0, probes=record.probes + 1)
         return await self.store.write_records([tried], stored.end)
 
     async def _follow(self) -> None:
--- a/trestledock/entry/_relaying.py
+++ b/trestledock/entry/_relaying.py
@@ -156,9 +156,7 @@
         if job.has_reserved_retry:
             job.has_reserved_retry = False
             return True
-        return self.state.budgets.spend_retry(
-            job.service, anyio.current_time()
-        )
+        return self.state.budgets.spend_retry(job.service, anyio.current_time())
 
     async def _end_unanswered(
         self, job: Job, reply: Reply, reason: Refusal
@@ -250,7 +248,9 @@
     return Refusal.not_run if reason is Refusal.failed else reason
 
 
-def _exclude_targets(job: Job, placement: Placement, sending: RelayAttempt) -> None:
+def _exclude_targets(
+    job: Job, placement: Placement, sending: RelayAttempt
+) -> None:
     """Exclude the targets of a failed attempt from the next one.
 
     The target at fault in a rejection is excluded where the answer is read.  A
--- a/trestledock/entry/_selecting.py
+++ b/trestledock/entry/_selecting.py
@@ -102,7 +102,9 @@
     if state.get_known_remote_loads(now):
         return False
     cost = chosen.cost if isinstance(chosen, Placement) else None
-    return state.placer.policy.remote_targets and should_query_remote(job.ask.worth, cost)
+    return state.placer.policy.remote_targets and should_query_remote(
+        job.ask.worth, cost
+    )
 
 
 def has_alternative(state: EntryState, job: Job, peer: str) -> bool:
@@ -137,7 +139,9 @@
     if targets and (engine is None or job.call.size is None):
         return _choose_least_busy(state, targets, now)
     if state.fleet.are_all_draining(job.service) and not job.response_begun:
-        job.retry_after_s = get_retry_after_s(job.timing, SUCCESSOR_START_S, now)
+        job.retry_after_s = get_retry_after_s(
+            job.timing, SUCCESSOR_START_S, now
+        )
         return Refusal.no_target
     if engine is None or job.call.size is None:
         decision = decide_unplaced(job.timing, now, any_target=False)
@@ -174,7 +178,9 @@
     return list(groups.values())
 
 
-def get_candidates(state: EntryState, job: Job, now: float) -> list[ListedTarget]:
+def get_candidates(
+    state: EntryState, job: Job, now: float
+) -> list[ListedTarget]:
     """Return the targets that may get the request.
 
     Healthy and untried targets are preferred where there are enough.
@@ -203,7 +209,9 @@
     return bool(get_restrained(state, job))
 
 
-def _get_available(state: EntryState, job: Job, now: float) -> list[ListedTarget]:
+def _get_available(
+    state: EntryState, job: Job, now: float
+) -> list[ListedTarget]:
     """Return the targets that may get a request now, local ones if any."""
     local = _get_local_targets(state, job, now)
     available = get_available(state, job, local, now)
@@ -213,7 +221,9 @@
     return get_available(state, job, usable, now)
 
 
-def _get_local_targets(state: EntryState, job: Job, now: float) -> list[ListedTarget]:
+def _get_local_targets(
+    state: EntryState, job: Job, now: float
+) -> list[ListedTarget]:
     """Return the usable targets, only local ones where these suffice.
 
     With many entries, entries of other data centres learn of this entry's
--- a/trestledock/entry/_sending.py
+++ b/trestledock/entry/_sending.py
@@ -77,7 +77,9 @@
                 return await self._reserve(job, placement, reply, held)
         finally:
             self._clean_up(flight.flight_id, held)
-        return RelayAttempt(AttemptOutcome.not_sent, 'claim', flight.target, prior.flight_id)
+        return RelayAttempt(
+            AttemptOutcome.not_sent, 'claim', flight.target, prior.flight_id
+        )
 
     async def _reserve(
         self,
@@ -88,7 +90,9 @@
     ) -> RelayAttempt:
         if await self.tickets.reserve(job, placement, held):
             return await self._exchange(job, placement, reply, held)
-        return RelayAttempt(AttemptOutcome.not_sent, 'reserve', placement.target.incarnation)
+        return RelayAttempt(
+            AttemptOutcome.not_sent, 'reserve', placement.target.incarnation
+        )
 
     def _get_known_flights(
         self, flight: Flight, placement: Placement
@@ -113,7 +117,9 @@
         self.state.send_own_changes()
         await anyio.sleep(CLAIM_DELAY_S)
         self.state.receive_messages()
-        return find_prior_claim(flight, self.state.board.get_colocated(flight), known)
+        return find_prior_claim(
+            flight, self.state.board.get_colocated(flight), known
+        )
 
     def _clean_up(self, flight_id: str, held: dict[str, str]) -> None:
         self.state.board.remove(flight_id)
@@ -133,7 +139,11 @@
         except WireError as exc:
             self.state.record_silence(peer, anyio.current_time())
             return RelayAttempt(
-                AttemptOutcome.not_sent, exc.step, peer, exc.detail, exc.sign
+                AttemptOutcome.not_sent,
+                exc.step,
+                peer,
+                exc.detail,
+                exc.failure_kind,
             )
         obstacle = self._find_obstacle(job, placement) or self._consume_quota(
             job, placement
@@ -143,7 +153,9 @@
             return obstacle
         return await self._write_and_receive(job, placement, reply, held, wire)
 
-    def _find_obstacle(self, job: Job, placement: Placement) -> RelayAttempt | None:
+    def _find_obstacle(
+        self, job: Job, placement: Placement
+    ) -> RelayAttempt | None:
         """Return the failed attempt if the request must not be written now.
 
         Reserving memory and connecting take up to a second, in which the key
@@ -159,10 +171,14 @@
             )
         for target in placement.engaged_targets:
             if not self.state.fleet.is_usable(target.incarnation):
-                return RelayAttempt(AttemptOutcome.not_sent, 'left', target.incarnation)
+                return RelayAttempt(
+                    AttemptOutcome.not_sent, 'left', target.incarnation
+                )
         return None
 
-    def _consume_quota(self, job: Job, placement: Placement) -> RelayAttempt | None:
+    def _consume_quota(
+        self, job: Job, placement: Placement
+    ) -> RelayAttempt | None:
         """Take the request's share of the rate limits of its targets.
 
         Return the failed attempt if a limit is exhausted or a target backs
@@ -175,7 +191,9 @@
         if restrained:
             resting = self.state.throttle.is_backing_off(restrained, now)
             step = Refusal.resting if resting else Refusal.limited
-            return RelayAttempt(AttemptOutcome.not_sent, step.value, restrained.incarnation)
+            return RelayAttempt(
+                AttemptOutcome.not_sent, step.value, restrained.incarnation
+            )
         if any(map(self.state.throttle.is_restrained, engaged)):
             self.state.turns.record_served(job.turn, now)
         return None
@@ -202,8 +220,14 @@
             self.state.health.record_failure(peer, anyio.current_time())
             # Idle connections fall silent together, while new ones work.
             self.pool.close_idle(peer)
-            await self._report_lost(job, placement, exc.sign)
-            return RelayAttempt(AttemptOutcome.lost, exc.step, peer, exc.detail, exc.sign)
+            await self._report_lost(job, placement, exc.failure_kind)
+            return RelayAttempt(
+                AttemptOutcome.lost,
+                exc.step,
+                peer,
+                exc.detail,
+                exc.failure_kind,
+            )
         finally:
             await self.pool.release(placement.target, wire, idle_s)
         return sending
--- a/trestledock/entry/_state.py
+++ b/trestledock/entry/_state.py
@@ -204,7 +204,9 @@
         """Note that a request was given up early at a target."""
         self.budgets.record_early_failover(now)
         emit(events.TargetDoubted(target_id))
-        self.health.record_early_timeout(target_id, now, self._get_place(target_id))
+        self.health.record_early_timeout(
+            target_id, now, self._get_place(target_id)
+        )
 
     def record_sent(self, target_id: str, now: float) -> None:
         """Note that a request goes to a target."""
--- a/trestledock/entry/_streaming.py
+++ b/trestledock/entry/_streaming.py
@@ -19,7 +19,12 @@
 from trestledock.entry._reply import Reply
 from trestledock.entry._state import EntryState
 from trestledock.entry._wire import Head
-from trestledock.relay import AttemptOutcome, Placement, RelayAttempt, EventSplitter
+from trestledock.relay import (
+    AttemptOutcome,
+    Placement,
+    RelayAttempt,
+    EventSplitter,
+)
 
 MS = 1000
 
--- a/trestledock/entry/_target_list.py
+++ b/trestledock/entry/_target_list.py
@@ -163,7 +163,9 @@
         elif not was_held:
             self._note_held(known, news, now)
 
-    def _get_grace_end(self, target_id: str, news: StoreUpdate, now: float) -> float:
+    def _get_grace_end(
+        self, target_id: str, news: StoreUpdate, now: float
+    ) -> float:
         """Return until when a missing target may only have lapsed.
 
         By own evidence alone; the source may know better when the store was
@@ -179,7 +181,9 @@
         )
         return next(ends, watch.grace_end)
 
-    def _note_held(self, listed: ListedTarget, news: StoreUpdate, now: float) -> None:
+    def _note_held(
+        self, listed: ListedTarget, news: StoreUpdate, now: float
+    ) -> None:
         name = listed.incarnation
         left_s = self.fleet.retained[name] - now
         emit(events.TargetHeld(name, news.source, round(left_s * MS)))
--- a/trestledock/entry/_tickets.py
+++ b/trestledock/entry/_tickets.py
@@ -142,7 +142,9 @@
             if await self._send_control(holder, order) in RELEASED_STATUSES:
                 return
 
-    async def _send_control(self, holder: ListedTarget, order: ControlRequest) -> int:
+    async def _send_control(
+        self, holder: ListedTarget, order: ControlRequest
+    ) -> int:
         """Send a control request; return its status, zero without an answer."""
         try:
             with anyio.fail_after(CONTROL_TIMEOUT_S):
@@ -152,7 +154,9 @@
             return NO_ANSWER
         return head.status
 
-    async def _exchange(self, holder: ListedTarget, order: ControlRequest) -> Head:
+    async def _exchange(
+        self, holder: ListedTarget, order: ControlRequest
+    ) -> Head:
         wire = await self.pool.acquire(holder)
         idle_s: float = 0
         asked_at = anyio.current_time()
--- a/trestledock/entry/_wire.py
+++ b/trestledock/entry/_wire.py
@@ -16,7 +16,11 @@
 import h11
 from anyio.abc import SocketAttribute, SocketStream
 
-from trestledock.relay import FailureKind, classify_connect_error, classify_disconnect
+from trestledock.relay import (
+    FailureKind,
+    classify_connect_error,
+    classify_disconnect,
+)
 
 #: The timeout of connecting, in seconds: some hundred times the network delay,
 #: and short compared with the objectives of short requests.
@@ -46,13 +50,16 @@
     """A connection that failed at a step."""
 
     def __init__(
-        self, step: str, detail: str, failure_kind: FailureKind = FailureKind.garbled
+        self,
+        step: str,
+        detail: str,
+        failure_kind: FailureKind = FailureKind.garbled,
     ) -> None:
         """Store the step, the detail and the failure evidence."""
         super().__init__(f'{step}: {detail}')
         self.step = step
         self.detail = detail
-        self.sign = failure_kind
+        self.failure_kind = failure_kind
 
 
 @dataclass(frozen=True)
@@ -133,7 +140,9 @@
             if isinstance(event, h11.Response):
                 return Head(event.status_code, tuple(event.headers))
             if isinstance(event, h11.ConnectionClosed):
-                raise WireError('answer', 'connection closed', FailureKind.closed)
+                raise WireError(
+                    'answer', 'connection closed', FailureKind.closed
+                )
 
     async def iter_body(self) -> AsyncIterator[bytes]:
         """Yield the body's bytes; raise a `WireError` if it is truncated."""
@@ -178,7 +187,9 @@
         try:
             await self.stream.send(raw)
         except STREAM_ERRORS as exc:
-            raise WireError('write', repr(exc), classify_disconnect(exc)) from exc
+            raise WireError(
+                'write', repr(exc), classify_disconnect(exc)
+            ) from exc
         self.written = True
 
     async def _write_quietly(self, raw: bytes) -> None:
@@ -195,7 +206,11 @@
                 event = self.http.next_event()
         except h11.RemoteProtocolError as exc:
             self.broken = True
-            sign = FailureKind.closed if self._received_eof else FailureKind.garbled
+            sign = (
+                FailureKind.closed
+                if self._received_eof
+                else FailureKind.garbled
+            )
             raise WireError(step, repr(exc), sign) from exc
         if isinstance(event, type):
             raise WireError(step, 'unexpected protocol state')
--- a/trestledock/platform/_headers.py
+++ b/trestledock/platform/_headers.py
@@ -9,7 +9,13 @@
 import json
 from typing import Any, Mapping
 
-from trestledock.entry import AnswerMetadata, Head, Headers, ControlRequest, ForwardingContext
+from trestledock.entry import (
+    AnswerMetadata,
+    Head,
+    Headers,
+    ControlRequest,
+    ForwardingContext,
+)
 from trestledock.platform._notices import (
     read_leaving,
     read_limit,
--- a/trestledock/process/_arrivals.py
+++ b/trestledock/process/_arrivals.py
@@ -59,7 +59,9 @@
     _ADMITTERS[req.kind](state, live, now)
 
 
-def on_caller_gone(message: CallerDisconnected, state: State, now: float) -> None:
+def on_caller_gone(
+    message: CallerDisconnected, state: State, now: float
+) -> None:
     """End the request of a caller that has left."""
     live = state.requests.get(message.req_id)
     if live:
--- a/trestledock/process/_choosing.py
+++ b/trestledock/process/_choosing.py
@@ -267,7 +267,9 @@
     if state.policy.uses_pace and missing > state.policy.max_unchunked_tokens:
         paced_s = missing * target.load.get_pace(priority, now)
         prefill_s = max(prefill_s, paced_s - wait_s)
-    penalty_s = (best - permitted.preference) * state.policy.preference_penalty_s
+    penalty_s = (
+        best - permitted.preference
+    ) * state.policy.preference_penalty_s
     return Candidate(
         target,
         wait_s,
@@ -294,9 +296,7 @@
     candidates: tuple[Candidate, ...],
 ) -> Candidate:
     least = min(one.rank for one in candidates)
-    near = [
-        one for one in candidates if one.rank <= least + state.policy.tie_s
-    ]
+    near = [one for one in candidates if one.rank <= least + state.policy.tie_s]
     return state.rng.choice(near)
 
 
--- a/trestledock/process/_claims.py
+++ b/trestledock/process/_claims.py
@@ -267,7 +267,11 @@
             return self._repeat(message, claim, now)
         left = self.get_blind_left(key, now)
         if left > 0:
-            grant = ClaimDecision.blind if self._is_lost(key) else ClaimDecision.stale
+            grant = (
+                ClaimDecision.blind
+                if self._is_lost(key)
+                else ClaimDecision.stale
+            )
             return _make_answer(message, grant, left)
         return None
 
--- a/trestledock/relay/__init__.py
+++ b/trestledock/relay/__init__.py
@@ -28,7 +28,11 @@
     Share,
     TeamKey,
 )
-from trestledock.relay._claims import CLAIM_DELAY_S, find_prior_claim, needs_claim
+from trestledock.relay._claims import (
+    CLAIM_DELAY_S,
+    find_prior_claim,
+    needs_claim,
+)
 from trestledock.relay._deciding import (
     PLACEMENT_RETRY_S,
     Decision,
@@ -46,7 +50,12 @@
 )
 from trestledock.relay._fleet import LOWEST_ORDER, Fleet, RemovedTarget
 from trestledock.relay._health import Health
-from trestledock.relay._listed import UNKNOWN_BIRTH, ListedTarget, RecordOrder, Standing
+from trestledock.relay._listed import (
+    UNKNOWN_BIRTH,
+    ListedTarget,
+    RecordOrder,
+    Standing,
+)
 from trestledock.relay._notices import (
     NoticeChange,
     Drain,
@@ -56,7 +65,11 @@
     PeerBackoff,
 )
 from trestledock.relay._unconfirmed_crashes import UnconfirmedCrashes
-from trestledock.relay._outcome import AttemptOutcome, AttemptHistory, RelayAttempt
+from trestledock.relay._outcome import (
+    AttemptOutcome,
+    AttemptHistory,
+    RelayAttempt,
+)
 from trestledock.relay._patience import (
     EARLY_RETRY_LIMITS,
     get_first_event_timeout_s,
@@ -85,7 +98,11 @@
     get_own_read_delay_s,
     get_read_retry_s,
 )
-from trestledock.relay._signs import FailureKind, classify_connect_error, classify_disconnect
+from trestledock.relay._signs import (
+    FailureKind,
+    classify_connect_error,
+    classify_disconnect,
+)
 from trestledock.relay._terms import DEFAULT_POLICY, PlacementPolicy
 from trestledock.relay._throttle import Throttle
 from trestledock.relay._turns import WaitingRequest, WaitQueue
--- a/trestledock/relay/_board.py
+++ b/trestledock/relay/_board.py
@@ -178,10 +178,14 @@
     def get_colocated(self, flight: Flight) -> list[Flight]:
         """Return what the targets of a flight have to do, itself included."""
         return [
-            one for name in flight.engaged_targets for one in self.get_flights(name)
+            one
+            for name in flight.engaged_targets
+            for one in self.get_flights(name)
         ]
 
-    def set_remote_load(self, data_centre: str, flights: Iterable[Flight]) -> None:
+    def set_remote_load(
+        self, data_centre: str, flights: Iterable[Flight]
+    ) -> None:
         """Take what instances elsewhere have at the targets of a data centre.
 
         It replaces what was told before; nothing of it is from senders that
--- a/trestledock/relay/_deciding.py
+++ b/trestledock/relay/_deciding.py
@@ -117,7 +117,9 @@
         return Decision.no_time
     if timing.started:
         return None
-    too_dear = placement.cost_to_others > placement.gain * terms.max_cost_to_others
+    too_dear = (
+        placement.cost_to_others > placement.gain * terms.max_cost_to_others
+    )
     return Decision.no_room if too_dear else None
 
 
--- a/trestledock/relay/_events.py
+++ b/trestledock/relay/_events.py
@@ -42,5 +42,7 @@
 def _make_event(raw: bytes) -> StreamEvent:
     for line in raw.splitlines():
         if line.lower().startswith(ID_FIELD):
-            return StreamEvent(raw, line[len(ID_FIELD) :].strip().decode('latin-1'))
+            return StreamEvent(
+                raw, line[len(ID_FIELD) :].strip().decode('latin-1')
+            )
     return StreamEvent(raw)
--- a/trestledock/relay/_fleet.py
+++ b/trestledock/relay/_fleet.py
@@ -12,7 +12,12 @@
 from dataclasses import dataclass, field, replace
 from typing import Collection, Iterable, Iterator
 
-from trestledock.relay._listed import UNKNOWN_BIRTH, ListedTarget, RecordOrder, Standing
+from trestledock.relay._listed import (
+    UNKNOWN_BIRTH,
+    ListedTarget,
+    RecordOrder,
+    Standing,
+)
 from trestledock.relay._notices import Drain, Notices
 from trestledock.relay._watch import ListWatch
 
@@ -74,7 +79,9 @@
 
     def record_draining(self, incarnation: str, heard_at: float) -> None:
         """Note that a target leaves, as all entries learn by themselves."""
-        self.notices.record(incarnation, Drain(heard_at, heard_at, is_shared=True))
+        self.notices.record(
+            incarnation, Drain(heard_at, heard_at, is_shared=True)
+        )
 
     def put(self, listed: ListedTarget) -> bool:
         """Take an entry; return whether it changes anything but its age."""
@@ -101,7 +108,9 @@
     def get_last_order(self, target_id: str) -> RecordOrder:
         """Return the order of the last word on a target, or less than any."""
         known = self.get_by_id(target_id)
-        return known.order if known else self.removed.get(target_id, LOWEST_ORDER)
+        return (
+            known.order if known else self.removed.get(target_id, LOWEST_ORDER)
+        )
 
     def record_outdated(self, listed: ListedTarget) -> None:
         """Take a record that a removal has followed since."""
--- a/trestledock/relay/_health.py
+++ b/trestledock/relay/_health.py
@@ -122,7 +122,9 @@
         """Return what is known of a target."""
         return self.targets.setdefault(target_id, TargetHealth())
 
-    def record_success(self, target_id: str, now: float, data_centre: str = '') -> None:
+    def record_success(
+        self, target_id: str, now: float, data_centre: str = ''
+    ) -> None:
         """Note an answer as it should be."""
         self.data_centres.pop(data_centre, None)
         self._learn(target_id, 0, now)
@@ -135,7 +137,9 @@
         """Note an answer that failed, was cut short or made no sense."""
         self._learn(target_id, 1, now)
 
-    def record_early_timeout(self, target_id: str, now: float, data_centre: str = '') -> None:
+    def record_early_timeout(
+        self, target_id: str, now: float, data_centre: str = ''
+    ) -> None:
         """Note that a target was left early, though it may only be busy.
 
         Again without an answer in between, it counts as silent.
@@ -146,10 +150,14 @@
         if one.doubts >= DOUBTS:
             self.record_silence(target_id, now, data_centre)
 
-    def record_silence(self, target_id: str, now: float, data_centre: str = '') -> None:
+    def record_silence(
+        self, target_id: str, now: float, data_centre: str = ''
+    ) -> None:
         """Note that nothing came, or that no connection could be made."""
         if data_centre:
-            known = self.data_centres.setdefault(data_centre, DataCentreHealth())
+            known = self.data_centres.setdefault(
+                data_centre, DataCentreHealth()
+            )
             known.note_silence(target_id, now)
         one = self.get(target_id)
         if now < one.suspect_until:
--- a/trestledock/relay/_notices.py
+++ b/trestledock/relay/_notices.py
@@ -131,7 +131,7 @@
     def get(self, kind: type[Kind], target: str) -> Kind | None:
         """Return what a target asks for, if it asks for anything."""
         found = self.by_kind.get(kind, {}).get(target)
-        return found if found and found.asks_for is not None else None
+        return found if found and found.requested is not None else None
 
     def get_all(self, kind: type[Kind]) -> dict[str, Kind]:
         """Return the newest notices of a kind, by target."""
@@ -164,4 +164,6 @@
         return NoticeChange.nothing
     if asked is None:
         return NoticeChange.learnt
-    return NoticeChange.lifted if after.requested is None else NoticeChange.changed
+    return (
+        NoticeChange.lifted if after.requested is None else NoticeChange.changed
+    )
--- a/trestledock/relay/_problem.py
+++ b/trestledock/relay/_problem.py
@@ -104,7 +104,9 @@
             return 0
         over = (first_s - limit_s) / max(limit_s, LEAST_OBJECTIVE_S)
         share = LATE_LOSS * min(1, LATE_AT_LEAST + over)
-        left_s = max(self.work.abandoned_after_s * GONE_SHARE, LEAST_OBJECTIVE_S)
+        left_s = max(
+            self.work.abandoned_after_s * GONE_SHARE, LEAST_OBJECTIVE_S
+        )
         if first_s > left_s:
             return self.work.worth * LOST_SHARE
         return self.work.worth * (share + (1 - LATE_LOSS) * first_s / left_s)
@@ -159,7 +161,9 @@
         taken = sum(not view.flights for view in engines)
         shares = [(busy + 1 + place) / total for place in range(taken)]
         return (
-            self.terms.idle_engine_cost * part_s * sum(share**2 for share in shares)
+            self.terms.idle_engine_cost
+            * part_s
+            * sum(share**2 for share in shares)
         )
 
     def get_whole_cost(self, view: View, part_s: float) -> float:
--- a/trestledock/relay/_throttle.py
+++ b/trestledock/relay/_throttle.py
@@ -90,7 +90,9 @@
             TargetRate(target.incarnation, target.data_centre, limit.per_s)
         )
 
-    def acquire(self, targets: Sequence[ListedTarget], now: float) -> ListedTarget | None:
+    def acquire(
+        self, targets: Sequence[ListedTarget], now: float
+    ) -> ListedTarget | None:
         """Have a request go to some targets; return the one that has no room.
 
         It goes to all of them or to none.
@@ -132,7 +134,9 @@
         self.backoffs.forget(target)
         self._buckets.pop(target, None)
 
-    def _get_wait_s(self, target: ListedTarget, count: int, now: float) -> float:
+    def _get_wait_s(
+        self, target: ListedTarget, count: int, now: float
+    ) -> float:
         """Return when the last of so many requests may go to a target.
 
         Once it has rested, they follow the first one within moments.
--- a/trestledock/relay/_view.py
+++ b/trestledock/relay/_view.py
@@ -88,13 +88,17 @@
 class Viewer:
     """Makes views from the board and the health of targets."""
 
-    def __init__(self, board: LoadTable, health: Health, data_centre: str) -> None:
+    def __init__(
+        self, board: LoadTable, health: Health, data_centre: str
+    ) -> None:
         """Keep what views are made from."""
         self.board = board
         self.health = health
         self.data_centre = data_centre
 
-    def view(self, engine: EngineModel, listed: ListedTarget, now: float) -> View:
+    def view(
+        self, engine: EngineModel, listed: ListedTarget, now: float
+    ) -> View:
         """Return what an engine has to do now."""
         name = listed.incarnation
         flights = tuple(self.board.get_flights(name))
@@ -126,7 +130,9 @@
     at = now
     reading = [one for one in flights if one.phase is Phase.prefill]
     for flight in sorted(reading, key=lambda one: one.since):
-        part_s = get_prefill_s(engine, flight.prompt_tokens) / flight.chunk_count
+        part_s = (
+            get_prefill_s(engine, flight.prompt_tokens) / flight.chunk_count
+        )
         left_s = max(0, left_s - max(0, flight.since - at)) + part_s
         at = flight.since
     return max(0, left_s - max(0, now - at))
