--- a/trestledock/entry/_answering.py
+++ b/trestledock/entry/_answering.py
@@ -43,7 +43,7 @@
         reply: Reply,
         asked_at: float,
     ) -> tuple[RelayAttempt, float]:
-        """Receive an answer; return the ending and how long `wire` may idle.
+        """Receive an answer; return the attempt and how long `wire` may idle.
 
         The request was written at the time `asked_at` or later.
         """
@@ -60,12 +60,12 @@
             forwarder = StreamForwarder(
                 self.state, self.dialect, job, placement, reply
             )
-            sending = await forwarder.run(head, wire.iter_body, timeout)
+            attempt = await forwarder.run(head, wire.iter_body, timeout)
         else:
-            sending = await self._receive_whole(
+            attempt = await self._receive_whole(
                 job, placement, wire, head, answer, reply
             )
-        return sending, idle_s
+        return attempt, idle_s
 
     def record_success(self, peer: str) -> None:
         """Record that a target answered correctly."""
--- a/trestledock/entry/_dialect.py
+++ b/trestledock/entry/_dialect.py
@@ -42,8 +42,8 @@
 class RateLimitHeader:
     """The rate limit in an answer: requests a second from all entries.
 
-    `per_s` is None if no valid number was given.  `is_named` is true if the
-    answer has the header at all, and `unreadable` is the text that could not be
+    `per_s` is None without a valid number.  `is_present` is true if the answer
+    has the header at all, and `invalid_text` has the values that could not be
     parsed.
     """
 
@@ -56,7 +56,7 @@
 class BackoffHeader:
     """The back-off in an answer: seconds without requests from this entry.
 
-    `unreadable` is the text that could not be parsed.
+    `invalid_text` has the values that could not be parsed.
     """
 
     backoff_s: float = 0
--- a/trestledock/entry/_job.py
+++ b/trestledock/entry/_job.py
@@ -82,9 +82,9 @@
     `longest_pause_s` is the longest pause between events so far.  `fallback` is
     a target's error response, which is forwarded if no attempt succeeds.
     `is_writing` is true from before the first byte of an attempt is written
-    until its ending is in the history.  `has_reserved_retry` is true if a retry
-    was taken from the budget before the target was given up.  `is_trial` is
-    true if one target may run the request as a probe although it is
+    until its outcome is in the history.  `has_reserved_retry` is true if a
+    retry was taken from the budget before the target was given up.  `is_trial`
+    is true if one target may run the request as a probe although it is
     quarantined.  `retry_after_s` is the Retry-After of a refusal, without
     jitter.
     """
--- a/trestledock/entry/_pool.py
+++ b/trestledock/entry/_pool.py
@@ -63,7 +63,7 @@
         return await Wire.connect(target.address)
 
     async def check_connection(self, target: ListedTarget) -> FailureKind:
-        """Connect to a target again; return the evidence of a failure.
+        """Connect to a target again; return the kind of failure, if any.
 
         A process that exits closes its sockets one after the other, so an
         accepted connection is watched for a moment.  A connection that stays
--- a/trestledock/entry/_relaying.py
+++ b/trestledock/entry/_relaying.py
@@ -86,8 +86,8 @@
                     job, reply, _choose_refusal(refusal, placement)
                 )
                 return
-            sending = await self._send(job, placement, reply)
-            if sending.outcome is AttemptOutcome.answered:
+            attempt = await self._send(job, placement, reply)
+            if attempt.outcome is AttemptOutcome.answered:
                 return
             if is_quarantined(self.state, job):
                 await self._end_unanswered(job, reply, Refusal.quarantined)
@@ -110,15 +110,15 @@
         reply: Reply,
     ) -> RelayAttempt:
         started_at = anyio.current_time()
-        sending = await self.sender.send(job, placement, reply)
-        job.history = job.history.add(sending)
+        attempt = await self.sender.send(job, placement, reply)
+        job.history = job.history.add(attempt)
         job.is_writing = False
-        if sending.outcome is AttemptOutcome.answered:
+        if attempt.outcome is AttemptOutcome.answered:
             self.state.isolation.record_answered(job.fingerprint)
-        _exclude_targets(job, placement, sending)
+        _exclude_targets(job, placement, attempt)
         took_ms = round((anyio.current_time() - started_at) * MS)
-        _log_ending(job, sending, took_ms)
-        return sending
+        _log_outcome(job, attempt, took_ms)
+        return attempt
 
     async def _may_retry(self, job: Job) -> bool:
         """Return whether to retry; a begun answer waits for the budget."""
@@ -249,48 +249,48 @@
 
 
 def _exclude_targets(
-    job: Job, placement: Placement, sending: RelayAttempt
+    job: Job, placement: Placement, attempt: RelayAttempt
 ) -> None:
     """Exclude the targets of a failed attempt from the next one.
 
     The target at fault in a rejection is excluded where the answer is read.  A
     lost attempt may be the fault of any target involved, helpers included.
     """
-    if sending.outcome is AttemptOutcome.rejected:
+    if attempt.outcome is AttemptOutcome.rejected:
         return
     job.tried.add(placement.target.incarnation)
-    if sending.outcome is AttemptOutcome.lost:
+    if attempt.outcome is AttemptOutcome.lost:
         job.tried.update(helper.incarnation for helper in placement.helpers)
 
 
-def _log_ending(job: Job, sending: RelayAttempt, took_ms: int) -> None:
+def _log_outcome(job: Job, attempt: RelayAttempt, took_ms: int) -> None:
     req = job.call.req_id
-    if sending.outcome is AttemptOutcome.answered:
-        emit(_make_answered_event(job, sending, took_ms))
+    if attempt.outcome is AttemptOutcome.answered:
+        emit(_make_answered_event(job, attempt, took_ms))
         return
     emit(
         events.SendingEnded(
             req=req,
-            ending=sending.outcome.value,
-            step=sending.step,
-            peer=sending.peer,
-            detail=sending.detail,
+            ending=attempt.outcome.value,
+            step=attempt.step,
+            peer=attempt.peer,
+            detail=attempt.detail,
             took_ms=took_ms,
-            sign=sending.failure_kind.value,
+            sign=attempt.failure_kind.value,
             fingerprint=job.fingerprint,
         )
     )
 
 
 def _make_answered_event(
-    job: Job, sending: RelayAttempt, took_ms: int
+    job: Job, attempt: RelayAttempt, took_ms: int
 ) -> events.Answered:
     arrived_at = job.call.arrived_at
     first_s = (job.first_event_at or arrived_at) - arrived_at
     return events.Answered(
         req=job.call.req_id,
-        peer=sending.peer,
-        detail=sending.detail,
+        peer=attempt.peer,
+        detail=attempt.detail,
         took_ms=took_ms,
         first_ms=round(first_s * MS),
         longest_ms=round(job.longest_pause_s * MS),
--- a/trestledock/entry/_sending.py
+++ b/trestledock/entry/_sending.py
@@ -186,15 +186,15 @@
         the target may have lowered it or asked for a back-off.
         """
         now = anyio.current_time()
-        engaged = placement.engaged_targets
-        restrained = self.state.throttle.acquire(engaged, now)
+        targets = placement.engaged_targets
+        restrained = self.state.throttle.acquire(targets, now)
         if restrained:
-            resting = self.state.throttle.is_backing_off(restrained, now)
-            step = Refusal.resting if resting else Refusal.limited
+            is_backing_off = self.state.throttle.is_backing_off(restrained, now)
+            step = Refusal.resting if is_backing_off else Refusal.limited
             return RelayAttempt(
                 AttemptOutcome.not_sent, step.value, restrained.incarnation
             )
-        if any(map(self.state.throttle.is_restrained, engaged)):
+        if any(map(self.state.throttle.is_restrained, targets)):
             self.state.turns.record_served(job.turn, now)
         return None
 
@@ -233,7 +233,7 @@
         return sending
 
     async def _report_lost(
-        self, job: Job, placement: Placement, sign: FailureKind
+        self, job: Job, placement: Placement, failure_kind: FailureKind
     ) -> None:
         """Have the cause checked: a target may have crashed on the request.
 
@@ -244,7 +244,7 @@
         helpers = () if job.response_begun else placement.helpers
         with anyio.CancelScope(shield=True):
             await self.state.isolation.investigate_failure(
-                job.fingerprint, sign, (placement.target, *helpers)
+                job.fingerprint, failure_kind, (placement.target, *helpers)
             )
 
     async def _write(
--- a/trestledock/entry/_wire.py
+++ b/trestledock/entry/_wire.py
@@ -55,7 +55,7 @@
         detail: str,
         failure_kind: FailureKind = FailureKind.garbled,
     ) -> None:
-        """Store the step, the detail and the failure evidence."""
+        """Store the step, the detail and the kind of failure."""
         super().__init__(f'{step}: {detail}')
         self.step = step
         self.detail = detail
@@ -206,12 +206,12 @@
                 event = self.http.next_event()
         except h11.RemoteProtocolError as exc:
             self.broken = True
-            sign = (
+            failure_kind = (
                 FailureKind.closed
                 if self._received_eof
                 else FailureKind.garbled
             )
-            raise WireError(step, repr(exc), sign) from exc
+            raise WireError(step, repr(exc), failure_kind) from exc
         if isinstance(event, type):
             raise WireError(step, 'unexpected protocol state')
         return event
