--- a/trestledock/entry/_app.py
+++ b/trestledock/entry/_app.py
@@ -45,15 +45,15 @@
         state: EntryState,
         relayer: Relayer,
         dialect: Dialect,
-        exchange: UpdateExchange,
-        loads: LoadExchange,
+        update_exchange: UpdateExchange,
+        load_exchange: LoadExchange,
     ) -> None:
         """Store the relayer, and the exchanges that answer other entries."""
         self.state = state
         self.relayer = relayer
         self.dialect = dialect
-        self.exchange = exchange
-        self.loads = loads
+        self.update_exchange = update_exchange
+        self.load_exchange = load_exchange
         settings = state.settings
         self._handlers_by_port = {
             split_address(settings.ready)[1]: self._answer_ready,
@@ -107,8 +107,10 @@
     def _make_peer_answer(self, scope: Scope) -> bytes:
         query = scope['query_string']
         if scope['path'] == LOAD_PATH:
-            return self.loads.make_load(_read_field(query, DATA_CENTRE_FIELD))
-        return self.exchange.encode_update(
+            return self.load_exchange.make_load(
+                _read_field(query, DATA_CENTRE_FIELD)
+            )
+        return self.update_exchange.encode_update(
             _read_version(query), with_past=bool(_read_field(query, PAST_FIELD))
         )
 
--- a/trestledock/entry/_budgets.py
+++ b/trestledock/entry/_budgets.py
@@ -21,7 +21,7 @@
 class Budgets:
     """The budgets of one entry, shared by `count_entries()` entries."""
 
-    terms: RetryLimits
+    limits: RetryLimits
     count_entries: Callable[[], int]
     windows: dict[str, RetryBudget] = field(default_factory=dict)
     early: RetryBudget = field(default_factory=_make_early_window)
@@ -49,5 +49,5 @@
 
     def _get_window(self, service: str) -> RetryBudget:
         if service not in self.windows:
-            self.windows[service] = RetryBudget(self.terms)
+            self.windows[service] = RetryBudget(self.limits)
         return self.windows[service]
--- a/trestledock/entry/_holding_back.py
+++ b/trestledock/entry/_holding_back.py
@@ -33,17 +33,17 @@
     """
     if not state.throttle.has_restraints:
         return list(targets)
-    free = _without_backed_off(
+    free = _without_peer_backoffs(
         state,
         [target for target in targets if state.throttle.can_send(target, now)],
         now,
     )
     if all(map(state.throttle.is_restrained, free)):
-        return [] if state.turns.count_ahead(job.turn) else free
+        return [] if state.turns.count_ahead(job.waiting_request) else free
     return free
 
 
-def _without_backed_off(
+def _without_peer_backoffs(
     state: EntryState, free: list[ListedTarget], now: float
 ) -> list[ListedTarget]:
     """Return the targets that back off from no entry, if there are enough.
@@ -73,7 +73,7 @@
     back-off it is spread at random, so that callers return at different times.
     """
     restrained = get_restrained(state, job)
-    ahead = state.turns.count_ahead(job.turn)
+    ahead = state.turns.count_ahead(job.waiting_request)
     wait_s = state.throttle.get_wait_s(restrained, ahead, now)
     timing = job.timing
     if (
--- a/trestledock/entry/_job.py
+++ b/trestledock/entry/_job.py
@@ -133,7 +133,7 @@
         return self.team.priority
 
     @property
-    def turn(self) -> WaitingRequest:
+    def waiting_request(self) -> WaitingRequest:
         """The request's place in the queue for rate-limited targets."""
         return WaitingRequest(
             req_id=self.call.req_id,
@@ -173,7 +173,7 @@
         )
 
     @property
-    def ask(self) -> PlacementRequest:
+    def placement_request(self) -> PlacementRequest:
         """The request as the input of placement; a plain call has size zero."""
         return PlacementRequest(
             req_id=self.call.req_id,
--- a/trestledock/entry/_limits.py
+++ b/trestledock/entry/_limits.py
@@ -15,7 +15,7 @@
 
 from trestledock.entry._admission import may_resume_elsewhere
 from trestledock.entry._job import Job
-from trestledock.entry._selecting import has_alternative, get_engine
+from trestledock.entry._selecting import has_alternative, get_engine_model
 from trestledock.entry._state import EntryState, Wait
 from trestledock.entry._wire import WireError
 from trestledock.relay import (
@@ -88,7 +88,7 @@
 
     def is_waiting_for_memory(self, job: Job, placement: Placement) -> bool:
         """Return whether a silent target is known to wait for memory."""
-        engine = get_engine(self.state, job)
+        engine = get_engine_model(self.state, job)
         own = self.state.board.own.get(job.call.req_id)
         if engine is None or own is None:
             return False
--- a/trestledock/entry/_relaying.py
+++ b/trestledock/entry/_relaying.py
@@ -221,7 +221,7 @@
                 left_ms=round(remaining_s * MS),
                 objective_ms=round(job.route.objective_s * MS),
                 pause_ms=round(job.route.pause_s * MS),
-                worth=round(get_worth(job.ask.size), 2),
+                worth=round(get_worth(job.placement_request.size), 2),
                 fingerprint=job.fingerprint,
             ),
         )
--- a/trestledock/entry/_selecting.py
+++ b/trestledock/entry/_selecting.py
@@ -56,7 +56,7 @@
 
 def make_flight(job: Job, placement: Placement, now: float) -> Flight:
     """Return the load table entry of an attempt."""
-    return job.ask.make_flight(placement, Phase.prefill, now)
+    return job.placement_request.make_flight(placement, Phase.prefill, now)
 
 
 async def select(state: EntryState, job: Job) -> Placement | Refusal:
@@ -86,7 +86,7 @@
         if isinstance(chosen, Placement) or (chosen and not waits):
             return chosen
         if _is_throttled(state, job, now):
-            state.turns.add(job.turn)
+            state.turns.add(job.waiting_request)
         await state.wait_for_change(PLACEMENT_RETRY_S)
 
 
@@ -103,7 +103,7 @@
         return False
     cost = chosen.cost if isinstance(chosen, Placement) else None
     return state.placer.policy.remote_targets and should_query_remote(
-        job.ask.worth, cost
+        job.placement_request.worth, cost
     )
 
 
@@ -122,7 +122,10 @@
     if target.incarnation == peer or state.health.is_silent(target.incarnation):
         return False
     return not state.health.is_suspect(
-        target.incarnation, now, target.data_centre, small=job.ask.is_small
+        target.incarnation,
+        now,
+        target.data_centre,
+        small=job.placement_request.is_small,
     )
 
 
@@ -135,9 +138,9 @@
     targets = get_candidates(state, job, now)
     if not targets and get_restrained(state, job):
         return decide_throttled(state, job, now)
-    engine = get_engine(state, job)
+    engine = get_engine_model(state, job)
     if targets and (engine is None or job.call.size is None):
-        return _choose_least_busy(state, targets, now)
+        return _place_on_least_busy(state, targets, now)
     if state.fleet.are_all_draining(job.service) and not job.response_begun:
         job.retry_after_s = get_retry_after_s(
             job.timing, SUCCESSOR_START_S, now
@@ -147,7 +150,7 @@
         decision = decide_unplaced(job.timing, now, any_target=False)
         return REFUSALS.get(decision)
     options = [
-        job.ask.choose(state.placer, engine, group, now)
+        job.placement_request.choose(state.placer, engine, group, now)
         for group in _group_by_data_centre(state, targets, job)
     ]
     chosen = pick_cheapest(options)
@@ -167,7 +170,7 @@
     centre involved would end it.  A single group is returned where the entries
     are few, the prompt is small, or a data centre has too few targets.
     """
-    if not state.many_entries or job.ask.is_small:
+    if not state.many_entries or job.placement_request.is_small:
         return [targets]
     local = state.settings.data_centre
     groups: dict[str, list[ListedTarget]] = {local: []}
@@ -185,8 +188,8 @@
 
     Healthy and untried targets are preferred where there are enough.
     """
-    usable = _get_available(state, job, now)
-    small = job.ask.is_small
+    usable = _get_available_local_first(state, job, now)
+    small = job.placement_request.is_small
     healthy = [
         target
         for target in usable
@@ -209,7 +212,7 @@
     return bool(get_restrained(state, job))
 
 
-def _get_available(
+def _get_available_local_first(
     state: EntryState, job: Job, now: float
 ) -> list[ListedTarget]:
     """Return the targets that may get a request now, local ones if any."""
@@ -233,13 +236,17 @@
     usable = list(state.fleet.get_usable(job.service))
     if not state.many_entries:
         return usable
-    queried = set() if job.ask.is_small else state.get_known_remote_loads(now)
+    queried = (
+        set()
+        if job.placement_request.is_small
+        else state.get_known_remote_loads(now)
+    )
     data_centres = {state.settings.data_centre, *queried}
     local = [target for target in usable if target.data_centre in data_centres]
     return local if len(local) >= MIN_LOCAL_TARGETS else usable
 
 
-def get_engine(state: EntryState, job: Job) -> EngineModel | None:
+def get_engine_model(state: EntryState, job: Job) -> EngineModel | None:
     """Return the engine model of a request's service, None if it has none."""
     if state.catalog is None:
         return None
@@ -247,7 +254,7 @@
     return service.engine if service else None
 
 
-def _choose_least_busy(
+def _place_on_least_busy(
     state: EntryState,
     targets: list[ListedTarget],
     now: float,
--- a/trestledock/entry/_sending.py
+++ b/trestledock/entry/_sending.py
@@ -195,7 +195,7 @@
                 AttemptOutcome.not_sent, step.value, restrained.incarnation
             )
         if any(map(self.state.throttle.is_restrained, targets)):
-            self.state.turns.record_served(job.turn, now)
+            self.state.turns.record_served(job.waiting_request, now)
         return None
 
     async def _write_and_receive(
--- a/trestledock/entry/_wire.py
+++ b/trestledock/entry/_wire.py
@@ -89,7 +89,7 @@
         """Use a newly connected stream."""
         self.stream = stream
         self.http = h11.Connection(h11.CLIENT)
-        self.written = True
+        self.request_written = True
         self.broken = False
         self._received_eof = False
 
@@ -127,7 +127,7 @@
         if body:
             raw += self.http.send(h11.Data(data=body)) or b''
         raw += self.http.send(h11.EndOfMessage()) or b''
-        self.written = False
+        self.request_written = False
         if spawn and len(raw) > SMALL_BODY_BYTES:
             spawn(self._write_quietly, raw)
         else:
@@ -161,7 +161,7 @@
 
     def recycle(self) -> bool:
         """Prepare for the next request; return False if that is not safe."""
-        if self.broken or not self.written:
+        if self.broken or not self.request_written:
             return False
         done = self.http.our_state is h11.DONE
         if not done or self.http.their_state is not h11.DONE:
@@ -190,7 +190,7 @@
             raise WireError(
                 'write', repr(exc), classify_disconnect(exc)
             ) from exc
-        self.written = True
+        self.request_written = True
 
     async def _write_quietly(self, raw: bytes) -> None:
         try:
