--- a/trestledock/entry/_app.py
+++ b/trestledock/entry/_app.py
@@ -78,10 +78,10 @@
             return
         # The answer to a request that starts on a closing connection can't be
         # delivered, so the request must not be sent to a target.
-        crossing = self.state.closing
+        during_close = self.state.closing
         self.state.in_progress += 1
         try:
-            await self._serve(scope, receive, send, during_close=crossing)
+            await self._serve(scope, receive, send, during_close=during_close)
         finally:
             self.state.in_progress -= 1
 
