--- a/tests/test_entry_leaving.py
+++ b/tests/test_entry_leaving.py
@@ -149,7 +149,7 @@
         """Two streams that fall silent at once don't both use the one retry."""
 
         async def scenario(world):
-            world.state.budgets.windows['svc'] = RetryBudget(ONE_RETRY)
+            world.state.budgets.by_service['svc'] = RetryBudget(ONE_RETRY)
             return await ask_all(world, ('r1', 'r2'))
 
         outcomes = play(RESUMABLE, [StreamTarget(), StreamTarget()], scenario)
@@ -163,7 +163,7 @@
 
         async def scenario(world):
             terms = RetryLimits(slack=RetryLimits().slack / 6)
-            world.state.budgets.windows['svc'] = RetryBudget(terms)
+            world.state.budgets.by_service['svc'] = RetryBudget(terms)
             return await ask_all(world, names)
 
         outcomes = play(RESUMABLE, [StreamTarget(), StreamTarget()], scenario)
@@ -179,7 +179,7 @@
         async def scenario(world):
             state = world.state
             terms = RetryLimits(slack=RetryLimits().slack / 6)
-            state.budgets.windows['svc'] = RetryBudget(terms)
+            state.budgets.by_service['svc'] = RetryBudget(terms)
             put_elsewhere(state)
             return await ask_all(world, names)
 
@@ -286,12 +286,12 @@
 
         async def scenario(world):
             state = world.state
-            state.budgets.windows['svc'] = RetryBudget(NO_BUDGET)
+            state.budgets.by_service['svc'] = RetryBudget(NO_BUDGET)
 
             def recheck(timeouts, job):
                 """Make retries available from the first recheck on."""
                 waits.append(get_recheck_timeout(timeouts, job).wait_s)
-                state.budgets.windows['svc'] = RetryBudget(RetryLimits())
+                state.budgets.by_service['svc'] = RetryBudget(RetryLimits())
                 return get_recheck_timeout(timeouts, job)
 
             with patch.object(ResponseTimeouts, 'get_recheck_timeout', recheck):
@@ -335,7 +335,7 @@
 
     def spend(self, state):
         """Leave no retry in the budget."""
-        state.budgets.windows['svc'] = RetryBudget(NO_BUDGET)
+        state.budgets.by_service['svc'] = RetryBudget(NO_BUDGET)
 
     def check_failed_early(self, route, answers, **fields):
         """Assert a 502, which promises nothing, before the deadline."""
--- a/tests/test_entry_limits.py
+++ b/tests/test_entry_limits.py
@@ -80,7 +80,7 @@
         """No failover if no retry is left in the budget."""
 
         def prepare(state):
-            state.budgets.windows['svc'] = RetryBudget(NO_BUDGET)
+            state.budgets.by_service['svc'] = RetryBudget(NO_BUDGET)
 
         self.check([StubTarget(SILENT), StubTarget(SILENT)], prepare)
 
@@ -119,11 +119,11 @@
             target.answers = shared
 
         def prepare(state):
-            state.budgets.windows['svc'] = RetryBudget(NO_BUDGET)
+            state.budgets.by_service['svc'] = RetryBudget(NO_BUDGET)
 
         async def add_budget(state):
             await wait_for_loss(state, targets)
-            state.budgets.windows['svc'] = RetryBudget(RetryLimits())
+            state.budgets.by_service['svc'] = RetryBudget(RetryLimits())
 
         self.check(targets, prepare, add_budget)
 
--- a/trestledock/entry/_budgets.py
+++ b/trestledock/entry/_budgets.py
@@ -12,8 +12,8 @@
 from trestledock.relay import EARLY_RETRY_LIMITS, RetryLimits, RetryBudget
 
 
-def _make_early_window() -> RetryBudget:
-    """Return the budget window of early failovers."""
+def _make_early_failover_budget() -> RetryBudget:
+    """Return the budget of early failovers."""
     return RetryBudget(EARLY_RETRY_LIMITS)
 
 
@@ -23,31 +23,33 @@
 
     limits: RetryLimits
     count_entries: Callable[[], int]
-    windows: dict[str, RetryBudget] = field(default_factory=dict)
-    early: RetryBudget = field(default_factory=_make_early_window)
+    by_service: dict[str, RetryBudget] = field(default_factory=dict)
+    early_failovers: RetryBudget = field(
+        default_factory=_make_early_failover_budget
+    )
 
     def record_request(self, service: str, now: float) -> None:
         """Count the first attempt of a request."""
-        self._get_window(service).record_request(now)
-        self.early.record_request(now)
+        self._get_budget(service).record_request(now)
+        self.early_failovers.record_request(now)
 
     def has_retry_left(self, service: str, now: float) -> bool:
         """Return whether a retry is left for a service."""
-        return self._get_window(service).has_budget(now, self.count_entries())
+        return self._get_budget(service).has_budget(now, self.count_entries())
 
     def spend_retry(self, service: str, now: float) -> bool:
         """Take a retry for a service; return whether one was left."""
-        return self._get_window(service).try_spend(now, self.count_entries())
+        return self._get_budget(service).try_spend(now, self.count_entries())
 
     def may_fail_over_early(self, now: float) -> bool:
         """Return whether one more request may fail over early."""
-        return self.early.has_budget(now, self.count_entries())
+        return self.early_failovers.has_budget(now, self.count_entries())
 
     def record_early_failover(self, now: float) -> None:
         """Count a request that failed over early."""
-        self.early.try_spend(now, self.count_entries())
+        self.early_failovers.try_spend(now, self.count_entries())
 
-    def _get_window(self, service: str) -> RetryBudget:
-        if service not in self.windows:
-            self.windows[service] = RetryBudget(self.limits)
-        return self.windows[service]
+    def _get_budget(self, service: str) -> RetryBudget:
+        if service not in self.by_service:
+            self.by_service[service] = RetryBudget(self.limits)
+        return self.by_service[service]
--- a/trestledock/entry/_dialect.py
+++ b/trestledock/entry/_dialect.py
@@ -69,8 +69,9 @@
 
     `not_run` is true if the target states that it did not run the request, and
     `sealed` if the answer is the target's own.  `at_fault` and `instance` name
-    the target at fault and the target that answers.  `leaves` is true if the
-    target drains and accepts no new requests.
+    the target at fault and the target that answers.  `limit` is the rate limit
+    of the target, `rest` its back-off, and `leaves` is true if it drains and
+    accepts no new requests.
     """
 
     req_id: str
--- a/trestledock/entry/_job.py
+++ b/trestledock/entry/_job.py
@@ -24,7 +24,11 @@
 
 
 class Refusal(str, Enum):
-    """The reason why no target answers a request."""
+    """The reason why no target answers a request, as it is logged.
+
+    `limited` and `resting` mean that all targets are at their rate limits, or
+    back off.
+    """
 
     no_configuration = 'no_configuration'
     unknown_key = 'unknown_key'
--- a/trestledock/entry/_pool.py
+++ b/trestledock/entry/_pool.py
@@ -33,7 +33,7 @@
     """An idle connection with its watcher and its expiry time."""
 
     wire: Wire
-    until: float
+    expires_at: float
     watcher: anyio.CancelScope
     watch_ended: anyio.Event
 
@@ -57,7 +57,7 @@
         while idle_wires:
             idle = idle_wires.pop()
             await idle.stop_watching()
-            if not idle.wire.broken and idle.until > anyio.current_time():
+            if not idle.wire.broken and idle.expires_at > anyio.current_time():
                 return idle.wire
             await idle.wire.close()
         return await Wire.connect(target.address)
@@ -99,8 +99,8 @@
             self._spawn(idle.wire.close)
 
     def _store(self, target: ListedTarget, wire: Wire, idle_s: float) -> None:
-        until = anyio.current_time() + idle_s
-        idle = _Idle(wire, until, anyio.CancelScope(), anyio.Event())
+        expires_at = anyio.current_time() + idle_s
+        idle = _Idle(wire, expires_at, anyio.CancelScope(), anyio.Event())
         self._idle[target.incarnation].append(idle)
         self._spawn(self._watch, target.incarnation, idle)
 
@@ -117,7 +117,7 @@
         return stayed_open
 
     async def _watch(self, incarnation: str, idle: _Idle) -> None:
-        remaining_s = max(0, idle.until - anyio.current_time())
+        remaining_s = max(0, idle.expires_at - anyio.current_time())
         try:
             with idle.watcher, anyio.move_on_after(remaining_s):
                 await idle.wire.wait_for_unexpected_data()
--- a/trestledock/entry/_sending.py
+++ b/trestledock/entry/_sending.py
@@ -66,7 +66,7 @@
         self._log_placed(job, placement, now)
         if not job.history.attempts:
             self.state.budgets.record_request(job.service, now)
-        held: dict[str, str] = {}
+        held_tickets: dict[str, str] = {}
         known = self._get_known_flights(flight, placement)
         self.state.board.put(flight)
         self.state.record_sent(flight.target, now)
@@ -74,9 +74,9 @@
         try:
             prior = await self._claim(flight, known)
             if not prior:
-                return await self._reserve(job, placement, reply, held)
+                return await self._reserve(job, placement, reply, held_tickets)
         finally:
-            self._clean_up(flight.flight_id, held)
+            self._clean_up(flight.flight_id, held_tickets)
         return RelayAttempt(
             AttemptOutcome.not_sent, 'claim', flight.target, prior.flight_id
         )
@@ -86,10 +86,10 @@
         job: Job,
         placement: Placement,
         reply: Reply,
-        held: dict[str, str],
+        held_tickets: dict[str, str],
     ) -> RelayAttempt:
-        if await self.tickets.reserve(job, placement, held):
-            return await self._exchange(job, placement, reply, held)
+        if await self.tickets.reserve(job, placement, held_tickets):
+            return await self._exchange(job, placement, reply, held_tickets)
         return RelayAttempt(
             AttemptOutcome.not_sent, 'reserve', placement.target.incarnation
         )
@@ -121,17 +121,17 @@
             flight, self.state.board.get_colocated(flight), known
         )
 
-    def _clean_up(self, flight_id: str, held: dict[str, str]) -> None:
+    def _clean_up(self, flight_id: str, held_tickets: dict[str, str]) -> None:
         self.state.board.remove(flight_id)
         self.state.notify_own()
-        self.tickets.release(held)
+        self.tickets.release(held_tickets)
 
     async def _exchange(
         self,
         job: Job,
         placement: Placement,
         reply: Reply,
-        held: dict[str, str],
+        held_tickets: dict[str, str],
     ) -> RelayAttempt:
         peer = placement.target.incarnation
         try:
@@ -151,7 +151,9 @@
         if obstacle:
             await wire.close()
             return obstacle
-        return await self._write_and_receive(job, placement, reply, held, wire)
+        return await self._write_and_receive(
+            job, placement, reply, held_tickets, wire
+        )
 
     def _find_obstacle(
         self, job: Job, placement: Placement
@@ -203,7 +205,7 @@
         job: Job,
         placement: Placement,
         reply: Reply,
-        held: dict[str, str],
+        held_tickets: dict[str, str],
         wire: Wire,
     ) -> RelayAttempt:
         """Write the request and receive the answer on an open connection."""
@@ -212,8 +214,8 @@
         asked_at = anyio.current_time()
         log_send_against_notices(self.state, job.call.req_id, placement)
         try:
-            await self._write(job, placement, held, wire)
-            sending, idle_s = await self.answer_receiver.receive(
+            await self._write(job, placement, held_tickets, wire)
+            attempt, idle_s = await self.answer_receiver.receive(
                 job, placement, wire, reply, asked_at
             )
         except WireError as exc:
@@ -230,7 +232,7 @@
             )
         finally:
             await self.pool.release(placement.target, wire, idle_s)
-        return sending
+        return attempt
 
     async def _report_lost(
         self, job: Job, placement: Placement, failure_kind: FailureKind
@@ -251,23 +253,23 @@
         self,
         job: Job,
         placement: Placement,
-        held: dict[str, str],
+        held_tickets: dict[str, str],
         wire: Wire,
     ) -> None:
         remaining_s = job.deadline - anyio.current_time()
-        passing = ForwardingContext(
+        context = ForwardingContext(
             placement=placement,
             team=job.team.team,
             left_s=remaining_s,
             resume_after=job.resume_after,
-            tickets=held,
+            tickets=held_tickets,
             priority=job.priority,
         )
         job.is_writing = True
         await wire.send(
             job.call.method,
             f'{job.call.path}{job.call.query}',
-            self.dialect.make_headers(job.call, passing),
+            self.dialect.make_headers(job.call, context),
             job.call.body.raw,
             self.state.spawn,
         )
--- a/trestledock/entry/_tickets.py
+++ b/trestledock/entry/_tickets.py
@@ -40,7 +40,10 @@
 
 
 class Tickets:
-    """Reserves and releases engine memory for one entry process."""
+    """Reserves and releases engine memory for one entry process.
+
+    A ticket is the id of a reservation; logs count reservations as `tickets`.
+    """
 
     def __init__(self, state: EntryState, pool: Pool, dialect: Dialect) -> None:
         """Store the state, the connections and the platform's formats."""
@@ -55,12 +58,12 @@
         self,
         job: Job,
         placement: Placement,
-        held: dict[str, str],
+        held_tickets: dict[str, str],
     ) -> bool:
         """Reserve memory at all helpers; return False if one refuses.
 
-        The tickets are added to `held`, by target.  The caller must release
-        them, also after a failure.
+        The tickets are added to `held_tickets`, by target.  The caller must
+        release them, also after a failure.
         """
         if not placement.reservations:
             return True
@@ -74,17 +77,17 @@
                     helpers[incarnation],
                     ticket,
                     tokens,
-                    held,
+                    held_tickets,
                 )
-        if len(held) == len(placement.reservations):
+        if len(held_tickets) == len(placement.reservations):
             return True
         wanted = len(placement.reservations)
-        emit(events.MemoryRefused(job.call.req_id, len(held), wanted))
+        emit(events.MemoryRefused(job.call.req_id, len(held_tickets), wanted))
         return False
 
-    def release(self, held: dict[str, str]) -> None:
+    def release(self, held_tickets: dict[str, str]) -> None:
         """Release reservations in the background."""
-        for ticket in tuple(held.values()):
+        for ticket in tuple(held_tickets.values()):
             scope = self._renewals.pop(ticket, None)
             if scope:
                 scope.cancel()
@@ -97,19 +100,19 @@
         holder: ListedTarget,
         ticket: str,
         tokens: int,
-        held: dict[str, str],
+        held_tickets: dict[str, str],
     ) -> None:
         order = self.dialect.make_reserve(ticket, tokens, LEASE_S, holder)
         # From here on the memory may be reserved, whatever the answer is.
         self._holders[ticket] = holder
-        held[holder.incarnation] = ticket
+        held_tickets[holder.incarnation] = ticket
         status = await self._send_control(holder, order)
         if status == OK:
             scope = anyio.CancelScope()
             self._renewals[ticket] = scope
             self.state.spawn(self._renew, scope, holder, ticket, tokens)
             return
-        held.pop(holder.incarnation)
+        held_tickets.pop(holder.incarnation)
         self._holders.pop(ticket, None)
         if status == NO_ANSWER:
             self.state.spawn(self._release_one, holder, ticket)
--- a/trestledock/entry/_wire.py
+++ b/trestledock/entry/_wire.py
@@ -110,7 +110,7 @@
     async def send(
         self,
         method: str,
-        target: str,
+        path: str,
         headers: Headers,
         body: bytes,
         spawn: Callable[..., Any] | None = None,
@@ -120,9 +120,7 @@
         A long request is written in the background, with `spawn`, since a
         target may answer before it has read the whole body.
         """
-        request = h11.Request(
-            method=method, target=target, headers=list(headers)
-        )
+        request = h11.Request(method=method, target=path, headers=list(headers))
         raw = self.http.send(request) or b''
         if body:
             raw += self.http.send(h11.Data(data=body)) or b''
