--- a/tests/limiting.py
+++ b/tests/limiting.py
@@ -29,9 +29,9 @@
 from trestledock.relay import Catalog, ListedTarget, Service, Standing, TeamKey
 
 #: The one-way delay to a target and to another entry, in seconds.
-WAY_S = 0.001
+NETWORK_DELAY_S = 0.001
 #: The time in which a target runs one request, in seconds.
-WORK_S = 0.02
+SERVICE_TIME_S = 0.02
 #: A rate limit binds an entry this long after the entry was told, and all
 #: entries this long after it was first set, in seconds.
 NOTICE_LATENCY_S = 0.5
@@ -39,14 +39,14 @@
 #: In a window of this length, in seconds, a target may get one and a half times
 #: its rate limit, and a few requests more.
 WINDOW_S = 4.0
-OVER_SHARE = 1.5
-OVER_COUNT = 5
+BURST_FACTOR = 1.5
+BURST_COUNT = 5
 #: How long requests from an entry may still reach a draining target after the
 #: entry was told, in seconds.
 DRAIN_S = 2.0
 #: A back-off binds an entry this long after it was asked for, in seconds; until
 #: it is over, at most this many requests may come from that entry.
-REST_BINDS_S = 0.5
+BACKOFF_EFFECT_S = 0.5
 MAX_REQUESTS_IN_BACKOFF = 2
 
 
@@ -60,7 +60,7 @@
 
 
 @dataclass(frozen=True)
-class AskedRest:
+class RequestedBackoff:
     """A back-off that a target asked of an entry."""
 
     entry: str
@@ -72,9 +72,10 @@
 class LimitedTarget:
     """A target with its notices, and the requests that it received.
 
-    With `rest` it rejects all requests, with that text as Retry-After.  With
-    `leaves` its answers say that it drains, and `sealed` is true if its answers
-    have its seal.
+    With `retry_after` it rejects all requests, with that text as Retry-After.
+    With `leaves` its answers say that it drains, and `sealed` is true if its
+    answers have its seal.  `told` and `left_told` have the times at which
+    entries were told of the rate limit and of the drain.
     """
 
     number: int
@@ -82,11 +83,11 @@
     born: int = 1
     per_s: float | str | None = None
     status: int = 200
-    rest: str = ''
+    retry_after: str = ''
     leaves: str = ''
     sealed: bool = True
     left_told: dict = field(default_factory=dict)
-    rests: list = field(default_factory=list)
+    backoffs: list = field(default_factory=list)
     arrivals: list = field(default_factory=list)
     told: dict = field(default_factory=dict)
     named_at: float = float('inf')
@@ -130,10 +131,10 @@
         """Drain, and say so in all answers from now on."""
         self.leaves = '1'
 
-    def shed(self, rest):
+    def shed(self, retry_after):
         """Reject all requests with a back-off; an empty text serves again."""
-        self.status = 503 if rest else 200
-        self.rest = rest
+        self.status = 503 if retry_after else 200
+        self.retry_after = retry_after
 
     def get_late_s(self):
         """Return how long after its entry was told the latest request came."""
@@ -148,13 +149,13 @@
 
     def get_most_in_rest(self):
         """Return the most requests of an entry within one back-off."""
-        return max(map(self._count_in_rest, self.rests), default=0)
+        return max(map(self._count_in_backoff, self.backoffs), default=0)
 
-    def _count_in_rest(self, rest):
+    def _count_in_backoff(self, backoff):
         return sum(
-            rest.at + REST_BINDS_S < arrival.at <= rest.until
+            backoff.at + BACKOFF_EFFECT_S < arrival.at <= backoff.until
             for arrival in self.arrivals
-            if arrival.entry == rest.entry
+            if arrival.entry == backoff.entry
         )
 
     def get_most(self, count, since, until):
@@ -170,7 +171,7 @@
 
 def get_allowed(per_s):
     """Return how many requests a rate limit allows within any window."""
-    return OVER_SHARE * WINDOW_S * per_s + OVER_COUNT
+    return BURST_FACTOR * WINDOW_S * per_s + BURST_COUNT
 
 
 class TargetWire:
@@ -183,7 +184,7 @@
         self.req_id = b''
 
     async def send(self, method, path, headers, body, spawn):
-        await anyio.sleep(WAY_S)
+        await anyio.sleep(NETWORK_DELAY_S)
         fields = dict(headers)
         self.req_id = fields.get(REQUEST_ID, b'')
         arrival = Arrival(anyio.current_time(), self.entry)
@@ -194,7 +195,7 @@
                 target.arrivals.append(arrival)
 
     async def read_head(self):
-        await anyio.sleep(WORK_S)
+        await anyio.sleep(SERVICE_TIME_S)
         target = self.target
         headers = [
             (b'content-length', b'2'),
@@ -208,13 +209,15 @@
             headers.append((b'server-limit', str(target.per_s).encode()))
         if target.leaves:
             headers.append((b'server-leaving', target.leaves.encode()))
-        if target.rest:
-            headers.append((b'retry-after', target.rest.encode()))
+        if target.retry_after:
+            headers.append((b'retry-after', target.retry_after.encode()))
             at = anyio.current_time()
-            rest = AskedRest(self.entry, at, at + float(target.rest))
-            target.rests.append(rest)
+            backoff = RequestedBackoff(
+                self.entry, at, at + float(target.retry_after)
+            )
+            target.backoffs.append(backoff)
         head = Head(target.status, tuple(headers))
-        await anyio.sleep(WAY_S)
+        await anyio.sleep(NETWORK_DELAY_S)
         if target.leaves:
             target.left_told.setdefault(self.entry, anyio.current_time())
         if target.per_s is not None:
@@ -330,7 +333,7 @@
 
     async def _deliver(self, raw, address):
         await self.running.wait()
-        await anyio.sleep(WAY_S)
+        await anyio.sleep(NETWORK_DELAY_S)
         other = self.fleet.network.get(address)
         if other is None or self.fleet.is_cut(self, other):
             return
--- a/tests/test_resting_targets.py
+++ b/tests/test_resting_targets.py
@@ -92,7 +92,9 @@
                 target.shed('')
             started_at = anyio.current_time()
             over_at = max(
-                rest.until for target in fleet.targets for rest in target.rests
+                backoff.until
+                for target in fleet.targets
+                for backoff in target.backoffs
             )
             demand = await fleet.ask_for(0.5, RATE)
             arrivals = [
@@ -171,7 +173,7 @@
             for target in fleet.targets[:rejecting]:
                 target.shed('30')
             demand = await fleet.ask_for(6, RATE)
-            asked = {rest.entry for rest in fleet.targets[0].rests}
+            asked = {backoff.entry for backoff in fleet.targets[0].backoffs}
             return len(asked), demand
 
         return run_fleet(scenario, [ROUTE], entries=12, targets=targets)
--- a/trestledock/entry/_job.py
+++ b/trestledock/entry/_job.py
@@ -26,8 +26,8 @@
 class Refusal(str, Enum):
     """The reason why no target answers a request, as it is logged.
 
-    `limited` and `resting` mean that all targets are at their rate limits, or
-    back off.
+    `limited` means that the wait for a rate limit would be too long, and
+    `resting` that all targets of the service back off.
     """
 
     no_configuration = 'no_configuration'
