--- a/tests/test_entry_closing.py
+++ b/tests/test_entry_closing.py
@@ -4,7 +4,8 @@
 Guards against a target getting a request whose caller finds its connection
 closed.  At the end of the drain delay the web server closes all idle
 connections; a request that arrived in the event loop steps between the start of
-the close and the close itself was forwarded, and its answer was lost.
+the close and the close itself was forwarded, and its answer was lost.  Only the
+web server knew that the connection was closing.
 """
 
 import socket
--- a/trestledock/entry/_wire.py
+++ b/trestledock/entry/_wire.py
@@ -83,7 +83,7 @@
 
 
 class Wire:
-    """One connection to one incarnation of a target."""
+    """An HTTP/1.1 connection, to a single incarnation if to a target."""
 
     def __init__(self, stream: SocketStream) -> None:
         """Use a newly connected stream."""
