--- a/tests/test_entry_shutdown.py
+++ b/tests/test_entry_shutdown.py
@@ -29,7 +29,7 @@
 NARROW = ('tests.soak.narrow',)
 #: Far above the grace period, in seconds.
 LONG_S = 40
-#: Token counts of a 15 s stream that fills an engine's memory.
+#: Token counts of a stream of some 15 s that fills an engine's memory.
 FULL_STREAM = '200000,13000'
 #: A request id that makes a target's body some 40 KB long.
 LONG_ID = 'l' * 2000
@@ -54,7 +54,7 @@
 
 
 async def begin_shutdown(entry):
-    """Request a process to stop, and wait until it drains."""
+    """Ask a process to stop, and wait until it drains."""
     entry.ending = True
     entry.last = True
     entry.send(signal.SIGTERM)
--- a/tests/test_leaving_targets.py
+++ b/tests/test_leaving_targets.py
@@ -150,7 +150,7 @@
             await fleet.ask_for(1, RATE)
             for entry in fleet.entries:
                 entry.state.fleet.put(make_record(target))
-            # The new incarnation does not drain.
+            # A new incarnation gives its own answers.
             target.leaves = ''
             target.born = make_record(target).born
             listed_at = anyio.current_time()
