--- a/trestledock/entry/_app.py
+++ b/trestledock/entry/_app.py
@@ -2,8 +2,8 @@
 Web application of an entry
 ===========================
 
-The ASGI application behind the listeners: callers on one address, the
-balancer's question for readiness on another.
+The ASGI application behind the listeners.  Callers, the balancer's readiness
+checks, other entries and metrics each have an address of their own.
 """
 
 from http import HTTPStatus
@@ -16,7 +16,7 @@
 from trestledock.entry import _events as events
 from trestledock.entry._dialect import Dialect
 from trestledock.entry._datagrams import split_address
-from trestledock.entry._loads import LOAD_PATH, PLACE_FIELD, LoadExchange
+from trestledock.entry._loads import LOAD_PATH, DATA_CENTRE_FIELD, LoadExchange
 from trestledock.entry._logger import emit
 from trestledock.entry._metrics import METRICS
 from trestledock.entry._update_exchange import (
@@ -33,35 +33,35 @@
 Scope = Mapping[str, Any]
 
 
-class NoRequest(Exception):
-    """The caller closed its connection before its request was whole."""
+class ClientDisconnected(Exception):
+    """The caller disconnected before its request was complete."""
 
 
 class EntryApp:
-    """The application of one entry process."""
+    """The ASGI application of one entry process."""
 
     def __init__(
         self,
         state: EntryState,
         relayer: Relayer,
         dialect: Dialect,
-        exchange: UpdateExchange,
-        loads: LoadExchange,
+        update_exchange: UpdateExchange,
+        load_exchange: LoadExchange,
     ) -> None:
-        """Keep what requests are relayed by, and what peers ask for."""
+        """Store the relayer, and the exchanges that answer other entries."""
         self.state = state
         self.relayer = relayer
         self.dialect = dialect
-        self.exchange = exchange
-        self.loads = loads
+        self.update_exchange = update_exchange
+        self.load_exchange = load_exchange
         settings = state.settings
-        self._ports = {
+        self._handlers_by_port = {
             split_address(settings.ready)[1]: self._answer_ready,
             split_address(settings.peers)[1]: self._answer_peer,
         }
         if settings.metrics:
             port = split_address(settings.metrics)[1]
-            self._ports[port] = self._answer_metrics
+            self._handlers_by_port[port] = self._answer_metrics
 
     async def __call__(
         self,
@@ -72,16 +72,16 @@
         """Serve one request."""
         if scope['type'] != 'http':
             return
-        answer = self._ports.get(scope['server'][1])
-        if answer:
-            await answer(scope, send)
+        handle = self._handlers_by_port.get(scope['server'][1])
+        if handle:
+            await handle(scope, send)
             return
-        # One that begins on a connection that is being closed gets no answer
-        # through, so it must not run: no target gets it.
-        crossing = self.state.closing
+        # The answer to a request that starts on a closing connection can't be
+        # delivered, so the request must not be sent to a target.
+        during_close = self.state.closing
         self.state.in_progress += 1
         try:
-            await self._serve(scope, receive, send, crossing=crossing)
+            await self._serve(scope, receive, send, during_close=during_close)
         finally:
             self.state.in_progress -= 1
 
@@ -102,13 +102,15 @@
         reply = Reply(send)
         headers = ((b'content-type', b'application/json'),)
         await reply.start(HTTPStatus.OK, headers)
-        await reply.finish(self._tell_peer(scope))
+        await reply.finish(self._make_peer_answer(scope))
 
-    def _tell_peer(self, scope: Scope) -> bytes:
+    def _make_peer_answer(self, scope: Scope) -> bytes:
         query = scope['query_string']
         if scope['path'] == LOAD_PATH:
-            return self.loads.make_load(_read_field(query, PLACE_FIELD))
-        return self.exchange.encode_update(
+            return self.load_exchange.make_load(
+                _read_field(query, DATA_CENTRE_FIELD)
+            )
+        return self.update_exchange.encode_update(
             _read_version(query), with_past=bool(_read_field(query, PAST_FIELD))
         )
 
@@ -118,17 +120,17 @@
         receive: Receive,
         send: Send,
         *,
-        crossing: bool,
+        during_close: bool,
     ) -> None:
         arrived_at = anyio.current_time()
         try:
             body = await _read_body(receive)
-        except NoRequest:
+        except ClientDisconnected:
             return
         reply = Reply(send, self.state.is_draining)
         call = self.dialect.read_call(scope, body, arrived_at)
-        if crossing or self.state.aborting:
-            await self.relayer.turn_away(call, reply)
+        if during_close or self.state.aborting:
+            await self.relayer.refuse_late(call, reply)
             return
         cut = False
         async with anyio.create_task_group() as group:
@@ -146,17 +148,17 @@
 
 
 def _read_version(query: bytes) -> int:
-    """Return the version that a peer has, as it says in its question.
+    """Return the configuration version that a peer has, from its query.
 
     >>> _read_version(b'version=7'), _read_version(b'') == NO_VERSION
     (7, True)
     """
-    found = _read_field(query, VERSION_FIELD)
-    return int(found) if found.isdigit() else NO_VERSION
+    version = _read_field(query, VERSION_FIELD)
+    return int(version) if version.isdigit() else NO_VERSION
 
 
 def _read_field(query: bytes, name: str) -> str:
-    """Return what a peer says in a field of its question.
+    """Return the value of a query field, empty if it is missing.
 
     >>> _read_field(b'version=7&past=1', 'past'), _read_field(b'', 'past')
     ('1', '')
@@ -170,7 +172,7 @@
     while True:
         message = await receive()
         if message['type'] == 'http.disconnect':
-            raise NoRequest
+            raise ClientDisconnected
         part = message.get('body', b'')
         parts.append(part)
         digest.update(part)
@@ -184,7 +186,7 @@
     reply: Reply,
     call: Call,
 ) -> None:
-    """Cancel a request when its caller closes the connection."""
+    """Cancel a request when its caller disconnects."""
     while True:
         message = await receive()
         if message['type'] == 'http.disconnect':
--- a/trestledock/entry/_holding_back.py
+++ b/trestledock/entry/_holding_back.py
@@ -1,10 +1,10 @@
 """
-Holding requests back
-=====================
+Throttled requests
+==================
 
-What is done where targets take only so many requests a second, or want rest:
-which of them a request may go to now, and whether it waits for its turn or is
-refused at once.
+Handles targets that are at their rate limit or have asked for a back-off: which
+targets a request may go to now, and whether it waits for its turn or is refused
+at once.
 """
 
 from math import inf
@@ -14,72 +14,79 @@
 from trestledock.entry._state import EntryState
 from trestledock.relay import ListedTarget, get_retry_after_s
 
-#: The part of its time left that a request may wait for its turn.
-TURN_SHARE = 0.5
-#: Targets that rest from other entries are spared while so large a part of the
-#: free ones is left.
-SPARE_SHARE = 0.5
-#: By which part of it the time is made longer at most, by chance, after which
-#: callers come back that no target takes while all rest.
-RETURN_SPREAD = 0.5
+#: The fraction of its remaining time that a request may wait for its turn.
+MAX_WAIT_SHARE = 0.5
+#: Targets that back off from other entries are avoided while at least this
+#: fraction of the available targets remains.
+MIN_REMAINING_SHARE = 0.5
+#: The largest random increase of Retry-After, as a fraction of it, for callers
+#: that are refused while all targets back off.
+RETRY_AFTER_SPREAD = 0.5
 
 
-def get_free(
+def get_available(
     state: EntryState, job: Job, targets: Sequence[ListedTarget], now: float
 ) -> list[ListedTarget]:
-    """Return the targets that may get a request now, as they asked.
+    """Return the targets whose rate limits and back-offs allow a request now.
 
-    Where each of them is restrained, those go first that wait already.
+    If all of these are restrained, requests that wait already go first.
     """
     if not state.throttle.has_restraints:
         return list(targets)
-    free = _spare(
+    free = _without_peer_backoffs(
         state,
-        [one for one in targets if state.throttle.can_send(one, now)],
+        [target for target in targets if state.throttle.can_send(target, now)],
         now,
     )
     if all(map(state.throttle.is_restrained, free)):
-        return [] if state.turns.count_ahead(job.turn) else free
+        return [] if state.turns.count_ahead(job.waiting_request) else free
     return free
 
 
-def _spare(
+def _without_peer_backoffs(
     state: EntryState, free: list[ListedTarget], now: float
 ) -> list[ListedTarget]:
-    """Return the targets that rest from nobody, if enough of them do.
+    """Return the targets that back off from no entry, if there are enough.
 
-    Else each entry would learn of a rest by a request that is turned away; but
-    too few of them must not get the work of all.
+    Otherwise each entry would learn of a back-off from a rejected request of
+    its own.  But too few targets must not get the requests of all.
     """
-    rested = [
-        one for one in free if not state.throttle.has_peer_backoff(one, now)
+    others = [
+        target
+        for target in free
+        if not state.throttle.has_peer_backoff(target, now)
     ]
-    return rested if len(rested) >= len(free) * SPARE_SHARE else free
+    return others if len(others) >= len(free) * MIN_REMAINING_SHARE else free
 
 
 def get_restrained(state: EntryState, job: Job) -> list[ListedTarget]:
     """Return the targets of a request's service that are restrained."""
     usable = state.fleet.get_usable(job.service)
-    return [one for one in usable if state.throttle.is_restrained(one)]
+    return [target for target in usable if state.throttle.is_restrained(target)]
 
 
-def decide_held_back(state: EntryState, job: Job, now: float) -> Refusal | None:
-    """Return why a request is refused that no target takes now; None: it waits.
+def decide_throttled(state: EntryState, job: Job, now: float) -> Refusal | None:
+    """Return the refusal of a request that no target takes, None to wait.
 
-    It comes back when its turn would have been, or, where this entry has no
-    right to send at all, when its targets will have taken one more.  Those that
-    come back after a rest come at different moments.
+    Retry-After is the time until its turn.  Where this entry has no quota at
+    all, it is the time in which its targets take one more request.  After a
+    back-off it is spread at random, so that callers return at different times.
     """
     restrained = get_restrained(state, job)
-    ahead = state.turns.count_ahead(job.turn)
+    ahead = state.turns.count_ahead(job.waiting_request)
     wait_s = state.throttle.get_wait_s(restrained, ahead, now)
     timing = job.timing
-    if wait_s <= (min(timing.due_at, timing.abandoned_at) - now) * TURN_SHARE:
+    if (
+        wait_s
+        <= (min(timing.due_at, timing.abandoned_at) - now) * MAX_WAIT_SHARE
+    ):
         return None
     if wait_s == inf:
         wait_s = 1 / state.throttle.get_total_limit(restrained)
-    if all(state.throttle.is_backing_off(one, now) for one in restrained):
-        job.come_back_s = wait_s * state.rng.uniform(1, 1 + RETURN_SPREAD)
+    if all(state.throttle.is_backing_off(target, now) for target in restrained):
+        job.retry_after_s = wait_s * state.rng.uniform(
+            1, 1 + RETRY_AFTER_SPREAD
+        )
         return Refusal.resting
-    job.come_back_s = get_retry_after_s(timing, wait_s, now)
+    job.retry_after_s = get_retry_after_s(timing, wait_s, now)
     return Refusal.limited
--- a/trestledock/entry/_limits.py
+++ b/trestledock/entry/_limits.py
@@ -1,10 +1,10 @@
 """
-Limits on silence
+Response timeouts
 =================
 
-How long a target may be silent, and what it means when it is: a doubt where it
-was left early, silence, or a cut of the way to its data centre, which ends all
-waits for targets there.
+How long a target may be silent, and what a longer silence is recorded as: a
+doubt after an early failover, a silence of the target, or a network cut of its
+data centre.  A cut ends all waits for targets there.
 """
 
 from contextlib import contextmanager
@@ -13,9 +13,9 @@
 
 import anyio
 
-from trestledock.entry._admission import may_go_on
+from trestledock.entry._admission import may_resume_elsewhere
 from trestledock.entry._job import Job
-from trestledock.entry._selecting import could_go_on, get_engine
+from trestledock.entry._selecting import has_alternative, get_engine_model
 from trestledock.entry._state import EntryState, Wait
 from trestledock.entry._wire import WireError
 from trestledock.relay import (
@@ -26,100 +26,109 @@
     is_waiting_for_memory,
 )
 
-#: How often it is looked again whether a silent target may be left, in seconds.
-LOOK_AGAIN_S = 0.1
+#: The interval of checks whether to fail over from a silent target, in seconds.
+RECHECK_INTERVAL_S = 0.1
 
 
 @dataclass(frozen=True)
-class Limit:
-    """How long a target may be silent, and whether that is but a doubt."""
+class ResponseTimeout:
+    """How long a target may be silent, and whether it only casts doubt."""
 
     wait_s: float
     early: bool = False
 
 
-class Limits:
-    """Limits the waits of one entry process."""
+class ResponseTimeouts:
+    """Sets the response timeouts of one entry process."""
 
     def __init__(self, state: EntryState) -> None:
-        """Keep the state."""
+        """Store the state."""
         self.state = state
 
-    def get_first(self, job: Job, placement: Placement) -> Limit:
-        """Return how long a target may be silent before another is asked."""
-        is_last = self._is_last(job)
-        may_leave = self.state.budgets.may_fail_over_early(anyio.current_time())
-        early = may_leave and not is_last and not placement.helpers
-        patience_s = get_first_event_timeout_s(
+    def get_first_timeout(
+        self, job: Job, placement: Placement
+    ) -> ResponseTimeout:
+        """Return the timeout for the first byte or event of an answer."""
+        is_last = self._is_last_option(job)
+        may_fail_over = self.state.budgets.may_fail_over_early(
+            anyio.current_time()
+        )
+        early = may_fail_over and not is_last and not placement.helpers
+        timeout_s = get_first_event_timeout_s(
             job.route,
             placement.first_token_s,
             early=early,
             helped=bool(placement.helpers),
         )
-        return Limit(min(patience_s, _get_left_s(job)), early)
+        return ResponseTimeout(min(timeout_s, _get_remaining_s(job)), early)
 
-    def get_pause(self, job: Job) -> Limit:
-        """Return how long a stream may be silent between events.
+    def get_pause_timeout(self, job: Job) -> ResponseTimeout:
+        """Return the timeout between the events of a stream.
 
-        The last target that may run it is waited for: nobody else would go on.
+        The last target that may run the request is waited for until the
+        deadline, as no other target may resume it.
         """
-        left_s = _get_left_s(job)
+        remaining_s = _get_remaining_s(job)
         if job.history.is_last_attempt(job.route):
-            return Limit(left_s)
-        return Limit(min(get_pause_timeout_s(job.route), left_s))
+            return ResponseTimeout(remaining_s)
+        return ResponseTimeout(min(get_pause_timeout_s(job.route), remaining_s))
 
-    def get_again(self, job: Job) -> Limit:
-        """Return when to look again whether a silent target may be left."""
-        left_s = _get_left_s(job)
+    def get_recheck_timeout(self, job: Job) -> ResponseTimeout:
+        """Return how long to wait before the next check for a failover."""
+        remaining_s = _get_remaining_s(job)
         if job.history.is_last_attempt(job.route):
-            return Limit(left_s)
-        return Limit(min(LOOK_AGAIN_S, left_s))
+            return ResponseTimeout(remaining_s)
+        return ResponseTimeout(min(RECHECK_INTERVAL_S, remaining_s))
 
-    def is_over(self, job: Job, placement: Placement) -> bool:
-        """Whether there is nothing more to wait for."""
+    def is_wait_over(self, job: Job, placement: Placement) -> bool:
+        """Return whether the deadline or a network cut ends the wait."""
         now = anyio.current_time()
         peer = placement.target.incarnation
-        return not _get_left_s(job) or self.state.is_unreachable(peer, now)
+        return not _get_remaining_s(job) or self.state.is_unreachable(peer, now)
 
-    def is_held_up(self, job: Job, placement: Placement) -> bool:
-        """Whether a target's silence is known to be a wait for memory."""
-        engine = get_engine(self.state, job)
+    def is_waiting_for_memory(self, job: Job, placement: Placement) -> bool:
+        """Return whether a silent target is known to wait for memory."""
+        engine = get_engine_model(self.state, job)
         own = self.state.board.own.get(job.call.req_id)
         if engine is None or own is None:
             return False
         flights = self.state.board.get_flights(placement.target.incarnation)
         return is_waiting_for_memory(own, flights, engine.capacity_tokens)
 
-    def may_leave(self, job: Job, placement: Placement) -> bool:
-        """Whether a target that was silent for too long is left now.
+    def may_fail_over(self, job: Job, placement: Placement) -> bool:
+        """Return whether to give up a target that timed out.
 
-        An answer that has begun would be cut where nobody else goes on with it:
-        another target must take it at once, and the repeat is taken from the
-        budget here, so that two don't leave for one.
+        A begun answer would be cut if no other target resumed it.  So another
+        target must be available at once, and the retry is taken from the budget
+        here: two requests must not fail over for one remaining retry.
         """
-        if not job.begun or not _get_left_s(job):
+        if not job.response_begun or not _get_remaining_s(job):
             return True
         if job.history.is_last_attempt(job.route):
             return False
-        if not may_go_on(self.state, job):
+        if not may_resume_elsewhere(self.state, job):
             return False
         peer = placement.target.incarnation
-        return could_go_on(self.state, job, peer) and self._claim(job)
+        return has_alternative(self.state, job, peer) and self._reserve_retry(
+            job
+        )
 
     @contextmanager
     def wait(
         self,
         job: Job,
         placement: Placement,
-        limit: Limit,
+        timeout: ResponseTimeout,
     ) -> Iterator[anyio.CancelScope]:
-        """Wait within a limit, or until the way to a target is cut."""
-        with anyio.move_on_after(limit.wait_s) as scope:
+        """Wait up to a timeout, or until a target involved is cut off."""
+        with anyio.move_on_after(timeout.wait_s) as scope:
             if job.history.is_last_attempt(job.route):
                 yield scope
                 return
-            helpers = () if job.last_event else placement.helpers
-            names = [one.incarnation for one in (placement.target, *helpers)]
+            helpers = () if job.last_event_id else placement.helpers
+            names = [
+                target.incarnation for target in (placement.target, *helpers)
+            ]
             wait = Wait(tuple(names), scope)
             self.state.waits.add(wait)
             try:
@@ -127,10 +136,12 @@
             finally:
                 self.state.waits.discard(wait)
 
-    def give_up(self, step: str, peer: str, limit: Limit) -> WireError:
-        """Note that a target was silent for too long; return the error."""
+    def record_timeout(
+        self, step: str, peer: str, timeout: ResponseTimeout
+    ) -> WireError:
+        """Record that a target timed out; return the error to raise."""
         now = anyio.current_time()
-        if limit.early:
+        if timeout.early:
             self.state.record_early_failover(peer, now)
         else:
             self.state.record_silence(peer, now)
@@ -139,28 +150,32 @@
                 step, 'its data centre is silent', FailureKind.silent
             )
         return WireError(
-            step, f'silent for {limit.wait_s:.2f} s', FailureKind.silent
+            step, f'silent for {timeout.wait_s:.2f} s', FailureKind.silent
         )
 
-    def _claim(self, job: Job) -> bool:
+    def _reserve_retry(self, job: Job) -> bool:
         now = anyio.current_time()
-        job.has_repeat = self.state.budgets.spend_retry(job.service, now)
-        return job.has_repeat
+        job.has_reserved_retry = self.state.budgets.spend_retry(
+            job.service, now
+        )
+        return job.has_reserved_retry
 
-    def _is_last(self, job: Job) -> bool:
-        """Whether nobody else may, or could, go on with a request now."""
+    def _is_last_option(self, job: Job) -> bool:
+        """Return whether no other target may, or could, run a request now."""
         if job.history.is_last_attempt(job.route):
             return True
         if not self.state.budgets.has_retry_left(
             job.service, anyio.current_time()
         ):
             return True
-        # A target that is leaving, or has had its share, takes nothing new.
+        # A draining target, or one at its rate limit, takes no new requests.
         usable = self.state.fleet.get_usable(job.service)
         now = anyio.current_time()
-        free = any(self.state.throttle.can_send(one, now) for one in usable)
-        return not free or not may_go_on(self.state, job)
+        any_free = any(
+            self.state.throttle.can_send(target, now) for target in usable
+        )
+        return not any_free or not may_resume_elsewhere(self.state, job)
 
 
-def _get_left_s(job: Job) -> float:
+def _get_remaining_s(job: Job) -> float:
     return max(0, job.deadline - anyio.current_time())
--- a/trestledock/entry/_streaming.py
+++ b/trestledock/entry/_streaming.py
@@ -1,9 +1,9 @@
 """
-Passing streams on
-==================
+Stream forwarding
+=================
 
-Passes the events of one target on to the caller, whole ones only, so that
-another target can go on after the last of them.
+Forwards the events of a target to the caller, complete events only, so that
+another target can resume the stream after the last of them.
 """
 
 from typing import AsyncIterator, Callable
@@ -13,7 +13,7 @@
 from trestledock.entry import _events as events
 from trestledock.entry._dialect import Dialect
 from trestledock.entry._job import Job
-from trestledock.entry._limits import Limit, Limits
+from trestledock.entry._limits import ResponseTimeout, ResponseTimeouts
 from trestledock.entry._logger import emit
 from trestledock.entry._metrics import METRICS
 from trestledock.entry._reply import Reply
@@ -28,12 +28,12 @@
 
 MS = 1000
 
-#: Reads on where a wait for the body was left.
+#: Resumes reading the body after a wait was cancelled.
 IterBody = Callable[[], AsyncIterator[bytes]]
 
 
-class StreamPassing:
-    """Passes one target's events on, whole ones only."""
+class StreamForwarder:
+    """Forwards the complete events of one target."""
 
     def __init__(
         self,
@@ -43,76 +43,77 @@
         placement: Placement,
         reply: Reply,
     ) -> None:
-        """Keep the request and where its events go."""
+        """Store the request and the reply that its events go to."""
         self.state = state
         self.dialect = dialect
-        self.limits = Limits(state)
+        self.timeouts = ResponseTimeouts(state)
         self.job = job
         self.placement = placement
         self.peer = placement.target.incarnation
         self.reply = reply
         self.splitter = EventSplitter()
-        self.count = 0
-        self.noted_at: float = 0
+        self.event_count = 0
+        self.last_events_at: float = 0
         self.body: AsyncIterator[bytes]
 
     async def run(
         self,
         head: Head,
         iter_body: IterBody,
-        limit: Limit,
+        timeout: ResponseTimeout,
     ) -> RelayAttempt:
-        """Pass on events until the stream ends."""
+        """Forward events until the stream ends."""
         self.body = iter_body()
         while True:
-            raw = await self._read(iter_body, limit)
+            raw = await self._read(iter_body, timeout)
             if raw is None:
                 return await self._finish(head)
-            await self._pass_on(head, raw)
-            if self.count:
-                limit = self.limits.get_pause(self.job)
+            await self._forward(head, raw)
+            if self.event_count:
+                timeout = self.timeouts.get_pause_timeout(self.job)
 
     async def _read(
         self,
         iter_body: IterBody,
-        limit: Limit,
+        timeout: ResponseTimeout,
     ) -> bytes | None:
-        again = limit
+        current = timeout
         while True:
-            with self.limits.wait(self.job, self.placement, again):
+            with self.timeouts.wait(self.job, self.placement, current):
                 return await anext(self.body, None)
-            # Who might have gone on when the silence began may have gone.
-            if self.limits.may_leave(self.job, self.placement):
-                raise self.limits.give_up('events', self.peer, limit)
-            again = self.limits.get_again(self.job)
+            # Targets that could have resumed the stream when the silence began
+            # may be unavailable by now.
+            if self.timeouts.may_fail_over(self.job, self.placement):
+                raise self.timeouts.record_timeout('events', self.peer, timeout)
+            current = self.timeouts.get_recheck_timeout(self.job)
             self.body = iter_body()
 
-    async def _pass_on(self, head: Head, raw: bytes) -> None:
+    async def _forward(self, head: Head, raw: bytes) -> None:
         events = [
             event
             for event in self.splitter.push(raw)
-            if _is_next(event.event_id, self.job.last_event)
+            if _is_next(event.event_id, self.job.last_event_id)
         ]
         if not events:
             return
-        self._note_pause()
-        self.count += len(events)
+        self._record_pause()
+        self.event_count += len(events)
         await self._start(head)
         await self.reply.write(b''.join(event.raw for event in events))
         named = [event.event_id for event in events if event.event_id]
         if named:
-            self.job.last_event = named[-1]
-        self.job.note_event(anyio.current_time())
+            self.job.last_event_id = named[-1]
+        self.job.record_event(anyio.current_time())
 
-    def _note_pause(self) -> None:
+    def _record_pause(self) -> None:
         now = anyio.current_time()
-        if self.count:
-            METRICS.observe('pause', now - self.noted_at)
+        if self.event_count:
+            METRICS.observe('pause', now - self.last_events_at)
         else:
-            self._note_first()
-        self.noted_at = now
+            self._record_first_event()
+        self.last_events_at = now
 
-    def _note_first(self) -> None:
+    def _record_first_event(self) -> None:
         now = anyio.current_time()
         flight = self.state.board.own.get(self.job.call.req_id)
         emit(
@@ -136,12 +137,12 @@
         await self._start(head)
         await self.reply.finish(self.splitter.remainder)
         return RelayAttempt(
-            AttemptOutcome.answered, 'events', self.peer, f'{self.count}'
+            AttemptOutcome.answered, 'events', self.peer, f'{self.event_count}'
         )
 
 
 def _is_next(event_id: str, last: str) -> bool:
-    """Whether an event follows those that the caller has."""
+    """Return whether an event comes after those that the caller has."""
     if event_id.isdigit() and last.isdigit():
         return int(event_id) > int(last)
     return True
--- a/trestledock/entry/_tickets.py
+++ b/trestledock/entry/_tickets.py
@@ -1,11 +1,11 @@
 """
-Memory reserved at engines
-==========================
+Memory reservations
+===================
 
-Tickets for prompts that need the memory of several engines: all or nothing,
-renewed while the request lives, given back on every path.  The lease of a
-ticket is short, so that the tickets of a process that died lapse by
-themselves.
+Reserves memory for prompts that need several engines: at all of them or at
+none.  A reservation is identified by a ticket, renewed while the request is in
+progress, and released on every path.  Its lease is short, so that the
+reservations of a crashed process expire by themselves.
 """
 
 import anyio
@@ -20,30 +20,33 @@
 from trestledock.entry._wire import Head, Wire, WireError
 from trestledock.relay import ListedTarget, Placement
 
-#: The lease of a ticket, in seconds: below the time after which memory that
-#: nobody uses counts as leaked (4 s).
-HOLD_S = 3.5
-#: How often a ticket is renewed, in seconds.
+#: The lease of a reservation, in seconds: below the 4 s after which unused
+#: memory counts as leaked.
+LEASE_S = 3.5
+#: The interval between renewals of a reservation, in seconds.
 RENEW_INTERVAL_S = 1.2
-#: How long an order may take, in seconds.
-ORDER_S = 0.6
-#: How long a connection that took an order is kept, in seconds.
-ORDER_IDLE_S = 1.0
-#: How often a ticket is given back before its lease has to end it.
+#: The timeout of a control request, in seconds.
+CONTROL_TIMEOUT_S = 0.6
+#: How long a connection is kept idle after a control request, in seconds.
+CONTROL_IDLE_S = 1.0
+#: How often a release is tried before it is left to the lease.
 RELEASE_TRIES = 3
 OK = 200
-#: Statuses after which a ticket is given back: another target that has the
-#: address by now (421) holds none.
-DONE = frozenset((OK, 421))
-#: What stands for the status where no answer came.
+#: Statuses that mean that a reservation is released.  At 421 another target has
+#: the address by now, and holds no reservation.
+RELEASED_STATUSES = frozenset((OK, 421))
+#: The status of a control request without an answer.
 NO_ANSWER = 0
 
 
 class Tickets:
-    """Reserves and gives back memory for one entry process."""
+    """Reserves and releases engine memory for one entry process.
+
+    A ticket is the id of a reservation; logs count reservations as `tickets`.
+    """
 
     def __init__(self, state: EntryState, pool: Pool, dialect: Dialect) -> None:
-        """Keep the connections and the platform's formats."""
+        """Store the state, the connections and the platform's formats."""
         self.state = state
         self.pool = pool
         self.dialect = dialect
@@ -55,31 +58,36 @@
         self,
         job: Job,
         placement: Placement,
-        held: dict[str, str],
+        held_tickets: dict[str, str],
     ) -> bool:
-        """Fill `held` with tickets by target; False where one is missing.
+        """Reserve memory at all helpers; return False if one refuses.
 
-        What is held must be released by the caller, also after a failure.
+        The tickets are added to `held_tickets`, by target.  The caller must
+        release them, also after a failure.
         """
         if not placement.reservations:
             return True
-        by_name = {one.incarnation: one for one in placement.helpers}
+        helpers = {helper.incarnation: helper for helper in placement.helpers}
         async with anyio.create_task_group() as group:
-            for name, tokens in placement.reservations:
+            for incarnation, tokens in placement.reservations:
                 self._count += 1
                 ticket = f'{job.call.req_id}-{self._count}'
                 group.start_soon(
-                    self._reserve_one, by_name[name], ticket, tokens, held
+                    self._reserve_one,
+                    helpers[incarnation],
+                    ticket,
+                    tokens,
+                    held_tickets,
                 )
-        if len(held) == len(placement.reservations):
+        if len(held_tickets) == len(placement.reservations):
             return True
-        asked = len(placement.reservations)
-        emit(events.MemoryRefused(job.call.req_id, len(held), asked))
+        wanted = len(placement.reservations)
+        emit(events.MemoryRefused(job.call.req_id, len(held_tickets), wanted))
         return False
 
-    def release(self, held: dict[str, str]) -> None:
-        """Give tickets back in the background."""
-        for ticket in tuple(held.values()):
+    def release(self, held_tickets: dict[str, str]) -> None:
+        """Release reservations in the background."""
+        for ticket in tuple(held_tickets.values()):
             scope = self._renewals.pop(ticket, None)
             if scope:
                 scope.cancel()
@@ -92,19 +100,19 @@
         holder: ListedTarget,
         ticket: str,
         tokens: int,
-        held: dict[str, str],
+        held_tickets: dict[str, str],
     ) -> None:
-        order = self.dialect.make_reserve(ticket, tokens, HOLD_S, holder)
-        # From here on the memory may be set aside, whatever is answered.
+        order = self.dialect.make_reserve(ticket, tokens, LEASE_S, holder)
+        # From here on the memory may be reserved, whatever the answer is.
         self._holders[ticket] = holder
-        held[holder.incarnation] = ticket
-        status = await self._order(holder, order)
+        held_tickets[holder.incarnation] = ticket
+        status = await self._send_control(holder, order)
         if status == OK:
             scope = anyio.CancelScope()
             self._renewals[ticket] = scope
             self.state.spawn(self._renew, scope, holder, ticket, tokens)
             return
-        held.pop(holder.incarnation)
+        held_tickets.pop(holder.incarnation)
         self._holders.pop(ticket, None)
         if status == NO_ANSWER:
             self.state.spawn(self._release_one, holder, ticket)
@@ -116,10 +124,10 @@
         ticket: str,
         tokens: int,
     ) -> None:
-        """Renew a ticket until the scope ends, or the target's incarnation.
+        """Renew a reservation until it is released or its target restarts.
 
-        The next incarnation knows nothing of the ticket, and a renewal would
-        set memory aside there for nobody.
+        A new incarnation doesn't know the ticket, and a renewal would reserve
+        memory there that nobody uses.
         """
         with scope:
             while True:
@@ -127,20 +135,22 @@
                 if self.state.fleet.is_superseded(holder):
                     return
                 order = self.dialect.make_reserve(
-                    ticket, tokens, HOLD_S, holder
+                    ticket, tokens, LEASE_S, holder
                 )
-                await self._order(holder, order)
+                await self._send_control(holder, order)
 
     async def _release_one(self, holder: ListedTarget, ticket: str) -> None:
         for _ in range(RELEASE_TRIES):
             order = self.dialect.make_release(ticket, holder)
-            if await self._order(holder, order) in DONE:
+            if await self._send_control(holder, order) in RELEASED_STATUSES:
                 return
 
-    async def _order(self, holder: ListedTarget, order: ControlRequest) -> int:
-        """Give an order; return its status, zero where none came."""
+    async def _send_control(
+        self, holder: ListedTarget, order: ControlRequest
+    ) -> int:
+        """Send a control request; return its status, zero without an answer."""
         try:
-            with anyio.fail_after(ORDER_S):
+            with anyio.fail_after(CONTROL_TIMEOUT_S):
                 head = await self._exchange(holder, order)
         except (WireError, TimeoutError) as exc:
             emit(events.OrderLost(holder.incarnation, repr(exc)))
@@ -162,7 +172,7 @@
                 self.state.spawn,
             )
             head = await self._read_answer(holder, wire, asked_at)
-            idle_s = ORDER_IDLE_S
+            idle_s = CONTROL_IDLE_S
         finally:
             await self.pool.release(holder, wire, idle_s)
         return head
