--- a/tests/test_promises.py
+++ b/tests/test_promises.py
@@ -98,7 +98,11 @@
     (
         'leaving',
         'paused_before_write',
-        (mock.patch('trestledock.process._dispatching.WRITE_WITHIN_S', 1e9),),
+        (
+            mock.patch(
+                'trestledock.process._dispatching.MAX_DECISION_AGE_S', 1e9
+            ),
+        ),
     ),
     (
         'shutdown',
--- a/trestledock/process/_answers.py
+++ b/trestledock/process/_answers.py
@@ -10,9 +10,9 @@
 from trestledock.process._actions import EmitChunks, ResumeStream
 from trestledock.process._choosing import choose_service
 from trestledock.process._dispatching import (
-    make_waiting,
-    pump_soon,
-    send_piece,
+    make_queued_request,
+    schedule_dispatch,
+    send_prefill_chunk,
     send_reservation,
     start_call,
 )
@@ -65,7 +65,7 @@
         return
     if live.note(message.attempt, AttemptEvent.answer):
         _advance(state, live, message.stop, now)
-        pump_soon(state, live.pool, now)
+        schedule_dispatch(state, live.pool, now)
 
 
 def on_chunk(message: ChunkArrived, state: State, now: float) -> None:
@@ -196,8 +196,8 @@
         _call_again(state, live, now)
         return
     live.enter(Phase.queued)
-    state.get_queue(live.pool).push(make_waiting(state, live))
-    pump_soon(state, live.pool, now)
+    state.get_queue(live.pool).push(make_queued_request(state, live))
+    schedule_dispatch(state, live.pool, now)
 
 
 def on_cancel_confirmed(
@@ -222,7 +222,7 @@
     if 1 < len(live.shares) and live.reserved < len(live.shares):
         send_reservation(state, live, now)
     else:
-        send_piece(state, live, now)
+        send_prefill_chunk(state, live, now)
 
 
 def _mark_prefilled(state: State, live: Live, now: float) -> None:
@@ -231,7 +231,7 @@
     sent = target.load.sends.get(key)
     if sent and sent.prefilled_at is None:
         target.load.mark_prefilled(key, now)
-        pump_soon(state, live.pool, now)
+        schedule_dispatch(state, live.pool, now)
 
 
 def _end_if_whole(state: State, live: Live, now: float) -> None:
@@ -243,7 +243,7 @@
     note_answered(state, live.req, now)
     verdict = Verdict(Outcome.answered, peer=name, tokens=live.emitted)
     end(state, live, verdict)
-    pump_soon(state, live.pool, now)
+    schedule_dispatch(state, live.pool, now)
 
 
 def _resume(state: State, live: Live, message: AttemptFailed) -> bool:
--- a/trestledock/process/_arrivals.py
+++ b/trestledock/process/_arrivals.py
@@ -16,9 +16,9 @@
 from trestledock.process._claiming import ask_claim
 from trestledock.process._dispatching import (
     get_team,
-    make_waiting,
-    place,
-    pump_soon,
+    make_queued_request,
+    try_dispatch,
+    schedule_dispatch,
     start_call,
 )
 from trestledock.process._ending import refuse
@@ -122,11 +122,11 @@
         return
     state.get_budget(live.pool).earn(now)
     live.least_s = best.prefill_s + best.decode_s
-    waiting = make_waiting(state, live)
+    waiting = make_queued_request(state, live)
     queue.push(waiting)
     if queue.has_before(waiting):
-        pump_soon(state, live.pool, now)
-    elif place(state, live, now, field):
+        schedule_dispatch(state, live.pool, now)
+    elif try_dispatch(state, live, now, field):
         queue.charge(waiting)
 
 
--- a/trestledock/process/_dispatching.py
+++ b/trestledock/process/_dispatching.py
@@ -27,22 +27,22 @@
 from trestledock.process._load import Sent
 from trestledock.process._queue import Waiting, get_rank
 from trestledock.process._state import State
-from trestledock.process._timers import PumpDue, SilenceDue
+from trestledock.process._timers import DispatchDue, SilenceDue
 from trestledock.request import AttemptEvent, Reason, Request
 from trestledock.version import Team
 
 #: How old a decision may be when it is written to its target, in seconds.  A
 #: process that was paused in between decides again: the target may be leaving.
-WRITE_WITHIN_S = 2.0
+MAX_DECISION_AGE_S = 2.0
 #: How long an engine may say nothing of a job: at least so many seconds, and
 #: so many times what was predicted.
-SILENCE_S = 5.0
+MIN_SILENCE_S = 5.0
 SILENCE_FACTOR = 4.0
 #: For how long events that may make room are gathered, in seconds.
-PUMP_S = 0.01
+DISPATCH_DELAY_S = 0.01
 
 
-def pump(state: State, pool: str, now: float) -> None:
+def dispatch_queue(state: State, pool: str, now: float) -> None:
     """Send whatever waits for `pool` and has a place now.
 
     Where one request finds no place, another of the same kind and class finds
@@ -52,13 +52,13 @@
     without_place: set[tuple[str, ...]] = set()
     for waiting in tuple(queue.iter_next()):
         live = state.live.get(waiting.req.req_id)
-        shape = get_shape(waiting.req)
+        shape = get_placement_class(waiting.req)
         if live is None:
             queue.remove(waiting.req.req_id)
             continue
-        is_refused = _refuse_waiting(state, live, waiting, now)
+        is_refused = _refuse_if_hopeless(state, live, waiting, now)
         if not is_refused and shape not in without_place:
-            if place(state, live, now):
+            if try_dispatch(state, live, now):
                 queue.charge(waiting)
             else:
                 without_place.add(shape)
@@ -71,7 +71,7 @@
     return team or Team(req.team)
 
 
-def make_waiting(state: State, live: Live) -> Waiting:
+def make_queued_request(state: State, live: Live) -> Waiting:
     """Return a live request as it waits in the fair queue."""
     return Waiting(
         live.req,
@@ -82,31 +82,34 @@
     )
 
 
-def get_shape(req: Request) -> tuple[str, ...]:
+def get_placement_class(req: Request) -> tuple[str, ...]:
     """Return what decides, besides memory, on whether a request fits."""
     return (req.team, str(req.model), req.length_class.value)
 
 
-def pump_soon(state: State, pool: str, now: float) -> None:
+def schedule_dispatch(state: State, pool: str, now: float) -> None:
     """Try what waits for `pool` within a moment, once for many events."""
-    if state.get_queue(pool).waiting and pool not in state.duties.pumps:
-        state.duties.pumps.add(pool)
-        state.set_timer(now + PUMP_S, PumpDue(pool))
+    if (
+        state.get_queue(pool).waiting
+        and pool not in state.duties.scheduled_pools
+    ):
+        state.duties.scheduled_pools.add(pool)
+        state.set_timer(now + DISPATCH_DELAY_S, DispatchDue(pool))
 
 
-def on_pump_due(message: PumpDue, state: State, now: float) -> None:
+def on_dispatch_due(message: DispatchDue, state: State, now: float) -> None:
     """Try what waits for a pool."""
-    state.duties.pumps.discard(message.pool)
-    pump(state, message.pool, now)
+    state.duties.scheduled_pools.discard(message.pool)
+    dispatch_queue(state, message.pool, now)
 
 
-def pump_all(state: State, now: float) -> None:
+def schedule_dispatch_of_all(state: State, now: float) -> None:
     """Try whatever waits within a moment."""
     for pool in tuple(state.queues):
-        pump_soon(state, pool, now)
+        schedule_dispatch(state, pool, now)
 
 
-def place(
+def try_dispatch(
     state: State,
     live: Live,
     now: float,
@@ -122,7 +125,7 @@
     if live.req.total_tokens > field.capacity:
         shares = plan_group(state, live, field, now)
         if shares:
-            _start(state, live, shares, now)
+            _start_attempt(state, live, shares, now)
         return bool(shares)
     ready = tuple(
         one
@@ -132,37 +135,37 @@
     )
     if not ready:
         return False
-    fresh = tuple(one for one in ready if _is_new(live, one))
+    fresh = tuple(one for one in ready if _is_other_target(live, one))
     chosen = choose_engine(state, fresh or ready)
     hold = take_hold(state, chosen.target, now)
     if not hold:
         return False
     name = chosen.target.info.name
-    _start(state, live, (Share(name, 0, live.goal, hold),), now)
+    _start_attempt(state, live, (Share(name, 0, live.goal, hold),), now)
     return True
 
 
-def send_piece(state: State, live: Live, now: float) -> None:
+def send_prefill_chunk(state: State, live: Live, now: float) -> None:
     """Send the next piece of a running request's prompt."""
     share = live.get_share()
     target = state.get_targets()[share.target]
     start = max(live.position, share.start)
-    stop = min(share.stop, start + _get_piece(state, live, target))
+    stop = min(share.stop, start + _get_chunk_tokens(state, live, target))
     generate = stop >= live.goal
     req = live.req
-    need = _estimate_need(live, target)
+    need = _estimate_remaining_s(live, target)
     job = Job(
         hold=share.hold,
         model=req.model,
         start=start,
         stop=stop,
-        reserve=_get_reserve(live, share),
+        reserve=_get_reserved_tokens(live, share),
         generate=generate,
         max_tokens=req.max_tokens - live.emitted if generate else 0,
         priority=get_priority(state, req, now, need),
         first_index=live.emitted,
     )
-    _send(state, live, target, job, now)
+    _send_job(state, live, target, job, now)
 
 
 def send_reservation(state: State, live: Live, now: float) -> None:
@@ -175,12 +178,12 @@
         model=live.req.model,
         start=share.start,
         stop=share.start,
-        reserve=_get_reserve(live, share),
+        reserve=_get_reserved_tokens(live, share),
         generate=False,
         max_tokens=0,
         priority=get_priority(state, live.req, now, 0),
     )
-    _send(state, live, target, job, now)
+    _send_job(state, live, target, job, now)
 
 
 def start_call(
@@ -191,7 +194,7 @@
     now: float,
 ) -> None:
     """Send a call to one of the permitted plain services."""
-    fresh = tuple(one for one in candidates if _is_new(live, one))
+    fresh = tuple(one for one in candidates if _is_other_target(live, one))
     target = draw_two(state, fresh or candidates).target
     name = target.info.name
     live.enter(Phase.running)
@@ -210,12 +213,12 @@
             attempt.number,
             name,
             target.info.address,
-            min(not_after, now + WRITE_WITHIN_S),
+            min(not_after, now + MAX_DECISION_AGE_S),
         ),
     )
 
 
-def _start(
+def _start_attempt(
     state: State,
     live: Live,
     shares: tuple[Share, ...],
@@ -229,10 +232,10 @@
     if len(shares) > 1:
         send_reservation(state, live, now)
     else:
-        send_piece(state, live, now)
+        send_prefill_chunk(state, live, now)
 
 
-def _send(
+def _send_job(
     state: State,
     live: Live,
     target: Target,
@@ -257,21 +260,21 @@
         ),
     )
     live.awaited = (job.hold, job.stop)
-    _watch_silence(state, live, target, job, now)
-    source = _get_source(live, job)
+    _set_silence_timer(state, live, target, job, now)
+    source = _find_kv_source(live, job)
     state.act(
         StartJob(
             live.req.req_id,
             live.attempt.number,
             target.info.name,
             target.info.address,
-            _with_source(state, job, source),
-            now + WRITE_WITHIN_S,
+            _attach_kv_source(state, job, source),
+            now + MAX_DECISION_AGE_S,
         ),
     )
 
 
-def _watch_silence(
+def _set_silence_timer(
     state: State,
     live: Live,
     target: Target,
@@ -284,7 +287,7 @@
         return
     wait_s = target.load.predict_wait(job.priority, now)
     work_s = (job.stop - job.start) / report.rate
-    patience_s = max(SILENCE_S, SILENCE_FACTOR * (wait_s + work_s))
+    patience_s = max(MIN_SILENCE_S, SILENCE_FACTOR * (wait_s + work_s))
     due = SilenceDue(
         live.req.req_id,
         live.attempt.number,
@@ -295,14 +298,14 @@
     state.set_timer(now + patience_s, due)
 
 
-def _get_source(live: Live, job: Job) -> Share | None:
+def _find_kv_source(live: Live, job: Job) -> Share | None:
     for before, share in zip(live.shares, live.shares[1:]):
         if job.hold == share.hold and job.start == share.start:
             return before if job.stop > job.start else None
     return None
 
 
-def _with_source(state: State, job: Job, source: Share | None) -> Job:
+def _attach_kv_source(state: State, job: Job, source: Share | None) -> Job:
     if source is None:
         return job
     address = state.get_targets()[source.target].info.address
@@ -315,7 +318,7 @@
     )
 
 
-def _get_piece(state: State, live: Live, target: Target) -> int:
+def _get_chunk_tokens(state: State, live: Live, target: Target) -> int:
     report = target.load.report
     if not state.policy.piece_s or report is None:
         return live.goal
@@ -326,14 +329,14 @@
     return rest if whole or rest < piece * 3 // 2 else piece
 
 
-def _get_reserve(live: Live, share: Share) -> int:
+def _get_reserved_tokens(live: Live, share: Share) -> int:
     tokens = share.stop - share.start
     if share is live.shares[-1]:
         tokens += live.req.max_tokens - live.emitted
     return tokens
 
 
-def _estimate_need(live: Live, target: Target) -> float:
+def _estimate_remaining_s(live: Live, target: Target) -> float:
     report = target.load.report
     if report is None:
         return 0
@@ -341,25 +344,25 @@
     return prefill_s + (live.req.max_tokens - live.emitted) * report.itl_s
 
 
-def _is_new(live: Live, one: Candidate) -> bool:
+def _is_other_target(live: Live, one: Candidate) -> bool:
     if not live.attempts:
         return True
     return live.attempt.target != one.target.info.name
 
 
-def _refuse_waiting(
+def _refuse_if_hopeless(
     state: State, live: Live, waiting: Waiting, now: float
 ) -> bool:
     """Refuse a request that need not wait any more; return whether it was."""
     if is_quarantined(state, live):
         refuse(state, live, Reason.quarantined)
         return True
-    if _is_hopeless(state, waiting, now):
+    if _misses_deadline(state, waiting, now):
         refuse(state, live, Reason.deadline_unreachable, live.cost)
         return True
     return False
 
 
-def _is_hopeless(state: State, waiting: Waiting, now: float) -> bool:
+def _misses_deadline(state: State, waiting: Waiting, now: float) -> bool:
     late = now + waiting.least_s > waiting.req.deadline
     return state.policy.admission and late
--- a/trestledock/process/_duties.py
+++ b/trestledock/process/_duties.py
@@ -9,7 +9,7 @@
 
 from trestledock.process._actions import AppendRecord, ToPeer
 from trestledock.process._answers import end_silent_streams
-from trestledock.process._dispatching import pump_all
+from trestledock.process._dispatching import schedule_dispatch_of_all
 from trestledock.process._ending import send
 from trestledock.process._fleet import Peer
 from trestledock.process._guarding import (
@@ -217,7 +217,7 @@
     """Drop what has become old, and try what waits once more."""
     for target in state.get_targets().values():
         target.load.forget_done(now)
-    pump_all(state, now)
+    schedule_dispatch_of_all(state, now)
 
 
 def is_drained(state: State) -> bool:
--- a/trestledock/process/_platform.py
+++ b/trestledock/process/_platform.py
@@ -12,7 +12,7 @@
     apply_accepted,
     settle_publications,
 )
-from trestledock.process._dispatching import pump_all
+from trestledock.process._dispatching import schedule_dispatch_of_all
 from trestledock.process._guarding import prepare_block
 from trestledock.process._messages import (
     CacheReported,
@@ -55,7 +55,7 @@
     target = state.get_targets().get(message.target)
     if target and message.report.capacity_tokens:
         prepare_block(state, target, now)
-        pump_all(state, now)
+        schedule_dispatch_of_all(state, now)
 
 
 def on_cache_event(message: CacheReported, state: State, now: float) -> None:
@@ -72,7 +72,7 @@
     apply_accepted(state, now)
     settle_publications(state)
     append_publications(state, now)
-    pump_all(state, now)
+    schedule_dispatch_of_all(state, now)
 
 
 def on_mark_leaving(message: MarkLeaving, state: State, now: float) -> None:
--- a/trestledock/process/_registry.py
+++ b/trestledock/process/_registry.py
@@ -29,7 +29,7 @@
     on_deadline,
 )
 from trestledock.process._claiming import on_claim_due
-from trestledock.process._dispatching import on_pump_due
+from trestledock.process._dispatching import on_dispatch_due
 from trestledock.process._duties import on_heartbeat_due
 from trestledock.process._peering import on_peer_message
 from trestledock.process._platform import (
@@ -82,7 +82,7 @@
         timers.ClaimDue: on_claim_due,
         timers.GapDue: on_gap,
         timers.SilenceDue: on_silence,
-        timers.PumpDue: on_pump_due,
+        timers.DispatchDue: on_dispatch_due,
         timers.HeartbeatDue: on_heartbeat_due,
     }
 )
--- a/trestledock/process/_state.py
+++ b/trestledock/process/_state.py
@@ -58,7 +58,7 @@
     delisted: set[str] = field(default_factory=set)
     record_count: int = 0
     round_robin: int = 0
-    pumps: set[str] = field(default_factory=set)
+    scheduled_pools: set[str] = field(default_factory=set)
 
 
 @dataclass
--- a/trestledock/process/_timers.py
+++ b/trestledock/process/_timers.py
@@ -56,7 +56,7 @@
 
 
 @dataclass(frozen=True)
-class PumpDue:
+class DispatchDue:
     """Something may have made room for what waits for a pool."""
 
     pool: str
