--- a/tests/test_parts.py
+++ b/tests/test_parts.py
@@ -16,7 +16,7 @@
 from trestledock.process._limits import Limits
 from trestledock.process._liveness import Liveness
 from trestledock.process._load import EngineLoad, Sent
-from trestledock.process._queue import FairQueue, Waiting
+from trestledock.process._queue import FairQueue, QueuedRequest
 from trestledock.relay import BudgetTerms, RetryWindow
 from trestledock.request import (
     Breaker,
@@ -68,12 +68,12 @@
         for team, weight in weights.items():
             for number in range(200):
                 req = make_request(team, number)
-                queue.push(Waiting(req, 1, weight))
+                queue.push(QueuedRequest(req, 1, weight))
         served = []
         for _ in range(100):
-            waiting = next(queue.iter_next())
+            waiting = next(queue.iter_in_order())
             queue.charge(waiting)
-            queue.finish(waiting.req.req_id)
+            queue.mark_finished(waiting.req.req_id)
             served.append(waiting.req.team)
         expected = 100 * one / (one + other)
         self.assertAlmostEqual(served.count('a'), expected, delta=6)
@@ -81,20 +81,20 @@
     def test_idle_team_banks_nothing(self):
         queue = FairQueue()
         for number in range(50):
-            waiting = Waiting(make_request('busy', number), 1, 1)
+            waiting = QueuedRequest(make_request('busy', number), 1, 1)
             queue.push(waiting)
             queue.charge(waiting)
-            queue.finish(waiting.req.req_id)
-        queue.push(Waiting(make_request('busy', 99), 1, 1))
-        queue.push(Waiting(make_request('idle', 1), 1, 1))
-        behind = queue.clocks['busy'] - queue.clocks['idle']
+            queue.mark_finished(waiting.req.req_id)
+        queue.push(QueuedRequest(make_request('busy', 99), 1, 1))
+        queue.push(QueuedRequest(make_request('idle', 1), 1, 1))
+        behind = queue.virtual_times['busy'] - queue.virtual_times['idle']
         self.assertLessEqual(behind, 1)
 
     def test_least_slack_first_in_a_team(self):
         queue = FairQueue()
-        queue.push(Waiting(make_request('a', 1, deadline=50), 1, 1))
-        queue.push(Waiting(make_request('a', 2, deadline=10), 1, 1))
-        self.assertEqual(next(queue.iter_next()).req.req_id, 'a2')
+        queue.push(QueuedRequest(make_request('a', 1, deadline=50), 1, 1))
+        queue.push(QueuedRequest(make_request('a', 2, deadline=10), 1, 1))
+        self.assertEqual(next(queue.iter_in_order()).req.req_id, 'a2')
 
 
 class LimitParts(unittest.TestCase):
--- a/trestledock/process/_answers.py
+++ b/trestledock/process/_answers.py
@@ -288,7 +288,7 @@
     elif state.get_budget(live.pool).spend(now, instances=1):
         state.count('retries', reason.value)
         live.enter(Phase.backoff)
-        state.get_queue(live.pool).finish(live.req.req_id)
+        state.get_queue(live.pool).mark_finished(live.req.req_id)
         backoff = draw_backoff(len(live.attempts), state.rng)
         state.set_timer(now + backoff, RetryDue(live.req.req_id))
     else:
--- a/trestledock/process/_arrivals.py
+++ b/trestledock/process/_arrivals.py
@@ -116,7 +116,7 @@
     if len(queue.waiting) >= MAX_QUEUED:
         refuse(state, live, Reason.queue_full, DEFAULT_WAIT_S)
         return
-    ahead = queue.predict_ahead(live.req, team.weight)
+    ahead = queue.predict_cost_ahead(live.req, team.weight)
     wait_s = ahead / len(field.candidates)
     if _refuse_late(state, live, best, wait_s, now):
         return
@@ -124,7 +124,7 @@
     live.least_s = best.prefill_s + best.decode_s
     waiting = make_queued_request(state, live)
     queue.push(waiting)
-    if queue.has_before(waiting):
+    if queue.has_waiting_before(waiting):
         schedule_dispatch(state, live.pool, now)
     elif try_dispatch(state, live, now, field):
         queue.charge(waiting)
--- a/trestledock/process/_dispatching.py
+++ b/trestledock/process/_dispatching.py
@@ -25,7 +25,7 @@
 from trestledock.process._isolating import is_quarantined
 from trestledock.process._live import Live, Phase, Share
 from trestledock.process._load import Sent
-from trestledock.process._queue import Waiting, get_rank
+from trestledock.process._queue import QueuedRequest, get_length_rank
 from trestledock.process._state import State
 from trestledock.process._timers import DispatchDue, SilenceDue
 from trestledock.request import AttemptEvent, Reason, Request
@@ -50,7 +50,7 @@
     """
     queue = state.get_queue(pool)
     without_place: set[tuple[str, ...]] = set()
-    for waiting in tuple(queue.iter_next()):
+    for waiting in tuple(queue.iter_in_order()):
         live = state.live.get(waiting.req.req_id)
         shape = get_placement_class(waiting.req)
         if live is None:
@@ -71,14 +71,14 @@
     return team or Team(req.team)
 
 
-def make_queued_request(state: State, live: Live) -> Waiting:
+def make_queued_request(state: State, live: Live) -> QueuedRequest:
     """Return a live request as it waits in the fair queue."""
-    return Waiting(
+    return QueuedRequest(
         live.req,
         live.cost,
         get_team(state, live.req).weight,
         live.least_s,
-        get_rank(live.req),
+        get_length_rank(live.req),
     )
 
 
@@ -351,7 +351,7 @@
 
 
 def _refuse_if_hopeless(
-    state: State, live: Live, waiting: Waiting, now: float
+    state: State, live: Live, waiting: QueuedRequest, now: float
 ) -> bool:
     """Refuse a request that need not wait any more; return whether it was."""
     if is_quarantined(state, live):
@@ -363,6 +363,6 @@
     return False
 
 
-def _misses_deadline(state: State, waiting: Waiting, now: float) -> bool:
+def _misses_deadline(state: State, waiting: QueuedRequest, now: float) -> bool:
     late = now + waiting.least_s > waiting.req.deadline
     return state.policy.admission and late
--- a/trestledock/process/_ending.py
+++ b/trestledock/process/_ending.py
@@ -59,7 +59,7 @@
     state.live.pop(req.req_id, None)
     queue = state.get_queue(live.pool)
     queue.remove(req.req_id)
-    queue.finish(req.req_id)
+    queue.mark_finished(req.req_id)
     release_attempt(state, live, verdict.outcome is Outcome.answered)
     _settle_claim(state, live, verdict)
     state.count('outcome', verdict.outcome.value)
--- a/trestledock/process/_queue.py
+++ b/trestledock/process/_queue.py
@@ -23,13 +23,13 @@
 MAX_QUEUED = 4096
 
 
-def get_rank(req: Request) -> int:
+def get_length_rank(req: Request) -> int:
     """Return the rank of a request's length class, the shortest first."""
     return list(LengthClass).index(req.length_class)
 
 
 @dataclass(frozen=True)
-class Waiting:
+class QueuedRequest:
     """A queued request with its predicted cost in engine seconds.
 
     `least_s` is the least time that it takes once it is sent, `rank` that of
@@ -43,7 +43,7 @@
     rank: int = 0
 
     @property
-    def slack_key(self) -> float:
+    def latest_start(self) -> float:
         """The instant at which the work must be started at the latest."""
         return self.req.deadline - self.cost
 
@@ -52,58 +52,58 @@
 class FairQueue:
     """The queue of one pool."""
 
-    clocks: dict[str, float] = field(default_factory=dict)
-    waiting: dict[str, Waiting] = field(default_factory=dict)
+    virtual_times: dict[str, float] = field(default_factory=dict)
+    waiting: dict[str, QueuedRequest] = field(default_factory=dict)
     running: dict[str, str] = field(default_factory=dict)
-    floor: float = 0
+    min_virtual_time: float = 0
 
-    def push(self, waiting: Waiting) -> None:
+    def push(self, waiting: QueuedRequest) -> None:
         """Queue a request."""
         team = waiting.req.team
         if not self._is_active(team):
-            behind = self.clocks.get(team, self.floor)
-            self.clocks[team] = max(behind, self.floor)
+            behind = self.virtual_times.get(team, self.min_virtual_time)
+            self.virtual_times[team] = max(behind, self.min_virtual_time)
         self.waiting[waiting.req.req_id] = waiting
 
-    def remove(self, req_id: str) -> Waiting | None:
+    def remove(self, req_id: str) -> QueuedRequest | None:
         """Take a request out without charging its team."""
         return self.waiting.pop(req_id, None)
 
-    def charge(self, waiting: Waiting) -> None:
+    def charge(self, waiting: QueuedRequest) -> None:
         """Take a request out to run it and charge its team."""
         team = waiting.req.team
         self.waiting.pop(waiting.req.req_id, None)
         self.running[waiting.req.req_id] = team
-        start = self.clocks.get(team, self.floor)
-        self.clocks[team] = start + waiting.cost / waiting.weight
-        self.floor = max(self.floor, start)
+        start = self.virtual_times.get(team, self.min_virtual_time)
+        self.virtual_times[team] = start + waiting.cost / waiting.weight
+        self.min_virtual_time = max(self.min_virtual_time, start)
 
-    def finish(self, req_id: str) -> None:
+    def mark_finished(self, req_id: str) -> None:
         """Note that a request no longer runs."""
         self.running.pop(req_id, None)
 
-    def has_before(self, waiting: Waiting) -> bool:
+    def has_waiting_before(self, waiting: QueuedRequest) -> bool:
         """Whether others of its class or a shorter one wait, too."""
         return any(
             other.rank <= waiting.rank and other is not waiting
             for other in self.waiting.values()
         )
 
-    def iter_next(self) -> Iterator[Waiting]:
+    def iter_in_order(self) -> Iterator[QueuedRequest]:
         """Yield the waiting requests in the order to try them."""
-        least = self._get_least()
+        least = self._get_min_waiting_time()
         yield from sorted(
             self.waiting.values(),
-            key=lambda waiting: self._rank(waiting, least),
+            key=lambda waiting: self._get_sort_key(waiting, least),
         )
 
-    def predict_ahead(self, req: Request, weight: float) -> float:
+    def predict_cost_ahead(self, req: Request, weight: float) -> float:
         """Return the engine seconds that will be spent before `req`.
 
         The own team's work counts in full; that of the others by their
         share while both wait, at most all of it.
         """
-        rank = get_rank(req)
+        rank = get_length_rank(req)
         own: float = 0
         others: dict[str, float] = {}
         weights: dict[str, float] = {}
@@ -126,20 +126,20 @@
             waiting.req.team == team for waiting in self.waiting.values()
         )
 
-    def _get_least(self) -> float:
+    def _get_min_waiting_time(self) -> float:
         return min(
             (
-                self.clocks.get(waiting.req.team, self.floor)
+                self.virtual_times.get(waiting.req.team, self.min_virtual_time)
                 for waiting in self.waiting.values()
             ),
-            default=self.floor,
+            default=self.min_virtual_time,
         )
 
-    def _rank(
+    def _get_sort_key(
         self,
-        waiting: Waiting,
+        waiting: QueuedRequest,
         least: float,
     ) -> tuple[bool, int, float, float]:
-        clock = self.clocks.get(waiting.req.team, self.floor)
+        clock = self.virtual_times.get(waiting.req.team, self.min_virtual_time)
         ahead = clock - least > MAX_LEAD_S
-        return ahead, waiting.rank, clock, waiting.slack_key
+        return ahead, waiting.rank, clock, waiting.latest_start
