--- a/trestledock/process/_arrivals.py
+++ b/trestledock/process/_arrivals.py
@@ -12,7 +12,7 @@
     choose_service,
     find_candidates,
 )
-from trestledock.process._choosing import Field as CandidateField
+from trestledock.process._choosing import CandidateSet as CandidateField
 from trestledock.process._claiming import ask_claim
 from trestledock.process._dispatching import (
     get_team,
--- a/trestledock/process/_choosing.py
+++ b/trestledock/process/_choosing.py
@@ -29,13 +29,13 @@
 )
 
 #: Prompt tokens in a block whose hash is remembered for affinity.
-PREFIX_BLOCK = 512
+PREFIX_BLOCK_TOKENS = 512
 #: Sets of work labels whose permits are remembered.
-MAX_PERMITS = 1024
+MAX_CACHED_SETS = 1024
 
 
 @dataclass(frozen=True)
-class Permitted:
+class PermittedTarget:
     """A target that some work may run on, and how much it is preferred."""
 
     target: Target
@@ -43,17 +43,17 @@
 
 
 @dataclass(frozen=True)
-class Permits:
+class PermittedSet:
     """Where work with certain labels may run; `stamp` says as of when.
 
     `near` is this instance's own subset of `targets`: it bounds the cost of a
     request, and every target is in the subsets of several instances.
     """
 
-    stamp: tuple[int, int]
+    computed_for: tuple[int, int]
     pool: Pool | None
-    targets: tuple[Permitted, ...] = ()
-    near: tuple[Permitted, ...] = ()
+    targets: tuple[PermittedTarget, ...] = ()
+    subset: tuple[PermittedTarget, ...] = ()
     reason: Reason = Reason.none
     detail: str = ''
 
@@ -75,13 +75,13 @@
         return self.wait_s + self.prefill_s
 
     @property
-    def rank(self) -> float:
+    def score_s(self) -> float:
         """What candidates are compared by, in seconds."""
         return self.ttft_s + self.penalty_s
 
 
 @dataclass(frozen=True)
-class Field:
+class CandidateSet:
     """The permitted candidates of a request, or why there are none."""
 
     pool: Pool | None
@@ -115,7 +115,7 @@
     return CLASS_PRIORITY[req.length_class]
 
 
-def find_permitted(state: State, req: Request) -> Permits:
+def find_permitted(state: State, req: Request) -> PermittedSet:
     """Apply the selectors in force; the reason says why nothing is left.
 
     The answer holds for all work with the same labels, until the version in
@@ -124,12 +124,12 @@
     labels = get_work_labels(req, state.identity.data_centre)
     work = tuple(labels.values())
     stamp = (state.version.number, state.fleet.revision)
-    known = state.permits.get(work)
+    known = state.permitted_sets.get(work)
     if known is None or known.stamp != stamp:
         known = _apply_selectors(state, req, labels, stamp)
-        state.permits[work] = known
-        if len(state.permits) > MAX_PERMITS:
-            state.permits.pop(next(iter(state.permits)))
+        state.permitted_sets[work] = known
+        if len(state.permitted_sets) > MAX_CACHED_SETS:
+            state.permitted_sets.pop(next(iter(state.permitted_sets)))
     return known
 
 
@@ -138,14 +138,14 @@
     req: Request,
     work: Labels,
     stamp: tuple[int, int],
-) -> Permits:
+) -> PermittedSet:
     cfg = state.version.cfg
     if cfg is None:
-        return Permits(stamp, None, reason=Reason.no_configuration)
+        return PermittedSet(stamp, None, reason=Reason.no_configuration)
     pool = get_pool_by_request(cfg, req)
     if pool is None:
         reason = Reason.unknown_service if req.service else Reason.unknown_model
-        return Permits(stamp, None, reason=reason)
+        return PermittedSet(stamp, None, reason=reason)
     rules = get_rules_by_work(cfg, work)
     permitted = []
     forbidden_by = ''
@@ -156,35 +156,37 @@
             state.fleet.get_labels(target),
         )
         if permission.allowed:
-            permitted.append(Permitted(target, permission.preference))
+            permitted.append(PermittedTarget(target, permission.preference))
         else:
             forbidden_by = permission.forbidden_by
     if permitted:
         near = _get_subset(state, permitted)
-        return Permits(stamp, pool, tuple(permitted), near)
+        return PermittedSet(stamp, pool, tuple(permitted), near)
     reason = Reason.no_permitted_target
-    return Permits(stamp, pool, reason=reason, detail=forbidden_by)
+    return PermittedSet(stamp, pool, reason=reason, detail=forbidden_by)
 
 
-def find_candidates(state: State, req: Request, now: float) -> Field:
+def find_candidates(state: State, req: Request, now: float) -> CandidateSet:
     """Return the live permitted engines with their predictions."""
     permits = find_permitted(state, req)
     if permits.pool is None or not permits.targets:
-        return Field(permits.pool, (), permits.reason, permits.detail)
-    field = _predict_all(state, req, permits.pool, permits.near, now)
+        return CandidateSet(permits.pool, (), permits.reason, permits.detail)
+    field = _predict_candidates(state, req, permits.pool, permits.subset, now)
     too_small = field.capacity < req.total_tokens
-    if too_small and len(permits.near) < len(permits.targets):
-        return _predict_all(state, req, permits.pool, permits.targets, now)
+    if too_small and len(permits.subset) < len(permits.targets):
+        return _predict_candidates(
+            state, req, permits.pool, permits.targets, now
+        )
     return field
 
 
-def _predict_all(
+def _predict_candidates(
     state: State,
     req: Request,
     pool: Pool,
-    permitted: tuple[Permitted, ...],
+    permitted: tuple[PermittedTarget, ...],
     now: float,
-) -> Field:
+) -> CandidateSet:
     model = str(req.model)
     usable = [
         one
@@ -194,16 +196,18 @@
         and now - one.target.load.reported_at < STALE_S
     ]
     if not usable:
-        return Field(pool, reason=Reason.no_live_target)
+        return CandidateSet(pool, reason=Reason.no_live_target)
     best = max(one.preference for one in usable)
-    candidates = tuple(_predict(state, req, one, now, best) for one in usable)
-    return Field(pool, candidates)
+    candidates = tuple(
+        _predict_candidate(state, req, one, now, best) for one in usable
+    )
+    return CandidateSet(pool, candidates)
 
 
 def _get_subset(
     state: State,
-    permitted: list[Permitted],
-) -> tuple[Permitted, ...]:
+    permitted: list[PermittedTarget],
+) -> tuple[PermittedTarget, ...]:
     """Return the targets that this instance looks at first.
 
     Of the preferred ones as many as the subset holds, by rendezvous hashing.
@@ -225,33 +229,35 @@
     return _CHOOSERS[state.policy.chooser](state, candidates)
 
 
-def choose_service(state: State, req: Request, now: float) -> Field:
+def choose_service(state: State, req: Request, now: float) -> CandidateSet:
     """Return a field with the live permitted services."""
     permits = find_permitted(state, req)
     usable = [
         one for one in permits.targets if state.fleet.is_usable(one.target, now)
     ]
     if permits.targets and not usable:
-        return Field(permits.pool, reason=Reason.no_live_target)
+        return CandidateSet(permits.pool, reason=Reason.no_live_target)
     best = max((one.preference for one in usable), default=0)
     candidates = tuple(
         Candidate(one.target, 0, 0, 0, float(one.target.in_flight), 0)
         for one in usable
         if one.preference == best
     )
-    return Field(permits.pool, candidates, permits.reason, permits.detail)
+    return CandidateSet(
+        permits.pool, candidates, permits.reason, permits.detail
+    )
 
 
-def draw_two(state: State, candidates: tuple[Candidate, ...]) -> Candidate:
+def choose_of_two(state: State, candidates: tuple[Candidate, ...]) -> Candidate:
     """Return the less busy of two candidates drawn at random."""
     drawn = state.rng.sample(candidates, min(2, len(candidates)))
-    return min(drawn, key=lambda one: one.rank)
+    return min(drawn, key=lambda one: one.score_s)
 
 
-def _predict(
+def _predict_candidate(
     state: State,
     req: Request,
-    permitted: Permitted,
+    permitted: PermittedTarget,
     now: float,
     best: int,
 ) -> Candidate:
@@ -259,7 +265,7 @@
     report = target.load.report
     if report is None:
         raise LookupError(f'{target.info.name} has not reported')
-    missing = req.prompt_tokens - _count_cached(state, req, target)
+    missing = req.prompt_tokens - _count_cached_tokens(state, req, target)
     prefill_s = missing / report.rate
     decode_s = req.max_tokens * report.itl_s
     priority = get_priority(state, req, now, prefill_s + decode_s)
@@ -278,14 +284,14 @@
     )
 
 
-def _count_cached(state: State, req: Request, target: Target) -> int:
+def _count_cached_tokens(state: State, req: Request, target: Target) -> int:
     if not state.policy.affinity:
         return 0
     known = 0
     for count, block in enumerate(req.prefix, start=1):
         if block not in target.cached:
             break
-        known = count * PREFIX_BLOCK
+        known = count * PREFIX_BLOCK_TOKENS
     return min(known, max(0, req.prompt_tokens - 1))
 
 
@@ -293,9 +299,9 @@
     state: State,
     candidates: tuple[Candidate, ...],
 ) -> Candidate:
-    least = min(one.rank for one in candidates)
+    least = min(one.score_s for one in candidates)
     near = [
-        one for one in candidates if one.rank <= least + state.policy.near_s
+        one for one in candidates if one.score_s <= least + state.policy.near_s
     ]
     return state.rng.choice(near)
 
--- a/trestledock/process/_dispatching.py
+++ b/trestledock/process/_dispatching.py
@@ -10,14 +10,14 @@
 
 from trestledock.process._actions import CallService, Job, StartJob
 from trestledock.process._choosing import (
-    PREFIX_BLOCK,
+    PREFIX_BLOCK_TOKENS,
     Candidate,
     choose_engine,
-    draw_two,
+    choose_of_two,
     find_candidates,
     get_priority,
 )
-from trestledock.process._choosing import Field as CandidateField
+from trestledock.process._choosing import CandidateSet as CandidateField
 from trestledock.process._ending import refuse
 from trestledock.process._fleet import Target
 from trestledock.process._groups import plan_group
@@ -195,7 +195,7 @@
 ) -> None:
     """Send a call to one of the permitted plain services."""
     fresh = tuple(one for one in candidates if _is_other_target(live, one))
-    target = draw_two(state, fresh or candidates).target
+    target = choose_of_two(state, fresh or candidates).target
     name = target.info.name
     live.enter(Phase.running)
     attempt = live.begin_attempt(name)
@@ -322,8 +322,8 @@
     report = target.load.report
     if not state.policy.piece_s or report is None:
         return live.goal
-    blocks = round(state.policy.piece_s * report.rate / PREFIX_BLOCK)
-    piece = max(1, blocks) * PREFIX_BLOCK
+    blocks = round(state.policy.piece_s * report.rate / PREFIX_BLOCK_TOKENS)
+    piece = max(1, blocks) * PREFIX_BLOCK_TOKENS
     rest = live.get_share().stop - live.position
     whole = live.goal <= state.policy.whole_tokens
     return rest if whole or rest < piece * 3 // 2 else piece
--- a/trestledock/process/_explaining.py
+++ b/trestledock/process/_explaining.py
@@ -49,7 +49,7 @@
         found = find_candidates(state, req, now)
     if found.reason is not Reason.none:
         return [f'refused: {found.reason.value} {found.detail}'.strip()]
-    ranked = sorted(found.candidates, key=lambda one: one.rank)
+    ranked = sorted(found.candidates, key=lambda one: one.score_s)
     return [
         f'{one.target.info.name}: first token in {one.ttft_s:.3f} s, '
         f'penalty {one.penalty_s:.3f}, {one.free_tokens} tokens free'
--- a/trestledock/process/_groups.py
+++ b/trestledock/process/_groups.py
@@ -10,7 +10,7 @@
 
 from dataclasses import dataclass
 
-from trestledock.process._choosing import Candidate, Field
+from trestledock.process._choosing import Candidate, CandidateSet
 from trestledock.process._fleet import Target
 from trestledock.process._guarding import take_hold
 from trestledock.process._live import Live, Share
@@ -34,7 +34,7 @@
 def plan_group(
     state: State,
     live: Live,
-    field: Field,
+    field: CandidateSet,
     now: float,
 ) -> tuple[Share, ...]:
     """Return the shares of a group, nothing where there is no room now."""
--- a/trestledock/process/_state.py
+++ b/trestledock/process/_state.py
@@ -73,7 +73,7 @@
     version: Version = field(default_factory=Version)
     reader: Reader = field(default_factory=Reader)
     fleet: Fleet = field(default_factory=Fleet)
-    permits: dict[tuple[str, ...], Any] = field(default_factory=dict)
+    permitted_sets: dict[tuple[str, ...], Any] = field(default_factory=dict)
     limits: Limits = field(default_factory=Limits)
     queues: dict[str, FairQueue] = field(default_factory=dict)
     budgets: dict[str, RetryWindow] = field(default_factory=dict)
