--- a/tests/test_claims.py
+++ b/tests/test_claims.py
@@ -69,7 +69,7 @@
             return
         table = self.tables.get(to)
         if isinstance(payload, SealAnswer):
-            table.take_over(sender, payload, self.now)
+            table.import_claims(sender, payload, self.now)
             return
         takers = {
             ClaimAsk: lambda: table.ask(sender, payload, self.now),
@@ -149,9 +149,9 @@
     def test_lost_state_is_blind_until_kept_long_enough(self):
         body = EpochBody(('a',), 2, 1, ('b', 'c'))
         self.table.enter(Epoch(2, body), 0)
-        self.table.forget({'b', 'c'}, 1)
+        self.table.expire({'b', 'c'}, 1)
         ask = ClaimAsk('k', '1', 2, 10)
         self.assertEqual(self.table.ask('x', ask, 2)[0][1].grant, 'blind')
-        self.table.forget({'b', 'c'}, KEEP_S + 2)
+        self.table.expire({'b', 'c'}, KEEP_S + 2)
         late = self.table.ask('x', ask, KEEP_S + 3)
         self.assertEqual(late[0][1].grant, 'granted')
--- a/tests/test_promises.py
+++ b/tests/test_promises.py
@@ -83,12 +83,16 @@
     (
         'at_most_once',
         'lost_answers',
-        (mock.patch.object(ClaimTable, '_check', return_value=None),),
+        (mock.patch.object(ClaimTable, '_check_grantable', return_value=None),),
     ),
     (
         'at_most_once',
         'whole_data_centre_restarts',
-        (mock.patch.object(ClaimTable, 'get_blind_left', return_value=0),),
+        (
+            mock.patch.object(
+                ClaimTable, 'get_unknown_history_s', return_value=0
+            ),
+        ),
     ),
     (
         'leaving',
--- a/trestledock/process/_arrivals.py
+++ b/trestledock/process/_arrivals.py
@@ -13,7 +13,7 @@
     find_candidates,
 )
 from trestledock.process._choosing import CandidateSet as CandidateField
-from trestledock.process._claiming import ask_claim
+from trestledock.process._claiming import request_claim
 from trestledock.process._dispatching import (
     get_team,
     make_queued_request,
@@ -99,7 +99,7 @@
         start_call(state, live, field.candidates, live.req.deadline, now)
         return
     live.phase = Phase.claiming
-    ask_claim(state, live, now)
+    request_claim(state, live, now)
 
 
 def _admit_generation(state: State, live: Live, now: float) -> None:
--- a/trestledock/process/_claiming.py
+++ b/trestledock/process/_claiming.py
@@ -17,18 +17,18 @@
 from trestledock.process._dispatching import start_call
 from trestledock.process._ending import end, refuse, send
 from trestledock.process._epoch import Epoch
-from trestledock.process._live import ClaimWait, Live, Phase
+from trestledock.process._live import PendingClaim, Live, Phase
 from trestledock.process._payloads import ClaimAnswer, ClaimAsk
 from trestledock.process._state import State
 from trestledock.process._timers import ClaimDue
 from trestledock.request import Outcome, Reason, Verdict
 
 #: The part of the time that outcomes are kept which a claim may live.
-TTL_PART = 0.5
+CLAIM_TTL_FRACTION = 0.5
 #: How long to wait for a home in another data centre without any answer.
-REMOTE_PATIENCE_S = 2.0
+REMOTE_TIMEOUT_S = 2.0
 #: When to come back where the claim can't be read, in seconds.
-CLAIM_WAIT_S = 5.0
+CLAIM_RETRY_AFTER_S = 5.0
 
 
 def make_claim_key(live: Live) -> str:
@@ -37,14 +37,14 @@
     return f'{req.team}/{req.service}/{req.idempotency_key}'
 
 
-def ask_claim(state: State, live: Live, now: float) -> None:
+def request_claim(state: State, live: Live, now: float) -> None:
     """Ask for the claim on a call's key, again where need be."""
     if live.claim is None:
         ttl_s = min(
             live.req.deadline - now,
-            state.claims.keep_s * TTL_PART,
+            state.claims.keep_s * CLAIM_TTL_FRACTION,
         )
-        live.claim = ClaimWait(
+        live.claim = PendingClaim(
             f'{state.member}/{live.req.req_id}',
             make_claim_key(live),
             not_after=now + ttl_s,
@@ -52,8 +52,10 @@
         )
     wait = live.claim
     epoch = state.epochs.get(live.req.home)
-    if _is_vain(state, epoch, wait, now):
-        give_up_claim(state, live, Reason.claim_unverified, CLAIM_WAIT_S)
+    if _is_unobtainable(state, epoch, wait, now):
+        refuse_unclaimed(
+            state, live, Reason.claim_unverified, CLAIM_RETRY_AFTER_S
+        )
         return
     if epoch:
         ask = ClaimAsk(
@@ -71,7 +73,7 @@
     """Ask again while there is no usable answer."""
     live = state.live.get(message.req_id)
     if live and live.phase is Phase.claiming:
-        ask_claim(state, live, now)
+        request_claim(state, live, now)
 
 
 def on_claim_answer(state: State, answer: ClaimAnswer, now: float) -> None:
@@ -82,10 +84,10 @@
         return
     if live.claim.claim_id == answer.claim_id:
         live.claim.heard_at = now
-        _TAKERS[Grant(answer.grant)](state, live, answer, now)
+        _ANSWER_HANDLERS[Grant(answer.grant)](state, live, answer, now)
 
 
-def give_up_claim(
+def refuse_unclaimed(
     state: State,
     live: Live,
     reason: Reason,
@@ -99,47 +101,53 @@
     refuse(state, live, reason, wait_s)
 
 
-def _is_vain(
+def _is_unobtainable(
     state: State,
     epoch: Epoch | None,
-    wait: ClaimWait,
+    wait: PendingClaim,
     now: float,
 ) -> bool:
     if now >= wait.not_after:
         return True
     if epoch is None:
-        impatient = now - wait.heard_at > REMOTE_PATIENCE_S
+        impatient = now - wait.heard_at > REMOTE_TIMEOUT_S
         return impatient or not state.is_log_fresh(now)
     peers = state.fleet.peers
     replicas = epoch.get_replicas_by_key(wait.key)
     known = [peers[name] for name in replicas if name in peers]
     home = state.identity.data_centre
     if any(peer.info.data_centre != home for peer in known):
-        return now - wait.heard_at > REMOTE_PATIENCE_S
+        return now - wait.heard_at > REMOTE_TIMEOUT_S
     missing = any(peer.gone for peer in known)
     unknown = len(known) + (state.member in replicas) < len(replicas)
     return (missing or unknown) and not state.is_log_fresh(now)
 
 
-def _run(state: State, live: Live, answer: ClaimAnswer, now: float) -> None:
+def _on_granted(
+    state: State, live: Live, answer: ClaimAnswer, now: float
+) -> None:
     wait = live.claim
     if wait is None or now >= wait.not_after:
-        give_up_claim(state, live, Reason.claim_unverified, CLAIM_WAIT_S)
+        refuse_unclaimed(
+            state, live, Reason.claim_unverified, CLAIM_RETRY_AFTER_S
+        )
         return
     field = choose_service(state, live.req, now)
     if not field.candidates:
-        refuse(state, live, field.reason, CLAIM_WAIT_S, field.detail)
+        refuse(state, live, field.reason, CLAIM_RETRY_AFTER_S, field.detail)
         return
     wait.granted = True
     start_call(state, live, field.candidates, wait.not_after, now)
 
 
-def _wait(state: State, live: Live, answer: ClaimAnswer, now: float) -> None:
+def _on_pending(
+    state: State, live: Live, answer: ClaimAnswer, now: float
+) -> None:
     if live.claim:
         live.claim.refused = Reason.claim_pending.value
 
 
-def _repeat(state: State, live: Live, answer: ClaimAnswer, now: float) -> None:
+def _on_done(state: State, live: Live, answer: ClaimAnswer, now: float) -> None:
     state.count('claims', 'repeated')
     outcome = Outcome(answer.outcome)
     reason = Reason.none
@@ -158,7 +166,7 @@
     )
 
 
-def _end_unknown(
+def _on_unknown(
     state: State,
     live: Live,
     answer: ClaimAnswer,
@@ -173,7 +181,7 @@
     end(state, live, verdict)
 
 
-def _be_blind(
+def _on_unknown_history(
     state: State,
     live: Live,
     answer: ClaimAnswer,
@@ -181,18 +189,20 @@
 ) -> None:
     wait = live.claim
     if wait is None or now + answer.wait_s >= wait.not_after:
-        give_up_claim(state, live, Reason.claim_state_lost, 0)
+        refuse_unclaimed(state, live, Reason.claim_state_lost, 0)
 
 
-def _ignore(state: State, live: Live, answer: ClaimAnswer, now: float) -> None:
+def _on_stale(
+    state: State, live: Live, answer: ClaimAnswer, now: float
+) -> None:
     state.count('claims', 'stale')
 
 
-_TAKERS = {  # noqa: WPS407 - read only by name
-    Grant.granted: _run,
-    Grant.pending: _wait,
-    Grant.done: _repeat,
-    Grant.unknown: _end_unknown,
-    Grant.blind: _be_blind,
-    Grant.stale: _ignore,
+_ANSWER_HANDLERS = {  # noqa: WPS407 - read only by name
+    Grant.granted: _on_granted,
+    Grant.pending: _on_pending,
+    Grant.done: _on_done,
+    Grant.unknown: _on_unknown,
+    Grant.blind: _on_unknown_history,
+    Grant.stale: _on_stale,
 }
--- a/trestledock/process/_claims.py
+++ b/trestledock/process/_claims.py
@@ -33,7 +33,7 @@
 from trestledock.request import Outcome
 
 #: The longest answer, in characters, that is kept for repeats.
-MAX_KEPT_BODY = 16_384
+MAX_STORED_BODY_CHARS = 16_384
 
 #: How many epochs a member vouches for.
 MAX_VOUCHES = 16
@@ -56,24 +56,24 @@
 
     claim_id: str
     claimant: str
-    made_at: float
+    created_at: float
     ttl_s: float
     outcome: str = ''
     status: int = 0
     body: str = ''
-    copied: set[str] = field(default_factory=set)
-    copied_epoch: int = -1
+    acknowledged_by: set[str] = field(default_factory=set)
+    acknowledged_epoch: int = -1
 
-    def get_grant(self, now: float) -> Grant:
+    def decide_repeat(self, now: float) -> Grant:
         """Return the answer to another claim on the same key."""
         if self.outcome:
             return Grant.done
-        expired = now > self.made_at + self.ttl_s
+        expired = now > self.created_at + self.ttl_s
         return Grant.unknown if expired else Grant.pending
 
 
 #: Payloads to send, each with the member it goes to.
-Sends = list[tuple[str, ClaimAnswer | ClaimCopy | ClaimCopied]]
+OutgoingPayloads = list[tuple[str, ClaimAnswer | ClaimCopy | ClaimCopied]]
 
 
 @dataclass
@@ -89,7 +89,7 @@
     claims: dict[str, Claim] = field(default_factory=dict)
     handovers: dict[int, Handover] = field(default_factory=dict)
     vouches: set[int] = field(default_factory=set)
-    handed_to: set[str] = field(default_factory=set)
+    handed_over_to: set[str] = field(default_factory=set)
 
     def enter(self, epoch: Epoch, now: float) -> bool:
         """Enter a newer epoch; nothing is granted in older ones from here on.
@@ -104,45 +104,49 @@
                 epoch.body.previous,
                 epoch.body.previous_replicas,
                 sealed={self.member},
-                begun_at=now,
+                started_at=now,
             )
             if epoch.body.previous_offset in self.vouches:
                 handover.heard.add(self.member)
             self.handovers[epoch.body.previous_offset] = handover
         self.epoch = epoch
-        self.handed_to = set()
+        self.handed_over_to = set()
         if self.member in epoch.members:
             self.vouches.add(epoch.offset)
             self.vouches = set(sorted(self.vouches)[-MAX_VOUCHES:])
         return True
 
-    def is_blind(self, key: str, now: float) -> bool:
+    def has_unknown_history(self, key: str, now: float) -> bool:
         """Whether an earlier run under `key` can't be ruled out."""
-        return self.get_blind_left(key, now) > 0
+        return self.get_unknown_history_s(key, now) > 0
 
-    def get_blind_left(self, key: str, now: float) -> float:
+    def get_unknown_history_s(self, key: str, now: float) -> float:
         """Return for how many seconds `key` stays blind, 0 where it is not."""
         return max(
             (
-                handover.get_left(now, self.keep_s)
+                handover.get_remaining_s(now, self.keep_s)
                 for handover in self.handovers.values()
-                if handover.is_blind(key)
+                if handover.has_unknown_history(key)
             ),
             default=0,
         )
 
-    def ask(self, sender: str, message: ClaimAsk, now: float) -> Sends:
+    def ask(
+        self, sender: str, message: ClaimAsk, now: float
+    ) -> OutgoingPayloads:
         """Decide on a claim, as the first replica of its key."""
-        grant = self._check(message, now)
+        grant = self._check_grantable(message, now)
         if grant:
             return [(sender, grant)]
         claim = self.claims.get(message.key)
         if claim is None:
             claim = Claim(message.claim_id, sender, now, message.ttl_s)
             self.claims[message.key] = claim
-        return self._spread(message, claim)
+        return self._replicate(message, claim)
 
-    def copy(self, sender: str, message: ClaimCopy, now: float) -> Sends:
+    def copy(
+        self, sender: str, message: ClaimCopy, now: float
+    ) -> OutgoingPayloads:
         """Record a copy of a claim for the first replica of its key."""
         known = self.claims.get(message.key)
         current = self.epoch and self.epoch.offset == message.epoch
@@ -164,7 +168,7 @@
         )
         return [(sender, answer)]
 
-    def copied(self, sender: str, message: ClaimCopied) -> Sends:
+    def copied(self, sender: str, message: ClaimCopied) -> OutgoingPayloads:
         """Count an acknowledged copy; grant once every replica has one."""
         claim = self.claims.get(message.key)
         epoch = self.epoch
@@ -174,8 +178,8 @@
             return []
         if not message.recorded:
             return [_answer_claimant(message, claim, Grant.unknown)]
-        self._count_copy(claim, sender)
-        if claim.copied >= set(self._get_others(message.key)):
+        self._record_acknowledgement(claim, sender)
+        if claim.acknowledged_by >= set(self._get_other_replicas(message.key)):
             return [_answer_claimant(message, claim, Grant.granted)]
         return []
 
@@ -189,7 +193,7 @@
             return
         claim.outcome = message.outcome
         claim.status = message.status
-        claim.body = message.body[:MAX_KEPT_BODY]
+        claim.body = message.body[:MAX_STORED_BODY_CHARS]
 
     def seal(self, asker: str, now: float) -> SealAnswer:
         """Hand over what `asker` needs, as a replica in this epoch."""
@@ -202,29 +206,31 @@
             if asker in epoch.get_replicas_by_key(key)
         )
         blinds = tuple(
-            handover.to_blind(now, self.keep_s)
+            handover.to_payload(now, self.keep_s)
             for handover in self.handovers.values()
             if handover.offset != epoch.body.previous_offset
         )
         vouches = tuple(sorted(self.vouches))
-        self.handed_to.add(asker)
+        self.handed_over_to.add(asker)
         return SealAnswer(epoch.offset, vouches, entries, blinds)
 
-    def take_over(self, sender: str, answer: SealAnswer, now: float) -> None:
+    def import_claims(
+        self, sender: str, answer: SealAnswer, now: float
+    ) -> None:
         """Take the claims of a member that has sealed the earlier epochs."""
         epoch = self.epoch
         if epoch is None or answer.epoch != epoch.offset:
             return
         for entry in answer.entries:
-            self._merge(entry, now)
+            self._merge_entry(entry, now)
         for blind in answer.blinds:
-            self._add_blind(blind, now)
+            self._add_unknown_history(blind, now)
         for handover in self.handovers.values():
             handover.sealed.add(sender)
             if handover.offset in answer.vouches:
                 handover.heard.add(sender)
 
-    def get_unheard(self) -> tuple[str, ...]:
+    def get_unsealed_members(self) -> tuple[str, ...]:
         """Return the members of earlier epochs that are still to be asked."""
         return tuple(
             sorted(
@@ -237,7 +243,7 @@
             ),
         )
 
-    def forget(self, gone: set[str], now: float) -> None:
+    def expire(self, gone: set[str], now: float) -> None:
         """Drop claims and handovers whose time is over.
 
         `gone` holds the members of which it is certain that they have ended.
@@ -245,17 +251,19 @@
         self.claims = {
             key: claim
             for key, claim in self.claims.items()
-            if now - claim.made_at <= self.keep_s + claim.ttl_s
+            if now - claim.created_at <= self.keep_s + claim.ttl_s
         }
         for handover in self.handovers.values():
-            handover.close(gone, now)
+            handover.close_if_inactive(gone, now)
         self.handovers = {
             offset: handover
             for offset, handover in self.handovers.items()
             if not handover.is_done(now, self.keep_s)
         }
 
-    def _check(self, message: ClaimAsk, now: float) -> ClaimAnswer | None:
+    def _check_grantable(
+        self, message: ClaimAsk, now: float
+    ) -> ClaimAnswer | None:
         epoch = self.epoch
         key = message.key
         if epoch is None or epoch.offset != message.epoch:
@@ -264,22 +272,22 @@
             return _make_answer(message, Grant.stale)
         claim = self.claims.get(key)
         if claim and claim.claim_id != message.claim_id:
-            return self._repeat(message, claim, now)
-        left = self.get_blind_left(key, now)
+            return self._answer_repeat(message, claim, now)
+        left = self.get_unknown_history_s(key, now)
         if left > 0:
-            grant = Grant.blind if self._is_lost(key) else Grant.stale
+            grant = Grant.blind if self._is_history_lost(key) else Grant.stale
             return _make_answer(message, grant, left)
         return None
 
-    def _is_lost(self, key: str) -> bool:
+    def _is_history_lost(self, key: str) -> bool:
         """Whether nobody is left who could still tell of a blind key."""
         return all(
             handover.closed_at is not None
             for handover in self.handovers.values()
-            if handover.is_blind(key)
+            if handover.has_unknown_history(key)
         )
 
-    def _repeat(
+    def _answer_repeat(
         self,
         message: ClaimAsk,
         claim: Claim,
@@ -288,21 +296,21 @@
         return ClaimAnswer(
             message.key,
             message.claim_id,
-            claim.get_grant(now).value,
+            claim.decide_repeat(now).value,
             claim.outcome,
             claim.status,
             claim.body,
         )
 
-    def _get_others(self, key: str) -> tuple[str, ...]:
+    def _get_other_replicas(self, key: str) -> tuple[str, ...]:
         if self.epoch is None:
             return ()
         replicas = self.epoch.get_replicas_by_key(key)
         return tuple(name for name in replicas if name != self.member)
 
-    def _spread(self, message: ClaimAsk, claim: Claim) -> Sends:
-        others = self._get_others(message.key)
-        if self._is_copied(claim, others):
+    def _replicate(self, message: ClaimAsk, claim: Claim) -> OutgoingPayloads:
+        others = self._get_other_replicas(message.key)
+        if self._is_replicated(claim, others):
             return [_answer_claimant(message, claim, Grant.granted)]
         return [
             (
@@ -318,20 +326,20 @@
             for name in others
         ]
 
-    def _is_copied(self, claim: Claim, others: tuple[str, ...]) -> bool:
+    def _is_replicated(self, claim: Claim, others: tuple[str, ...]) -> bool:
         if not others:
             return True
-        current = self.epoch and claim.copied_epoch == self.epoch.offset
-        return bool(current) and claim.copied >= set(others)
+        current = self.epoch and claim.acknowledged_epoch == self.epoch.offset
+        return bool(current) and claim.acknowledged_by >= set(others)
 
-    def _count_copy(self, claim: Claim, sender: str) -> None:
+    def _record_acknowledgement(self, claim: Claim, sender: str) -> None:
         offset = self.epoch.offset if self.epoch else -1
-        if claim.copied_epoch != offset:
-            claim.copied_epoch = offset
-            claim.copied = set()
-        claim.copied.add(sender)
+        if claim.acknowledged_epoch != offset:
+            claim.acknowledged_epoch = offset
+            claim.acknowledged_by = set()
+        claim.acknowledged_by.add(sender)
 
-    def _merge(self, entry: ClaimEntry, now: float) -> None:
+    def _merge_entry(self, entry: ClaimEntry, now: float) -> None:
         known = self.claims.get(entry.key)
         if known and (known.outcome or not entry.outcome):
             return
@@ -345,7 +353,7 @@
             entry.body,
         )
 
-    def _add_blind(self, blind: Blind, now: float) -> None:
+    def _add_unknown_history(self, blind: Blind, now: float) -> None:
         if blind.offset in self.handovers or blind.left_s <= 0:
             return
         closed_at = now + blind.left_s - self.keep_s
@@ -355,7 +363,7 @@
             blind.replicas,
             heard=set(blind.heard),
             closed_at=closed_at if blind.closed else None,
-            begun_at=now,
+            started_at=now,
         )
 
 
@@ -385,7 +393,7 @@
         key,
         claim.claim_id,
         claim.claimant,
-        now - claim.made_at,
+        now - claim.created_at,
         claim.ttl_s,
         claim.outcome,
         claim.status,
--- a/trestledock/process/_duties.py
+++ b/trestledock/process/_duties.py
@@ -172,12 +172,12 @@
         for name in handover.members
         if _has_ended(state, name, now)
     }
-    state.claims.forget(gone, now)
+    state.claims.expire(gone, now)
     scope = EPOCH_PREFIX + state.identity.data_centre
     accepted = state.reader.fold.get_accepted_by_scope(scope)
     if accepted is None:
         return
-    for member in state.claims.get_unheard():
+    for member in state.claims.get_unsealed_members():
         if member in state.fleet.peers:
             send(state, member, SealAsk(accepted))
 
@@ -229,7 +229,7 @@
         return True
     if state.member in epoch.members:
         return not _get_wanted_members(state)
-    return state.claims.handed_to >= set(epoch.members)
+    return state.claims.handed_over_to >= set(epoch.members)
 
 
 def _has_ended(state: State, member: str, now: float) -> bool:
--- a/trestledock/process/_epoch.py
+++ b/trestledock/process/_epoch.py
@@ -18,7 +18,7 @@
 from trestledock.version import EpochBody
 
 #: How long the members of an earlier epoch are asked at least, in seconds.
-ASK_S = 5.0
+MIN_HANDOVER_S = 5.0
 
 
 @dataclass(frozen=True)
@@ -52,14 +52,14 @@
     heard: set[str] = field(default_factory=set)
     sealed: set[str] = field(default_factory=set)
     closed_at: float | None = None
-    begun_at: float = 0
+    started_at: float = 0
 
-    def is_blind(self, key: str) -> bool:
+    def has_unknown_history(self, key: str) -> bool:
         """Whether no replica of `key` in the earlier epoch has answered."""
         replicas = rank_by_key(key, self.members)[: self.replicas]
         return self.heard.isdisjoint(replicas)
 
-    def covers_all(self) -> bool:
+    def covers_all_keys(self) -> bool:
         """Whether every key has a replica that answered."""
         missing = len(set(self.members) - self.heard)
         return missing < min(self.replicas, len(self.members))
@@ -70,10 +70,12 @@
         Every member is asked for a while even where nothing is missing, so
         that one that leaves learns that it may go.
         """
-        covered = self.covers_all() and now - self.begun_at > ASK_S
-        return covered or self.get_left(now, keep_s) <= 0
+        covered = (
+            self.covers_all_keys() and now - self.started_at > MIN_HANDOVER_S
+        )
+        return covered or self.get_remaining_s(now, keep_s) <= 0
 
-    def close(self, gone: set[str], now: float) -> None:
+    def close_if_inactive(self, gone: set[str], now: float) -> None:
         """Start the time once the earlier members can grant nothing more.
 
         That is so when more than half of them have sealed, since a member
@@ -85,19 +87,19 @@
         if self.closed_at is None and (majority or rest <= gone):
             self.closed_at = now
 
-    def get_left(self, now: float, keep_s: float) -> float:
+    def get_remaining_s(self, now: float, keep_s: float) -> float:
         """Return for how many seconds its blind keys stay blind."""
         if self.closed_at is None:
             return keep_s
         return self.closed_at + keep_s - now
 
-    def to_blind(self, now: float, keep_s: float) -> Blind:
+    def to_payload(self, now: float, keep_s: float) -> Blind:
         """Return it as it is told to a member of the next epoch."""
         return Blind(
             self.offset,
             self.members,
             self.replicas,
             tuple(sorted(self.heard)),
-            self.get_left(now, keep_s),
+            self.get_remaining_s(now, keep_s),
             self.closed_at is not None,
         )
--- a/trestledock/process/_live.py
+++ b/trestledock/process/_live.py
@@ -60,7 +60,7 @@
 
 
 @dataclass
-class ClaimWait:
+class PendingClaim:
     """A request's wait for the claim on its key."""
 
     claim_id: str
@@ -88,7 +88,7 @@
     reserved: int = 0
     resumed: bool = False
     awaited: tuple[str, int] = ('', 0)
-    claim: ClaimWait | None = None
+    claim: PendingClaim | None = None
     first_token_at: float | None = None
     heard_at: float = 0
     is_trial: bool = False
--- a/trestledock/process/_peering.py
+++ b/trestledock/process/_peering.py
@@ -165,7 +165,7 @@
     state: State,
     now: float,
 ) -> None:
-    state.claims.take_over(sender, payload, now)
+    state.claims.import_claims(sender, payload, now)
 
 
 @take.register
