--- a/tests/test_process_isolating.py
+++ b/tests/test_process_isolating.py
@@ -13,7 +13,7 @@
     tell_new_peer,
     try_again,
 )
-from trestledock.process._live import Live
+from trestledock.process._live import LiveRequest
 from trestledock.process._state import State
 from trestledock.process._targets import PeerInfo, TargetInfo
 from trestledock.request import Kind, Request
@@ -34,7 +34,7 @@
 
 
 def make_live():
-    return Live(REQ, 0, pool='')
+    return LiveRequest(REQ, 0, pool='')
 
 
 def take_told(state):
@@ -96,7 +96,7 @@
         self.assertEqual(sum(found), 1)
 
     def test_unknown_request_is_not_blamed(self):
-        live = Live(Request('r2', 'kiosks', Kind.call, 9), 0, pool='')
+        live = LiveRequest(Request('r2', 'kiosks', Kind.call, 9), 0, pool='')
         for target in TARGETS:
             note_end(self.one, live, target.name, 1)
         self.assertFalse(is_quarantined(self.one, live))
--- a/trestledock/process/_answers.py
+++ b/trestledock/process/_answers.py
@@ -17,7 +17,7 @@
     start_call,
 )
 from trestledock.process._ending import (
-    end,
+    finish_request,
     refuse,
     release_attempt,
 )
@@ -26,7 +26,7 @@
     note_answered,
     note_end,
 )
-from trestledock.process._live import Live, Phase
+from trestledock.process._live import LiveRequest, Phase
 from trestledock.process._messages import (
     AttemptFailed,
     CallDone,
@@ -47,24 +47,24 @@
 )
 
 #: How long chunks may be missing after the final marker, in seconds.
-GAP_PATIENCE_S = 0.5
+GAP_TIMEOUT_S = 0.5
 #: When to come back after an attempt was lost, in seconds.
-LOST_WAIT_S = 1.0
+LOST_RETRY_AFTER_S = 1.0
 #: How long a stream may be silent between two tokens, in seconds.
-STREAM_SILENCE_S = 5.0
+STREAM_TIMEOUT_S = 5.0
 #: What is counted for a stream that is resumed or continued.
 STREAM_STEP = 'stream'
 
 
-def on_piece_done(message: PieceDone, state: State, now: float) -> None:
+def on_prefill_done(message: PieceDone, state: State, now: float) -> None:
     """Go on with the next reservation or piece."""
     live = state.live.get(message.req_id)
     if live is None or live.phase is not Phase.running:
         return
     if (message.hold, message.stop) != live.awaited:
         return
-    if live.note(message.attempt, AttemptEvent.answer):
-        _advance(state, live, message.stop, now)
+    if live.advance_attempt(message.attempt, AttemptEvent.answer):
+        _continue_prefill(state, live, message.stop, now)
         schedule_dispatch(state, live.pool, now)
 
 
@@ -73,7 +73,7 @@
     live = state.live.get(message.req_id)
     if live is None or live.phase is not Phase.running:
         return
-    if not live.note(message.attempt, AttemptEvent.answer):
+    if not live.advance_attempt(message.attempt, AttemptEvent.answer):
         return
     live.heard_at = now
     if live.first_token_at is None:
@@ -82,7 +82,7 @@
     ready = live.assembler.push(message.attempt, message.chunk)
     if ready:
         state.act(EmitChunks(message.req_id, ready))
-    _end_if_whole(state, live, now)
+    _finish_if_complete(state, live, now)
 
 
 def on_stream_done(message: StreamDone, state: State, now: float) -> None:
@@ -90,15 +90,15 @@
     live = state.live.get(message.req_id)
     if live is None or live.phase is not Phase.running:
         return
-    if not live.note(message.attempt, AttemptEvent.answer):
+    if not live.advance_attempt(message.attempt, AttemptEvent.answer):
         return
     live.assembler.finish(message.attempt, message.count)
-    _end_if_whole(state, live, now)
+    _finish_if_complete(state, live, now)
     due = GapDue(message.req_id, message.attempt)
-    state.set_timer(now + GAP_PATIENCE_S, due)
+    state.set_timer(now + GAP_TIMEOUT_S, due)
 
 
-def on_gap(message: GapDue, state: State, now: float) -> None:
+def on_gap_due(message: GapDue, state: State, now: float) -> None:
     """Ask for the chunks that are still missing after the final marker."""
     failed = AttemptFailed(
         message.req_id,
@@ -111,7 +111,7 @@
     on_attempt_failed(failed, state, now)
 
 
-def on_silence(message: SilenceDue, state: State, now: float) -> None:
+def on_silence_due(message: SilenceDue, state: State, now: float) -> None:
     """Count an engine that has said nothing of a job as lost."""
     live = state.live.get(message.req_id)
     if live is None or live.phase is not Phase.running:
@@ -128,11 +128,11 @@
         on_attempt_failed(silent, state, now)
 
 
-def end_silent_streams(state: State, now: float) -> None:
+def fail_silent_streams(state: State, now: float) -> None:
     """Resume, or go on elsewhere with, streams that have fallen silent."""
     for live in tuple(state.live.values()):
         streaming = live.phase is Phase.running and live.heard_at > 0
-        if streaming and now - live.heard_at > STREAM_SILENCE_S:
+        if streaming and now - live.heard_at > STREAM_TIMEOUT_S:
             live.heard_at = now
             silent = AttemptFailed(
                 live.req.req_id,
@@ -147,7 +147,9 @@
 def on_call_done(message: CallDone, state: State, now: float) -> None:
     """Give the caller the answer of a plain service."""
     live = state.live.get(message.req_id)
-    if live is None or not live.note(message.attempt, AttemptEvent.finish):
+    if live is None or not live.advance_attempt(
+        message.attempt, AttemptEvent.finish
+    ):
         return
     target = state.get_targets()[live.attempt.target]
     target.breaker.succeed()
@@ -158,7 +160,7 @@
         status=message.status,
         body=message.body,
     )
-    end(state, live, verdict)
+    finish_request(state, live, verdict)
 
 
 def on_attempt_failed(
@@ -174,17 +176,17 @@
         return
     if message.ended:
         note_end(state, live, message.peer, now)
-    if _resume(state, live, message):
+    if _try_resume(state, live, message):
         return
     event = AttemptEvent.reject if message.not_started else AttemptEvent.lose
-    if not live.note(message.attempt, event):
+    if not live.advance_attempt(message.attempt, event):
         return
     target = state.get_targets()[live.attempt.target]
     target.breaker.fail(now)
     if message.not_started and live.shares:
         state.hold_ids.note_rejection(live.shares[0].hold)
     release_attempt(state, live, is_whole=False)
-    _retry(state, live, message, now)
+    _retry_or_refuse(state, live, message, now)
 
 
 def on_retry_due(message: RetryDue, state: State, now: float) -> None:
@@ -193,9 +195,9 @@
     if live is None or live.phase is not Phase.backoff:
         return
     if live.req.kind is Kind.call:
-        _call_again(state, live, now)
+        _retry_call(state, live, now)
         return
-    live.enter(Phase.queued)
+    live.enter_phase(Phase.queued)
     state.get_queue(live.pool).push(make_queued_request(state, live))
     schedule_dispatch(state, live.pool, now)
 
@@ -211,9 +213,11 @@
         state.hold_ids.release(hold)
 
 
-def _advance(state: State, live: Live, stop: int, now: float) -> None:
+def _continue_prefill(
+    state: State, live: LiveRequest, stop: int, now: float
+) -> None:
     key = (live.req.req_id, live.attempt.number)
-    target = state.get_targets()[live.get_share().target]
+    target = state.get_targets()[live.get_current_share().target]
     target.load.mark_prefilled(key, now)
     if len(live.shares) > 1 and live.reserved < len(live.shares):
         live.reserved += 1
@@ -225,7 +229,7 @@
         send_prefill_chunk(state, live, now)
 
 
-def _mark_prefilled(state: State, live: Live, now: float) -> None:
+def _mark_prefilled(state: State, live: LiveRequest, now: float) -> None:
     key = (live.req.req_id, live.attempt.number)
     target = state.get_targets()[live.shares[-1].target]
     sent = target.load.sends.get(key)
@@ -234,19 +238,21 @@
         schedule_dispatch(state, live.pool, now)
 
 
-def _end_if_whole(state: State, live: Live, now: float) -> None:
+def _finish_if_complete(state: State, live: LiveRequest, now: float) -> None:
     if not live.assembler.is_whole:
         return
-    live.note(live.attempt.number, AttemptEvent.finish)
+    live.advance_attempt(live.attempt.number, AttemptEvent.finish)
     name = live.shares[-1].target
     state.get_targets()[name].breaker.succeed()
     note_answered(state, live.req, now)
     verdict = Verdict(Outcome.answered, peer=name, tokens=live.emitted)
-    end(state, live, verdict)
+    finish_request(state, live, verdict)
     schedule_dispatch(state, live.pool, now)
 
 
-def _resume(state: State, live: Live, message: AttemptFailed) -> bool:
+def _try_resume(
+    state: State, live: LiveRequest, message: AttemptFailed
+) -> bool:
     """Ask the same engine once more for a stream that broke off."""
     started = live.first_token_at is not None and live.shares
     if not started or live.resumed or message.not_started:
@@ -272,9 +278,9 @@
     return True
 
 
-def _retry(
+def _retry_or_refuse(
     state: State,
-    live: Live,
+    live: LiveRequest,
     message: AttemptFailed,
     now: float,
 ) -> None:
@@ -284,31 +290,33 @@
     if is_quarantined(state, live):
         refuse(state, live, Reason.quarantined, detail=message.detail)
     elif not (live.req.idempotent or message.not_started):
-        refuse(state, live, reason, LOST_WAIT_S, message.detail)
+        refuse(state, live, reason, LOST_RETRY_AFTER_S, message.detail)
     elif state.get_budget(live.pool).spend(now, instances=1):
         state.count('retries', reason.value)
-        live.enter(Phase.backoff)
+        live.enter_phase(Phase.backoff)
         state.get_queue(live.pool).mark_finished(live.req.req_id)
         backoff = draw_backoff(len(live.attempts), state.rng)
         state.set_timer(now + backoff, RetryDue(live.req.req_id))
     else:
-        refuse(state, live, Reason.retry_budget, LOST_WAIT_S, reason.value)
+        refuse(
+            state, live, Reason.retry_budget, LOST_RETRY_AFTER_S, reason.value
+        )
 
 
-def _call_again(state: State, live: Live, now: float) -> None:
+def _retry_call(state: State, live: LiveRequest, now: float) -> None:
     not_after = live.claim.not_after if live.claim else live.req.deadline
     field = choose_service(state, live.req, now)
     if is_quarantined(state, live):
         refuse(state, live, Reason.quarantined)
     elif not field.candidates:
-        refuse(state, live, field.reason, LOST_WAIT_S, field.detail)
+        refuse(state, live, field.reason, LOST_RETRY_AFTER_S, field.detail)
     elif now >= not_after:
-        refuse(state, live, Reason.deadline_passed, LOST_WAIT_S)
+        refuse(state, live, Reason.deadline_passed, LOST_RETRY_AFTER_S)
     else:
         start_call(state, live, field.candidates, not_after, now)
 
 
-def drop_replaced(state: State, target_name: str, now: float) -> None:
+def fail_replaced(state: State, target_name: str, now: float) -> None:
     """Fail the attempts on an incarnation that has been replaced."""
     for live in tuple(state.live.values()):
         held = {share.target for share in live.shares}
--- a/trestledock/process/_arrivals.py
+++ b/trestledock/process/_arrivals.py
@@ -22,9 +22,9 @@
     start_call,
 )
 from trestledock.process._ending import refuse
-from trestledock.process._groups import get_share
+from trestledock.process._groups import get_giant_engine_limit
 from trestledock.process._isolating import is_quarantined, try_again
-from trestledock.process._live import Live, Phase
+from trestledock.process._live import LiveRequest, Phase
 from trestledock.process._messages import Arrive, CallerGone
 from trestledock.process._queue import MAX_QUEUED
 from trestledock.process._state import State
@@ -32,24 +32,24 @@
 from trestledock.request import Kind, Reason, Request
 
 #: How many streams share an engine's decoding, for the cost of a request.
-DECODE_SHARE = 16
+DECODE_CONCURRENCY = 16
 #: When to come back where nothing better is known, in seconds.
-DEFAULT_WAIT_S = 2.0
+DEFAULT_RETRY_AFTER_S = 2.0
 
 #: Reasons for which asking again soon makes sense.
-PASSING = frozenset((Reason.no_live_target, Reason.no_configuration))
+TRANSIENT_REASONS = frozenset((Reason.no_live_target, Reason.no_configuration))
 
 
 def on_arrive(message: Arrive, state: State, now: float) -> None:
     """Admit a request or refuse it at once."""
     req = message.req
-    live = Live(req, now, pool='')
+    live = LiveRequest(req, now, pool='')
     state.live[req.req_id] = live
     state.set_timer(req.deadline, DeadlinePassed(req.req_id))
     state.count('requests', req.kind.value)
     reason = _check_basics(state, req, now)
     if reason is not Reason.none:
-        refuse(state, live, reason, DEFAULT_WAIT_S)
+        refuse(state, live, reason, DEFAULT_RETRY_AFTER_S)
         return
     try_again(state, live, now)
     if is_quarantined(state, live):
@@ -66,14 +66,16 @@
         refuse(state, live, Reason.caller_gone)
 
 
-def on_deadline(message: DeadlinePassed, state: State, now: float) -> None:
+def on_deadline_passed(
+    message: DeadlinePassed, state: State, now: float
+) -> None:
     """End a request at its deadline, whatever else has been lost."""
     live = state.live.get(message.req_id)
     if live:
         reason = Reason.deadline_passed
         if live.claim and live.claim.refused:
             reason = Reason(live.claim.refused)
-        refuse(state, live, reason, DEFAULT_WAIT_S)
+        refuse(state, live, reason, DEFAULT_RETRY_AFTER_S)
 
 
 def _check_basics(state: State, req: Request, now: float) -> Reason:
@@ -89,9 +91,9 @@
     return Reason.none
 
 
-def _admit_call(state: State, live: Live, now: float) -> None:
+def _admit_call(state: State, live: LiveRequest, now: float) -> None:
     field = choose_service(state, live.req, now)
-    if _refuse_empty(state, live, field):
+    if _refuse_without_candidate(state, live, field):
         return
     live.pool = field.pool.name if field.pool else ''
     state.get_budget(live.pool).earn(now)
@@ -102,19 +104,21 @@
     request_claim(state, live, now)
 
 
-def _admit_generation(state: State, live: Live, now: float) -> None:
+def _admit_generation(state: State, live: LiveRequest, now: float) -> None:
     field = find_candidates(state, live.req, now)
-    if _refuse_empty(state, live, field):
+    if _refuse_without_candidate(state, live, field):
         return
     live.pool = field.pool.name if field.pool else ''
     best = min(field.candidates, key=lambda one: one.ttft_s)
     live.cost = get_cost(live.req, best)
-    if _refuse_giant(state, live, field) or _refuse_limit(state, live, now):
+    if _refuse_too_long(state, live, field) or _refuse_over_limit(
+        state, live, now
+    ):
         return
     team = get_team(state, live.req)
     queue = state.get_queue(live.pool)
     if len(queue.waiting) >= MAX_QUEUED:
-        refuse(state, live, Reason.queue_full, DEFAULT_WAIT_S)
+        refuse(state, live, Reason.queue_full, DEFAULT_RETRY_AFTER_S)
         return
     ahead = queue.predict_cost_ahead(live.req, team.weight)
     wait_s = ahead / len(field.candidates)
@@ -140,28 +144,34 @@
     capacity = report.capacity_tokens if report else req.total_tokens
     memory = min(1, req.total_tokens / max(1, capacity))
     stay = best.prefill_s + best.decode_s
-    return max(best.prefill_s, memory * stay) + best.decode_s / DECODE_SHARE
+    return (
+        max(best.prefill_s, memory * stay) + best.decode_s / DECODE_CONCURRENCY
+    )
 
 
-def _refuse_empty(state: State, live: Live, field: CandidateField) -> bool:
+def _refuse_without_candidate(
+    state: State, live: LiveRequest, field: CandidateField
+) -> bool:
     if field.candidates:
         return False
-    wait_s = DEFAULT_WAIT_S if field.reason in PASSING else 0
+    wait_s = DEFAULT_RETRY_AFTER_S if field.reason in TRANSIENT_REASONS else 0
     refuse(state, live, field.reason, wait_s, field.detail)
     return True
 
 
-def _refuse_giant(state: State, live: Live, field: CandidateField) -> bool:
+def _refuse_too_long(
+    state: State, live: LiveRequest, field: CandidateField
+) -> bool:
     if live.req.total_tokens <= field.capacity or field.pool is None:
         return False
-    share = get_share(len(field.candidates), field.pool)
+    share = get_giant_engine_limit(len(field.candidates), field.pool)
     if live.req.total_tokens <= field.capacity * share:
         return False
     refuse(state, live, Reason.too_long)
     return True
 
 
-def _refuse_limit(state: State, live: Live, now: float) -> bool:
+def _refuse_over_limit(state: State, live: LiveRequest, now: float) -> bool:
     team = get_team(state, live.req)
     state.limits.note(team.name, live.cost, now)
     if not team.limit:
@@ -180,7 +190,7 @@
 
 def _refuse_late(
     state: State,
-    live: Live,
+    live: LiveRequest,
     best: Candidate,
     wait_s: float,
     now: float,
--- a/trestledock/process/_claiming.py
+++ b/trestledock/process/_claiming.py
@@ -15,9 +15,9 @@
 from trestledock.process._choosing import choose_service
 from trestledock.process._claims import Grant
 from trestledock.process._dispatching import start_call
-from trestledock.process._ending import end, refuse, send
+from trestledock.process._ending import finish_request, refuse, send_to_member
 from trestledock.process._epoch import Epoch
-from trestledock.process._live import PendingClaim, Live, Phase
+from trestledock.process._live import PendingClaim, LiveRequest, Phase
 from trestledock.process._payloads import ClaimAnswer, ClaimAsk
 from trestledock.process._state import State
 from trestledock.process._timers import ClaimDue
@@ -31,13 +31,13 @@
 CLAIM_RETRY_AFTER_S = 5.0
 
 
-def make_claim_key(live: Live) -> str:
+def make_claim_key(live: LiveRequest) -> str:
     """Return the key under which a call runs at most once."""
     req = live.req
     return f'{req.team}/{req.service}/{req.idempotency_key}'
 
 
-def request_claim(state: State, live: Live, now: float) -> None:
+def request_claim(state: State, live: LiveRequest, now: float) -> None:
     """Ask for the claim on a call's key, again where need be."""
     if live.claim is None:
         ttl_s = min(
@@ -64,7 +64,7 @@
             epoch.offset,
             wait.not_after - now,
         )
-        send(state, epoch.get_replicas_by_key(wait.key)[0], ask)
+        send_to_member(state, epoch.get_replicas_by_key(wait.key)[0], ask)
     due = now + state.timing.claim_retry_s
     state.set_timer(due, ClaimDue(live.req.req_id))
 
@@ -89,7 +89,7 @@
 
 def refuse_unclaimed(
     state: State,
-    live: Live,
+    live: LiveRequest,
     reason: Reason,
     wait_s: float,
 ) -> None:
@@ -124,7 +124,7 @@
 
 
 def _on_granted(
-    state: State, live: Live, answer: ClaimAnswer, now: float
+    state: State, live: LiveRequest, answer: ClaimAnswer, now: float
 ) -> None:
     wait = live.claim
     if wait is None or now >= wait.not_after:
@@ -141,19 +141,21 @@
 
 
 def _on_pending(
-    state: State, live: Live, answer: ClaimAnswer, now: float
+    state: State, live: LiveRequest, answer: ClaimAnswer, now: float
 ) -> None:
     if live.claim:
         live.claim.refused = Reason.claim_pending.value
 
 
-def _on_done(state: State, live: Live, answer: ClaimAnswer, now: float) -> None:
+def _on_done(
+    state: State, live: LiveRequest, answer: ClaimAnswer, now: float
+) -> None:
     state.count('claims', 'repeated')
     outcome = Outcome(answer.outcome)
     reason = Reason.none
     if outcome is not Outcome.answered:
         reason = Reason.claim_taken
-    end(
+    finish_request(
         state,
         live,
         Verdict(
@@ -168,7 +170,7 @@
 
 def _on_unknown(
     state: State,
-    live: Live,
+    live: LiveRequest,
     answer: ClaimAnswer,
     now: float,
 ) -> None:
@@ -178,12 +180,12 @@
         Reason.claim_taken,
         step=live.phase.value,
     )
-    end(state, live, verdict)
+    finish_request(state, live, verdict)
 
 
 def _on_unknown_history(
     state: State,
-    live: Live,
+    live: LiveRequest,
     answer: ClaimAnswer,
     now: float,
 ) -> None:
@@ -193,7 +195,7 @@
 
 
 def _on_stale(
-    state: State, live: Live, answer: ClaimAnswer, now: float
+    state: State, live: LiveRequest, answer: ClaimAnswer, now: float
 ) -> None:
     state.count('claims', 'stale')
 
--- a/trestledock/process/_dispatching.py
+++ b/trestledock/process/_dispatching.py
@@ -23,7 +23,7 @@
 from trestledock.process._groups import plan_group
 from trestledock.process._guarding import take_hold
 from trestledock.process._isolating import is_quarantined
-from trestledock.process._live import Live, Phase, Share
+from trestledock.process._live import LiveRequest, Phase, Share
 from trestledock.process._load import Sent
 from trestledock.process._queue import QueuedRequest, get_length_rank
 from trestledock.process._state import State
@@ -71,7 +71,7 @@
     return team or Team(req.team)
 
 
-def make_queued_request(state: State, live: Live) -> QueuedRequest:
+def make_queued_request(state: State, live: LiveRequest) -> QueuedRequest:
     """Return a live request as it waits in the fair queue."""
     return QueuedRequest(
         live.req,
@@ -111,7 +111,7 @@
 
 def try_dispatch(
     state: State,
-    live: Live,
+    live: LiveRequest,
     now: float,
     known: CandidateField | None = None,
 ) -> bool:
@@ -141,17 +141,17 @@
     if not hold:
         return False
     name = chosen.target.info.name
-    _start_attempt(state, live, (Share(name, 0, live.goal, hold),), now)
+    _start_attempt(state, live, (Share(name, 0, live.prefill_stop, hold),), now)
     return True
 
 
-def send_prefill_chunk(state: State, live: Live, now: float) -> None:
+def send_prefill_chunk(state: State, live: LiveRequest, now: float) -> None:
     """Send the next piece of a running request's prompt."""
-    share = live.get_share()
+    share = live.get_current_share()
     target = state.get_targets()[share.target]
     start = max(live.position, share.start)
     stop = min(share.stop, start + _get_chunk_tokens(state, live, target))
-    generate = stop >= live.goal
+    generate = stop >= live.prefill_stop
     req = live.req
     need = _estimate_remaining_s(live, target)
     job = Job(
@@ -168,7 +168,7 @@
     _send_job(state, live, target, job, now)
 
 
-def send_reservation(state: State, live: Live, now: float) -> None:
+def send_reservation(state: State, live: LiveRequest, now: float) -> None:
     """Reserve the memory of the next engine of a group."""
     ordered = sorted(live.shares, key=lambda share: share.target)
     share = ordered[live.reserved]
@@ -188,7 +188,7 @@
 
 def start_call(
     state: State,
-    live: Live,
+    live: LiveRequest,
     candidates: tuple[Candidate, ...],
     not_after: float,
     now: float,
@@ -197,9 +197,9 @@
     fresh = tuple(one for one in candidates if _is_other_target(live, one))
     target = choose_of_two(state, fresh or candidates).target
     name = target.info.name
-    live.enter(Phase.running)
+    live.enter_phase(Phase.running)
     attempt = live.begin_attempt(name)
-    live.note(attempt.number, AttemptEvent.write)
+    live.advance_attempt(attempt.number, AttemptEvent.write)
     target.breaker.start(now)
     target.in_flight += 1
     target.load.add(
@@ -220,14 +220,14 @@
 
 def _start_attempt(
     state: State,
-    live: Live,
+    live: LiveRequest,
     shares: tuple[Share, ...],
     now: float,
 ) -> None:
-    live.enter(Phase.running)
+    live.enter_phase(Phase.running)
     attempt = live.begin_attempt(shares[0].target)
     live.shares = shares
-    live.note(attempt.number, AttemptEvent.write)
+    live.advance_attempt(attempt.number, AttemptEvent.write)
     state.count('attempts', live.req.length_class.value)
     if len(shares) > 1:
         send_reservation(state, live, now)
@@ -237,7 +237,7 @@
 
 def _send_job(
     state: State,
-    live: Live,
+    live: LiveRequest,
     target: Target,
     job: Job,
     now: float,
@@ -247,7 +247,7 @@
     if earlier is None:
         target.in_flight += 1
         target.breaker.start(now)
-    rest = max(0, live.get_share().stop - job.stop)
+    rest = max(0, live.get_current_share().stop - job.stop)
     target.load.add(
         key,
         Sent(
@@ -276,7 +276,7 @@
 
 def _set_silence_timer(
     state: State,
-    live: Live,
+    live: LiveRequest,
     target: Target,
     job: Job,
     now: float,
@@ -298,7 +298,7 @@
     state.set_timer(now + patience_s, due)
 
 
-def _find_kv_source(live: Live, job: Job) -> Share | None:
+def _find_kv_source(live: LiveRequest, job: Job) -> Share | None:
     for before, share in zip(live.shares, live.shares[1:]):
         if job.hold == share.hold and job.start == share.start:
             return before if job.stop > job.start else None
@@ -318,40 +318,40 @@
     )
 
 
-def _get_chunk_tokens(state: State, live: Live, target: Target) -> int:
+def _get_chunk_tokens(state: State, live: LiveRequest, target: Target) -> int:
     report = target.load.report
     if not state.policy.piece_s or report is None:
-        return live.goal
+        return live.prefill_stop
     blocks = round(state.policy.piece_s * report.rate / PREFIX_BLOCK_TOKENS)
     piece = max(1, blocks) * PREFIX_BLOCK_TOKENS
-    rest = live.get_share().stop - live.position
-    whole = live.goal <= state.policy.whole_tokens
+    rest = live.get_current_share().stop - live.position
+    whole = live.prefill_stop <= state.policy.whole_tokens
     return rest if whole or rest < piece * 3 // 2 else piece
 
 
-def _get_reserved_tokens(live: Live, share: Share) -> int:
+def _get_reserved_tokens(live: LiveRequest, share: Share) -> int:
     tokens = share.stop - share.start
     if share is live.shares[-1]:
         tokens += live.req.max_tokens - live.emitted
     return tokens
 
 
-def _estimate_remaining_s(live: Live, target: Target) -> float:
+def _estimate_remaining_s(live: LiveRequest, target: Target) -> float:
     report = target.load.report
     if report is None:
         return 0
-    prefill_s = (live.goal - live.position) / report.rate
+    prefill_s = (live.prefill_stop - live.position) / report.rate
     return prefill_s + (live.req.max_tokens - live.emitted) * report.itl_s
 
 
-def _is_other_target(live: Live, one: Candidate) -> bool:
+def _is_other_target(live: LiveRequest, one: Candidate) -> bool:
     if not live.attempts:
         return True
     return live.attempt.target != one.target.info.name
 
 
 def _refuse_if_hopeless(
-    state: State, live: Live, waiting: QueuedRequest, now: float
+    state: State, live: LiveRequest, waiting: QueuedRequest, now: float
 ) -> bool:
     """Refuse a request that need not wait any more; return whether it was."""
     if is_quarantined(state, live):
--- a/trestledock/process/_duties.py
+++ b/trestledock/process/_duties.py
@@ -8,9 +8,9 @@
 """
 
 from trestledock.process._actions import AppendRecord, ToPeer
-from trestledock.process._answers import end_silent_streams
+from trestledock.process._answers import fail_silent_streams
 from trestledock.process._dispatching import schedule_dispatch_of_all
-from trestledock.process._ending import send
+from trestledock.process._ending import send_to_member
 from trestledock.process._fleet import Peer
 from trestledock.process._guarding import (
     keep_blocks,
@@ -105,7 +105,7 @@
     members |= state.hold_ids.get_guards()
     members |= {watched.owner for watched in state.guard.watched}
     for member in sorted(members):
-        send(state, member, heartbeat)
+        send_to_member(state, member, heartbeat)
     for info in state.fleet.get_strangers():
         if info.name != state.identity.instance:
             state.act(ToPeer(info.member, info.address, heartbeat))
@@ -179,7 +179,7 @@
         return
     for member in state.claims.get_unsealed_members():
         if member in state.fleet.peers:
-            send(state, member, SealAsk(accepted))
+            send_to_member(state, member, SealAsk(accepted))
 
 
 def ask_for_lease(state: State, now: float) -> None:
@@ -300,6 +300,6 @@
     give_orders,
     keep_snapshot,
     keep_holds,
-    end_silent_streams,
+    fail_silent_streams,
     tidy,
 )
--- a/trestledock/process/_ending.py
+++ b/trestledock/process/_ending.py
@@ -8,7 +8,7 @@
 """
 
 from trestledock.process._actions import CancelHolds, Finish, ToPeer
-from trestledock.process._live import Live, Phase
+from trestledock.process._live import LiveRequest, Phase
 from trestledock.process._payloads import ClaimResult
 from trestledock.process._state import State
 from trestledock.request import Outcome, Reason, Verdict
@@ -20,7 +20,7 @@
 RETRY_JITTER = 0.25
 
 
-def jitter_wait(state: State, wait_s: float) -> float:
+def jitter_retry_after(state: State, wait_s: float) -> float:
     """Return a bounded, jittered time for the caller to wait."""
     bounded = min(MAX_RETRY_AFTER_S, max(MIN_RETRY_AFTER_S, wait_s))
     factor = state.rng.uniform(1 - RETRY_JITTER, 1 + RETRY_JITTER)
@@ -29,7 +29,7 @@
 
 def refuse(
     state: State,
-    live: Live,
+    live: LiveRequest,
     reason: Reason,
     wait_s: float = 0,
     detail: str = '',
@@ -37,7 +37,7 @@
     """End a request with the outcome that its attempts prove."""
     outcome = live.derive_outcome()
     state.count('refused', reason.value)
-    end(
+    finish_request(
         state,
         live,
         Verdict(
@@ -45,15 +45,15 @@
             reason,
             step=live.phase.value,
             peer=live.attempt.target if live.attempts else live.req.home,
-            retry_after=jitter_wait(state, wait_s) if wait_s else 0,
+            retry_after=jitter_retry_after(state, wait_s) if wait_s else 0,
             detail=detail,
         ),
     )
 
 
-def end(state: State, live: Live, verdict: Verdict) -> None:
+def finish_request(state: State, live: LiveRequest, verdict: Verdict) -> None:
     """Give the caller its final answer and give everything back."""
-    if not live.enter(Phase.done):
+    if not live.enter_phase(Phase.done):
         return
     req = live.req
     state.live.pop(req.req_id, None)
@@ -61,12 +61,12 @@
     queue.remove(req.req_id)
     queue.mark_finished(req.req_id)
     release_attempt(state, live, verdict.outcome is Outcome.answered)
-    _settle_claim(state, live, verdict)
+    _report_claim_result(state, live, verdict)
     state.count('outcome', verdict.outcome.value)
     state.act(Finish(req, verdict))
 
 
-def release_attempt(state: State, live: Live, is_whole: bool) -> None:
+def release_attempt(state: State, live: LiveRequest, is_whole: bool) -> None:
     """Give back the newest attempt's place and its holds.
 
     An engine frees the memory of a stream that ended whole by itself; every
@@ -85,11 +85,11 @@
         if is_whole and share.hold == last:
             state.hold_ids.release(share.hold)
         else:
-            cancel_hold(state, share.target, share.hold)
+            cancel_reservation(state, share.target, share.hold)
     live.shares = ()
 
 
-def cancel_hold(state: State, target_name: str, hold: str) -> None:
+def cancel_reservation(state: State, target_name: str, hold: str) -> None:
     """Cancel a hold now and again until the engine confirms.
 
     That goes for a later incarnation of the engine, too: the job may have
@@ -101,7 +101,9 @@
         state.act(CancelHolds(target_name, target.info.address, (hold,)))
 
 
-def _settle_claim(state: State, live: Live, verdict: Verdict) -> None:
+def _report_claim_result(
+    state: State, live: LiveRequest, verdict: Verdict
+) -> None:
     wait = live.claim
     epoch = state.epochs.get(live.req.home)
     if wait is None or epoch is None:
@@ -116,10 +118,10 @@
         verdict.body,
     )
     for member in epoch.get_replicas_by_key(wait.key):
-        send(state, member, claim_result)
+        send_to_member(state, member, claim_result)
 
 
-def send(state: State, member: str, payload: object) -> None:
+def send_to_member(state: State, member: str, payload: object) -> None:
     """Send a payload to a member, which may be this instance itself."""
     peer = state.fleet.peers.get(member)
     address = peer.info.address if peer else ''
--- a/trestledock/process/_groups.py
+++ b/trestledock/process/_groups.py
@@ -13,18 +13,18 @@
 from trestledock.process._choosing import Candidate, CandidateSet
 from trestledock.process._fleet import Target
 from trestledock.process._guarding import take_hold
-from trestledock.process._live import Live, Share
+from trestledock.process._live import LiveRequest, Share
 from trestledock.process._state import State
 from trestledock.version import Pool
 
 #: The part of an engine's free memory that a group may take.
-GROUP_FILL = 0.9
+MAX_GROUP_FILL = 0.9
 #: Engines that a group may have whatever the pool's share is.
-LEAST_GROUP = 2
+MIN_GROUP_LIMIT = 2
 
 
 @dataclass(frozen=True)
-class Part:
+class GroupPart:
     """The tokens of a giant prompt that one engine of a group takes."""
 
     target: Target
@@ -33,15 +33,15 @@
 
 def plan_group(
     state: State,
-    live: Live,
+    live: LiveRequest,
     field: CandidateSet,
     now: float,
 ) -> tuple[Share, ...]:
     """Return the shares of a group, nothing where there is no room now."""
     if field.pool is None:
         return ()
-    bound = get_group_bound(state, len(field.candidates), field.pool)
-    parts = _split(live, field.candidates, bound)
+    bound = get_group_limit(state, len(field.candidates), field.pool)
+    parts = _split_prompt(live, field.candidates, bound)
     holds = [take_hold(state, part.target, now) for part in parts]
     if not all(holds):
         for hold in holds:
@@ -50,43 +50,43 @@
     shares = []
     start = 0
     for part, hold in zip(parts, holds):
-        stop = min(live.goal, start + part.tokens)
+        stop = min(live.prefill_stop, start + part.tokens)
         shares.append(Share(part.target.info.name, start, stop, hold))
         start = stop
     return tuple(shares)
 
 
-def get_share(engines: int, pool: Pool) -> int:
+def get_giant_engine_limit(engines: int, pool: Pool) -> int:
     """Return how many of a pool's engines giants may take together."""
-    return max(LEAST_GROUP, int(engines * pool.giant_share))
+    return max(MIN_GROUP_LIMIT, int(engines * pool.giant_share))
 
 
-def get_group_bound(state: State, engines: int, pool: Pool) -> int:
+def get_group_limit(state: State, engines: int, pool: Pool) -> int:
     """Return how many engines another giant may take here now.
 
     Every instance of the data centre has its part of the pool's share; one
     that serves no giant may take the whole share for one.
     """
-    share = get_share(engines, pool)
-    held = count_giants(state)
+    share = get_giant_engine_limit(engines, pool)
+    held = count_giant_engines(state)
     if not held:
         return share
     peers = state.fleet.get_live_peers(state.identity.data_centre)
     return share // (len(peers) + 1) - held
 
 
-def count_giants(state: State) -> int:
+def count_giant_engines(state: State) -> int:
     """Return how many engines are held for giants by this instance."""
     return sum(
         len(live.shares) for live in state.live.values() if len(live.shares) > 1
     )
 
 
-def _split(
-    live: Live,
+def _split_prompt(
+    live: LiveRequest,
     candidates: tuple[Candidate, ...],
     bound: int,
-) -> tuple[Part, ...]:
+) -> tuple[GroupPart, ...]:
     """Split a giant over the engines with the most free memory.
 
     Returns nothing where `bound` engines don't suffice now.  Each part leaves
@@ -96,13 +96,13 @@
         candidates,
         key=lambda one: (-one.free_tokens, one.target.info.name),
     )
-    left = live.goal
+    left = live.prefill_stop
     parts = []
     for one in ordered[: max(0, bound)]:
-        room = int(one.free_tokens * GROUP_FILL) - live.req.max_tokens
+        room = int(one.free_tokens * MAX_GROUP_FILL) - live.req.max_tokens
         if room <= 0:
             break
-        parts.append(Part(one.target, min(left, room)))
+        parts.append(GroupPart(one.target, min(left, room)))
         left -= room
         if left <= 0:
             return tuple(parts)
--- a/trestledock/process/_guarding.py
+++ b/trestledock/process/_guarding.py
@@ -10,7 +10,7 @@
 from operator import itemgetter
 
 from trestledock.process._actions import CancelHolds
-from trestledock.process._ending import send
+from trestledock.process._ending import send_to_member
 from trestledock.process._fleet import Peer, Target
 from trestledock.process._holds import (
     BLOCK_SIZE,
@@ -81,7 +81,7 @@
             target.info.address,
             block.first,
         )
-        send(state, member, payload)
+        send_to_member(state, member, payload)
 
 
 def take_block(state: State, sender: str, message: HoldBlock) -> None:
@@ -91,7 +91,7 @@
         state.guard.unwatch(watched)
         return
     state.guard.watch(watched, message.address)
-    send(state, sender, HoldBlockKept(message.target, message.first))
+    send_to_member(state, sender, HoldBlockKept(message.target, message.first))
 
 
 def note_kept(state: State, sender: str, message: HoldBlockKept) -> None:
@@ -142,7 +142,7 @@
 def _dismiss(state: State, block: Block, members: set[str]) -> None:
     for member in sorted(members):
         payload = HoldBlock(block.target, '', block.first, done=True)
-        send(state, member, payload)
+        send_to_member(state, member, payload)
     block.guards -= members
 
 
--- a/trestledock/process/_isolating.py
+++ b/trestledock/process/_isolating.py
@@ -7,9 +7,9 @@
 quarantined.  What is quarantined is tried again now and then, by one instance.
 """
 
-from trestledock.process._ending import send
+from trestledock.process._ending import send_to_member
 from trestledock.process._fleet import Peer
-from trestledock.process._live import Live
+from trestledock.process._live import LiveRequest
 from trestledock.process._payloads import TargetEnds
 from trestledock.relay import rank_by_key
 from trestledock.process._state import State
@@ -17,7 +17,9 @@
 from trestledock.request import Request
 
 
-def note_end(state: State, live: Live, target_name: str, now: float) -> None:
+def note_end(
+    state: State, live: LiveRequest, target_name: str, now: float
+) -> None:
     """Put the end of a target down to a request that it ran."""
     target = state.get_targets().get(target_name)
     fingerprint = live.req.fingerprint
@@ -54,7 +56,7 @@
         ends = TargetEnds(
             record.fingerprint, record.incarnations, record.cleared
         )
-        send(state, peer.info.member, ends)
+        send_to_member(state, peer.info.member, ends)
 
 
 def note_answered(state: State, req: Request, now: float) -> None:
@@ -67,7 +69,7 @@
         _tell_all(state, TargetEnds(req.fingerprint, (), cleared))
 
 
-def is_quarantined(state: State, live: Live) -> bool:
+def is_quarantined(state: State, live: LiveRequest) -> bool:
     """Whether a request goes to no target; a trial is for its first one."""
     is_tried = live.is_trial and not live.attempts
     return not is_tried and state.quarantine.is_quarantined(
@@ -75,7 +77,7 @@
     )
 
 
-def try_again(state: State, live: Live, now: float) -> None:
+def try_again(state: State, live: LiveRequest, now: float) -> None:
     """Give a quarantined request to one target where a trial is due.
 
     Of all instances that hear one another the same one does.
@@ -92,7 +94,7 @@
 
 def _tell_all(state: State, ends: TargetEnds) -> None:
     for peer in _get_peers(state):
-        send(state, peer.info.member, ends)
+        send_to_member(state, peer.info.member, ends)
 
 
 def _get_peers(state: State) -> list[Peer]:
--- a/trestledock/process/_live.py
+++ b/trestledock/process/_live.py
@@ -72,7 +72,7 @@
 
 
 @dataclass
-class Live:
+class LiveRequest:
     """A live request."""
 
     req: Request
@@ -104,11 +104,11 @@
         return self.assembler.next_index
 
     @property
-    def goal(self) -> int:
+    def prefill_stop(self) -> int:
         """How many tokens must be prefilled before the first new one."""
         return self.req.prompt_tokens + self.emitted
 
-    def enter(self, phase: Phase) -> bool:
+    def enter_phase(self, phase: Phase) -> bool:
         """Go to `phase` where the table allows it; return whether it does."""
         allowed = phase in NEXT_PHASES[self.phase]
         if allowed:
@@ -126,7 +126,7 @@
         self.heard_at = 0
         return attempt
 
-    def note(self, number: int, event: AttemptEvent) -> bool:
+    def advance_attempt(self, number: int, event: AttemptEvent) -> bool:
         """Advance an attempt; return whether it is the newest and live."""
         if not 0 < number <= len(self.attempts):
             return False
@@ -148,7 +148,7 @@
             return Outcome.unknown
         return derive_outcome(self.attempts, idempotent=req.idempotent)
 
-    def get_share(self) -> Share:
+    def get_current_share(self) -> Share:
         """Return the share of the group that is to be prefilled next."""
         for share in self.shares:
             if self.position < share.stop:
--- a/trestledock/process/_peering.py
+++ b/trestledock/process/_peering.py
@@ -11,7 +11,7 @@
 from trestledock.process import _payloads as payloads
 from trestledock.process._applying import apply_accepted
 from trestledock.process._claiming import on_claim_answer
-from trestledock.process._ending import send
+from trestledock.process._ending import send_to_member
 from trestledock.process._epoch import Epoch
 from trestledock.process._guarding import mark_gone, note_kept, take_block
 from trestledock.process._isolating import take_ends, tell_new_peer
@@ -65,7 +65,9 @@
     if payload.data_centre == state.identity.data_centre:
         _take_ages(state, sender, payload, now)
     if payload.offset > state.reader.fold.next_offset:
-        send(state, sender, payloads.StateAsk(state.reader.fold.next_offset))
+        send_to_member(
+            state, sender, payloads.StateAsk(state.reader.fold.next_offset)
+        )
 
 
 @take.register
@@ -77,7 +79,7 @@
 ) -> None:
     if state.reader.fold.next_offset > payload.offset:
         snapshot = state.reader.fold.get_snapshot()
-        send(state, sender, payloads.StateAnswer(snapshot))
+        send_to_member(state, sender, payloads.StateAnswer(snapshot))
 
 
 @take.register
@@ -155,7 +157,7 @@
     epoch = Epoch(payload.accepted.offset, body)
     state.claims.enter(epoch, now)
     if state.claims.epoch and state.claims.epoch.offset == epoch.offset:
-        send(state, sender, state.claims.seal(sender, now))
+        send_to_member(state, sender, state.claims.seal(sender, now))
 
 
 @take.register
@@ -219,7 +221,7 @@
 
 def _send_all(state: State, sends: list) -> None:
     for member, payload in sends:
-        send(state, member, payload)
+        send_to_member(state, member, payload)
 
 
 def _take_ages(
--- a/trestledock/process/_platform.py
+++ b/trestledock/process/_platform.py
@@ -7,7 +7,7 @@
 """
 
 from trestledock.process._actions import AppendRecord, Published
-from trestledock.process._answers import drop_replaced
+from trestledock.process._answers import fail_replaced
 from trestledock.process._applying import (
     apply_accepted,
     settle_publications,
@@ -37,7 +37,7 @@
     before = len(state.fleet.leaving)
     for info in state.fleet.take_targets(message.targets, now):
         state.note('target_replaced', info.key)
-        drop_replaced(state, info.name, now)
+        fail_replaced(state, info.name, now)
     if len(state.fleet.leaving) > before:
         state.note('targets_leaving', 'platform')
     state.fleet.take_peers(message.peers, now)
--- a/trestledock/process/_registry.py
+++ b/trestledock/process/_registry.py
@@ -17,16 +17,16 @@
     on_call_done,
     on_cancel_confirmed,
     on_chunk,
-    on_gap,
-    on_piece_done,
+    on_gap_due,
+    on_prefill_done,
     on_retry_due,
-    on_silence,
+    on_silence_due,
     on_stream_done,
 )
 from trestledock.process._arrivals import (
     on_arrive,
     on_caller_gone,
-    on_deadline,
+    on_deadline_passed,
 )
 from trestledock.process._claiming import on_claim_due
 from trestledock.process._dispatching import on_dispatch_due
@@ -61,7 +61,7 @@
     {
         messages.Arrive: on_arrive,
         messages.CallerGone: on_caller_gone,
-        messages.PieceDone: on_piece_done,
+        messages.PieceDone: on_prefill_done,
         messages.ChunkArrived: on_chunk,
         messages.StreamDone: on_stream_done,
         messages.CallDone: on_call_done,
@@ -77,11 +77,11 @@
         messages.Publish: on_publish,
         messages.Shutdown: on_shutdown,
         messages.Tick: on_tick,
-        timers.DeadlinePassed: on_deadline,
+        timers.DeadlinePassed: on_deadline_passed,
         timers.RetryDue: on_retry_due,
         timers.ClaimDue: on_claim_due,
-        timers.GapDue: on_gap,
-        timers.SilenceDue: on_silence,
+        timers.GapDue: on_gap_due,
+        timers.SilenceDue: on_silence_due,
         timers.DispatchDue: on_dispatch_due,
         timers.HeartbeatDue: on_heartbeat_due,
     }
--- a/trestledock/process/_state.py
+++ b/trestledock/process/_state.py
@@ -18,7 +18,7 @@
 from trestledock.process._identity import Identity, Timing
 from trestledock.process._lease import Lease
 from trestledock.process._limits import Limits
-from trestledock.process._live import Live
+from trestledock.process._live import LiveRequest
 from trestledock.process._liveness import Liveness
 from trestledock.process._policy import Policy
 from trestledock.process._queue import FairQueue
@@ -77,7 +77,7 @@
     limits: Limits = field(default_factory=Limits)
     queues: dict[str, FairQueue] = field(default_factory=dict)
     budgets: dict[str, RetryWindow] = field(default_factory=dict)
-    live: dict[str, Live] = field(default_factory=dict)
+    live: dict[str, LiveRequest] = field(default_factory=dict)
     epochs: dict[str, Epoch] = field(default_factory=dict)
     liveness: Liveness = field(default_factory=Liveness)
     guard: Guard = field(default_factory=Guard)
