--- a/tests/test_parts.py
+++ b/tests/test_parts.py
@@ -12,7 +12,12 @@
     Timing,
     rank_by_key,
 )
-from trestledock.process._holds import BLOCK_SIZE, Guard, HoldIds, Watched
+from trestledock.process._holds import (
+    BLOCK_SIZE,
+    ReservationWatch,
+    ReservationIds,
+    WatchedBlock,
+)
 from trestledock.process._limits import Limits
 from trestledock.process._liveness import Liveness
 from trestledock.process._load import EngineLoad, Sent
@@ -120,33 +125,33 @@
 
 class Holds(unittest.TestCase):
     def test_guard_cancels_every_id_until_confirmed(self):
-        ids = HoldIds('owner#1')
+        ids = ReservationIds('owner#1')
         block = ids.get_block('engine')
-        used = ids.take_id(block)
-        guard = Guard()
-        guard.watch(Watched('owner#1', 'engine', block.first), '')
-        guard.take_up('owner#1')
+        used = ids.allocate_id(block)
+        guard = ReservationWatch()
+        guard.add_block(WatchedBlock('owner#1', 'engine', block.first), '')
+        guard.queue_owner_cancels('owner#1')
         self.assertIn(used, guard.to_cancel['engine'])
         self.assertEqual(len(guard.to_cancel['engine']), BLOCK_SIZE)
-        guard.confirm('engine', (used,))
+        guard.confirm_cancels('engine', (used,))
         self.assertNotIn(used, guard.to_cancel['engine'])
-        guard.confirm('engine', tuple(guard.to_cancel['engine']))
+        guard.confirm_cancels('engine', tuple(guard.to_cancel['engine']))
         self.assertEqual(guard.to_cancel, {})
 
     def test_no_id_twice_and_blocks_retire(self):
-        ids = HoldIds('owner#1')
+        ids = ReservationIds('owner#1')
         seen = set()
         for _ in range(BLOCK_SIZE * 2):
-            hold = ids.take_id(ids.get_block('engine'))
+            hold = ids.allocate_id(ids.get_block('engine'))
             self.assertNotIn(hold, seen)
             seen.add(hold)
             ids.release(hold)
         self.assertEqual(len(ids.pop_done()), 2)
 
     def test_after_a_pause_no_old_block_is_used(self):
-        ids = HoldIds('owner#1')
+        ids = ReservationIds('owner#1')
         before = ids.get_block('engine')
-        ids.close_all()
+        ids.close_blocks()
         self.assertIsNot(ids.get_block('engine'), before)
 
 
--- a/tests/test_promises.py
+++ b/tests/test_promises.py
@@ -13,7 +13,7 @@
 
 from trestledock.process._claims import ClaimTable
 from trestledock.process._fleet import Fleet
-from trestledock.process._holds import Guard
+from trestledock.process._holds import ReservationWatch
 from trestledock.process._lease import Lease
 from trestledock.process._state import State
 from trestledock.proof import run_scenario
@@ -58,12 +58,12 @@
     (
         'memory',
         'lost_cancels',
-        (mock.patch.object(Guard, 'take_up', return_value=[]),),
+        (mock.patch.object(ReservationWatch, 'take_up', return_value=[]),),
     ),
     (
         'memory',
         'lost_cancels',
-        (mock.patch.object(Guard, 'add_cancels'),),
+        (mock.patch.object(ReservationWatch, 'add_cancels'),),
     ),
     (
         'whole',
--- a/trestledock/process/_answers.py
+++ b/trestledock/process/_answers.py
@@ -184,7 +184,7 @@
     target = state.get_targets()[live.attempt.target]
     target.breaker.fail(now)
     if message.not_started and live.shares:
-        state.hold_ids.note_rejection(live.shares[0].hold)
+        state.reservation_ids.record_rejection(live.shares[0].hold)
     release_attempt(state, live, is_whole=False)
     _retry_or_refuse(state, live, message, now)
 
@@ -208,9 +208,9 @@
     now: float,
 ) -> None:
     """Note that an engine holds nothing under these ids any more."""
-    state.guard.confirm(message.target, message.holds)
+    state.reservation_watch.confirm_cancels(message.target, message.holds)
     for hold in message.holds:
-        state.hold_ids.release(hold)
+        state.reservation_ids.release(hold)
 
 
 def _continue_prefill(
--- a/trestledock/process/_dispatching.py
+++ b/trestledock/process/_dispatching.py
@@ -21,7 +21,7 @@
 from trestledock.process._ending import refuse
 from trestledock.process._fleet import Target
 from trestledock.process._groups import plan_group
-from trestledock.process._guarding import take_hold
+from trestledock.process._guarding import allocate_reservation
 from trestledock.process._isolating import is_quarantined
 from trestledock.process._live import LiveRequest, Phase, Share
 from trestledock.process._load import Sent
@@ -137,7 +137,7 @@
         return False
     fresh = tuple(one for one in ready if _is_other_target(live, one))
     chosen = choose_engine(state, fresh or ready)
-    hold = take_hold(state, chosen.target, now)
+    hold = allocate_reservation(state, chosen.target, now)
     if not hold:
         return False
     name = chosen.target.info.name
--- a/trestledock/process/_duties.py
+++ b/trestledock/process/_duties.py
@@ -13,8 +13,8 @@
 from trestledock.process._ending import send_to_member
 from trestledock.process._fleet import Peer
 from trestledock.process._guarding import (
-    keep_blocks,
-    mark_gone,
+    maintain_blocks,
+    mark_unreachable,
     repeat_cancels,
 )
 from trestledock.process._identity import LOCAL_FANOUT, REMOTE_FANOUT
@@ -61,8 +61,8 @@
     Those are the peers of the data centre, the owners of guarded holds and
     the guards of own ones; others send heartbeats too seldom for that.
     """
-    owners = {watched.owner for watched in state.guard.watched}
-    owners |= state.hold_ids.get_guards()
+    owners = {watched.owner for watched in state.reservation_watch.watched}
+    owners |= state.reservation_ids.get_notified_peers()
     watched_peers = [
         peer
         for name, peer in state.fleet.peers.items()
@@ -72,7 +72,7 @@
         member = peer.info.member
         heard_at = now - state.liveness.get_age(member, now)
         if now - max(peer.heard_at, heard_at) > state.timing.peer_dead_s:
-            mark_gone(state, peer)
+            mark_unreachable(state, peer)
 
 
 def forget_peers(state: State, now: float) -> None:
@@ -102,8 +102,8 @@
     ]
     chosen = state.rng.sample(remote, min(REMOTE_FANOUT, len(remote)))
     members = {peer.info.member for peer in (*local, *chosen)}
-    members |= state.hold_ids.get_guards()
-    members |= {watched.owner for watched in state.guard.watched}
+    members |= state.reservation_ids.get_notified_peers()
+    members |= {watched.owner for watched in state.reservation_watch.watched}
     for member in sorted(members):
         send_to_member(state, member, heartbeat)
     for info in state.fleet.get_strangers():
@@ -209,7 +209,7 @@
 
 def keep_holds(state: State, now: float) -> None:
     """Keep hold blocks guarded and repeat cancels."""
-    keep_blocks(state, now)
+    maintain_blocks(state, now)
     repeat_cancels(state)
 
 
@@ -222,7 +222,7 @@
 
 def is_drained(state: State) -> bool:
     """Whether nothing is lost if this instance ends now."""
-    if state.live or state.guard.to_cancel:
+    if state.live or state.reservation_watch.to_cancel:
         return False
     epoch = state.claims.epoch
     if epoch is None:
--- a/trestledock/process/_ending.py
+++ b/trestledock/process/_ending.py
@@ -83,7 +83,7 @@
     last = live.shares[-1].hold if live.shares else ''
     for share in live.shares:
         if is_whole and share.hold == last:
-            state.hold_ids.release(share.hold)
+            state.reservation_ids.release(share.hold)
         else:
             cancel_reservation(state, share.target, share.hold)
     live.shares = ()
@@ -95,7 +95,7 @@
     That goes for a later incarnation of the engine, too: the job may have
     reached it before the instance list told of it.
     """
-    state.guard.add_cancels(target_name, (hold,))
+    state.reservation_watch.add_cancels(target_name, (hold,))
     target = state.get_targets().get(target_name)
     if target:
         state.act(CancelHolds(target_name, target.info.address, (hold,)))
--- a/trestledock/process/_groups.py
+++ b/trestledock/process/_groups.py
@@ -12,7 +12,7 @@
 
 from trestledock.process._choosing import Candidate, CandidateSet
 from trestledock.process._fleet import Target
-from trestledock.process._guarding import take_hold
+from trestledock.process._guarding import allocate_reservation
 from trestledock.process._live import LiveRequest, Share
 from trestledock.process._state import State
 from trestledock.version import Pool
@@ -42,10 +42,10 @@
         return ()
     bound = get_group_limit(state, len(field.candidates), field.pool)
     parts = _split_prompt(live, field.candidates, bound)
-    holds = [take_hold(state, part.target, now) for part in parts]
+    holds = [allocate_reservation(state, part.target, now) for part in parts]
     if not all(holds):
         for hold in holds:
-            state.hold_ids.release(hold)
+            state.reservation_ids.release(hold)
         return ()
     shares = []
     start = 0
--- a/trestledock/process/_node.py
+++ b/trestledock/process/_node.py
@@ -83,7 +83,7 @@
         state = self.state
         if now - state.duties.last_step > state.timing.pause_s:
             state.count('pauses')
-            state.hold_ids.close_all()
+            state.reservation_ids.close_blocks()
         state.duties.last_step = now
 
     def _loop_back(self, now: float) -> list[Action]:
--- a/trestledock/process/_peering.py
+++ b/trestledock/process/_peering.py
@@ -13,7 +13,11 @@
 from trestledock.process._claiming import on_claim_answer
 from trestledock.process._ending import send_to_member
 from trestledock.process._epoch import Epoch
-from trestledock.process._guarding import mark_gone, note_kept, take_block
+from trestledock.process._guarding import (
+    mark_unreachable,
+    on_hold_block_kept,
+    on_hold_block,
+)
 from trestledock.process._isolating import take_ends, tell_new_peer
 from trestledock.process._messages import PeerMessage
 from trestledock.process._state import State
@@ -53,7 +57,7 @@
         payload.leaving,
     )
     for earlier in state.fleet.get_superseded(info):
-        mark_gone(state, earlier)
+        mark_unreachable(state, earlier)
     peer = state.fleet.hear_peer(info, now)
     tell_new_peer(state, peer, now)
     peer.demands = {one.team: one.demand for one in payload.demands}
@@ -177,7 +181,7 @@
     state: State,
     now: float,
 ) -> None:
-    take_block(state, sender, payload)
+    on_hold_block(state, sender, payload)
 
 
 @take.register
@@ -187,7 +191,7 @@
     state: State,
     now: float,
 ) -> None:
-    note_kept(state, sender, payload)
+    on_hold_block_kept(state, sender, payload)
 
 
 @take.register
--- a/trestledock/process/_state.py
+++ b/trestledock/process/_state.py
@@ -14,7 +14,7 @@
 from trestledock.process._claims import ClaimTable
 from trestledock.process._epoch import Epoch
 from trestledock.process._fleet import Fleet, Target
-from trestledock.process._holds import Guard, HoldIds
+from trestledock.process._holds import ReservationWatch, ReservationIds
 from trestledock.process._identity import Identity, Timing
 from trestledock.process._lease import Lease
 from trestledock.process._limits import Limits
@@ -80,7 +80,9 @@
     live: dict[str, LiveRequest] = field(default_factory=dict)
     epochs: dict[str, Epoch] = field(default_factory=dict)
     liveness: Liveness = field(default_factory=Liveness)
-    guard: Guard = field(default_factory=Guard)
+    reservation_watch: ReservationWatch = field(
+        default_factory=ReservationWatch
+    )
     timers: Timers = field(default_factory=Timers)
     publishing: dict[str, PublishWait] = field(default_factory=dict)
     duties: Duties = field(default_factory=Duties)
@@ -88,13 +90,13 @@
     shutting_down: bool = False
     out: list[Action] = field(default_factory=list)
     claims: ClaimTable = field(init=False)
-    hold_ids: HoldIds = field(init=False)
+    reservation_ids: ReservationIds = field(init=False)
     lease: Lease = field(init=False)
 
     def __post_init__(self) -> None:
         """Build the parts that carry the member's name."""
         self.claims = ClaimTable(self.member)
-        self.hold_ids = HoldIds(self.member)
+        self.reservation_ids = ReservationIds(self.member)
         self.lease = Lease(self.member, self.timing)
 
     @property
