--- a/tests/test_parts.py
+++ b/tests/test_parts.py
@@ -190,7 +190,7 @@
 class Small(unittest.TestCase):
     def test_ages_travel_and_never_grow_younger(self):
         one, other = Liveness(), Liveness()
-        one.hear('a', 10)
+        one.record_heard('a', 10)
         members = ('a', 'b')
         other.merge(members, one.encode(members, 12), 12)
         self.assertGreaterEqual(other.get_age('a', 12), 2)
--- a/tests/test_process_isolating.py
+++ b/tests/test_process_isolating.py
@@ -7,11 +7,11 @@
 from trestledock.process._actions import ToPeer
 from trestledock.process._isolating import (
     is_quarantined,
-    note_answered,
-    note_end,
-    take_ends,
-    tell_new_peer,
-    try_again,
+    record_answer,
+    record_crash,
+    merge_crashes,
+    send_quarantine,
+    start_due_probe,
 )
 from trestledock.process._live import LiveRequest
 from trestledock.process._state import State
@@ -27,9 +27,11 @@
     """Return an instance that knows all targets, and one other instance."""
     identity = Identity(f'entry-{number}', '0001', 'dc')
     state = State(identity, Timing(), Policy(), Random(number))
-    state.fleet.take_targets(TARGETS, 0)
+    state.fleet.merge_targets(TARGETS, 0)
     other = 1 - number
-    state.fleet.hear_peer(PeerInfo(f'entry-{other}', '0001', 'b', 'dc'), 0)
+    state.fleet.record_heartbeat(
+        PeerInfo(f'entry-{other}', '0001', 'b', 'dc'), 0
+    )
     return state
 
 
@@ -47,7 +49,7 @@
 def see_ends(state):
     """Let a request end all targets at an instance; return what it tells."""
     for target in TARGETS:
-        note_end(state, make_live(), target.name, 1)
+        record_crash(state, make_live(), target.name, 1)
     return take_told(state)
 
 
@@ -59,7 +61,7 @@
 
     def tell(self, ends):
         for one in ends:
-            take_ends(self.other, one, 2)
+            merge_crashes(self.other, one, 2)
 
     def test_ends_are_told(self):
         self.tell(see_ends(self.one))
@@ -69,7 +71,7 @@
         see_ends(self.one)
         peer = self.one.fleet.peers['entry-1#0001']
         for _ in range(2):
-            tell_new_peer(self.one, peer, 3)
+            send_quarantine(self.one, peer, 3)
         told = take_told(self.one)
         self.assertEqual(len(told), 1)
         self.tell(told)
@@ -79,7 +81,7 @@
         """Else the other would go on refusing what one of them answers."""
         ends = see_ends(self.one)
         self.tell(ends)
-        note_answered(self.one, REQ, 3)
+        record_answer(self.one, REQ, 3)
         self.tell(take_told(self.one))
         self.assertFalse(is_quarantined(self.other, make_live()))
         self.tell(ends)
@@ -91,13 +93,13 @@
         for state in (self.one, self.other):
             for at in (TRIAL_S, 2 + TRIAL_S, 3 + TRIAL_S):
                 live = make_live()
-                try_again(state, live, at)
+                start_due_probe(state, live, at)
                 found.append(live.is_trial)
         self.assertEqual(sum(found), 1)
 
     def test_unknown_request_is_not_blamed(self):
         live = LiveRequest(Request('r2', 'kiosks', Kind.call, 9), 0, pool='')
         for target in TARGETS:
-            note_end(self.one, live, target.name, 1)
+            record_crash(self.one, live, target.name, 1)
         self.assertFalse(is_quarantined(self.one, live))
         self.assertEqual(take_told(self.one), [])
--- a/trestledock/process/_answers.py
+++ b/trestledock/process/_answers.py
@@ -23,8 +23,8 @@
 )
 from trestledock.process._isolating import (
     is_quarantined,
-    note_answered,
-    note_end,
+    record_answer,
+    record_crash,
 )
 from trestledock.process._live import LiveRequest, Phase
 from trestledock.process._messages import (
@@ -153,7 +153,7 @@
         return
     target = state.get_targets()[live.attempt.target]
     target.breaker.succeed()
-    note_answered(state, live.req, now)
+    record_answer(state, live.req, now)
     verdict = Verdict(
         Outcome.answered,
         peer=live.attempt.target,
@@ -175,7 +175,7 @@
     if message.attempt != live.attempt.number:
         return
     if message.ended:
-        note_end(state, live, message.peer, now)
+        record_crash(state, live, message.peer, now)
     if _try_resume(state, live, message):
         return
     event = AttemptEvent.reject if message.not_started else AttemptEvent.lose
@@ -244,7 +244,7 @@
     live.advance_attempt(live.attempt.number, AttemptEvent.finish)
     name = live.shares[-1].target
     state.get_targets()[name].breaker.succeed()
-    note_answered(state, live.req, now)
+    record_answer(state, live.req, now)
     verdict = Verdict(Outcome.answered, peer=name, tokens=live.emitted)
     finish_request(state, live, verdict)
     schedule_dispatch(state, live.pool, now)
--- a/trestledock/process/_arrivals.py
+++ b/trestledock/process/_arrivals.py
@@ -23,7 +23,7 @@
 )
 from trestledock.process._ending import refuse
 from trestledock.process._groups import get_giant_engine_limit
-from trestledock.process._isolating import is_quarantined, try_again
+from trestledock.process._isolating import is_quarantined, start_due_probe
 from trestledock.process._live import LiveRequest, Phase
 from trestledock.process._messages import Arrive, CallerGone
 from trestledock.process._queue import MAX_QUEUED
@@ -51,7 +51,7 @@
     if reason is not Reason.none:
         refuse(state, live, reason, DEFAULT_RETRY_AFTER_S)
         return
-    try_again(state, live, now)
+    start_due_probe(state, live, now)
     if is_quarantined(state, live):
         wait_s = state.quarantine.get_come_back_s(req.fingerprint, now)
         refuse(state, live, Reason.quarantined, wait_s)
--- a/trestledock/process/_choosing.py
+++ b/trestledock/process/_choosing.py
@@ -9,7 +9,7 @@
 
 from dataclasses import dataclass
 
-from trestledock.process._fleet import STALE_S, Target
+from trestledock.process._fleet import LISTED_TIMEOUT_S, Target
 from trestledock.process._policy import Chooser
 from trestledock.relay import rank_by_key
 from trestledock.process._state import State
@@ -193,7 +193,7 @@
         for one in permitted
         if state.fleet.is_usable(one.target, now)
         and model in one.target.models
-        and now - one.target.load.reported_at < STALE_S
+        and now - one.target.load.reported_at < LISTED_TIMEOUT_S
     ]
     if not usable:
         return CandidateSet(pool, reason=Reason.no_live_target)
--- a/trestledock/process/_duties.py
+++ b/trestledock/process/_duties.py
@@ -81,7 +81,7 @@
     for member, peer in tuple(state.fleet.peers.items()):
         if peer.gone and now - peer.heard_at > older_s:
             state.fleet.peers.pop(member)
-    state.liveness.forget(now, older_s)
+    state.liveness.expire(now, older_s)
 
 
 def send_heartbeats(state: State, now: float) -> None:
@@ -106,7 +106,7 @@
     members |= {watched.owner for watched in state.reservation_watch.watched}
     for member in sorted(members):
         send_to_member(state, member, heartbeat)
-    for info in state.fleet.get_strangers():
+    for info in state.fleet.get_unknown_peers():
         if info.name != state.identity.instance:
             state.act(ToPeer(info.member, info.address, heartbeat))
 
--- a/trestledock/process/_fleet.py
+++ b/trestledock/process/_fleet.py
@@ -21,10 +21,10 @@
 from trestledock.version import Labels
 
 #: A target that is not listed and not heard for so long gets no new work.
-UNSEEN_S = 5.0
+UNLISTED_TIMEOUT_S = 5.0
 #: A listed target that is not heard for so long gets no new work until it has
 #: answered again: it may have begun to leave meanwhile.
-STALE_S = 15.0
+LISTED_TIMEOUT_S = 15.0
 #: How many cached prefixes are remembered for a target.
 MAX_CACHED = 4096
 
@@ -45,7 +45,7 @@
     cache_sequence: int = -1
     models: frozenset[str] = frozenset()
 
-    def take_cache_event(self, event: CacheEvent) -> None:
+    def apply_cache_event(self, event: CacheEvent) -> None:
         """Fold a cache event; a gap makes everything known uncertain."""
         if event.sequence <= self.cache_sequence:
             return
@@ -81,7 +81,7 @@
     revision: int = 0
     listed_peers: tuple[PeerInfo, ...] = ()
 
-    def take_targets(
+    def merge_targets(
         self,
         infos: tuple[TargetInfo, ...],
         now: float,
@@ -90,12 +90,12 @@
         replaced = []
         for info in infos:
             if info.key not in self.replaced:
-                earlier = self._take_target(info, now)
+                earlier = self._merge_target(info, now)
                 replaced.extend([earlier] if earlier else [])
         self._mark_listed({info.name for info in infos})
         return replaced
 
-    def take_peers(self, infos: tuple[PeerInfo, ...], now: float) -> None:
+    def merge_peers(self, infos: tuple[PeerInfo, ...], now: float) -> None:
         """Fold the peers of the instance list.
 
         An entry without an incarnation says nothing of those that are known:
@@ -109,7 +109,7 @@
             if peer:
                 peer.leaving = peer.leaving or info.leaving
 
-    def get_strangers(self) -> list[PeerInfo]:
+    def get_unknown_peers(self) -> list[PeerInfo]:
         """Return the listed peers that have not introduced themselves."""
         known = {
             peer.info.name for peer in self.peers.values() if not peer.gone
@@ -142,7 +142,7 @@
             and not peer.gone
         ]
 
-    def hear_peer(self, info: PeerInfo, now: float) -> Peer:
+    def record_heartbeat(self, info: PeerInfo, now: float) -> Peer:
         """Note a sign of life of a peer, listed or not."""
         peer = self.peers.get(info.member)
         if peer is None:
@@ -153,7 +153,7 @@
         peer.leaving = peer.leaving or info.leaving
         return peer
 
-    def take_report(self, name: str, report: LoadReport, now: float) -> None:
+    def record_report(self, name: str, report: LoadReport, now: float) -> None:
         """Fold a target's own report."""
         target = self.targets.get(name)
         if target is None:
@@ -177,7 +177,7 @@
 
     def is_usable(self, target: Target, now: float) -> bool:
         """Whether new work may be sent to a target at `now`."""
-        patience_s = STALE_S if target.listed else UNSEEN_S
+        patience_s = LISTED_TIMEOUT_S if target.listed else UNLISTED_TIMEOUT_S
         seen = now - target.heard_at < patience_s
         live = seen and not self.is_leaving(target)
         return live and target.breaker.allows(now)
@@ -195,7 +195,7 @@
             and self.peers[name].info.data_centre == data_centre
         ]
 
-    def _take_target(self, info: TargetInfo, now: float) -> TargetInfo | None:
+    def _merge_target(self, info: TargetInfo, now: float) -> TargetInfo | None:
         """Take an entry; return the incarnation that it replaces, if any."""
         if info.leaving:
             self.leaving.add(info.key)
--- a/trestledock/process/_isolating.py
+++ b/trestledock/process/_isolating.py
@@ -17,7 +17,7 @@
 from trestledock.request import Request
 
 
-def note_end(
+def record_crash(
     state: State, live: LiveRequest, target_name: str, now: float
 ) -> None:
     """Put the end of a target down to a request that it ran."""
@@ -28,11 +28,11 @@
     end = End(fingerprint, target.info.key)
     if state.quarantine.blames(end, now):
         ends = TargetEnds(fingerprint, (end.incarnation,))
-        take_ends(state, ends, now)
-        _tell_all(state, ends)
+        merge_crashes(state, ends, now)
+        _broadcast(state, ends)
 
 
-def take_ends(state: State, ends: TargetEnds, now: float) -> None:
+def merge_crashes(state: State, ends: TargetEnds, now: float) -> None:
     """Note the targets that ended under a request."""
     state.quarantine.clear_ends(ends.fingerprint, ends.cleared)
     was_quarantined = state.quarantine.is_quarantined(ends.fingerprint)
@@ -47,7 +47,7 @@
         state.note('suspect_forgotten', detail=forgotten)
 
 
-def tell_new_peer(state: State, peer: Peer, now: float) -> None:
+def send_quarantine(state: State, peer: Peer, now: float) -> None:
     """Have a peer that is heard for the first time know what is quarantined."""
     if peer.knows_quarantine:
         return
@@ -59,14 +59,14 @@
         send_to_member(state, peer.info.member, ends)
 
 
-def note_answered(state: State, req: Request, now: float) -> None:
+def record_answer(state: State, req: Request, now: float) -> None:
     """Note that a target has answered a request: it ends none."""
     if not req.fingerprint:
         return
     cleared = state.quarantine.note_answered(req.fingerprint, now)
     if cleared:
         state.note('request_cleared', detail=req.fingerprint)
-        _tell_all(state, TargetEnds(req.fingerprint, (), cleared))
+        _broadcast(state, TargetEnds(req.fingerprint, (), cleared))
 
 
 def is_quarantined(state: State, live: LiveRequest) -> bool:
@@ -77,7 +77,7 @@
     )
 
 
-def try_again(state: State, live: LiveRequest, now: float) -> None:
+def start_due_probe(state: State, live: LiveRequest, now: float) -> None:
     """Give a quarantined request to one target where a trial is due.
 
     Of all instances that hear one another the same one does.
@@ -86,18 +86,21 @@
     is_due = state.quarantine.is_due(fingerprint, now)
     if not is_due or not is_quarantined(state, live):
         return
-    members = [state.member, *(one.info.member for one in _get_peers(state))]
+    members = [
+        state.member,
+        *(one.info.member for one in _get_reachable_peers(state)),
+    ]
     if rank_by_key(fingerprint, members)[0] == state.member:
         live.is_trial = True
         state.quarantine.note_trial(fingerprint, now)
 
 
-def _tell_all(state: State, ends: TargetEnds) -> None:
-    for peer in _get_peers(state):
+def _broadcast(state: State, ends: TargetEnds) -> None:
+    for peer in _get_reachable_peers(state):
         send_to_member(state, peer.info.member, ends)
 
 
-def _get_peers(state: State) -> list[Peer]:
+def _get_reachable_peers(state: State) -> list[Peer]:
     return [
         peer
         for member, peer in state.fleet.peers.items()
--- a/trestledock/process/_liveness.py
+++ b/trestledock/process/_liveness.py
@@ -21,7 +21,7 @@
 
     heard_at: dict[str, float] = field(default_factory=dict)
 
-    def hear(self, member: str, at: float) -> None:
+    def record_heard(self, member: str, at: float) -> None:
         """Note that `member` lived at the instant `at`."""
         self.heard_at[member] = max(at, self.heard_at.get(member, at))
 
@@ -32,7 +32,8 @@
     def encode(self, members: tuple[str, ...], now: float) -> str:
         """Return the ages of `members` as text, oldest digit for unknown."""
         return ''.join(
-            _DIGITS[self._step(self.get_age(member, now))] for member in members
+            _DIGITS[self._get_step(self.get_age(member, now))]
+            for member in members
         )
 
     def merge(self, members: tuple[str, ...], ages: str, now: float) -> None:
@@ -40,9 +41,9 @@
         for member, digit in zip(members, ages):
             step = _DIGITS.find(digit)
             if 0 <= step < len(_DIGITS) - 1:
-                self.hear(member, now - (step + 1) * AGE_STEP_S)
+                self.record_heard(member, now - (step + 1) * AGE_STEP_S)
 
-    def forget(self, now: float, older_s: float) -> None:
+    def expire(self, now: float, older_s: float) -> None:
         """Drop members not heard for `older_s` seconds."""
         self.heard_at = {
             member: at
@@ -50,6 +51,6 @@
             if now - at < older_s
         }
 
-    def _step(self, age: float) -> int:
+    def _get_step(self, age: float) -> int:
         last = len(_DIGITS) - 1
         return last if age > last * AGE_STEP_S else int(age / AGE_STEP_S)
--- a/trestledock/process/_peering.py
+++ b/trestledock/process/_peering.py
@@ -18,7 +18,7 @@
     on_hold_block_kept,
     on_hold_block,
 )
-from trestledock.process._isolating import take_ends, tell_new_peer
+from trestledock.process._isolating import merge_crashes, send_quarantine
 from trestledock.process._messages import PeerMessage
 from trestledock.process._state import State
 from trestledock.process._targets import LoadReport, PeerInfo
@@ -27,11 +27,11 @@
 
 def on_peer_message(message: PeerMessage, state: State, now: float) -> None:
     """Take a payload from a peer."""
-    take(message.payload, message.sender, state, now)
+    handle_payload(message.payload, message.sender, state, now)
 
 
 @singledispatch
-def take(
+def handle_payload(
     payload: object,
     sender: str,
     state: State,
@@ -41,7 +41,7 @@
     raise TypeError(f'no peer sends {type(payload).__name__}')
 
 
-@take.register
+@handle_payload.register
 def _(
     payload: payloads.Heartbeat,
     sender: str,
@@ -58,23 +58,23 @@
     )
     for earlier in state.fleet.get_superseded(info):
         mark_unreachable(state, earlier)
-    peer = state.fleet.hear_peer(info, now)
-    tell_new_peer(state, peer, now)
+    peer = state.fleet.record_heartbeat(info, now)
+    send_quarantine(state, peer, now)
     peer.demands = {one.team: one.demand for one in payload.demands}
     for key in payload.leaving_targets:
         if state.fleet.mark_leaving(key):
             state.note('target_leaving', sender, key)
     for digest in payload.digests:
-        _take_digest(state, digest, now)
+        _merge_digest(state, digest, now)
     if payload.data_centre == state.identity.data_centre:
-        _take_ages(state, sender, payload, now)
+        _merge_ages(state, sender, payload, now)
     if payload.offset > state.reader.fold.next_offset:
         send_to_member(
             state, sender, payloads.StateAsk(state.reader.fold.next_offset)
         )
 
 
-@take.register
+@handle_payload.register
 def _(
     payload: payloads.StateAsk,
     sender: str,
@@ -86,7 +86,7 @@
         send_to_member(state, sender, payloads.StateAnswer(snapshot))
 
 
-@take.register
+@handle_payload.register
 def _(
     payload: payloads.StateAnswer,
     sender: str,
@@ -97,40 +97,40 @@
     apply_accepted(state, now)
 
 
-@take.register
+@handle_payload.register
 def _(
     payload: payloads.ClaimAsk,
     sender: str,
     state: State,
     now: float,
 ) -> None:
-    if has_support(state, now):
+    if has_quorum(state, now):
         _send_all(state, state.claims.ask(sender, payload, now))
 
 
-@take.register
+@handle_payload.register
 def _(
     payload: payloads.ClaimCopy,
     sender: str,
     state: State,
     now: float,
 ) -> None:
-    if has_support(state, now):
+    if has_quorum(state, now):
         _send_all(state, state.claims.copy(sender, payload, now))
 
 
-@take.register
+@handle_payload.register
 def _(
     payload: payloads.ClaimCopied,
     sender: str,
     state: State,
     now: float,
 ) -> None:
-    if has_support(state, now):
+    if has_quorum(state, now):
         _send_all(state, state.claims.copied(sender, payload))
 
 
-@take.register
+@handle_payload.register
 def _(
     payload: payloads.ClaimAnswer,
     sender: str,
@@ -140,7 +140,7 @@
     on_claim_answer(state, payload, now)
 
 
-@take.register
+@handle_payload.register
 def _(
     payload: payloads.ClaimResult,
     sender: str,
@@ -150,7 +150,7 @@
     state.claims.settle(payload)
 
 
-@take.register
+@handle_payload.register
 def _(
     payload: payloads.SealAsk,
     sender: str,
@@ -164,7 +164,7 @@
         send_to_member(state, sender, state.claims.seal(sender, now))
 
 
-@take.register
+@handle_payload.register
 def _(
     payload: payloads.SealAnswer,
     sender: str,
@@ -174,7 +174,7 @@
     state.claims.import_claims(sender, payload, now)
 
 
-@take.register
+@handle_payload.register
 def _(
     payload: payloads.HoldBlock,
     sender: str,
@@ -184,7 +184,7 @@
     on_hold_block(state, sender, payload)
 
 
-@take.register
+@handle_payload.register
 def _(
     payload: payloads.HoldBlockKept,
     sender: str,
@@ -194,17 +194,17 @@
     on_hold_block_kept(state, sender, payload)
 
 
-@take.register
+@handle_payload.register
 def _(
     payload: payloads.TargetEnds,
     sender: str,
     state: State,
     now: float,
 ) -> None:
-    take_ends(state, payload, now)
+    merge_crashes(state, payload, now)
 
 
-def has_support(state: State, now: float) -> bool:
+def has_quorum(state: State, now: float) -> bool:
     """Whether this member may grant: it is surely not cut off alone.
 
     Either the log has answered lately, so that a newer epoch would be known,
@@ -228,7 +228,7 @@
         send_to_member(state, member, payload)
 
 
-def _take_ages(
+def _merge_ages(
     state: State,
     sender: str,
     payload: payloads.Heartbeat,
@@ -238,12 +238,12 @@
     current = epoch.offset if epoch else -1
     if payload.epoch > current:
         return
-    state.liveness.hear(sender, now)
+    state.liveness.record_heard(sender, now)
     if epoch and payload.epoch == current:
         state.liveness.merge(epoch.members, payload.ages, now)
 
 
-def _take_digest(state: State, digest: payloads.Digest, now: float) -> None:
+def _merge_digest(state: State, digest: payloads.Digest, now: float) -> None:
     target = state.get_targets().get(digest.target)
     known = target.load.report if target else None
     if target is None or known is None:
--- a/trestledock/process/_platform.py
+++ b/trestledock/process/_platform.py
@@ -35,12 +35,12 @@
 def on_instances(message: InstancesListed, state: State, now: float) -> None:
     """Fold the instance list."""
     before = len(state.fleet.leaving)
-    for info in state.fleet.take_targets(message.targets, now):
+    for info in state.fleet.merge_targets(message.targets, now):
         state.note('target_replaced', info.key)
         fail_replaced(state, info.name, now)
     if len(state.fleet.leaving) > before:
         state.note('targets_leaving', 'platform')
-    state.fleet.take_peers(message.peers, now)
+    state.fleet.merge_peers(message.peers, now)
     listed = {peer.name for peer in message.peers if not peer.leaving}
     state.duties.delisted = {
         member
@@ -51,7 +51,7 @@
 
 def on_load(message: LoadReported, state: State, now: float) -> None:
     """Fold a target's report; work may have a place now."""
-    state.fleet.take_report(message.target, message.report, now)
+    state.fleet.record_report(message.target, message.report, now)
     target = state.get_targets().get(message.target)
     if target and message.report.capacity_tokens:
         prepare_block(state, target, now)
@@ -62,7 +62,7 @@
     """Fold a target's cache event."""
     target = state.get_targets().get(message.target)
     if target:
-        target.take_cache_event(message.event)
+        target.apply_cache_event(message.event)
 
 
 def on_log_read(message: LogRead, state: State, now: float) -> None:
