--- a/tests/test_parts.py
+++ b/tests/test_parts.py
@@ -20,7 +20,7 @@
 )
 from trestledock.process._limits import Limits
 from trestledock.process._liveness import Liveness
-from trestledock.process._load import EngineLoad, Sent
+from trestledock.process._load import EngineLoad, SentWork
 from trestledock.process._queue import FairQueue, QueuedRequest
 from trestledock.relay import BudgetTerms, RetryWindow
 from trestledock.request import (
@@ -47,21 +47,21 @@
 class Load(unittest.TestCase):
     def test_own_work_is_counted_exactly_and_others_drain(self):
         load = EngineLoad()
-        load.take_report(REPORT, 10)
+        load.record_report(REPORT, 10)
         self.assertAlmostEqual(load.predict_wait(2, 10), 4)
         self.assertAlmostEqual(load.predict_wait(1, 10), 0)
         self.assertAlmostEqual(load.predict_wait(2, 12), 2)
-        load.add(('r', 1), Sent(500, 1, 600, 12, 12))
+        load.add(('r', 1), SentWork(500, 1, 600, 12, 12))
         self.assertAlmostEqual(load.predict_wait(2, 12), 2.5)
-        self.assertEqual(load.predict_free(), 8400)
+        self.assertEqual(load.predict_free_tokens(), 8400)
         load.mark_prefilled(('r', 1), 12.5)
         self.assertAlmostEqual(load.predict_wait(1, 12.5), 0)
 
     def test_older_report_changes_nothing(self):
         load = EngineLoad()
-        load.take_report(REPORT, 10)
+        load.record_report(REPORT, 10)
         late = LoadReport(5, (9000,), 0, 10_000, 1000.0, 0.01)
-        load.take_report(late, 11)
+        load.record_report(late, 11)
         self.assertIs(load.report, REPORT)
 
 
@@ -108,13 +108,13 @@
         total = 0
         for index, demand in enumerate(demands):
             limits = Limits()
-            limits.note('t', demand * 10, 0)
+            limits.record_demand('t', demand * 10, 0)
             others = [*demands[:index], *demands[index + 1 :]]
-            total += limits.get_part('t', 6, others, 0)
+            total += limits.get_share('t', 6, others, 0)
         self.assertAlmostEqual(total, 6, places=3)
 
     def test_without_news_an_even_part(self):
-        self.assertEqual(Limits().get_part('t', 6, [1.0, None], 0), 2)
+        self.assertEqual(Limits().get_share('t', 6, [1.0, None], 0), 2)
 
     def test_bucket_says_when_to_come_back(self):
         limits = Limits()
--- a/trestledock/process/_answers.py
+++ b/trestledock/process/_answers.py
@@ -232,7 +232,7 @@
 def _mark_prefilled(state: State, live: LiveRequest, now: float) -> None:
     key = (live.req.req_id, live.attempt.number)
     target = state.get_targets()[live.shares[-1].target]
-    sent = target.load.sends.get(key)
+    sent = target.load.sent_work.get(key)
     if sent and sent.prefilled_at is None:
         target.load.mark_prefilled(key, now)
         schedule_dispatch(state, live.pool, now)
--- a/trestledock/process/_arrivals.py
+++ b/trestledock/process/_arrivals.py
@@ -173,7 +173,7 @@
 
 def _refuse_over_limit(state: State, live: LiveRequest, now: float) -> bool:
     team = get_team(state, live.req)
-    state.limits.note(team.name, live.cost, now)
+    state.limits.record_demand(team.name, live.cost, now)
     if not team.limit:
         return False
     news = [
@@ -181,7 +181,7 @@
         for name, peer in state.fleet.peers.items()
         if name != state.member and not peer.leaving
     ]
-    part = state.limits.get_part(team.name, team.limit, news, now)
+    part = state.limits.get_share(team.name, team.limit, news, now)
     wait_s = state.limits.spend(team.name, live.cost, part, now)
     if wait_s > 0:
         refuse(state, live, Reason.team_limit, wait_s)
--- a/trestledock/process/_choosing.py
+++ b/trestledock/process/_choosing.py
@@ -280,7 +280,7 @@
         prefill_s,
         decode_s,
         penalty_s,
-        target.load.predict_free(),
+        target.load.predict_free_tokens(),
     )
 
 
--- a/trestledock/process/_dispatching.py
+++ b/trestledock/process/_dispatching.py
@@ -24,7 +24,7 @@
 from trestledock.process._guarding import allocate_reservation
 from trestledock.process._isolating import is_quarantined
 from trestledock.process._live import LiveRequest, Phase, Share
-from trestledock.process._load import Sent
+from trestledock.process._load import SentWork
 from trestledock.process._queue import QueuedRequest, get_length_rank
 from trestledock.process._state import State
 from trestledock.process._timers import DispatchDue, SilenceDue
@@ -204,7 +204,7 @@
     target.in_flight += 1
     target.load.add(
         (live.req.req_id, attempt.number),
-        Sent(0, 0, 0, now, now),
+        SentWork(0, 0, 0, now, now),
     )
     state.count('attempts', 'call')
     state.act(
@@ -243,14 +243,14 @@
     now: float,
 ) -> None:
     key = (live.req.req_id, live.attempt.number)
-    earlier = target.load.sends.get(key)
+    earlier = target.load.sent_work.get(key)
     if earlier is None:
         target.in_flight += 1
         target.breaker.start(now)
     rest = max(0, live.get_current_share().stop - job.stop)
     target.load.add(
         key,
-        Sent(
+        SentWork(
             job.stop - job.start,
             job.priority,
             job.reserve,
--- a/trestledock/process/_duties.py
+++ b/trestledock/process/_duties.py
@@ -216,7 +216,7 @@
 def tidy(state: State, now: float) -> None:
     """Drop what has become old, and try what waits once more."""
     for target in state.get_targets().values():
-        target.load.forget_done(now)
+        target.load.expire_done(now)
     schedule_dispatch_of_all(state, now)
 
 
--- a/trestledock/process/_ending.py
+++ b/trestledock/process/_ending.py
@@ -77,7 +77,7 @@
     key = (live.req.req_id, live.attempt.number)
     for name in {share.target for share in live.shares} | {live.attempt.target}:
         target = state.get_targets().get(name)
-        if target and key in target.load.sends:
+        if target and key in target.load.sent_work:
             target.load.remove(key, state.duties.last_step)
             target.in_flight -= 1
     last = live.shares[-1].hold if live.shares else ''
--- a/trestledock/process/_fleet.py
+++ b/trestledock/process/_fleet.py
@@ -159,7 +159,7 @@
         if target is None:
             return
         target.heard_at = now
-        target.load.take_report(report, now)
+        target.load.record_report(report, now)
         if report.models:
             target.models = frozenset(report.models)
         if report.leaving:
--- a/trestledock/process/_limits.py
+++ b/trestledock/process/_limits.py
@@ -12,9 +12,9 @@
 from dataclasses import dataclass, field
 
 #: How fast the memory of demand fades, in seconds.
-DEMAND_MEMORY_S = 10.0
+DEMAND_WINDOW_S = 10.0
 #: The demand that every instance is assumed to have at least.
-LEAST_DEMAND = 0.01
+MIN_DEMAND = 0.01
 #: How much of a limit may be spent in a burst, in seconds of it.
 BURST_S = 10.0
 
@@ -28,13 +28,13 @@
 
     def add(self, cost: float, now: float) -> None:
         """Count work of `cost` engine seconds."""
-        self.rate = self.get_rate(now) + cost / DEMAND_MEMORY_S
+        self.rate = self.get_rate(now) + cost / DEMAND_WINDOW_S
         self.updated_at = now
 
     def get_rate(self, now: float) -> float:
         """Return the demand at `now`."""
         age = max(0, now - self.updated_at)
-        return self.rate * max(0, 1 - age / DEMAND_MEMORY_S)
+        return self.rate * max(0, 1 - age / DEMAND_WINDOW_S)
 
 
 @dataclass
@@ -58,7 +58,7 @@
     demands: dict[str, Demand] = field(default_factory=dict)
     buckets: dict[str, Bucket] = field(default_factory=dict)
 
-    def note(self, team: str, cost: float, now: float) -> None:
+    def record_demand(self, team: str, cost: float, now: float) -> None:
         """Count a team's demand, admitted or not."""
         self.demands.setdefault(team, Demand()).add(cost, now)
 
@@ -67,7 +67,7 @@
         demand = self.demands.get(team)
         return demand.get_rate(now) if demand else 0
 
-    def get_part(
+    def get_share(
         self,
         team: str,
         limit: float,
@@ -80,8 +80,8 @@
         """
         if None in peers:
             return limit / (len(peers) + 1)
-        own = max(LEAST_DEMAND, self.get_demand(team, now))
-        others = sum(max(LEAST_DEMAND, rate or 0) for rate in peers)
+        own = max(MIN_DEMAND, self.get_demand(team, now))
+        others = sum(max(MIN_DEMAND, rate or 0) for rate in peers)
         return limit * own / (own + others)
 
     def spend(self, team: str, cost: float, rate: float, now: float) -> float:
--- a/trestledock/process/_load.py
+++ b/trestledock/process/_load.py
@@ -14,17 +14,17 @@
 from trestledock.process._targets import LoadReport
 
 #: How long finished work is kept, to be set against older reports.
-KEEP_DONE_S = 6.0
+DONE_RETENTION_S = 6.0
 #: How long the pace of own pieces counts, in seconds.
-KEEP_PACE_S = 5.0
+MAX_PACE_AGE_S = 5.0
 #: The weight of the newest sample in learned rates.
-LEARN = 0.3
+SMOOTHING_FACTOR = 0.3
 #: The largest share of the prefill rate that others are assumed to add.
-OTHERS_CAP = 1.0
+MAX_OTHERS_SHARE = 1.0
 
 
 @dataclass(frozen=True)
-class Sent:
+class SentWork:
     """Own work sent to an engine.
 
     `tokens` are the prefill tokens of the piece that was sent, `rest` those
@@ -45,7 +45,7 @@
     """The seconds that a token of cut prompts took lately, waits included."""
 
     token_s: float
-    noted_at: float
+    measured_at: float
 
 
 @dataclass
@@ -55,42 +55,42 @@
     report: LoadReport | None = None
     reported_at: float = 0
     others_rate: float = 0
-    sends: dict[tuple[str, int], Sent] = field(default_factory=dict)
-    done: list[Sent] = field(default_factory=list)
+    sent_work: dict[tuple[str, int], SentWork] = field(default_factory=dict)
+    done: list[SentWork] = field(default_factory=list)
     paces: dict[int, Pace] = field(default_factory=dict)
     sent_total: int = 0
-    _mark: tuple[float, int, int] = (0, 0, 0)
+    _last_totals: tuple[float, int, int] = (0, 0, 0)
     _waits: dict[int, float] = field(default_factory=dict)
     _waits_at: float = float('-inf')
 
-    def take_report(self, report: LoadReport, now: float) -> None:
+    def record_report(self, report: LoadReport, now: float) -> None:
         """Take a report unless a newer one is known."""
         reported_at = now - report.age_s
         if self.report and reported_at <= self.reported_at:
             return
         self._waits.clear()
-        self._learn_others(report, reported_at)
+        self._update_others_rate(report, reported_at)
         self.report = report
         self.reported_at = reported_at
 
-    def add(self, key: tuple[str, int], sent: Sent) -> None:
+    def add(self, key: tuple[str, int], sent: SentWork) -> None:
         """Count a piece of work that is being sent, after the one before."""
         self.remove(key, sent.sent_at)
         self._waits.clear()
-        self.sends[key] = sent
+        self.sent_work[key] = sent
         self.sent_total += sent.tokens
 
     def mark_prefilled(self, key: tuple[str, int], now: float) -> None:
         """Count the prefill of a piece of work as done."""
-        sent = self.sends.get(key)
+        sent = self.sent_work.get(key)
         if sent and sent.prefilled_at is None:
             self._waits.clear()
-            self.sends[key] = replace(sent, prefilled_at=now)
-            self._learn_pace(sent, now)
+            self.sent_work[key] = replace(sent, prefilled_at=now)
+            self._update_pace(sent, now)
 
     def remove(self, key: tuple[str, int], now: float) -> None:
         """Count work as ended, whatever became of it."""
-        sent = self.sends.pop(key, None)
+        sent = self.sent_work.pop(key, None)
         if sent:
             self._waits.clear()
             if sent.prefilled_at is None:
@@ -106,14 +106,14 @@
             self._waits[priority] = self._compute_wait(priority, now)
         return self._waits[priority]
 
-    def predict_free(self) -> int:
+    def predict_free_tokens(self) -> int:
         """Return the KV tokens that are free, as far as known."""
         report = self.report
         if report is None:
             return 0
         since = sum(
             sent.reserve
-            for sent in self.sends.values()
+            for sent in self.sent_work.values()
             if sent.reserved_at > self.reported_at
         )
         return report.free_tokens - since
@@ -125,74 +125,82 @@
         all in the engine's report; the pace of the own pieces tells of them.
         """
         pace = self.paces.get(priority)
-        if pace is None or now - pace.noted_at > KEEP_PACE_S:
+        if pace is None or now - pace.measured_at > MAX_PACE_AGE_S:
             return 0
         return pace.token_s
 
-    def forget_done(self, now: float) -> None:
+    def expire_done(self, now: float) -> None:
         """Drop finished work that no report can be older than."""
         self.done = [
             sent
             for sent in self.done
-            if now - (sent.prefilled_at or now) < KEEP_DONE_S
+            if now - (sent.prefilled_at or now) < DONE_RETENTION_S
         ]
 
     def _compute_wait(self, priority: int, now: float) -> float:
         report = self.report
         if report is None:
             return 0
-        ahead = self._own(priority) + self._others(priority, now)
-        return (ahead + self._rest_of_piece(priority)) / report.rate
+        ahead = self._count_own_tokens(priority) + self._estimate_others(
+            priority, now
+        )
+        return (ahead + self._estimate_running_chunk(priority)) / report.rate
 
-    def _own(self, priority: int) -> int:
+    def _count_own_tokens(self, priority: int) -> int:
         return sum(
             sent.tokens + sent.rest
-            for sent in self.sends.values()
+            for sent in self.sent_work.values()
             if sent.prefilled_at is None and sent.priority <= priority
         )
 
-    def _own_at_report(self, priority: int) -> int:
+    def _count_own_in_report(self, priority: int) -> int:
         moment = self.reported_at
         return sum(
             sent.tokens
-            for sent in (*self.sends.values(), *self.done)
+            for sent in (*self.sent_work.values(), *self.done)
             if sent.priority <= priority
             and sent.sent_at <= moment
             and (sent.prefilled_at is None or sent.prefilled_at > moment)
         )
 
-    def _others(self, priority: int, now: float) -> float:
+    def _estimate_others(self, priority: int, now: float) -> float:
         report = self.report
         if report is None:
             return 0
         queued = sum(report.queued[: priority + 1])
-        known = max(0, queued - self._own_at_report(priority))
+        known = max(0, queued - self._count_own_in_report(priority))
         age = now - self.reported_at
         return max(0, known + (self.others_rate - report.rate) * age)
 
-    def _rest_of_piece(self, priority: int) -> float:
+    def _estimate_running_chunk(self, priority: int) -> float:
         lower = [
             sent.tokens
-            for sent in self.sends.values()
+            for sent in self.sent_work.values()
             if sent.prefilled_at is None and sent.priority > priority
         ]
         return min(lower) / 2 if lower else 0
 
-    def _learn_pace(self, sent: Sent, now: float) -> None:
+    def _update_pace(self, sent: SentWork, now: float) -> None:
         if not sent.rest or not sent.tokens:
             return
         token_s = (now - sent.sent_at) / sent.tokens
         known = self.get_pace(sent.priority, now)
         if known:
-            token_s = known + LEARN * (token_s - known)
+            token_s = known + SMOOTHING_FACTOR * (token_s - known)
         self.paces[sent.priority] = Pace(token_s, now)
 
-    def _learn_others(self, report: LoadReport, reported_at: float) -> None:
-        last_at, accepted, own = self._mark
+    def _update_others_rate(
+        self, report: LoadReport, reported_at: float
+    ) -> None:
+        last_at, accepted, own = self._last_totals
         span = reported_at - last_at
         if self.report and span > 0:
             others = report.accepted_tokens - accepted
             others -= self.sent_total - own
-            rate = min(max(0, others / span), report.rate * OTHERS_CAP)
-            self.others_rate += LEARN * (rate - self.others_rate)
-        self._mark = (reported_at, report.accepted_tokens, self.sent_total)
+            rate = min(max(0, others / span), report.rate * MAX_OTHERS_SHARE)
+            self.others_rate += SMOOTHING_FACTOR * (rate - self.others_rate)
+        self._last_totals = (
+            reported_at,
+            report.accepted_tokens,
+            self.sent_total,
+        )
--- a/trestledock/process/_peering.py
+++ b/trestledock/process/_peering.py
@@ -258,4 +258,4 @@
         digest.accepted_tokens,
         models=known.models,
     )
-    target.load.take_report(report, now)
+    target.load.record_report(report, now)
