--- a/trestledock/process/_answers.py
+++ b/trestledock/process/_answers.py
@@ -81,7 +81,7 @@
     _mark_prefilled(state, live, now)
     ready = live.assembler.push(message.attempt, message.chunk)
     if ready:
-        state.act(EmitChunks(message.req_id, ready))
+        state.emit(EmitChunks(message.req_id, ready))
     _finish_if_complete(state, live, now)
 
 
@@ -265,7 +265,7 @@
     share = live.shares[-1]
     target = state.get_targets()[share.target]
     state.count('retries', 'resume')
-    state.act(
+    state.emit(
         ResumeStream(
             live.req.req_id,
             live.attempt.number,
--- a/trestledock/process/_applying.py
+++ b/trestledock/process/_applying.py
@@ -32,7 +32,7 @@
             _apply_lease(state, accepted, now)
 
 
-def settle_publications(state: State) -> None:
+def report_publications(state: State) -> None:
     """Tell the operators whose records have been read back."""
     for publish_id in tuple(state.publishing):
         verdict = state.reader.fold.verdicts.get(publish_id)
@@ -41,7 +41,7 @@
         wait = state.publishing.pop(publish_id)
         detail = '' if verdict else 'another version was accepted before'
         number = state.version.number
-        state.act(Published(publish_id, verdict, number, wait.base, detail))
+        state.emit(Published(publish_id, verdict, number, wait.base, detail))
 
 
 def _apply_configuration(state: State, accepted: Accepted) -> None:
@@ -50,7 +50,7 @@
     cfg = check_configuration(accepted.body).unwrap()
     state.version = Version(accepted.offset, cfg)
     state.claims.keep_s = cfg.claims.keep_s
-    state.note('version_in_force', detail=str(accepted.offset))
+    state.log_event('version_in_force', detail=str(accepted.offset))
 
 
 def _apply_lease(state: State, accepted: Accepted, now: float) -> None:
@@ -76,4 +76,6 @@
     if data_centre != state.identity.data_centre:
         return
     if state.claims.enter(epoch, now):
-        state.note('epoch', detail=f'{accepted.offset} {list(body.members)}')
+        state.log_event(
+            'epoch', detail=f'{accepted.offset} {list(body.members)}'
+        )
--- a/trestledock/process/_choosing.py
+++ b/trestledock/process/_choosing.py
@@ -311,8 +311,8 @@
     candidates: tuple[Candidate, ...],
 ) -> Candidate:
     ordered = sorted(candidates, key=lambda one: one.target.info.name)
-    state.duties.round_robin += 1
-    return ordered[state.duties.round_robin % len(ordered)]
+    state.bookkeeping.round_robin += 1
+    return ordered[state.bookkeeping.round_robin % len(ordered)]
 
 
 def _choose_least_in_flight(
--- a/trestledock/process/_dispatching.py
+++ b/trestledock/process/_dispatching.py
@@ -91,15 +91,15 @@
     """Try what waits for `pool` within a moment, once for many events."""
     if (
         state.get_queue(pool).waiting
-        and pool not in state.duties.scheduled_pools
+        and pool not in state.bookkeeping.scheduled_pools
     ):
-        state.duties.scheduled_pools.add(pool)
+        state.bookkeeping.scheduled_pools.add(pool)
         state.set_timer(now + DISPATCH_DELAY_S, DispatchDue(pool))
 
 
 def on_dispatch_due(message: DispatchDue, state: State, now: float) -> None:
     """Try what waits for a pool."""
-    state.duties.scheduled_pools.discard(message.pool)
+    state.bookkeeping.scheduled_pools.discard(message.pool)
     dispatch_queue(state, message.pool, now)
 
 
@@ -207,7 +207,7 @@
         SentWork(0, 0, 0, now, now),
     )
     state.count('attempts', 'call')
-    state.act(
+    state.emit(
         CallService(
             live.req.req_id,
             attempt.number,
@@ -262,7 +262,7 @@
     live.awaited = (job.hold, job.stop)
     _set_silence_timer(state, live, target, job, now)
     source = _find_kv_source(live, job)
-    state.act(
+    state.emit(
         StartJob(
             live.req.req_id,
             live.attempt.number,
--- a/trestledock/process/_duties.py
+++ b/trestledock/process/_duties.py
@@ -45,7 +45,7 @@
 ) -> None:
     """Do every duty once and set the timer for the next time."""
     state.set_timer(now + state.timing.heartbeat_s, HeartbeatDue())
-    for duty in DUTIES:
+    for duty in PERIODIC_TASKS:
         duty(state, now)
 
 
@@ -55,7 +55,7 @@
     return [peer for peer in peers if peer.info.member != state.member]
 
 
-def mark_gone_peers(state: State, now: float) -> None:
+def detect_unreachable_peers(state: State, now: float) -> None:
     """Mark the peers that have fallen silent.
 
     Those are the peers of the data centre, the owners of guarded holds and
@@ -75,7 +75,7 @@
             mark_unreachable(state, peer)
 
 
-def forget_peers(state: State, now: float) -> None:
+def expire_peers(state: State, now: float) -> None:
     """Forget peers that have been gone for long."""
     older_s = state.timing.forget_peer_s
     for member, peer in tuple(state.fleet.peers.items()):
@@ -108,7 +108,7 @@
         send_to_member(state, member, heartbeat)
     for info in state.fleet.get_unknown_peers():
         if info.name != state.identity.instance:
-            state.act(ToPeer(info.member, info.address, heartbeat))
+            state.emit(ToPeer(info.member, info.address, heartbeat))
 
 
 def make_heartbeat(state: State, now: float) -> Heartbeat:
@@ -134,10 +134,10 @@
 
 def propose_epoch(state: State, now: float) -> None:
     """Propose the live members as the next epoch, once they have settled."""
-    wanted = _get_wanted_members(state)
-    if wanted != state.duties.wanted_members:
-        state.duties.wanted_members = wanted
-        state.duties.wanted_since = now
+    wanted = _get_desired_members(state)
+    if wanted != state.bookkeeping.desired_members:
+        state.bookkeeping.desired_members = wanted
+        state.bookkeeping.desired_since = now
     cfg = state.version.cfg
     if not wanted or cfg is None or not _may_append(state, now):
         return
@@ -146,12 +146,12 @@
     if epoch and epoch.members == wanted and epoch.body.replicas == replicas:
         return
     rank = wanted.index(state.member) if state.member in wanted else 0
-    settled_at = state.duties.wanted_since + state.timing.epoch_settle_s
+    settled_at = state.bookkeeping.desired_since + state.timing.epoch_settle_s
     if now < settled_at + rank * state.timing.append_retry_s:
         return
-    if now - state.duties.epoch_asked_at < state.timing.append_retry_s:
+    if now - state.bookkeeping.epoch_proposed_at < state.timing.append_retry_s:
         return
-    state.duties.epoch_asked_at = now
+    state.bookkeeping.epoch_proposed_at = now
     body = EpochBody(wanted, replicas)
     if epoch:
         body = EpochBody(
@@ -164,13 +164,13 @@
     _append(state, EPOCH_PREFIX, dump_json(body))
 
 
-def ask_for_seals(state: State, now: float) -> None:
+def request_seals(state: State, now: float) -> None:
     """Ask the members of earlier epochs for what they remember."""
     gone = {
         name
         for handover in state.claims.handovers.values()
         for name in handover.members
-        if _has_ended(state, name, now)
+        if _has_terminated(state, name, now)
     }
     state.claims.expire(gone, now)
     scope = EPOCH_PREFIX + state.identity.data_centre
@@ -182,9 +182,9 @@
             send_to_member(state, member, SealAsk(accepted))
 
 
-def ask_for_lease(state: State, now: float) -> None:
+def request_lease(state: State, now: float) -> None:
     """Ask for the data centre's lease, or renew it."""
-    members = state.duties.wanted_members
+    members = state.bookkeeping.desired_members
     if state.member not in members or not _may_append(state, now):
         return
     if state.lease.wants(now, members.index(state.member)):
@@ -193,27 +193,30 @@
         state.lease.note_asked(record_id, now)
 
 
-def keep_snapshot(state: State, now: float) -> None:
+def append_snapshot(state: State, now: float) -> None:
     """Keep the state on the log, well before its records expire."""
     seen = state.reader.snapshots_seen
-    if seen != state.duties.snapshots_seen or not state.duties.snapshot_due:
+    if (
+        seen != state.bookkeeping.snapshots_seen
+        or not state.bookkeeping.snapshot_due
+    ):
         wait_s = state.timing.snapshot_s * state.rng.uniform(1, 2)
-        state.duties.snapshots_seen = seen
-        state.duties.snapshot_due = now + wait_s
-    if now >= state.duties.snapshot_due and _may_append(state, now):
-        state.duties.snapshot_due = 0
+        state.bookkeeping.snapshots_seen = seen
+        state.bookkeeping.snapshot_due = now + wait_s
+    if now >= state.bookkeeping.snapshot_due and _may_append(state, now):
+        state.bookkeeping.snapshot_due = 0
         record_id = state.make_record_id('snapshot')
         record = make_snapshot_record(record_id, state.reader.fold)
-        state.act(AppendRecord(record))
+        state.emit(AppendRecord(record))
 
 
-def keep_holds(state: State, now: float) -> None:
+def maintain_reservations(state: State, now: float) -> None:
     """Keep hold blocks guarded and repeat cancels."""
     maintain_blocks(state, now)
     repeat_cancels(state)
 
 
-def tidy(state: State, now: float) -> None:
+def run_housekeeping(state: State, now: float) -> None:
     """Drop what has become old, and try what waits once more."""
     for target in state.get_targets().values():
         target.load.expire_done(now)
@@ -228,11 +231,11 @@
     if epoch is None:
         return True
     if state.member in epoch.members:
-        return not _get_wanted_members(state)
+        return not _get_desired_members(state)
     return state.claims.handed_over_to >= set(epoch.members)
 
 
-def _has_ended(state: State, member: str, now: float) -> bool:
+def _has_terminated(state: State, member: str, now: float) -> bool:
     """Whether a member surely runs no more.
 
     The platform has dropped it from its list, or its instance has started
@@ -243,14 +246,14 @@
     restarted = own and incarnation < state.identity.incarnation
     ended = (
         restarted
-        or member in state.duties.delisted
+        or member in state.bookkeeping.unlisted_members
         or state.fleet.is_superseded(member)
     )
     silent_s = state.liveness.get_age(member, now)
     return ended and silent_s > state.timing.peer_dead_s
 
 
-def _get_wanted_members(state: State) -> tuple[str, ...]:
+def _get_desired_members(state: State) -> tuple[str, ...]:
     names = [
         peer.info.member for peer in get_local_peers(state) if not peer.leaving
     ]
@@ -267,7 +270,7 @@
     scope = prefix + state.identity.data_centre
     record_id = state.make_record_id(scope)
     base = state.reader.fold.get_base_by_scope(scope)
-    state.act(AppendRecord(Record(record_id, scope, base, body)))
+    state.emit(AppendRecord(Record(record_id, scope, base, body)))
     return record_id
 
 
@@ -290,16 +293,16 @@
     )
 
 
-DUTIES = (
-    mark_gone_peers,
-    forget_peers,
+PERIODIC_TASKS = (
+    detect_unreachable_peers,
+    expire_peers,
     send_heartbeats,
     propose_epoch,
-    ask_for_seals,
-    ask_for_lease,
+    request_seals,
+    request_lease,
     give_orders,
-    keep_snapshot,
-    keep_holds,
+    append_snapshot,
+    maintain_reservations,
     fail_silent_streams,
-    tidy,
+    run_housekeeping,
 )
--- a/trestledock/process/_ending.py
+++ b/trestledock/process/_ending.py
@@ -63,7 +63,7 @@
     release_attempt(state, live, verdict.outcome is Outcome.answered)
     _report_claim_result(state, live, verdict)
     state.count('outcome', verdict.outcome.value)
-    state.act(Finish(req, verdict))
+    state.emit(Finish(req, verdict))
 
 
 def release_attempt(state: State, live: LiveRequest, is_whole: bool) -> None:
@@ -78,7 +78,7 @@
     for name in {share.target for share in live.shares} | {live.attempt.target}:
         target = state.get_targets().get(name)
         if target and key in target.load.sent_work:
-            target.load.remove(key, state.duties.last_step)
+            target.load.remove(key, state.bookkeeping.last_step)
             target.in_flight -= 1
     last = live.shares[-1].hold if live.shares else ''
     for share in live.shares:
@@ -98,7 +98,7 @@
     state.reservation_watch.add_cancels(target_name, (hold,))
     target = state.get_targets().get(target_name)
     if target:
-        state.act(CancelHolds(target_name, target.info.address, (hold,)))
+        state.emit(CancelHolds(target_name, target.info.address, (hold,)))
 
 
 def _report_claim_result(
@@ -125,4 +125,4 @@
     """Send a payload to a member, which may be this instance itself."""
     peer = state.fleet.peers.get(member)
     address = peer.info.address if peer else ''
-    state.act(ToPeer(member, address, payload))  # type: ignore[arg-type]
+    state.emit(ToPeer(member, address, payload))  # type: ignore[arg-type]
--- a/trestledock/process/_guarding.py
+++ b/trestledock/process/_guarding.py
@@ -110,10 +110,10 @@
     owner = peer.info.member
     peer.gone = True
     peer.knows_quarantine = False
-    state.note('peer_gone', owner)
+    state.log_event('peer_gone', owner)
     for watched in state.reservation_watch.queue_owner_cancels(owner):
         state.count('taken_up_holds')
-        state.note('holds_taken_up', owner, watched.target)
+        state.log_event('holds_taken_up', owner, watched.target)
 
 
 def maintain_blocks(state: State, now: float) -> None:
@@ -140,7 +140,7 @@
             continue
         holds = tuple(sorted(state.reservation_watch.to_cancel[key]))
         address = target.info.address
-        state.act(CancelHolds(key, address, holds[:BLOCK_SIZE]))
+        state.emit(CancelHolds(key, address, holds[:BLOCK_SIZE]))
 
 
 def _release_watchers(state: State, block: IdBlock, members: set[str]) -> None:
--- a/trestledock/process/_isolating.py
+++ b/trestledock/process/_isolating.py
@@ -42,9 +42,9 @@
         state.quarantine.is_quarantined(ends.fingerprint)
         and not was_quarantined
     ):
-        state.note('request_quarantined', detail=ends.fingerprint)
+        state.log_event('request_quarantined', detail=ends.fingerprint)
     for forgotten in state.quarantine.trim():
-        state.note('suspect_forgotten', detail=forgotten)
+        state.log_event('suspect_forgotten', detail=forgotten)
 
 
 def send_quarantine(state: State, peer: Peer, now: float) -> None:
@@ -65,7 +65,7 @@
         return
     cleared = state.quarantine.note_answered(req.fingerprint, now)
     if cleared:
-        state.note('request_cleared', detail=req.fingerprint)
+        state.log_event('request_cleared', detail=req.fingerprint)
         _broadcast(state, TargetEnds(req.fingerprint, (), cleared))
 
 
--- a/trestledock/process/_lease.py
+++ b/trestledock/process/_lease.py
@@ -27,12 +27,12 @@
     asked_at: float = 0
     held_until: float = 0
     orders_from: float = 0
-    _asked: dict[str, float] = field(default_factory=dict)
+    _request_times: dict[str, float] = field(default_factory=dict)
 
     def note_asked(self, record_id: str, now: float) -> None:
         """Note that a lease record is about to be appended."""
         self.asked_at = now
-        self._asked[record_id] = now
+        self._request_times[record_id] = now
 
     def observe(
         self,
@@ -52,8 +52,8 @@
         if body.holder != self.member:
             self.held_until = 0
             return
-        asked_at = self._asked.get(record_id, float('-inf'))
-        self._asked.clear()
+        asked_at = self._request_times.get(record_id, float('-inf'))
+        self._request_times.clear()
         self.held_until = asked_at + body.ttl_s
         if takes_over:
             self.orders_from = now + self.timing.order_flight_s
--- a/trestledock/process/_node.py
+++ b/trestledock/process/_node.py
@@ -45,13 +45,13 @@
     def step(self, message: Any, now: float) -> tuple[Action, ...]:
         """Take a message at the monotonic instant `now`; return actions."""
         state = self.state
-        state.out = []
+        state.actions = []
         self._start(now)
-        self._notice_pause(now)
+        self._detect_pause(now)
         for timer in state.timers.pop_due(now):
             handle(timer, state, now)
         handle(message, state, now)
-        return tuple(self._loop_back(now))
+        return tuple(self._deliver_to_self(now))
 
     def get_next_timer(self) -> float:
         """Return the instant at which a `Tick` is due at the latest."""
@@ -75,23 +75,23 @@
         if not self._started:
             self._started = True
             state = self.state
-            state.duties.last_step = now
+            state.bookkeeping.last_step = now
             first = now + state.rng.uniform(0, state.timing.heartbeat_s)
             state.set_timer(first, HeartbeatDue())
 
-    def _notice_pause(self, now: float) -> None:
+    def _detect_pause(self, now: float) -> None:
         state = self.state
-        if now - state.duties.last_step > state.timing.pause_s:
+        if now - state.bookkeeping.last_step > state.timing.pause_s:
             state.count('pauses')
             state.reservation_ids.close_blocks()
-        state.duties.last_step = now
+        state.bookkeeping.last_step = now
 
-    def _loop_back(self, now: float) -> list[Action]:
+    def _deliver_to_self(self, now: float) -> list[Action]:
         """Hand what the instance sends to itself back to it at once."""
         state = self.state
         done: list[Action] = []
-        while state.out:
-            action = state.out.pop(0)
+        while state.actions:
+            action = state.actions.pop(0)
             if isinstance(action, ToPeer) and action.peer == state.member:
                 handle(PeerMessage(state.member, action.payload), state, now)
             else:
--- a/trestledock/process/_orders.py
+++ b/trestledock/process/_orders.py
@@ -14,9 +14,9 @@
 from trestledock.version import TargetKind, matches
 
 #: Orders in flight at once, for the weight store's sake.
-LOADS_AT_ONCE = 2
+MAX_CONCURRENT_LOADS = 2
 #: How long an order may take before it is given again, in seconds.
-ORDER_PATIENCE_S = 30.0
+ORDER_TIMEOUT_S = 30.0
 
 
 def give_orders(state: State, now: float) -> None:
@@ -25,18 +25,18 @@
         return
     loading = 0
     for target in _get_local_engines(state):
-        wanted = get_wanted_models(state, target)
+        wanted = get_desired_models(state, target)
         if not wanted or wanted == target.models:
             continue
         loading += 1
-        if loading > LOADS_AT_ONCE:
+        if loading > MAX_CONCURRENT_LOADS:
             break
-        if now - target.ordered_at > ORDER_PATIENCE_S:
+        if now - target.ordered_at > ORDER_TIMEOUT_S:
             target.ordered_at = now
-            _order(state, target, wanted)
+            _send_order(state, target, wanted)
 
 
-def get_wanted_models(state: State, target: Target) -> frozenset[str]:
+def get_desired_models(state: State, target: Target) -> frozenset[str]:
     """Return the models that the version in force wants on a target."""
     cfg = state.version.cfg
     if cfg is None:
@@ -60,9 +60,9 @@
     ]
 
 
-def _order(state: State, target: Target, wanted: frozenset[str]) -> None:
+def _send_order(state: State, target: Target, wanted: frozenset[str]) -> None:
     state.count('orders', 'given')
-    state.act(
+    state.emit(
         GiveOrder(
             target.info.name,
             target.info.address,
--- a/trestledock/process/_peering.py
+++ b/trestledock/process/_peering.py
@@ -63,7 +63,7 @@
     peer.demands = {one.team: one.demand for one in payload.demands}
     for key in payload.leaving_targets:
         if state.fleet.mark_leaving(key):
-            state.note('target_leaving', sender, key)
+            state.log_event('target_leaving', sender, key)
     for digest in payload.digests:
         _merge_digest(state, digest, now)
     if payload.data_centre == state.identity.data_centre:
--- a/trestledock/process/_platform.py
+++ b/trestledock/process/_platform.py
@@ -10,7 +10,7 @@
 from trestledock.process._answers import fail_replaced
 from trestledock.process._applying import (
     apply_accepted,
-    settle_publications,
+    report_publications,
 )
 from trestledock.process._dispatching import schedule_dispatch_of_all
 from trestledock.process._guarding import prepare_block
@@ -24,7 +24,7 @@
     Publish,
     Shutdown,
 )
-from trestledock.process._state import PublishWait, State
+from trestledock.process._state import PendingPublication, State
 from trestledock.version import (
     CONFIGURATION,
     Record,
@@ -36,13 +36,13 @@
     """Fold the instance list."""
     before = len(state.fleet.leaving)
     for info in state.fleet.merge_targets(message.targets, now):
-        state.note('target_replaced', info.key)
+        state.log_event('target_replaced', info.key)
         fail_replaced(state, info.name, now)
     if len(state.fleet.leaving) > before:
-        state.note('targets_leaving', 'platform')
+        state.log_event('targets_leaving', 'platform')
     state.fleet.merge_peers(message.peers, now)
     listed = {peer.name for peer in message.peers if not peer.leaving}
-    state.duties.delisted = {
+    state.bookkeeping.unlisted_members = {
         member
         for member in _get_epoch_members(state)
         if member.partition('#')[0] not in listed
@@ -67,10 +67,10 @@
 
 def on_log_read(message: LogRead, state: State, now: float) -> None:
     """Fold what the log has, and put it in force."""
-    state.duties.log_read_at = now
+    state.bookkeeping.log_read_at = now
     state.reader.feed(message.batch)
     apply_accepted(state, now)
-    settle_publications(state)
+    report_publications(state)
     append_publications(state, now)
     schedule_dispatch_of_all(state, now)
 
@@ -79,7 +79,7 @@
     """Mark a target as leaving on an operator's word."""
     target = state.get_targets().get(message.target)
     if target and state.fleet.mark_leaving(target.info.key):
-        state.note('target_leaving', 'operator', target.info.key)
+        state.log_event('target_leaving', 'operator', target.info.key)
 
 
 def on_publish(message: Publish, state: State, now: float) -> None:
@@ -90,7 +90,7 @@
     if errors is not None:
         number = state.version.number
         detail = str(errors)
-        state.act(
+        state.emit(
             Published(message.publish_id, False, number, base, detail),
         )
         return
@@ -98,9 +98,9 @@
         base = state.reader.fold.get_base_by_scope(CONFIGURATION)
     state.publishing.setdefault(
         message.publish_id,
-        PublishWait(base, message.body),
+        PendingPublication(base, message.body),
     )
-    settle_publications(state)
+    report_publications(state)
     append_publications(state, now)
 
 
@@ -112,14 +112,14 @@
     """Take a target's answer to an order."""
     state.count('orders', 'refused' if message.refused else 'taken')
     if message.refused:
-        state.note('order_refused', message.target)
+        state.log_event('order_refused', message.target)
 
 
 def on_shutdown(message: Shutdown, state: State, now: float) -> None:
     """Take no new work, finish what there is, and leave the epoch."""
     if not state.shutting_down:
         state.shutting_down = True
-        state.note('shutting_down')
+        state.log_event('shutting_down')
 
 
 def append_publications(state: State, now: float) -> None:
@@ -134,7 +134,7 @@
         if now - wait.appended_at >= state.timing.append_retry_s:
             wait.appended_at = now
             record = Record(publish_id, CONFIGURATION, wait.base, wait.body)
-            state.act(AppendRecord(record))
+            state.emit(AppendRecord(record))
 
 
 def _get_epoch_members(state: State) -> tuple[str, ...]:
--- a/trestledock/process/_state.py
+++ b/trestledock/process/_state.py
@@ -36,7 +36,7 @@
 
 
 @dataclass
-class PublishWait:
+class PendingPublication:
     """A publication whose verdict is not known yet."""
 
     base: int
@@ -45,17 +45,17 @@
 
 
 @dataclass
-class Duties:
+class Bookkeeping:
     """When the duties of the process were last done, and their inputs."""
 
     last_step: float = float('-inf')
     log_read_at: float = float('-inf')
     snapshots_seen: int = 0
     snapshot_due: float = 0
-    wanted_members: tuple[str, ...] = ()
-    wanted_since: float = 0
-    epoch_asked_at: float = float('-inf')
-    delisted: set[str] = field(default_factory=set)
+    desired_members: tuple[str, ...] = ()
+    desired_since: float = 0
+    epoch_proposed_at: float = float('-inf')
+    unlisted_members: set[str] = field(default_factory=set)
     record_count: int = 0
     round_robin: int = 0
     scheduled_pools: set[str] = field(default_factory=set)
@@ -84,11 +84,11 @@
         default_factory=ReservationWatch
     )
     timers: Timers = field(default_factory=Timers)
-    publishing: dict[str, PublishWait] = field(default_factory=dict)
-    duties: Duties = field(default_factory=Duties)
+    publishing: dict[str, PendingPublication] = field(default_factory=dict)
+    bookkeeping: Bookkeeping = field(default_factory=Bookkeeping)
     quarantine: Quarantine = field(default_factory=Quarantine)
     shutting_down: bool = False
-    out: list[Action] = field(default_factory=list)
+    actions: list[Action] = field(default_factory=list)
     claims: ClaimTable = field(init=False)
     reservation_ids: ReservationIds = field(init=False)
     lease: Lease = field(init=False)
@@ -104,17 +104,17 @@
         """This incarnation's name among its peers."""
         return self.identity.member
 
-    def act(self, action: Action) -> None:
+    def emit(self, action: Action) -> None:
         """Ask the tasks around the core for something."""
-        self.out.append(action)
+        self.actions.append(action)
 
     def count(self, name: str, label: str = '') -> None:
         """Count an event."""
-        self.out.append(Count(name, label))
+        self.actions.append(Count(name, label))
 
-    def note(self, event: str, peer: str = '', detail: str = '') -> None:
+    def log_event(self, event: str, peer: str = '', detail: str = '') -> None:
         """Log a change of state."""
-        self.out.append(Note(event, peer, detail))
+        self.actions.append(Note(event, peer, detail))
 
     def set_timer(self, at: float, timer: Any) -> None:
         """Send a message to this instance for later."""
@@ -134,9 +134,9 @@
 
     def make_record_id(self, purpose: str) -> str:
         """Return a record id that no other incarnation will use."""
-        self.duties.record_count += 1
-        return f'{self.member}/{purpose}/{self.duties.record_count}'
+        self.bookkeeping.record_count += 1
+        return f'{self.member}/{purpose}/{self.bookkeeping.record_count}'
 
     def is_log_fresh(self, now: float) -> bool:
         """Whether the log has answered lately."""
-        return now - self.duties.log_read_at < self.timing.peer_dead_s
+        return now - self.bookkeeping.log_read_at < self.timing.peer_dead_s
