--- a/tests/test_process_isolating.py
+++ b/tests/test_process_isolating.py
@@ -41,8 +41,8 @@
 
 def take_told(state):
     """Return what an instance has told, once."""
-    told = [one.payload for one in state.out if isinstance(one, ToPeer)]
-    state.out.clear()
+    told = [one.payload for one in state.actions if isinstance(one, ToPeer)]
+    state.actions.clear()
     return told
 
 
--- a/tests/test_promises.py
+++ b/tests/test_promises.py
@@ -58,7 +58,11 @@
     (
         'memory',
         'lost_cancels',
-        (mock.patch.object(ReservationWatch, 'take_up', return_value=[]),),
+        (
+            mock.patch.object(
+                ReservationWatch, 'queue_owner_cancels', return_value=[]
+            ),
+        ),
     ),
     (
         'memory',
