--- a/trestledock/process/_choosing.py
+++ b/trestledock/process/_choosing.py
@@ -125,7 +125,7 @@
     work = tuple(labels.values())
     stamp = (state.version.number, state.fleet.revision)
     known = state.permitted_sets.get(work)
-    if known is None or known.stamp != stamp:
+    if known is None or known.computed_for != stamp:
         known = _apply_selectors(state, req, labels, stamp)
         state.permitted_sets[work] = known
         if len(state.permitted_sets) > MAX_CACHED_SETS:
