--- a/trestledock/process/__init__.py
+++ b/trestledock/process/__init__.py
@@ -1,9 +1,10 @@
 """
-What lives for a process
-========================
+Instance core
+=============
 
-The core of an entry instance: fleet, load, queues, claims, holds, leases, and
-the node that ties them together.  Nothing here knows sockets or clocks.
+The state machine of an entry instance: fleet, load prediction, fair queues,
+claims, reservations, leases, and the node that combines them.  It uses no
+sockets, reads no clock, and performs no I/O.
 """
 
 from trestledock.process._actions import (
--- a/trestledock/process/_actions.py
+++ b/trestledock/process/_actions.py
@@ -2,8 +2,8 @@
 Actions
 =======
 
-Everything that the core can ask of the tasks around it.  An action names the
-peer and the step it belongs to.
+The outputs of the core: what the tasks around it must do.  An action names the
+target or peer that it concerns.
 """
 
 from dataclasses import dataclass
@@ -15,12 +15,13 @@
 
 @dataclass(frozen=True)
 class Job:
-    """One order of work for an engine.
+    """A unit of work for an engine.
 
-    The engine prefills tokens `start` to `stop` of a prompt under the hold
-    `hold`, which takes `reserve` KV tokens; with `generate` it goes on to
-    produce up to `max_tokens` tokens, numbered from `first_index`.
-    `source` names the target and hold whose KV cache is imported first.
+    The engine prefills tokens `start` to `stop` of a prompt under the
+    reservation `hold` of `reserve` KV tokens.  With `generate` it then decodes
+    up to `max_tokens` tokens, numbered from `first_index`.  `source` and
+    `source_hold` name the engine and the reservation whose KV cache it imports
+    first.
     """
 
     hold: str
@@ -38,7 +39,7 @@
 
 @dataclass(frozen=True)
 class StartJob:
-    """Send a job to an engine, unless `not_after` has passed."""
+    """Send a job to an engine before the instant `not_after`."""
 
     req_id: str
     attempt: int
@@ -50,7 +51,7 @@
 
 @dataclass(frozen=True)
 class CallService:
-    """Send a call to a plain service, unless `not_after` has passed."""
+    """Send a call to a plain service before the instant `not_after`."""
 
     req_id: str
     attempt: int
@@ -61,7 +62,7 @@
 
 @dataclass(frozen=True)
 class ResumeStream:
-    """Ask an engine to resume a broken stream from `index` on."""
+    """Ask an engine to resume a broken stream from token `index`."""
 
     req_id: str
     attempt: int
@@ -73,7 +74,7 @@
 
 @dataclass(frozen=True)
 class CancelHolds:
-    """Cancel holds on an engine, until it confirms."""
+    """Cancel reservations on an engine."""
 
     target: str
     address: str
@@ -82,7 +83,7 @@
 
 @dataclass(frozen=True)
 class EmitChunks:
-    """Pass chunks on to the caller."""
+    """Send chunks of the response to the caller."""
 
     req_id: str
     chunks: tuple[Chunk, ...]
@@ -90,7 +91,7 @@
 
 @dataclass(frozen=True)
 class Finish:
-    """Give the caller its final answer."""
+    """Send the final result to the caller."""
 
     req: Request
     verdict: Verdict
@@ -107,14 +108,14 @@
 
 @dataclass(frozen=True)
 class AppendRecord:
-    """Append a record to the log; the answer may be lost."""
+    """Append a record to the log; the confirmation may be lost."""
 
     record: Record
 
 
 @dataclass(frozen=True)
 class GiveOrder:
-    """Order a target to hold these models, unless `not_after` has passed."""
+    """Order a target to load these models, before the instant `not_after`."""
 
     target: str
     address: str
@@ -125,7 +126,7 @@
 
 @dataclass(frozen=True)
 class Published:
-    """Tell the operator what became of a publication."""
+    """Report the result of a publication to the operator."""
 
     publish_id: str
     accepted: bool
@@ -136,7 +137,7 @@
 
 @dataclass(frozen=True)
 class Count:
-    """Count an event by its name and label."""
+    """Increment the counter `name` for a label."""
 
     name: str
     label: str = ''
@@ -144,7 +145,7 @@
 
 @dataclass(frozen=True)
 class Note:
-    """Log a change of state."""
+    """Write a state change to the instance's log output."""
 
     event: str
     peer: str = ''
--- a/trestledock/process/_identity.py
+++ b/trestledock/process/_identity.py
@@ -2,8 +2,8 @@
 Identity and timing
 ===================
 
-Who an instance is and the intervals it works by.  Both are read from the
-settings once and never change in the life of the process.
+The name of an instance and the intervals of its protocols.  Both are read from
+the settings at startup and stay constant.
 """
 
 from dataclasses import dataclass
@@ -13,8 +13,8 @@
 class Identity:
     """The name of an instance, its incarnation and its data centre.
 
-    The incarnation differs for every start of a process, so that what an
-    earlier one held can be told apart.
+    The incarnation differs for every start of the process, so that
+    reservations and claims of earlier incarnations can be told apart.
     """
 
     instance: str
@@ -23,7 +23,7 @@
 
     @property
     def member(self) -> str:
-        """The name of this incarnation among its peers."""
+        """The unique name of this incarnation."""
         return f'{self.instance}#{self.incarnation}'
 
 
@@ -45,6 +45,7 @@
     append_retry_s: float = 1.0
 
 
-#: How many peers of the data centre a heartbeat goes to, and how many others.
+#: The number of peers that get each heartbeat, in the own data centre and in
+#: the others.
 LOCAL_FANOUT = 3
 REMOTE_FANOUT = 1
--- a/trestledock/process/_lease.py
+++ b/trestledock/process/_lease.py
@@ -2,10 +2,11 @@
 Leases
 ======
 
-One holder a data centre, by compare and set on the log; the offset of the
-accepted record is the fencing number.  A holder trusts its lease only until
-a margin before its end, counted from before it asked, on its own clock.
-Others count from when they read the record.
+Each data centre has one lease, acquired by compare-and-set on the log; the
+offset of the accepted record is the fencing number.  The holder counts the
+lease's duration on its own clock from the moment before its request, and stops
+using it a margin before it expires.  Other instances count from the moment
+when they read the record.
 """
 
 from dataclasses import dataclass, field
@@ -16,7 +17,7 @@
 
 @dataclass
 class Lease:
-    """One instance's view of its data centre's lease."""
+    """The lease of the data centre as one instance knows it."""
 
     member: str
     timing: Timing
@@ -30,7 +31,7 @@
     _request_times: dict[str, float] = field(default_factory=dict)
 
     def note_asked(self, record_id: str, now: float) -> None:
-        """Note that a lease record is about to be appended."""
+        """Record that a lease record is about to be appended."""
         self.asked_at = now
         self._request_times[record_id] = now
 
@@ -41,7 +42,7 @@
         body: LeaseBody,
         now: float,
     ) -> None:
-        """Take an accepted lease record."""
+        """Apply an accepted lease record."""
         if fencing <= self.fencing:
             return
         takes_over = body.holder != self.holder and self.holder
@@ -63,15 +64,19 @@
         return now < self.held_until - self.timing.lease_margin_s
 
     def get_order_limit(self) -> float:
-        """Return the instant after which no order may be written."""
+        """Return the instant after which no order may be sent."""
         return self.held_until - self.timing.lease_margin_s
 
     def may_order(self, now: float) -> bool:
-        """Whether orders may be given: held, and the last holder's landed."""
+        """Whether orders may be sent.
+
+        A new holder first waits until the previous holder's orders can no
+        longer be in flight.
+        """
         return self.is_held(now) and now >= self.orders_from
 
     def wants(self, now: float, rank: int) -> bool:
-        """Whether to ask for the lease; higher ranks wait longer."""
+        """Whether to request or renew the lease; higher ranks wait longer."""
         if now - self.asked_at < self.timing.append_retry_s:
             return False
         if self.holder == self.member and now < self.held_until:
--- a/trestledock/process/_liveness.py
+++ b/trestledock/process/_liveness.py
@@ -1,16 +1,16 @@
 """
-Liveness
-========
+Failure detection
+=================
 
-When each member of the data centre was last heard, directly or through others.
-Heartbeats carry the ages as one character a member, in the order of the
-epoch's members, so that a fixed fan-out reaches everybody within a few
-heartbeats and the message stays small.
+Tracks when each member of the data centre was last heard, directly or through
+other members.  Heartbeats carry these ages as one character per member, in the
+order of the epoch's members: messages stay small, and with a fixed fan-out the
+ages reach every member within a few heartbeats.
 """
 
 from dataclasses import dataclass, field
 
-#: One character's step, in seconds.
+#: The resolution of an encoded age, in seconds.
 AGE_STEP_S = 0.25
 _DIGITS = '0123456789abcdefghijklmnopqrstuvwxyz'
 
@@ -22,22 +22,22 @@
     heard_at: dict[str, float] = field(default_factory=dict)
 
     def record_heard(self, member: str, at: float) -> None:
-        """Note that `member` lived at the instant `at`."""
+        """Record that `member` was alive at the instant `at`."""
         self.heard_at[member] = max(at, self.heard_at.get(member, at))
 
     def get_age(self, member: str, now: float) -> float:
-        """Return the seconds since `member` was last known to live."""
+        """Return the seconds since `member` was last known to be alive."""
         return now - self.heard_at.get(member, float('-inf'))
 
     def encode(self, members: tuple[str, ...], now: float) -> str:
-        """Return the ages of `members` as text, oldest digit for unknown."""
+        """Encode the ages of `members`; the largest digit means unknown."""
         return ''.join(
             _DIGITS[self._get_step(self.get_age(member, now))]
             for member in members
         )
 
     def merge(self, members: tuple[str, ...], ages: str, now: float) -> None:
-        """Take the ages that a peer told."""
+        """Merge the encoded ages of a peer."""
         for member, digit in zip(members, ages):
             step = _DIGITS.find(digit)
             if 0 <= step < len(_DIGITS) - 1:
--- a/trestledock/process/_messages.py
+++ b/trestledock/process/_messages.py
@@ -2,8 +2,8 @@
 Messages
 ========
 
-Everything that the core can be told.  A message may come twice, late, out of
-order or never; `now` of the step that takes it may have jumped.
+The inputs of the core.  A message may arrive twice, late, out of order, or
+never; the time of the step that handles it may have jumped.
 """
 
 from dataclasses import dataclass
@@ -21,7 +21,7 @@
 
 @dataclass(frozen=True)
 class Arrive:
-    """A caller's request."""
+    """A request of a caller."""
 
     req: Request
 
@@ -35,7 +35,7 @@
 
 @dataclass(frozen=True)
 class PieceDone:
-    """An engine has prefilled an attempt's prompt up to `stop`."""
+    """An engine prefilled the prompt of an attempt up to token `stop`."""
 
     req_id: str
     attempt: int
@@ -45,7 +45,7 @@
 
 @dataclass(frozen=True)
 class ChunkArrived:
-    """A piece of an answer arrived from an engine."""
+    """A chunk of a streamed response arrived from an engine."""
 
     req_id: str
     attempt: int
@@ -54,7 +54,7 @@
 
 @dataclass(frozen=True)
 class StreamDone:
-    """The engine's final marker: the answer has `count` tokens."""
+    """The end of an engine's stream: the response has `count` tokens."""
 
     req_id: str
     attempt: int
@@ -63,7 +63,7 @@
 
 @dataclass(frozen=True)
 class CallDone:
-    """A plain service answered a call."""
+    """A plain service responded to a call."""
 
     req_id: str
     attempt: int
@@ -75,9 +75,10 @@
 class AttemptFailed:
     """An attempt failed.
 
-    `not_started` is true only with proof that the target did not start: the
-    connection was never made, or the target itself says so.  `ended` is true
-    where the target closed the connection and nobody listens there any more.
+    `not_started` is true only if the target provably did not start the work:
+    the connection was never established, or the target says so.  `ended` is
+    true if the target crashed: it closed the connection and its port no longer
+    accepts connections.
     """
 
     req_id: str
@@ -91,7 +92,7 @@
 
 @dataclass(frozen=True)
 class CancelConfirmed:
-    """An engine confirmed that it holds nothing under these ids."""
+    """An engine confirmed that it has no memory reserved under these ids."""
 
     target: str
     holds: tuple[str, ...]
@@ -99,7 +100,7 @@
 
 @dataclass(frozen=True)
 class LoadReported:
-    """A target's load report arrived."""
+    """A load report of a target arrived."""
 
     target: str
     report: LoadReport
@@ -107,7 +108,7 @@
 
 @dataclass(frozen=True)
 class CacheReported:
-    """A target's cache event arrived."""
+    """A cache event of a target arrived."""
 
     target: str
     event: CacheEvent
@@ -115,7 +116,7 @@
 
 @dataclass(frozen=True)
 class InstancesListed:
-    """The platform's instance list, whole."""
+    """The platform's complete list of targets and peers."""
 
     targets: tuple[TargetInfo, ...]
     peers: tuple[PeerInfo, ...]
@@ -123,7 +124,7 @@
 
 @dataclass(frozen=True)
 class PeerMessage:
-    """A payload from a peer, by its member name."""
+    """A payload from the peer with the member name `sender`."""
 
     sender: str
     payload: Payload
@@ -131,14 +132,14 @@
 
 @dataclass(frozen=True)
 class LogRead:
-    """The log answered a read."""
+    """A batch of records was read from the log."""
 
     batch: Batch
 
 
 @dataclass(frozen=True)
 class MarkLeaving:
-    """An operator marked a target as leaving."""
+    """An operator marked a target as draining."""
 
     target: str
 
@@ -154,7 +155,7 @@
 
 @dataclass(frozen=True)
 class OrderAnswered:
-    """A target answered an order; refused where its number was old."""
+    """A target responded to an order; it refuses stale fencing numbers."""
 
     target: str
     refused: bool = False
@@ -162,9 +163,9 @@
 
 @dataclass(frozen=True)
 class Shutdown:
-    """The process was asked to end."""
+    """The process was asked to terminate."""
 
 
 @dataclass(frozen=True)
 class Tick:
-    """Time passed."""
+    """A timer may be due; nothing else happened."""
--- a/trestledock/process/_payloads.py
+++ b/trestledock/process/_payloads.py
@@ -2,8 +2,8 @@
 Peer payloads
 =============
 
-What entry instances say to each other, as JSON over HTTP.  `Payload` is the
-union of them; its codec adds the type's name.
+The messages between entry instances, sent as JSON over HTTP.  The class name
+of a payload is its type on the wire, and its fields are the wire fields.
 """
 
 from dataclasses import dataclass
@@ -13,7 +13,7 @@
 
 @dataclass(frozen=True)
 class Digest:
-    """A target's load as one instance saw it, small enough for heartbeats."""
+    """A summary of a target's load report, for heartbeats."""
 
     target: str
     age_s: float
@@ -24,7 +24,7 @@
 
 @dataclass(frozen=True)
 class TeamDemand:
-    """A team's recent demand at one instance, in engine seconds a second."""
+    """A team's recent demand at one instance, in engine seconds per second."""
 
     team: str
     demand: float
@@ -32,11 +32,11 @@
 
 @dataclass(frozen=True)
 class Heartbeat:
-    """A sign of life with what the peer may not know yet.
+    """A heartbeat with the sender's view of the fleet.
 
-    `offset` is the log offset that the sender has read to; a peer that is
-    behind asks for the state.  `ages` tells how long ago each member of the
-    epoch was heard, see `trestledock.process` on liveness.
+    `offset` is the log offset up to which the sender has read; a peer that is
+    behind requests the state.  `ages` encodes the time since each member of
+    the epoch was last heard, see `_liveness`.
     """
 
     data_centre: str
@@ -52,23 +52,23 @@
 
 @dataclass(frozen=True)
 class StateAsk:
-    """Asks for the state of the log, as the sender is at `offset`."""
+    """Requests the folded log from a peer; the sender is at `offset`."""
 
     offset: int
 
 
 @dataclass(frozen=True)
 class StateAnswer:
-    """The state of the log as a peer has folded it."""
+    """The log's state as folded by a peer."""
 
     snapshot: Snapshot
 
 
 @dataclass(frozen=True)
 class ClaimAsk:
-    """Asks the first replica of a key for the right to run a call once.
+    """Requests a claim on a key from the key's first replica.
 
-    `ttl_s` bounds how long the claimant may still start the call.
+    The claimant may start the call within `ttl_s` seconds.
     """
 
     key: str
@@ -79,7 +79,7 @@
 
 @dataclass(frozen=True)
 class ClaimCopy:
-    """The first replica hands a claim to another one."""
+    """Replicates a claim from the first replica to another."""
 
     key: str
     claim_id: str
@@ -90,7 +90,11 @@
 
 @dataclass(frozen=True)
 class ClaimCopied:
-    """A replica recorded the claim, or refuses since it knows another."""
+    """Tells whether a replica recorded a claim.
+
+    A replica refuses if it knows another claim on the key, or is in another
+    epoch.
+    """
 
     key: str
     claim_id: str
@@ -100,7 +104,7 @@
 
 @dataclass(frozen=True)
 class ClaimAnswer:
-    """The answer to a `ClaimAsk`; `grant` is the name of a `Grant`."""
+    """The response to a `ClaimAsk`; `grant` is a value of `Grant`."""
 
     key: str
     claim_id: str
@@ -113,7 +117,7 @@
 
 @dataclass(frozen=True)
 class ClaimResult:
-    """The claimant reports how the call ended."""
+    """Reports the outcome of a claimed call to the key's replicas."""
 
     key: str
     claim_id: str
@@ -125,7 +129,7 @@
 
 @dataclass(frozen=True)
 class ClaimEntry:
-    """A claim as it moves from a member of an old epoch to a new one."""
+    """A claim that a member of the old epoch hands over to the new one."""
 
     key: str
     claim_id: str
@@ -139,10 +143,10 @@
 
 @dataclass(frozen=True)
 class Blind:
-    """Keys of an epoch whose claims no live member remembers.
+    """An earlier epoch whose claims are partly unknown.
 
-    A key is blind for `left_s` seconds if none of `heard` is among its
-    replicas in the epoch at `offset`.
+    A key has an unknown history for `left_s` more seconds if none of its
+    replicas in the epoch at `offset` is among `heard`.
     """
 
     offset: int
@@ -155,16 +159,17 @@
 
 @dataclass(frozen=True)
 class SealAsk:
-    """A member of a new epoch asks an old one to seal and hand over."""
+    """Asks a member of an old epoch to seal it and to hand over its claims."""
 
     accepted: Accepted
 
 
 @dataclass(frozen=True)
 class SealAnswer:
-    """The claims of a member that grants nothing in older epochs any more.
+    """The claims of a member that has sealed the older epochs.
 
-    `vouches` holds the epochs in which it recorded every claim on its keys.
+    The sender grants no claims in epochs before `epoch`.  `vouches` lists the
+    epochs for which it has every claim on its keys.
     """
 
     epoch: int
@@ -175,10 +180,10 @@
 
 @dataclass(frozen=True)
 class HoldBlock:
-    """A block of hold ids that the sender may use on a target.
+    """A block of reservation ids that the sender may use on a target.
 
-    The receiver cancels the block on the target when the sender is gone.
-    `done` frees the block.
+    The receiver watches the block: it cancels every id on the target when the
+    sender becomes unreachable.  With `done` it stops watching.
     """
 
     target: str
@@ -189,7 +194,7 @@
 
 @dataclass(frozen=True)
 class HoldBlockKept:
-    """A peer keeps watch over a block."""
+    """Confirms that a peer watches a block."""
 
     target: str
     first: int
@@ -197,10 +202,10 @@
 
 @dataclass(frozen=True)
 class TargetEnds:
-    """Incarnations of targets that ended while they ran a request.
+    """Incarnations of targets that crashed while they ran a request.
 
-    Of those that are `cleared` the request is not suspected any more, since it
-    was answered after that.
+    The request is no longer suspected of the crashes in `cleared`, because a
+    target has completed it since.
     """
 
     fingerprint: str
--- a/trestledock/process/_policy.py
+++ b/trestledock/process/_policy.py
@@ -1,9 +1,10 @@
 """
-Policy
-======
+Placement policy
+================
 
-The knobs of placement and admission, with the values that the replay spoke
-for (docs/MEASUREMENTS.md).  `PLAIN` is the baseline without the mechanisms.
+The parameters of placement and admission.  Their default values come from the
+replay (docs/MEASUREMENTS.md).  `PLAIN` is the baseline without any of the
+mechanisms.
 """
 
 from dataclasses import dataclass
@@ -11,7 +12,7 @@
 
 
 class Chooser(str, Enum):
-    """How an engine is picked among the permitted ones."""
+    """How an engine is chosen among the permitted engines."""
 
     predicted = 'predicted'
     round_robin = 'round_robin'
@@ -20,15 +21,18 @@
 
 @dataclass(frozen=True)
 class Policy:
-    """One set of decisions.
-
-    `piece_s` is the length of a prefill piece in engine seconds, zero for
-    whole prompts; a prompt of up to `whole_tokens` is never cut, since another
-    prompt's piece would get in between.  `window_s` is how much prefill may
-    wait at an engine before the rest waits in the fair queue.  `near_s` is
-    the band of predictions that count as equal and among which one is drawn.
-    `pace` says whether the pace of own pieces counts for cut prompts,
-    `subset` is how many of the permitted engines an instance looks at.
+    """The parameters of placement and admission.
+
+    `piece_s` is the length of a prefill chunk in engine seconds, 0 for whole
+    prompts.  Prompts of up to `whole_tokens` are never split, because chunks of
+    other prompts would run in between.  `window_s` limits the predicted prefill
+    wait at an engine; further requests stay in the fair queue.  Predictions
+    within `near_s` of the best count as equal, and one of them is drawn at
+    random.  `pace` enables the measured pace of chunks in predictions for split
+    prompts.  `subset` is the number of permitted engines that an instance
+    considers.  `margin` multiplies the predicted time that is compared with the
+    deadline, `prefer_s` is the penalty for each level of preference, and work
+    with less slack than `urgent_s` gets the urgent priority.
     """
 
     chooser: Chooser = Chooser.predicted
@@ -46,7 +50,7 @@
     pace: bool = True
 
 
-#: Everything off: whole prompts in order of arrival, round robin.
+#: The baseline: whole prompts in order of arrival, round robin.
 PLAIN = Policy(
     chooser=Chooser.round_robin,
     piece_s=0,
--- a/trestledock/process/_queue.py
+++ b/trestledock/process/_queue.py
@@ -2,13 +2,14 @@
 Fair queue
 ==========
 
-Requests that are admitted but not yet sent to an engine.  Between teams it
-shares predicted engine seconds by weight: each team has a virtual time, and
-the one furthest behind goes first.  The queue is work-conserving, and an idle
-team banks nothing.  Within a team the least slack goes first.
-
-Shorter classes go before longer ones, except for a team that is ahead of the
-others by more than `MAX_LEAD_S`: it waits for them.
+Holds requests that are admitted but not yet sent to an engine.  Weighted fair
+queueing divides the predicted engine seconds among the teams: each team has a
+virtual time, and the team with the lowest goes first.  The queue is
+work-conserving, and an idle team accumulates no credit.  Within a team the
+request with the least slack goes first.
+
+Requests of shorter length classes precede longer ones, except those of a team
+whose virtual time leads the lowest by more than `MAX_LEAD_S`.
 """
 
 from dataclasses import dataclass, field
@@ -16,10 +17,10 @@
 
 from trestledock.request import LengthClass, Request
 
-#: How far, in weighted engine seconds, a team may run ahead of the others
-#: before its short work loses precedence.
+#: The lead in virtual time (weighted engine seconds) above which a team's short
+#: requests lose their precedence.
 MAX_LEAD_S = 2.0
-#: The most requests that may wait in one instance.
+#: The maximum number of requests queued in one pool of an instance.
 MAX_QUEUED = 4096
 
 
@@ -32,8 +33,8 @@
 class QueuedRequest:
     """A queued request with its predicted cost in engine seconds.
 
-    `least_s` is the least time that it takes once it is sent, `rank` that of
-    its length class.
+    `least_s` is the minimum time that it takes once it is sent, `rank` the rank
+    of its length class.
     """
 
     req: Request
@@ -44,7 +45,7 @@
 
     @property
     def latest_start(self) -> float:
-        """The instant at which the work must be started at the latest."""
+        """The latest instant at which the work can start."""
         return self.req.deadline - self.cost
 
 
@@ -58,7 +59,7 @@
     min_virtual_time: float = 0
 
     def push(self, waiting: QueuedRequest) -> None:
-        """Queue a request."""
+        """Add a request."""
         team = waiting.req.team
         if not self._is_active(team):
             behind = self.virtual_times.get(team, self.min_virtual_time)
@@ -66,11 +67,11 @@
         self.waiting[waiting.req.req_id] = waiting
 
     def remove(self, req_id: str) -> QueuedRequest | None:
-        """Take a request out without charging its team."""
+        """Remove a request without charging its team."""
         return self.waiting.pop(req_id, None)
 
     def charge(self, waiting: QueuedRequest) -> None:
-        """Take a request out to run it and charge its team."""
+        """Move a request from waiting to running, and charge its team."""
         team = waiting.req.team
         self.waiting.pop(waiting.req.req_id, None)
         self.running[waiting.req.req_id] = team
@@ -79,18 +80,18 @@
         self.min_virtual_time = max(self.min_virtual_time, start)
 
     def mark_finished(self, req_id: str) -> None:
-        """Note that a request no longer runs."""
+        """Record that a request no longer runs."""
         self.running.pop(req_id, None)
 
     def has_waiting_before(self, waiting: QueuedRequest) -> bool:
-        """Whether others of its class or a shorter one wait, too."""
+        """Whether other requests of its or a shorter class are waiting."""
         return any(
             other.rank <= waiting.rank and other is not waiting
             for other in self.waiting.values()
         )
 
     def iter_in_order(self) -> Iterator[QueuedRequest]:
-        """Yield the waiting requests in the order to try them."""
+        """Yield the waiting requests in dispatch order."""
         least = self._get_min_waiting_time()
         yield from sorted(
             self.waiting.values(),
@@ -100,8 +101,8 @@
     def predict_cost_ahead(self, req: Request, weight: float) -> float:
         """Return the engine seconds that will be spent before `req`.
 
-        The own team's work counts in full; that of the others by their
-        share while both wait, at most all of it.
+        Work of the same team counts in full; work of another team counts up to
+        that team's weighted share while both wait.
         """
         rank = get_length_rank(req)
         own: float = 0
--- a/trestledock/process/_registry.py
+++ b/trestledock/process/_registry.py
@@ -1,9 +1,8 @@
 """
-Registry of handlers
-====================
+Handler registry
+================
 
-Which function takes which message: one flat table, and the dispatcher made
-from it.
+Maps each type of message and timer to its handler.
 """
 
 from functools import singledispatch
@@ -49,12 +48,12 @@
 
 @singledispatch
 def handle(message: Any, state: State, now: float) -> None:
-    """Take one message; the table below holds all that there are."""
+    """Handle a message or timer, see `HANDLERS`."""
     raise TypeError(f'no handler for {type(message).__name__}')
 
 
 def on_tick(message: messages.Tick, state: State, now: float) -> None:
-    """Nothing but the timers, which every step runs first."""
+    """Do nothing: every step runs the due timers first."""
 
 
 HANDLERS: Mapping[type, Handler] = MappingProxyType(
--- a/trestledock/process/_state.py
+++ b/trestledock/process/_state.py
@@ -1,9 +1,9 @@
 """
-State of an instance
-====================
+Instance state
+==============
 
-All state of one entry instance, owned by one task.  The handlers of the core
-read and change it and leave their actions in `out`.
+The entire state of an entry instance, owned by a single task.  The handlers
+read and change it, and append their actions to `State.actions`.
 """
 
 from dataclasses import dataclass, field
@@ -37,7 +37,7 @@
 
 @dataclass
 class PendingPublication:
-    """A publication whose verdict is not known yet."""
+    """A publication that is not yet accepted or rejected."""
 
     base: int
     body: str
@@ -46,7 +46,7 @@
 
 @dataclass
 class Bookkeeping:
-    """When the duties of the process were last done, and their inputs."""
+    """When the periodic tasks last ran, and counters that they use."""
 
     last_step: float = float('-inf')
     log_read_at: float = float('-inf')
@@ -94,30 +94,30 @@
     lease: Lease = field(init=False)
 
     def __post_init__(self) -> None:
-        """Build the parts that carry the member's name."""
+        """Create the parts that need the member name."""
         self.claims = ClaimTable(self.member)
         self.reservation_ids = ReservationIds(self.member)
         self.lease = Lease(self.member, self.timing)
 
     @property
     def member(self) -> str:
-        """This incarnation's name among its peers."""
+        """The unique name of this incarnation."""
         return self.identity.member
 
     def emit(self, action: Action) -> None:
-        """Ask the tasks around the core for something."""
+        """Append an action."""
         self.actions.append(action)
 
     def count(self, name: str, label: str = '') -> None:
-        """Count an event."""
+        """Increment a counter."""
         self.actions.append(Count(name, label))
 
     def log_event(self, event: str, peer: str = '', detail: str = '') -> None:
-        """Log a change of state."""
+        """Log a state change."""
         self.actions.append(Note(event, peer, detail))
 
     def set_timer(self, at: float, timer: Any) -> None:
-        """Send a message to this instance for later."""
+        """Schedule `timer` to be handled at the instant `at`."""
         self.timers.push(at, timer)
 
     def get_queue(self, pool: str) -> FairQueue:
@@ -125,7 +125,7 @@
         return self.queues.setdefault(pool, FairQueue())
 
     def get_budget(self, pool: str) -> RetryWindow:
-        """Return the retry budget of a pool at this instance."""
+        """Return this instance's retry budget for a pool."""
         return self.budgets.setdefault(pool, RetryWindow(BudgetTerms()))
 
     def get_targets(self) -> Mapping[str, Target]:
@@ -133,10 +133,10 @@
         return self.fleet.targets
 
     def make_record_id(self, purpose: str) -> str:
-        """Return a record id that no other incarnation will use."""
+        """Return a record id that is unique across incarnations."""
         self.bookkeeping.record_count += 1
         return f'{self.member}/{purpose}/{self.bookkeeping.record_count}'
 
     def is_log_fresh(self, now: float) -> bool:
-        """Whether the log has answered lately."""
+        """Whether the log was read recently."""
         return now - self.bookkeeping.log_read_at < self.timing.peer_dead_s
--- a/trestledock/process/_targets.py
+++ b/trestledock/process/_targets.py
@@ -1,9 +1,9 @@
 """
-Targets
-=======
+Target data
+===========
 
-What is known of one target: its entry in the instance list, its last report
-and whether it is leaving.  Leaving is final for an incarnation.
+Entries of the instance list, load reports, and cache events.  Draining is
+final for an incarnation.
 """
 
 from dataclasses import dataclass, field
@@ -14,7 +14,7 @@
 class TargetInfo:
     """An entry of the platform's instance list.
 
-    `address` is an IP number and a port; `incarnation` differs for every
+    `address` is an IP address and a port; `incarnation` differs for every
     start of the target.
     """
 
@@ -26,7 +26,7 @@
 
     @property
     def key(self) -> str:
-        """The name of this incarnation."""
+        """The unique name of this incarnation."""
         return f'{self.name}#{self.incarnation}'
 
 
@@ -34,8 +34,8 @@
 class PeerInfo:
     """An entry instance.
 
-    The platform's list may not know incarnations; an instance then introduces
-    itself by its heartbeats.
+    The platform's list may lack the incarnation; peers then learn it from the
+    heartbeats.
     """
 
     name: str
@@ -46,16 +46,16 @@
 
     @property
     def member(self) -> str:
-        """The name of this incarnation among its peers."""
+        """The unique name of this incarnation."""
         return f'{self.name}#{self.incarnation}'
 
 
 @dataclass(frozen=True)
 class LoadReport:
-    """What an engine said of itself, `age_s` seconds before it arrived.
+    """The load of a target, measured `age_s` seconds before it arrived.
 
-    `queued` holds the prefill tokens that wait, by priority.  `itl_s` is the
-    time between tokens, `rate` the prefill rate in tokens a second.
+    `queued` holds the queued prefill tokens by priority, `itl_s` the
+    inter-token latency, `rate` the prefill rate in tokens per second.
     """
 
     age_s: float
@@ -73,7 +73,7 @@
 
 @dataclass(frozen=True)
 class CacheEvent:
-    """Prefixes that an engine cached or dropped; `sequence` shows gaps."""
+    """Prefixes that an engine cached or evicted; `sequence` reveals gaps."""
 
     sequence: int
     added: tuple[str, ...] = ()
--- a/trestledock/process/_timers.py
+++ b/trestledock/process/_timers.py
@@ -2,8 +2,8 @@
 Timers
 ======
 
-The messages that the core sends itself for later.  A timer that has become
-pointless is simply ignored by its handler.
+Messages that the core schedules for itself.  There is no cancellation: handlers
+ignore timers that no longer apply.
 """
 
 import heapq
@@ -13,7 +13,7 @@
 
 @dataclass(frozen=True)
 class DeadlinePassed:
-    """The deadline of a request has come."""
+    """The deadline of a request passed."""
 
     req_id: str
 
@@ -27,14 +27,14 @@
 
 @dataclass(frozen=True)
 class ClaimDue:
-    """A claim has had no usable answer yet."""
+    """A claim without a usable response is due for another request."""
 
     req_id: str
 
 
 @dataclass(frozen=True)
 class GapDue:
-    """Chunks of an attempt's answer may still be missing."""
+    """Chunks of a response may still be missing after the end of its stream."""
 
     req_id: str
     attempt: int
@@ -42,10 +42,10 @@
 
 @dataclass(frozen=True)
 class SilenceDue:
-    """An engine should long have answered a job.
+    """The response of an engine to a job is overdue.
 
-    The job is known by its attempt, its hold and where its piece stops;
-    `emitted` tokens had been passed on when it was sent.
+    `attempt`, `hold` and `stop` identify the job; `emitted` is the number of
+    tokens that the caller had received when the job was sent.
     """
 
     req_id: str
@@ -57,33 +57,33 @@
 
 @dataclass(frozen=True)
 class DispatchDue:
-    """Something may have made room for what waits for a pool."""
+    """The queue of a pool may have requests that can be dispatched."""
 
     pool: str
 
 
 @dataclass(frozen=True)
 class HeartbeatDue:
-    """Time for a heartbeat and the duties that go with it."""
+    """The periodic tasks are due."""
 
 
 @dataclass
 class Timers:
-    """A heap of timers."""
+    """Pending timers, as a heap."""
 
     _heap: list[tuple[float, int, Any]] = field(default_factory=list)
     _count: int = 0
 
     def push(self, at: float, timer: Any) -> None:
-        """Set a timer for the instant `at`."""
+        """Schedule a timer for the instant `at`."""
         self._count += 1
         heapq.heappush(self._heap, (at, self._count, timer))
 
     def pop_due(self, now: float) -> Iterator[Any]:
-        """Yield the timers whose instant has come, earliest first."""
+        """Yield the due timers, earliest first."""
         while self._heap and self._heap[0][0] <= now:
             yield heapq.heappop(self._heap)[2]
 
     def get_next(self) -> float:
-        """Return the instant of the earliest timer."""
+        """Return the instant of the earliest timer, infinity without any."""
         return self._heap[0][0] if self._heap else float('inf')
