--- a/trestledock/process/_actions.py
+++ b/trestledock/process/_actions.py
@@ -74,7 +74,7 @@
 
 @dataclass(frozen=True)
 class CancelHolds:
-    """Cancel reservations on an engine."""
+    """Cancel reservations on an engine; repeated until it confirms."""
 
     target: str
     address: str
--- a/trestledock/process/_answers.py
+++ b/trestledock/process/_answers.py
@@ -1,10 +1,11 @@
 """
-Answers
-=======
+Results of attempts
+===================
 
-What targets say of the attempts that were sent to them: pieces done, chunks,
-final markers, whole answers and failures, and what follows: the next piece,
-the caller's tokens, a resumed stream, or another attempt elsewhere.
+Handles what targets report of their attempts: prefill progress, chunks, ends
+of streams, complete responses, and failures.  Each leads to the next prefill
+chunk, to tokens for the caller, to a resumed stream, or to an attempt on
+another target.
 """
 
 from trestledock.process._actions import EmitChunks, ResumeStream
@@ -46,18 +47,18 @@
     draw_backoff,
 )
 
-#: How long chunks may be missing after the final marker, in seconds.
+#: How long chunks may be missing after the end of a stream, in seconds.
 GAP_TIMEOUT_S = 0.5
-#: When to come back after an attempt was lost, in seconds.
+#: The Retry-After time after a lost attempt, in seconds.
 LOST_RETRY_AFTER_S = 1.0
-#: How long a stream may be silent between two tokens, in seconds.
+#: The timeout between two tokens of a stream, in seconds.
 STREAM_TIMEOUT_S = 5.0
-#: What is counted for a stream that is resumed or continued.
+#: The step that failures of a stream name; only these are resumed.
 STREAM_STEP = 'stream'
 
 
 def on_prefill_done(message: PieceDone, state: State, now: float) -> None:
-    """Go on with the next reservation or piece."""
+    """Send the next reservation or prefill chunk."""
     live = state.live.get(message.req_id)
     if live is None or live.phase is not Phase.running:
         return
@@ -69,7 +70,7 @@
 
 
 def on_chunk(message: ChunkArrived, state: State, now: float) -> None:
-    """Pass on what is in order."""
+    """Send the caller the chunks that are in order."""
     live = state.live.get(message.req_id)
     if live is None or live.phase is not Phase.running:
         return
@@ -86,7 +87,7 @@
 
 
 def on_stream_done(message: StreamDone, state: State, now: float) -> None:
-    """Take the final marker; wait a little for chunks that are missing."""
+    """Record the end of a stream, and wait a little for missing chunks."""
     live = state.live.get(message.req_id)
     if live is None or live.phase is not Phase.running:
         return
@@ -99,7 +100,7 @@
 
 
 def on_gap_due(message: GapDue, state: State, now: float) -> None:
-    """Ask for the chunks that are still missing after the final marker."""
+    """Treat chunks that are still missing as a failure of the stream."""
     failed = AttemptFailed(
         message.req_id,
         message.attempt,
@@ -112,40 +113,40 @@
 
 
 def on_silence_due(message: SilenceDue, state: State, now: float) -> None:
-    """Count an engine that has said nothing of a job as lost."""
+    """Fail an attempt whose engine has not responded to a job."""
     live = state.live.get(message.req_id)
     if live is None or live.phase is not Phase.running:
         return
-    same = live.awaited == (message.hold, message.stop)
-    if same and live.emitted == message.emitted:
-        silent = AttemptFailed(
+    is_same_job = live.awaited == (message.hold, message.stop)
+    if is_same_job and live.emitted == message.emitted:
+        failed = AttemptFailed(
             message.req_id,
             message.attempt,
             not_started=False,
             step='silence',
             peer=live.attempt.target,
         )
-        on_attempt_failed(silent, state, now)
+        on_attempt_failed(failed, state, now)
 
 
 def fail_silent_streams(state: State, now: float) -> None:
-    """Resume, or go on elsewhere with, streams that have fallen silent."""
+    """Resume silent streams, or continue them on another engine."""
     for live in tuple(state.live.values()):
-        streaming = live.phase is Phase.running and live.heard_at > 0
-        if streaming and now - live.heard_at > STREAM_TIMEOUT_S:
+        is_streaming = live.phase is Phase.running and live.heard_at > 0
+        if is_streaming and now - live.heard_at > STREAM_TIMEOUT_S:
             live.heard_at = now
-            silent = AttemptFailed(
+            failed = AttemptFailed(
                 live.req.req_id,
                 live.attempt.number,
                 not_started=False,
                 step=STREAM_STEP,
                 peer=live.attempt.target,
             )
-            on_attempt_failed(silent, state, now)
+            on_attempt_failed(failed, state, now)
 
 
 def on_call_done(message: CallDone, state: State, now: float) -> None:
-    """Give the caller the answer of a plain service."""
+    """Send the caller the response of a plain service."""
     live = state.live.get(message.req_id)
     if live is None or not live.advance_attempt(
         message.attempt, AttemptEvent.finish
@@ -168,7 +169,7 @@
     state: State,
     now: float,
 ) -> None:
-    """Resume, retry elsewhere, or end the request."""
+    """Resume the stream, retry on another target, or end the request."""
     live = state.live.get(message.req_id)
     if live is None or live.phase is not Phase.running:
         return
@@ -185,12 +186,12 @@
     target.breaker.fail(now)
     if message.not_started and live.shares:
         state.reservation_ids.record_rejection(live.shares[0].hold)
-    release_attempt(state, live, is_whole=False)
+    release_attempt(state, live, is_complete=False)
     _retry_or_refuse(state, live, message, now)
 
 
 def on_retry_due(message: RetryDue, state: State, now: float) -> None:
-    """Make the next attempt."""
+    """Make the next attempt after the backoff."""
     live = state.live.get(message.req_id)
     if live is None or live.phase is not Phase.backoff:
         return
@@ -207,7 +208,7 @@
     state: State,
     now: float,
 ) -> None:
-    """Note that an engine holds nothing under these ids any more."""
+    """Record that an engine has released these reservations."""
     state.reservation_watch.confirm_cancels(message.target, message.holds)
     for hold in message.holds:
         state.reservation_ids.release(hold)
@@ -232,8 +233,8 @@
 def _mark_prefilled(state: State, live: LiveRequest, now: float) -> None:
     key = (live.req.req_id, live.attempt.number)
     target = state.get_targets()[live.shares[-1].target]
-    sent = target.load.sent_work.get(key)
-    if sent and sent.prefilled_at is None:
+    work = target.load.sent_work.get(key)
+    if work and work.prefilled_at is None:
         target.load.mark_prefilled(key, now)
         schedule_dispatch(state, live.pool, now)
 
@@ -253,9 +254,9 @@
 def _try_resume(
     state: State, live: LiveRequest, message: AttemptFailed
 ) -> bool:
-    """Ask the same engine once more for a stream that broke off."""
-    started = live.first_token_at is not None and live.shares
-    if not started or live.resumed or message.not_started:
+    """Ask the same engine once to resume a broken stream."""
+    has_started = live.first_token_at is not None and live.shares
+    if not has_started or live.resumed or message.not_started:
         return False
     if message.ended:
         return False
@@ -305,28 +306,28 @@
 
 def _retry_call(state: State, live: LiveRequest, now: float) -> None:
     not_after = live.claim.not_after if live.claim else live.req.deadline
-    field = choose_service(state, live.req, now)
+    found = choose_service(state, live.req, now)
     if is_quarantined(state, live):
         refuse(state, live, Reason.quarantined)
-    elif not field.candidates:
-        refuse(state, live, field.reason, LOST_RETRY_AFTER_S, field.detail)
+    elif not found.candidates:
+        refuse(state, live, found.reason, LOST_RETRY_AFTER_S, found.detail)
     elif now >= not_after:
         refuse(state, live, Reason.deadline_passed, LOST_RETRY_AFTER_S)
     else:
-        start_call(state, live, field.candidates, not_after, now)
+        start_call(state, live, found.candidates, not_after, now)
 
 
 def fail_replaced(state: State, target_name: str, now: float) -> None:
-    """Fail the attempts on an incarnation that has been replaced."""
+    """Fail the attempts on a target whose incarnation was replaced."""
     for live in tuple(state.live.values()):
-        held = {share.target for share in live.shares}
-        if live.phase is Phase.running and target_name in held:
+        used = {share.target for share in live.shares}
+        if live.phase is Phase.running and target_name in used:
             live.resumed = True
-            cancelled = AttemptFailed(
+            failed = AttemptFailed(
                 live.req.req_id,
                 live.attempt.number,
                 not_started=False,
                 step='incarnation',
                 peer=target_name,
             )
-            on_attempt_failed(cancelled, state, now)
+            on_attempt_failed(failed, state, now)
--- a/trestledock/process/_applying.py
+++ b/trestledock/process/_applying.py
@@ -1,9 +1,9 @@
 """
-Applying accepted records
-=========================
+Application of accepted records
+===============================
 
-Puts in force what the fold has accepted: the configuration, the epochs of all
-data centres and the lease of this one.  Versions only ever grow.
+Applies the records that the fold has accepted: the configuration, the epochs of
+all data centres, and the lease of this one.  Version numbers never decrease.
 """
 
 from trestledock.process._actions import Published
@@ -22,7 +22,7 @@
 
 
 def apply_accepted(state: State, now: float) -> None:
-    """Put everything in force that the fold holds and that is newer."""
+    """Apply all accepted records that are newer than the current state."""
     for scope, accepted in tuple(state.reader.fold.scopes.items()):
         if scope == CONFIGURATION:
             _apply_configuration(state, accepted)
@@ -33,7 +33,7 @@
 
 
 def report_publications(state: State) -> None:
-    """Tell the operators whose records have been read back."""
+    """Report the verdicts on publications that were read back from the log."""
     for publish_id in tuple(state.publishing):
         verdict = state.reader.fold.verdicts.get(publish_id)
         if verdict is None:
--- a/trestledock/process/_arrivals.py
+++ b/trestledock/process/_arrivals.py
@@ -1,18 +1,18 @@
 """
-Arrivals
-========
+Admission
+=========
 
-Admission: a request is refused at once, with the reason and with when to come
-back, where it can't be placed, can't be finished in time, or where its team
-has spent its limit.
+Admits requests, or refuses them at once with a reason and a Retry-After time:
+if no target can take them, if they can't finish before their deadline, or if
+their team has used up its limit.
 """
 
 from trestledock.process._choosing import (
     Candidate,
+    CandidateSet,
     choose_service,
     find_candidates,
 )
-from trestledock.process._choosing import CandidateSet as CandidateField
 from trestledock.process._claiming import request_claim
 from trestledock.process._dispatching import (
     get_team,
@@ -31,12 +31,13 @@
 from trestledock.process._timers import DeadlinePassed
 from trestledock.request import Kind, Reason, Request
 
-#: How many streams share an engine's decoding, for the cost of a request.
+#: The number of streams that are assumed to share an engine's decoding, for the
+#: cost of a request.
 DECODE_CONCURRENCY = 16
-#: When to come back where nothing better is known, in seconds.
+#: The default Retry-After time, in seconds.
 DEFAULT_RETRY_AFTER_S = 2.0
 
-#: Reasons for which asking again soon makes sense.
+#: Reasons that may pass soon, so that a retry makes sense.
 TRANSIENT_REASONS = frozenset((Reason.no_live_target, Reason.no_configuration))
 
 
@@ -60,7 +61,7 @@
 
 
 def on_caller_gone(message: CallerGone, state: State, now: float) -> None:
-    """End the request of a caller that has left."""
+    """End the request of a caller that has disconnected."""
     live = state.live.get(message.req_id)
     if live:
         refuse(state, live, Reason.caller_gone)
@@ -69,7 +70,7 @@
 def on_deadline_passed(
     message: DeadlinePassed, state: State, now: float
 ) -> None:
-    """End a request at its deadline, whatever else has been lost."""
+    """End a request at its deadline, whatever messages were lost."""
     live = state.live.get(message.req_id)
     if live:
         reason = Reason.deadline_passed
@@ -92,26 +93,26 @@
 
 
 def _admit_call(state: State, live: LiveRequest, now: float) -> None:
-    field = choose_service(state, live.req, now)
-    if _refuse_without_candidate(state, live, field):
+    found = choose_service(state, live.req, now)
+    if _refuse_without_candidate(state, live, found):
         return
-    live.pool = field.pool.name if field.pool else ''
+    live.pool = found.pool.name if found.pool else ''
     state.get_budget(live.pool).earn(now)
     if live.req.idempotent or not live.req.idempotency_key:
-        start_call(state, live, field.candidates, live.req.deadline, now)
+        start_call(state, live, found.candidates, live.req.deadline, now)
         return
     live.phase = Phase.claiming
     request_claim(state, live, now)
 
 
 def _admit_generation(state: State, live: LiveRequest, now: float) -> None:
-    field = find_candidates(state, live.req, now)
-    if _refuse_without_candidate(state, live, field):
+    found = find_candidates(state, live.req, now)
+    if _refuse_without_candidate(state, live, found):
         return
-    live.pool = field.pool.name if field.pool else ''
-    best = min(field.candidates, key=lambda one: one.ttft_s)
+    live.pool = found.pool.name if found.pool else ''
+    best = min(found.candidates, key=lambda candidate: candidate.ttft_s)
     live.cost = get_cost(live.req, best)
-    if _refuse_too_long(state, live, field) or _refuse_over_limit(
+    if _refuse_too_long(state, live, found) or _refuse_over_limit(
         state, live, now
     ):
         return
@@ -120,8 +121,8 @@
     if len(queue.waiting) >= MAX_QUEUED:
         refuse(state, live, Reason.queue_full, DEFAULT_RETRY_AFTER_S)
         return
-    ahead = queue.predict_cost_ahead(live.req, team.weight)
-    wait_s = ahead / len(field.candidates)
+    cost_ahead = queue.predict_cost_ahead(live.req, team.weight)
+    wait_s = cost_ahead / len(found.candidates)
     if _refuse_late(state, live, best, wait_s, now):
         return
     state.get_budget(live.pool).earn(now)
@@ -130,42 +131,43 @@
     queue.push(waiting)
     if queue.has_waiting_before(waiting):
         schedule_dispatch(state, live.pool, now)
-    elif try_dispatch(state, live, now, field):
+    elif try_dispatch(state, live, now, found):
         queue.charge(waiting)
 
 
 def get_cost(req: Request, best: Candidate) -> float:
-    """Return what a request takes of an engine, in engine seconds.
+    """Return the cost of a request, in engine seconds.
 
-    It is the larger of two parts: of the prefill, and of the memory while
-    the request is there.
+    It is the larger of the prefill time and the request's share of the memory
+    for the time that it stays, plus its share of the decoding.
     """
     report = best.target.load.report
     capacity = report.capacity_tokens if report else req.total_tokens
-    memory = min(1, req.total_tokens / max(1, capacity))
-    stay = best.prefill_s + best.decode_s
+    memory_share = min(1, req.total_tokens / max(1, capacity))
+    stay_s = best.prefill_s + best.decode_s
     return (
-        max(best.prefill_s, memory * stay) + best.decode_s / DECODE_CONCURRENCY
+        max(best.prefill_s, memory_share * stay_s)
+        + best.decode_s / DECODE_CONCURRENCY
     )
 
 
 def _refuse_without_candidate(
-    state: State, live: LiveRequest, field: CandidateField
+    state: State, live: LiveRequest, found: CandidateSet
 ) -> bool:
-    if field.candidates:
+    if found.candidates:
         return False
-    wait_s = DEFAULT_RETRY_AFTER_S if field.reason in TRANSIENT_REASONS else 0
-    refuse(state, live, field.reason, wait_s, field.detail)
+    wait_s = DEFAULT_RETRY_AFTER_S if found.reason in TRANSIENT_REASONS else 0
+    refuse(state, live, found.reason, wait_s, found.detail)
     return True
 
 
 def _refuse_too_long(
-    state: State, live: LiveRequest, field: CandidateField
+    state: State, live: LiveRequest, found: CandidateSet
 ) -> bool:
-    if live.req.total_tokens <= field.capacity or field.pool is None:
+    if live.req.total_tokens <= found.capacity or found.pool is None:
         return False
-    share = get_giant_engine_limit(len(field.candidates), field.pool)
-    if live.req.total_tokens <= field.capacity * share:
+    engines = get_giant_engine_limit(len(found.candidates), found.pool)
+    if live.req.total_tokens <= found.capacity * engines:
         return False
     refuse(state, live, Reason.too_long)
     return True
@@ -176,13 +178,13 @@
     state.limits.record_demand(team.name, live.cost, now)
     if not team.limit:
         return False
-    news = [
+    peer_demands = [
         peer.demands.get(team.name)
         for name, peer in state.fleet.peers.items()
         if name != state.member and not peer.leaving
     ]
-    part = state.limits.get_share(team.name, team.limit, news, now)
-    wait_s = state.limits.spend(team.name, live.cost, part, now)
+    share = state.limits.get_share(team.name, team.limit, peer_demands, now)
+    wait_s = state.limits.spend(team.name, live.cost, share, now)
     if wait_s > 0:
         refuse(state, live, Reason.team_limit, wait_s)
     return wait_s > 0
@@ -197,11 +199,11 @@
 ) -> bool:
     if not state.policy.admission:
         return False
-    need = wait_s + best.ttft_s + best.decode_s
-    over = need * state.policy.margin - (live.req.deadline - now)
-    if over > 0:
-        refuse(state, live, Reason.deadline_unreachable, max(over, wait_s))
-    return over > 0
+    needed_s = wait_s + best.ttft_s + best.decode_s
+    excess_s = needed_s * state.policy.margin - (live.req.deadline - now)
+    if excess_s > 0:
+        refuse(state, live, Reason.deadline_unreachable, max(excess_s, wait_s))
+    return excess_s > 0
 
 
 _ADMITTERS = {  # noqa: WPS407 - read only by name
--- a/trestledock/process/_choosing.py
+++ b/trestledock/process/_choosing.py
@@ -1,10 +1,10 @@
 """
-Choosing a target
-=================
+Target selection
+================
 
-The strict filter of the operators' selectors first, then the prediction of
-the time to first token for each permitted engine; plain services go to the
-less busy of two drawn at random.
+Filters the targets by the operators' selectors, then predicts the time to first
+token on each permitted engine.  Plain services are chosen by the power of two
+choices: the less busy of two drawn at random.
 """
 
 from dataclasses import dataclass
@@ -28,15 +28,15 @@
     get_work_labels,
 )
 
-#: Prompt tokens in a block whose hash is remembered for affinity.
+#: The prompt tokens in a block that is hashed for cache affinity.
 PREFIX_BLOCK_TOKENS = 512
-#: Sets of work labels whose permits are remembered.
+#: The maximum number of work labels' permitted sets that are cached.
 MAX_CACHED_SETS = 1024
 
 
 @dataclass(frozen=True)
 class PermittedTarget:
-    """A target that some work may run on, and how much it is preferred."""
+    """A permitted target and its preference."""
 
     target: Target
     preference: int
@@ -44,10 +44,11 @@
 
 @dataclass(frozen=True)
 class PermittedSet:
-    """Where work with certain labels may run; `stamp` says as of when.
+    """The targets on which work with certain labels may run.
 
-    `near` is this instance's own subset of `targets`: it bounds the cost of a
-    request, and every target is in the subsets of several instances.
+    `computed_for` holds the version of the configuration and the revision of
+    the fleet.  `subset` is this instance's subset of `targets`: it bounds the
+    cost of a request, and every target is in the subsets of several instances.
     """
 
     computed_for: tuple[int, int]
@@ -60,7 +61,7 @@
 
 @dataclass(frozen=True)
 class Candidate:
-    """A permitted, live engine with what is predicted for the work there."""
+    """A usable permitted target with the predictions for a request there."""
 
     target: Target
     wait_s: float
@@ -76,13 +77,13 @@
 
     @property
     def score_s(self) -> float:
-        """What candidates are compared by, in seconds."""
+        """The value by which candidates are compared, in seconds."""
         return self.ttft_s + self.penalty_s
 
 
 @dataclass(frozen=True)
 class CandidateSet:
-    """The permitted candidates of a request, or why there are none."""
+    """The candidates of a request, or the reason why there are none."""
 
     pool: Pool | None
     candidates: tuple[Candidate, ...] = ()
@@ -91,61 +92,63 @@
 
     @property
     def capacity(self) -> int:
-        """The KV tokens of the largest candidate."""
+        """The KV cache capacity of the largest candidate, in tokens."""
         return max(
             (
-                one.target.load.report.capacity_tokens
-                for one in self.candidates
-                if one.target.load.report
+                candidate.target.load.report.capacity_tokens
+                for candidate in self.candidates
+                if candidate.target.load.report
             ),
             default=0,
         )
 
 
-def get_priority(state: State, req: Request, now: float, need: float) -> int:
-    """Return the priority that engines are asked for.
+def get_priority(
+    state: State, req: Request, now: float, remaining_s: float
+) -> int:
+    """Return the priority of a request at engines.
 
-    Work whose slack, after the `need` seconds it still takes, is nearly spent
-    goes before everything else.
+    Work that takes `remaining_s` more seconds and has nearly no slack left
+    after that gets the urgent priority.
     """
     if not state.policy.priorities:
         return 1
-    if req.deadline - now - need < state.policy.urgent_s:
+    if req.deadline - now - remaining_s < state.policy.urgent_s:
         return URGENT_PRIORITY
     return CLASS_PRIORITY[req.length_class]
 
 
 def find_permitted(state: State, req: Request) -> PermittedSet:
-    """Apply the selectors in force; the reason says why nothing is left.
+    """Return the targets that the selectors in force permit.
 
-    The answer holds for all work with the same labels, until the version in
-    force or the fleet changes.
+    The result is cached by work labels, until the configuration or the fleet
+    changes.
     """
     labels = get_work_labels(req, state.identity.data_centre)
     work = tuple(labels.values())
-    stamp = (state.version.number, state.fleet.revision)
-    known = state.permitted_sets.get(work)
-    if known is None or known.computed_for != stamp:
-        known = _apply_selectors(state, req, labels, stamp)
-        state.permitted_sets[work] = known
+    version_key = (state.version.number, state.fleet.revision)
+    cached = state.permitted_sets.get(work)
+    if cached is None or cached.computed_for != version_key:
+        cached = _apply_selectors(state, req, labels, version_key)
+        state.permitted_sets[work] = cached
         if len(state.permitted_sets) > MAX_CACHED_SETS:
             state.permitted_sets.pop(next(iter(state.permitted_sets)))
-    return known
+    return cached
 
 
 def _apply_selectors(
     state: State,
     req: Request,
     work: Labels,
-    stamp: tuple[int, int],
+    version_key: tuple[int, int],
 ) -> PermittedSet:
     cfg = state.version.cfg
     if cfg is None:
-        return PermittedSet(stamp, None, reason=Reason.no_configuration)
+        return PermittedSet(version_key, None, reason=Reason.no_configuration)
     pool = get_pool_by_request(cfg, req)
     if pool is None:
         reason = Reason.unknown_service if req.service else Reason.unknown_model
-        return PermittedSet(stamp, None, reason=reason)
+        return PermittedSet(version_key, None, reason=reason)
     rules = get_rules_by_work(cfg, work)
     permitted = []
     forbidden_by = ''
@@ -160,24 +163,32 @@
         else:
             forbidden_by = permission.forbidden_by
     if permitted:
-        near = _get_subset(state, permitted)
-        return PermittedSet(stamp, pool, tuple(permitted), near)
+        subset = _get_subset(state, permitted)
+        return PermittedSet(version_key, pool, tuple(permitted), subset)
     reason = Reason.no_permitted_target
-    return PermittedSet(stamp, pool, reason=reason, detail=forbidden_by)
+    return PermittedSet(version_key, pool, reason=reason, detail=forbidden_by)
 
 
 def find_candidates(state: State, req: Request, now: float) -> CandidateSet:
-    """Return the live permitted engines with their predictions."""
-    permits = find_permitted(state, req)
-    if permits.pool is None or not permits.targets:
-        return CandidateSet(permits.pool, (), permits.reason, permits.detail)
-    field = _predict_candidates(state, req, permits.pool, permits.subset, now)
-    too_small = field.capacity < req.total_tokens
-    if too_small and len(permits.subset) < len(permits.targets):
+    """Return the usable permitted engines with their predictions.
+
+    All permitted engines are considered if the request is too large for those
+    of this instance's subset.
+    """
+    permitted_set = find_permitted(state, req)
+    if permitted_set.pool is None or not permitted_set.targets:
+        return CandidateSet(
+            permitted_set.pool, (), permitted_set.reason, permitted_set.detail
+        )
+    found = _predict_candidates(
+        state, req, permitted_set.pool, permitted_set.subset, now
+    )
+    is_too_small = found.capacity < req.total_tokens
+    if is_too_small and len(permitted_set.subset) < len(permitted_set.targets):
         return _predict_candidates(
-            state, req, permits.pool, permits.targets, now
+            state, req, permitted_set.pool, permitted_set.targets, now
         )
-    return field
+    return found
 
 
 def _predict_candidates(
@@ -189,17 +200,17 @@
 ) -> CandidateSet:
     model = str(req.model)
     usable = [
-        one
-        for one in permitted
-        if state.fleet.is_usable(one.target, now)
-        and model in one.target.models
-        and now - one.target.load.reported_at < LISTED_TIMEOUT_S
+        choice
+        for choice in permitted
+        if state.fleet.is_usable(choice.target, now)
+        and model in choice.target.models
+        and now - choice.target.load.reported_at < LISTED_TIMEOUT_S
     ]
     if not usable:
         return CandidateSet(pool, reason=Reason.no_live_target)
-    best = max(one.preference for one in usable)
+    best = max(choice.preference for choice in usable)
     candidates = tuple(
-        _predict_candidate(state, req, one, now, best) for one in usable
+        _predict_candidate(state, req, choice, now, best) for choice in usable
     )
     return CandidateSet(pool, candidates)
 
@@ -208,15 +219,15 @@
     state: State,
     permitted: list[PermittedTarget],
 ) -> tuple[PermittedTarget, ...]:
-    """Return the targets that this instance looks at first.
+    """Return the targets that this instance considers first.
 
-    Of the preferred ones as many as the subset holds, by rendezvous hashing.
+    The most preferred targets come first, then rendezvous hashing decides.
     """
-    by_name = {one.target.info.name: one for one in permitted}
+    by_name = {choice.target.info.name: choice for choice in permitted}
     ranked = rank_by_key(state.member, by_name)
     ordered = sorted(
         (by_name[name] for name in ranked),
-        key=lambda one: -one.preference,
+        key=lambda choice: -choice.preference,
     )
     return tuple(ordered[: state.policy.subset])
 
@@ -225,33 +236,38 @@
     state: State,
     candidates: tuple[Candidate, ...],
 ) -> Candidate:
-    """Pick one of the candidates as the policy says."""
+    """Choose a candidate by the policy's chooser."""
     return _CHOOSERS[state.policy.chooser](state, candidates)
 
 
 def choose_service(state: State, req: Request, now: float) -> CandidateSet:
-    """Return a field with the live permitted services."""
-    permits = find_permitted(state, req)
+    """Return the usable permitted services of the highest preference."""
+    permitted_set = find_permitted(state, req)
     usable = [
-        one for one in permits.targets if state.fleet.is_usable(one.target, now)
+        choice
+        for choice in permitted_set.targets
+        if state.fleet.is_usable(choice.target, now)
     ]
-    if permits.targets and not usable:
-        return CandidateSet(permits.pool, reason=Reason.no_live_target)
-    best = max((one.preference for one in usable), default=0)
+    if permitted_set.targets and not usable:
+        return CandidateSet(permitted_set.pool, reason=Reason.no_live_target)
+    best = max((choice.preference for choice in usable), default=0)
     candidates = tuple(
-        Candidate(one.target, 0, 0, 0, float(one.target.in_flight), 0)
-        for one in usable
-        if one.preference == best
+        Candidate(choice.target, 0, 0, 0, float(choice.target.in_flight), 0)
+        for choice in usable
+        if choice.preference == best
     )
     return CandidateSet(
-        permits.pool, candidates, permits.reason, permits.detail
+        permitted_set.pool,
+        candidates,
+        permitted_set.reason,
+        permitted_set.detail,
     )
 
 
 def choose_of_two(state: State, candidates: tuple[Candidate, ...]) -> Candidate:
-    """Return the less busy of two candidates drawn at random."""
+    """Return the less busy of two candidates that are drawn at random."""
     drawn = state.rng.sample(candidates, min(2, len(candidates)))
-    return min(drawn, key=lambda one: one.score_s)
+    return min(drawn, key=lambda candidate: candidate.score_s)
 
 
 def _predict_candidate(
@@ -264,14 +280,16 @@
     target = permitted.target
     report = target.load.report
     if report is None:
-        raise LookupError(f'{target.info.name} has not reported')
-    missing = req.prompt_tokens - _count_cached_tokens(state, req, target)
-    prefill_s = missing / report.rate
+        raise LookupError(f'no load report of target {target.info.name!r}')
+    uncached_tokens = req.prompt_tokens - _count_cached_tokens(
+        state, req, target
+    )
+    prefill_s = uncached_tokens / report.rate
     decode_s = req.max_tokens * report.itl_s
     priority = get_priority(state, req, now, prefill_s + decode_s)
     wait_s = target.load.predict_wait(priority, now)
-    if state.policy.pace and missing > state.policy.whole_tokens:
-        paced_s = missing * target.load.get_pace(priority, now)
+    if state.policy.pace and uncached_tokens > state.policy.whole_tokens:
+        paced_s = uncached_tokens * target.load.get_pace(priority, now)
         prefill_s = max(prefill_s, paced_s - wait_s)
     penalty_s = (best - permitted.preference) * state.policy.prefer_s
     return Candidate(
@@ -287,30 +305,34 @@
 def _count_cached_tokens(state: State, req: Request, target: Target) -> int:
     if not state.policy.affinity:
         return 0
-    known = 0
+    cached = 0
     for count, block in enumerate(req.prefix, start=1):
         if block not in target.cached:
             break
-        known = count * PREFIX_BLOCK_TOKENS
-    return min(known, max(0, req.prompt_tokens - 1))
+        cached = count * PREFIX_BLOCK_TOKENS
+    return min(cached, max(0, req.prompt_tokens - 1))
 
 
 def _choose_predicted(
     state: State,
     candidates: tuple[Candidate, ...],
 ) -> Candidate:
-    least = min(one.score_s for one in candidates)
-    near = [
-        one for one in candidates if one.score_s <= least + state.policy.near_s
+    lowest = min(candidate.score_s for candidate in candidates)
+    tied = [
+        candidate
+        for candidate in candidates
+        if candidate.score_s <= lowest + state.policy.near_s
     ]
-    return state.rng.choice(near)
+    return state.rng.choice(tied)
 
 
 def _choose_round_robin(
     state: State,
     candidates: tuple[Candidate, ...],
 ) -> Candidate:
-    ordered = sorted(candidates, key=lambda one: one.target.info.name)
+    ordered = sorted(
+        candidates, key=lambda candidate: candidate.target.info.name
+    )
     state.bookkeeping.round_robin += 1
     return ordered[state.bookkeeping.round_robin % len(ordered)]
 
@@ -319,9 +341,13 @@
     state: State,
     candidates: tuple[Candidate, ...],
 ) -> Candidate:
-    least = min(one.target.in_flight for one in candidates)
-    near = [one for one in candidates if one.target.in_flight == least]
-    return state.rng.choice(near)
+    lowest = min(candidate.target.in_flight for candidate in candidates)
+    tied = [
+        candidate
+        for candidate in candidates
+        if candidate.target.in_flight == lowest
+    ]
+    return state.rng.choice(tied)
 
 
 _CHOOSERS = {  # noqa: WPS407 - read only by name
--- a/trestledock/process/_claiming.py
+++ b/trestledock/process/_claiming.py
@@ -1,15 +1,16 @@
 """
-Claiming
-========
-
-The claimant's side of claims.  A call with an idempotency key asks the first
-replica of the key in the key's home data centre, repeats the same claim while
-answers are lost or epochs change, and is given up at once where the platform
-is away and a replica is gone, because nothing can change that soon.
-
-A key whose claim can't be read may have run before, through another instance.
-Its call is therefore refused as `unknown`, unless the caller says that it is
-the first attempt; then `not_run` is certain.
+Claim requests
+==============
+
+The claimant's side of claims.  A call with an idempotency key requests a claim
+from the first replica of the key, in the key's home data centre.  It repeats
+the same request while responses are lost or epochs change.  It gives up at once
+if the platform is unavailable and a replica is unreachable, because without the
+platform no new epoch can replace the replica.
+
+If the claim can't be read, another instance may have run the call before.  The
+call is then refused as `unknown`, unless the caller says that this is the first
+attempt, which makes `not_run` certain.
 """
 
 from trestledock.process._choosing import choose_service
@@ -23,11 +24,12 @@
 from trestledock.process._timers import ClaimDue
 from trestledock.request import Outcome, Reason, Verdict
 
-#: The part of the time that outcomes are kept which a claim may live.
+#: The time to live of a claim, as a fraction of the time for which outcomes are
+#: kept.
 CLAIM_TTL_FRACTION = 0.5
-#: How long to wait for a home in another data centre without any answer.
+#: The timeout for a response from a home in another data centre, in seconds.
 REMOTE_TIMEOUT_S = 2.0
-#: When to come back where the claim can't be read, in seconds.
+#: The Retry-After time if the claim can't be read, in seconds.
 CLAIM_RETRY_AFTER_S = 5.0
 
 
@@ -38,7 +40,7 @@
 
 
 def request_claim(state: State, live: LiveRequest, now: float) -> None:
-    """Ask for the claim on a call's key, again where need be."""
+    """Request the claim on a call's key, and schedule the next request."""
     if live.claim is None:
         ttl_s = min(
             live.req.deadline - now,
@@ -50,34 +52,34 @@
             not_after=now + ttl_s,
             heard_at=now,
         )
-    wait = live.claim
+    claim = live.claim
     epoch = state.epochs.get(live.req.home)
-    if _is_unobtainable(state, epoch, wait, now):
+    if _is_unobtainable(state, epoch, claim, now):
         refuse_unclaimed(
             state, live, Reason.claim_unverified, CLAIM_RETRY_AFTER_S
         )
         return
     if epoch:
         ask = ClaimAsk(
-            wait.key,
-            wait.claim_id,
+            claim.key,
+            claim.claim_id,
             epoch.offset,
-            wait.not_after - now,
+            claim.not_after - now,
         )
-        send_to_member(state, epoch.get_replicas_by_key(wait.key)[0], ask)
+        send_to_member(state, epoch.get_replicas_by_key(claim.key)[0], ask)
     due = now + state.timing.claim_retry_s
     state.set_timer(due, ClaimDue(live.req.req_id))
 
 
 def on_claim_due(message: ClaimDue, state: State, now: float) -> None:
-    """Ask again while there is no usable answer."""
+    """Repeat the request while there is no usable response."""
     live = state.live.get(message.req_id)
     if live and live.phase is Phase.claiming:
         request_claim(state, live, now)
 
 
 def on_claim_answer(state: State, answer: ClaimAnswer, now: float) -> None:
-    """Take the answer of a key's first replica."""
+    """Handle the response of a key's first replica."""
     req_id = answer.claim_id.removeprefix(f'{state.member}/')
     live = state.live.get(req_id)
     if live is None or live.phase is not Phase.claiming or not live.claim:
@@ -93,10 +95,10 @@
     reason: Reason,
     wait_s: float,
 ) -> None:
-    """Refuse a call whose claim can't be had, honestly.
+    """Refuse a call whose claim can't be obtained.
 
-    Where the state of the key is lost, the caller is not told to come back:
-    once it is forgotten that the state was lost, the key would run again.
+    If the key's history is lost, there is no Retry-After time (`wait_s` is 0):
+    after the unknown history has expired, the key would run again.
     """
     refuse(state, live, reason, wait_s)
 
@@ -104,40 +106,40 @@
 def _is_unobtainable(
     state: State,
     epoch: Epoch | None,
-    wait: PendingClaim,
+    claim: PendingClaim,
     now: float,
 ) -> bool:
-    if now >= wait.not_after:
+    if now >= claim.not_after:
         return True
     if epoch is None:
-        impatient = now - wait.heard_at > REMOTE_TIMEOUT_S
-        return impatient or not state.is_log_fresh(now)
+        has_timed_out = now - claim.heard_at > REMOTE_TIMEOUT_S
+        return has_timed_out or not state.is_log_fresh(now)
     peers = state.fleet.peers
-    replicas = epoch.get_replicas_by_key(wait.key)
+    replicas = epoch.get_replicas_by_key(claim.key)
     known = [peers[name] for name in replicas if name in peers]
     home = state.identity.data_centre
     if any(peer.info.data_centre != home for peer in known):
-        return now - wait.heard_at > REMOTE_TIMEOUT_S
-    missing = any(peer.gone for peer in known)
-    unknown = len(known) + (state.member in replicas) < len(replicas)
-    return (missing or unknown) and not state.is_log_fresh(now)
+        return now - claim.heard_at > REMOTE_TIMEOUT_S
+    is_unreachable = any(peer.gone for peer in known)
+    is_unknown = len(known) + (state.member in replicas) < len(replicas)
+    return (is_unreachable or is_unknown) and not state.is_log_fresh(now)
 
 
 def _on_granted(
     state: State, live: LiveRequest, answer: ClaimAnswer, now: float
 ) -> None:
-    wait = live.claim
-    if wait is None or now >= wait.not_after:
+    claim = live.claim
+    if claim is None or now >= claim.not_after:
         refuse_unclaimed(
             state, live, Reason.claim_unverified, CLAIM_RETRY_AFTER_S
         )
         return
-    field = choose_service(state, live.req, now)
-    if not field.candidates:
-        refuse(state, live, field.reason, CLAIM_RETRY_AFTER_S, field.detail)
+    found = choose_service(state, live.req, now)
+    if not found.candidates:
+        refuse(state, live, found.reason, CLAIM_RETRY_AFTER_S, found.detail)
         return
-    wait.granted = True
-    start_call(state, live, field.candidates, wait.not_after, now)
+    claim.granted = True
+    start_call(state, live, found.candidates, claim.not_after, now)
 
 
 def _on_pending(
@@ -189,8 +191,8 @@
     answer: ClaimAnswer,
     now: float,
 ) -> None:
-    wait = live.claim
-    if wait is None or now + answer.wait_s >= wait.not_after:
+    claim = live.claim
+    if claim is None or now + answer.wait_s >= claim.not_after:
         refuse_unclaimed(state, live, Reason.claim_state_lost, 0)
 
 
--- a/trestledock/process/_claims.py
+++ b/trestledock/process/_claims.py
@@ -2,18 +2,18 @@
 Claims
 ======
 
-At most once across instances.  A non-idempotent call with an idempotency key
-runs only under a claim on the key.  The first replica of the key decides, the
-others keep a copy, and a claim is granted once all of them have recorded it.
-In the steady state no platform is needed; only a change of members goes
-through the log, see `trestledock.process` on epochs.
-
-A claim is one-shot: its claimant starts the call at most once and not after
-the claim's time to live.  Outcomes are kept for a while, so that a repeat of
-a key gets the answer of the first run, waits for it, or is told `unknown`.
-
-The module holds the part of a member; nothing in it knows requests or sockets,
-so that others can embed it.
+At-most-once execution across instances.  A non-idempotent call with an
+idempotency key runs only under a claim on the key.  The first replica of the
+key decides on claims, the other replicas keep copies, and a claim is granted
+once all replicas have recorded it.  This needs the platform only when the
+members change: a new epoch goes through the log, see `_epoch`.
+
+A claimant starts the call at most once, within the claim's time to live.
+Outcomes are kept for a while, so that a repeated call gets the first call's
+response, waits for it, or ends as `unknown`.
+
+This module implements one member.  It depends on neither requests nor sockets,
+so that other programs can embed it.
 """
 
 from dataclasses import dataclass, field
@@ -32,15 +32,16 @@
 )
 from trestledock.request import Outcome
 
-#: The longest answer, in characters, that is kept for repeats.
+#: The maximum length of a response that is kept for repeated calls, in
+#: characters.
 MAX_STORED_BODY_CHARS = 16_384
 
-#: How many epochs a member vouches for.
+#: The maximum number of epochs that a member vouches for.
 MAX_VOUCHES = 16
 
 
 class Grant(str, Enum):
-    """The answers to a request for a claim."""
+    """The responses to a request for a claim."""
 
     granted = 'granted'
     pending = 'pending'
@@ -52,7 +53,7 @@
 
 @dataclass
 class Claim:
-    """What a replica remembers of a claim."""
+    """A claim as stored by a replica."""
 
     claim_id: str
     claimant: str
@@ -65,22 +66,24 @@
     acknowledged_epoch: int = -1
 
     def decide_repeat(self, now: float) -> Grant:
-        """Return the answer to another claim on the same key."""
+        """Return the response to another claim on the same key."""
         if self.outcome:
             return Grant.done
         expired = now > self.created_at + self.ttl_s
         return Grant.unknown if expired else Grant.pending
 
 
-#: Payloads to send, each with the member it goes to.
+#: Payloads to send, each with the name of the receiving member.
 OutgoingPayloads = list[tuple[str, ClaimAnswer | ClaimCopy | ClaimCopied]]
 
 
 @dataclass
 class ClaimTable:
-    """The claims that one member keeps.
+    """The claims that one member stores.
 
-    `member` is the member's own name, `keep_s` how long an outcome is kept.
+    `member` is the member's own name, `keep_s` the time for which an outcome
+    is kept.  `vouches` holds the epochs for which this member has every claim
+    on its keys.
     """
 
     member: str
@@ -92,9 +95,9 @@
     handed_over_to: set[str] = field(default_factory=set)
 
     def enter(self, epoch: Epoch, now: float) -> bool:
-        """Enter a newer epoch; nothing is granted in older ones from here on.
+        """Enter a newer epoch, which ends all grants in older epochs.
 
-        Returns whether the epoch was news.
+        Returns whether the epoch was newer.
         """
         if self.epoch and epoch.offset <= self.epoch.offset:
             return False
@@ -117,11 +120,11 @@
         return True
 
     def has_unknown_history(self, key: str, now: float) -> bool:
-        """Whether an earlier run under `key` can't be ruled out."""
+        """Whether an earlier run under `key` can't be excluded."""
         return self.get_unknown_history_s(key, now) > 0
 
     def get_unknown_history_s(self, key: str, now: float) -> float:
-        """Return for how many seconds `key` stays blind, 0 where it is not."""
+        """Return for how many seconds the history of `key` stays unknown."""
         return max(
             (
                 handover.get_remaining_s(now, self.keep_s)
@@ -147,7 +150,7 @@
     def copy(
         self, sender: str, message: ClaimCopy, now: float
     ) -> OutgoingPayloads:
-        """Record a copy of a claim for the first replica of its key."""
+        """Store the copy of a claim that the key's first replica sent."""
         known = self.claims.get(message.key)
         current = self.epoch and self.epoch.offset == message.epoch
         recorded = bool(current) and (
@@ -169,7 +172,7 @@
         return [(sender, answer)]
 
     def copied(self, sender: str, message: ClaimCopied) -> OutgoingPayloads:
-        """Count an acknowledged copy; grant once every replica has one."""
+        """Record an acknowledged copy; grant once every replica has one."""
         claim = self.claims.get(message.key)
         epoch = self.epoch
         if claim is None or epoch is None or message.epoch != epoch.offset:
@@ -184,7 +187,7 @@
         return []
 
     def settle(self, message: ClaimResult) -> None:
-        """Keep the outcome of a claim; `not_run` frees the key again."""
+        """Store the outcome of a claim; `not_run` releases the key."""
         claim = self.claims.get(message.key)
         if claim is None or claim.claim_id != message.claim_id:
             return
@@ -195,15 +198,15 @@
         claim.status = message.status
         claim.body = message.body[:MAX_STORED_BODY_CHARS]
 
-    def seal(self, asker: str, now: float) -> SealAnswer:
-        """Hand over what `asker` needs, as a replica in this epoch."""
+    def seal(self, requester: str, now: float) -> SealAnswer:
+        """Return the claims for `requester`, as a replica in this epoch."""
         epoch = self.epoch
         if epoch is None:
-            raise LookupError('a member seals only once it is in an epoch')
+            raise LookupError('cannot seal: this member has no epoch')
         entries = tuple(
             _to_entry(key, claim, now)
             for key, claim in self.claims.items()
-            if asker in epoch.get_replicas_by_key(key)
+            if requester in epoch.get_replicas_by_key(key)
         )
         blinds = tuple(
             handover.to_payload(now, self.keep_s)
@@ -211,13 +214,13 @@
             if handover.offset != epoch.body.previous_offset
         )
         vouches = tuple(sorted(self.vouches))
-        self.handed_over_to.add(asker)
+        self.handed_over_to.add(requester)
         return SealAnswer(epoch.offset, vouches, entries, blinds)
 
     def import_claims(
         self, sender: str, answer: SealAnswer, now: float
     ) -> None:
-        """Take the claims of a member that has sealed the earlier epochs."""
+        """Import the claims of a member that has sealed the earlier epochs."""
         epoch = self.epoch
         if epoch is None or answer.epoch != epoch.offset:
             return
@@ -231,7 +234,7 @@
                 handover.heard.add(sender)
 
     def get_unsealed_members(self) -> tuple[str, ...]:
-        """Return the members of earlier epochs that are still to be asked."""
+        """Return the members of earlier epochs that have not sealed them."""
         return tuple(
             sorted(
                 {
@@ -243,10 +246,10 @@
             ),
         )
 
-    def expire(self, gone: set[str], now: float) -> None:
-        """Drop claims and handovers whose time is over.
+    def expire(self, terminated: set[str], now: float) -> None:
+        """Drop expired claims and finished handovers.
 
-        `gone` holds the members of which it is certain that they have ended.
+        `terminated` holds the members that have certainly terminated.
         """
         self.claims = {
             key: claim
@@ -254,7 +257,7 @@
             if now - claim.created_at <= self.keep_s + claim.ttl_s
         }
         for handover in self.handovers.values():
-            handover.close_if_inactive(gone, now)
+            handover.close_if_inactive(terminated, now)
         self.handovers = {
             offset: handover
             for offset, handover in self.handovers.items()
@@ -273,14 +276,14 @@
         claim = self.claims.get(key)
         if claim and claim.claim_id != message.claim_id:
             return self._answer_repeat(message, claim, now)
-        left = self.get_unknown_history_s(key, now)
-        if left > 0:
+        wait_s = self.get_unknown_history_s(key, now)
+        if wait_s > 0:
             grant = Grant.blind if self._is_history_lost(key) else Grant.stale
-            return _make_answer(message, grant, left)
+            return _make_answer(message, grant, wait_s)
         return None
 
     def _is_history_lost(self, key: str) -> bool:
-        """Whether nobody is left who could still tell of a blind key."""
+        """Whether no member can still provide the history of a key."""
         return all(
             handover.closed_at is not None
             for handover in self.handovers.values()
--- a/trestledock/process/_ending.py
+++ b/trestledock/process/_ending.py
@@ -1,10 +1,9 @@
 """
-Ending requests
-===============
+Completion of requests
+======================
 
-The one place where a request gets its final answer, and where everything that
-it held is given back: its place in the queue, its attempt, its holds on
-engines and its claim.
+Every request gets its final result here, and releases its resources: its place
+in the queue, its attempt, its reservations on engines, and its claim.
 """
 
 from trestledock.process._actions import CancelHolds, Finish, ToPeer
@@ -13,15 +12,15 @@
 from trestledock.process._state import State
 from trestledock.request import Outcome, Reason, Verdict
 
-#: The least and the largest time that a caller is told to wait, in seconds.
+#: The bounds of Retry-After times, in seconds.
 MIN_RETRY_AFTER_S = 0.5
 MAX_RETRY_AFTER_S = 60.0
-#: Half the band by which times to wait are jittered.
+#: The relative jitter of Retry-After times, in both directions.
 RETRY_JITTER = 0.25
 
 
 def jitter_retry_after(state: State, wait_s: float) -> float:
-    """Return a bounded, jittered time for the caller to wait."""
+    """Return a bounded and jittered Retry-After time."""
     bounded = min(MAX_RETRY_AFTER_S, max(MIN_RETRY_AFTER_S, wait_s))
     factor = state.rng.uniform(1 - RETRY_JITTER, 1 + RETRY_JITTER)
     return round(bounded * factor, 1)
@@ -34,7 +33,7 @@
     wait_s: float = 0,
     detail: str = '',
 ) -> None:
-    """End a request with the outcome that its attempts prove."""
+    """Refuse a request, with the outcome that its attempts prove."""
     outcome = live.derive_outcome()
     state.count('refused', reason.value)
     finish_request(
@@ -52,7 +51,7 @@
 
 
 def finish_request(state: State, live: LiveRequest, verdict: Verdict) -> None:
-    """Give the caller its final answer and give everything back."""
+    """Send the caller the final result and release all resources."""
     if not live.enter_phase(Phase.done):
         return
     req = live.req
@@ -66,11 +65,11 @@
     state.emit(Finish(req, verdict))
 
 
-def release_attempt(state: State, live: LiveRequest, is_whole: bool) -> None:
-    """Give back the newest attempt's place and its holds.
+def release_attempt(state: State, live: LiveRequest, is_complete: bool) -> None:
+    """Release the newest attempt and its reservations.
 
-    An engine frees the memory of a stream that ended whole by itself; every
-    other hold is cancelled until the engine confirms.
+    An engine frees the memory of a completed stream by itself; all other
+    reservations are cancelled until the engine confirms.
     """
     if not live.attempts:
         return
@@ -80,9 +79,9 @@
         if target and key in target.load.sent_work:
             target.load.remove(key, state.bookkeeping.last_step)
             target.in_flight -= 1
-    last = live.shares[-1].hold if live.shares else ''
+    last_hold = live.shares[-1].hold if live.shares else ''
     for share in live.shares:
-        if is_whole and share.hold == last:
+        if is_complete and share.hold == last_hold:
             state.reservation_ids.release(share.hold)
         else:
             cancel_reservation(state, share.target, share.hold)
@@ -90,10 +89,10 @@
 
 
 def cancel_reservation(state: State, target_name: str, hold: str) -> None:
-    """Cancel a hold now and again until the engine confirms.
+    """Cancel a reservation, repeatedly until the engine confirms.
 
-    That goes for a later incarnation of the engine, too: the job may have
-    reached it before the instance list told of it.
+    A later incarnation of the engine is asked too: the job may have reached it
+    before it appeared in the instance list.
     """
     state.reservation_watch.add_cancels(target_name, (hold,))
     target = state.get_targets().get(target_name)
@@ -104,25 +103,25 @@
 def _report_claim_result(
     state: State, live: LiveRequest, verdict: Verdict
 ) -> None:
-    wait = live.claim
+    claim = live.claim
     epoch = state.epochs.get(live.req.home)
-    if wait is None or epoch is None:
+    if claim is None or epoch is None:
         return
-    outcome = verdict.outcome if wait.granted else Outcome.not_run
+    outcome = verdict.outcome if claim.granted else Outcome.not_run
     claim_result = ClaimResult(
-        wait.key,
-        wait.claim_id,
+        claim.key,
+        claim.claim_id,
         epoch.offset,
         outcome.value,
         verdict.status,
         verdict.body,
     )
-    for member in epoch.get_replicas_by_key(wait.key):
+    for member in epoch.get_replicas_by_key(claim.key):
         send_to_member(state, member, claim_result)
 
 
 def send_to_member(state: State, member: str, payload: object) -> None:
-    """Send a payload to a member, which may be this instance itself."""
+    """Send a payload to a member, possibly to this instance itself."""
     peer = state.fleet.peers.get(member)
     address = peer.info.address if peer else ''
     state.emit(ToPeer(member, address, payload))  # type: ignore[arg-type]
--- a/trestledock/process/_epoch.py
+++ b/trestledock/process/_epoch.py
@@ -2,13 +2,13 @@
 Epochs
 ======
 
-An epoch is the set of members of a data centre that decide together on
-idempotency keys.  The log holds the epochs; each key has a few replicas among
-the members, chosen by rendezvous hashing.
+An epoch is the set of members of a data centre that decide on idempotency keys.
+The epochs are records on the log.  Each key has a few replicas among the
+members, chosen by rendezvous hashing.
 
-A new epoch starts from what one old replica of a key remembers; that replica
-seals the old epoch first.  Keys of which no old replica answered are blind:
-what may have run under them is not known.
+For each key, a new epoch imports the claims of one replica of the old epoch,
+which seals the old epoch first.  If none of a key's old replicas responds, the
+key has an unknown history: a call may have run under it.
 """
 
 from dataclasses import dataclass, field
@@ -17,33 +17,36 @@
 from trestledock.relay import rank_by_key
 from trestledock.version import EpochBody
 
-#: How long the members of an earlier epoch are asked at least, in seconds.
+#: The minimum time for which members of an earlier epoch are asked to seal it,
+#: in seconds.
 MIN_HANDOVER_S = 5.0
 
 
 @dataclass(frozen=True)
 class Epoch:
-    """An accepted epoch; its offset on the log is its number."""
+    """An accepted epoch; its log offset is its number."""
 
     offset: int
     body: EpochBody
 
     @property
     def members(self) -> tuple[str, ...]:
-        """The members that decide in this epoch."""
+        """The members of this epoch."""
         return self.body.members
 
     def get_replicas_by_key(self, key: str) -> tuple[str, ...]:
-        """Return the replicas of a key, the first of them decides."""
+        """Return the replicas of a key; the first decides on claims."""
         return rank_by_key(key, self.members)[: self.body.replicas]
 
 
 @dataclass
 class Handover:
-    """What is missing from an earlier epoch, and until when.
+    """The handover of an earlier epoch's claims.
 
-    The time runs only once no member of the earlier epoch can still grant
-    anything: `closed_at` is the instant from which that is certain.
+    `heard` holds the members that handed over every claim on their keys,
+    `sealed` those that have sealed the epoch.  From `closed_at` on, certainly
+    no member can grant claims in the epoch; only then does the time begin to
+    run for which histories stay unknown.
     """
 
     offset: int
@@ -55,46 +58,46 @@
     started_at: float = 0
 
     def has_unknown_history(self, key: str) -> bool:
-        """Whether no replica of `key` in the earlier epoch has answered."""
+        """Whether no replica of `key` in the earlier epoch has responded."""
         replicas = rank_by_key(key, self.members)[: self.replicas]
         return self.heard.isdisjoint(replicas)
 
     def covers_all_keys(self) -> bool:
-        """Whether every key has a replica that answered."""
+        """Whether every key has a replica that has responded."""
         missing = len(set(self.members) - self.heard)
         return missing < min(self.replicas, len(self.members))
 
     def is_done(self, now: float, keep_s: float) -> bool:
-        """Whether nothing is missing any more, or its time is over.
+        """Whether the handover is complete or has expired.
 
-        Every member is asked for a while even where nothing is missing, so
-        that one that leaves learns that it may go.
+        Members are asked for a minimum time even if nothing is missing, so that
+        a draining member learns that it has handed over its claims.
         """
-        covered = (
+        is_covered = (
             self.covers_all_keys() and now - self.started_at > MIN_HANDOVER_S
         )
-        return covered or self.get_remaining_s(now, keep_s) <= 0
+        return is_covered or self.get_remaining_s(now, keep_s) <= 0
 
-    def close_if_inactive(self, gone: set[str], now: float) -> None:
-        """Start the time once the earlier members can grant nothing more.
+    def close_if_inactive(self, terminated: set[str], now: float) -> None:
+        """Close the epoch once its members can't grant claims any more.
 
-        That is so when more than half of them have sealed, since a member
-        grants only while it hears more than half, or when each of the others
-        is gone.
+        This is the case if more than half of them have sealed it, since a
+        member grants only while it hears more than half, or if all members that
+        have not sealed it have terminated.
         """
-        majority = len(self.sealed) * 2 > len(self.members)
-        rest = set(self.members) - self.sealed
-        if self.closed_at is None and (majority or rest <= gone):
+        has_majority = len(self.sealed) * 2 > len(self.members)
+        unsealed = set(self.members) - self.sealed
+        if self.closed_at is None and (has_majority or unsealed <= terminated):
             self.closed_at = now
 
     def get_remaining_s(self, now: float, keep_s: float) -> float:
-        """Return for how many seconds its blind keys stay blind."""
+        """Return for how many seconds missing histories stay unknown."""
         if self.closed_at is None:
             return keep_s
         return self.closed_at + keep_s - now
 
     def to_payload(self, now: float, keep_s: float) -> Blind:
-        """Return it as it is told to a member of the next epoch."""
+        """Return the payload for a member of the next epoch."""
         return Blind(
             self.offset,
             self.members,
--- a/trestledock/process/_queue.py
+++ b/trestledock/process/_queue.py
@@ -62,8 +62,12 @@
         """Add a request."""
         team = waiting.req.team
         if not self._is_active(team):
-            behind = self.virtual_times.get(team, self.min_virtual_time)
-            self.virtual_times[team] = max(behind, self.min_virtual_time)
+            last_virtual_time = self.virtual_times.get(
+                team, self.min_virtual_time
+            )
+            self.virtual_times[team] = max(
+                last_virtual_time, self.min_virtual_time
+            )
         self.waiting[waiting.req.req_id] = waiting
 
     def remove(self, req_id: str) -> QueuedRequest | None:
@@ -75,9 +79,9 @@
         team = waiting.req.team
         self.waiting.pop(waiting.req.req_id, None)
         self.running[waiting.req.req_id] = team
-        start = self.virtual_times.get(team, self.min_virtual_time)
-        self.virtual_times[team] = start + waiting.cost / waiting.weight
-        self.min_virtual_time = max(self.min_virtual_time, start)
+        begun_at = self.virtual_times.get(team, self.min_virtual_time)
+        self.virtual_times[team] = begun_at + waiting.cost / waiting.weight
+        self.min_virtual_time = max(self.min_virtual_time, begun_at)
 
     def mark_finished(self, req_id: str) -> None:
         """Record that a request no longer runs."""
@@ -92,10 +96,10 @@
 
     def iter_in_order(self) -> Iterator[QueuedRequest]:
         """Yield the waiting requests in dispatch order."""
-        least = self._get_min_waiting_time()
+        lowest = self._get_min_waiting_time()
         yield from sorted(
             self.waiting.values(),
-            key=lambda waiting: self._get_sort_key(waiting, least),
+            key=lambda waiting: self._get_sort_key(waiting, lowest),
         )
 
     def predict_cost_ahead(self, req: Request, weight: float) -> float:
@@ -139,8 +143,10 @@
     def _get_sort_key(
         self,
         waiting: QueuedRequest,
-        least: float,
+        lowest: float,
     ) -> tuple[bool, int, float, float]:
-        clock = self.virtual_times.get(waiting.req.team, self.min_virtual_time)
-        ahead = clock - least > MAX_LEAD_S
-        return ahead, waiting.rank, clock, waiting.latest_start
+        virtual_time = self.virtual_times.get(
+            waiting.req.team, self.min_virtual_time
+        )
+        ahead = virtual_time - lowest > MAX_LEAD_S
+        return ahead, waiting.rank, virtual_time, waiting.latest_start
