--- a/trestledock/process/_dispatching.py
+++ b/trestledock/process/_dispatching.py
@@ -1,23 +1,24 @@
 """
-Dispatching
-===========
+Dispatch
+========
 
-Sends queued work to engines: whole short prompts as one job, longer ones in
-pieces so that a short one waits for one piece at most, and prompts larger
-than one engine over a group of engines, reserved all or nothing in the order
-of their names.
+Sends queued requests to engines.  Short prompts are sent as one job, longer
+ones in chunks, so that a short prompt waits for one chunk at most.  Prompts
+that exceed the memory of one engine go to a group of engines, whose memory is
+reserved all or nothing, in the order of their names.
 """
 
 from trestledock.process._actions import CallService, Job, StartJob
 from trestledock.process._choosing import (
     PREFIX_BLOCK_TOKENS,
     Candidate,
+    CandidateSet,
     choose_engine,
     choose_of_two,
     find_candidates,
     get_priority,
 )
-from trestledock.process._choosing import CandidateSet as CandidateField
+
 from trestledock.process._ending import refuse
 from trestledock.process._fleet import Target
 from trestledock.process._groups import plan_group
@@ -31,37 +32,38 @@
 from trestledock.request import AttemptEvent, Reason, Request
 from trestledock.version import Team
 
-#: How old a decision may be when it is written to its target, in seconds.  A
-#: process that was paused in between decides again: the target may be leaving.
+#: The maximum age of a decision when it is sent to its target, in seconds.  A
+#: process that was paused in between decides again, because the target may be
+#: draining by then.
 MAX_DECISION_AGE_S = 2.0
-#: How long an engine may say nothing of a job: at least so many seconds, and
-#: so many times what was predicted.
+#: The timeout for the first response to a job: the larger of a minimum, in
+#: seconds, and a multiple of the predicted time.
 MIN_SILENCE_S = 5.0
 SILENCE_FACTOR = 4.0
-#: For how long events that may make room are gathered, in seconds.
+#: The delay for which events that may free capacity are batched, in seconds.
 DISPATCH_DELAY_S = 0.01
 
 
 def dispatch_queue(state: State, pool: str, now: float) -> None:
-    """Send whatever waits for `pool` and has a place now.
+    """Send the queued requests of `pool` that can run now.
 
-    Where one request finds no place, another of the same kind and class finds
-    none either in this round.
+    If a request can't be placed, others of its placement class are skipped in
+    this round.
     """
     queue = state.get_queue(pool)
-    without_place: set[tuple[str, ...]] = set()
+    unplaceable: set[tuple[str, ...]] = set()
     for waiting in tuple(queue.iter_in_order()):
         live = state.live.get(waiting.req.req_id)
-        shape = get_placement_class(waiting.req)
+        placement_class = get_placement_class(waiting.req)
         if live is None:
             queue.remove(waiting.req.req_id)
             continue
         is_refused = _refuse_if_hopeless(state, live, waiting, now)
-        if not is_refused and shape not in without_place:
+        if not is_refused and placement_class not in unplaceable:
             if try_dispatch(state, live, now):
                 queue.charge(waiting)
             else:
-                without_place.add(shape)
+                unplaceable.add(placement_class)
 
 
 def get_team(state: State, req: Request) -> Team:
@@ -72,7 +74,7 @@
 
 
 def make_queued_request(state: State, live: LiveRequest) -> QueuedRequest:
-    """Return a live request as it waits in the fair queue."""
+    """Return the entry of a live request in the fair queue."""
     return QueuedRequest(
         live.req,
         live.cost,
@@ -83,12 +85,12 @@
 
 
 def get_placement_class(req: Request) -> tuple[str, ...]:
-    """Return what decides, besides memory, on whether a request fits."""
+    """Return the properties other than size that decide on placement."""
     return (req.team, str(req.model), req.length_class.value)
 
 
 def schedule_dispatch(state: State, pool: str, now: float) -> None:
-    """Try what waits for `pool` within a moment, once for many events."""
+    """Schedule a dispatch of the pool's queue, unless one is pending."""
     if (
         state.get_queue(pool).waiting
         and pool not in state.bookkeeping.scheduled_pools
@@ -98,13 +100,13 @@
 
 
 def on_dispatch_due(message: DispatchDue, state: State, now: float) -> None:
-    """Try what waits for a pool."""
+    """Dispatch the queue of a pool."""
     state.bookkeeping.scheduled_pools.discard(message.pool)
     dispatch_queue(state, message.pool, now)
 
 
 def schedule_dispatch_of_all(state: State, now: float) -> None:
-    """Try whatever waits within a moment."""
+    """Schedule a dispatch of every queue."""
     for pool in tuple(state.queues):
         schedule_dispatch(state, pool, now)
 
@@ -113,30 +115,32 @@
     state: State,
     live: LiveRequest,
     now: float,
-    known: CandidateField | None = None,
+    known: CandidateSet | None = None,
 ) -> bool:
-    """Send one queued request where it may run now; False where nowhere.
+    """Send a queued request to an engine; return whether one has capacity.
 
-    `known` holds the candidates where they have just been found.
+    `known` passes candidates that the caller has just computed.
     """
-    field = known or find_candidates(state, live.req, now)
-    if not field.candidates:
+    found = known or find_candidates(state, live.req, now)
+    if not found.candidates:
         return False
-    if live.req.total_tokens > field.capacity:
-        shares = plan_group(state, live, field, now)
+    if live.req.total_tokens > found.capacity:
+        shares = plan_group(state, live, found, now)
         if shares:
             _start_attempt(state, live, shares, now)
         return bool(shares)
     ready = tuple(
-        one
-        for one in field.candidates
-        if one.wait_s <= state.policy.window_s
-        and one.free_tokens >= live.req.total_tokens
+        candidate
+        for candidate in found.candidates
+        if candidate.wait_s <= state.policy.window_s
+        and candidate.free_tokens >= live.req.total_tokens
     )
     if not ready:
         return False
-    fresh = tuple(one for one in ready if _is_other_target(live, one))
-    chosen = choose_engine(state, fresh or ready)
+    others = tuple(
+        candidate for candidate in ready if _is_other_target(live, candidate)
+    )
+    chosen = choose_engine(state, others or ready)
     hold = allocate_reservation(state, chosen.target, now)
     if not hold:
         return False
@@ -146,14 +150,14 @@
 
 
 def send_prefill_chunk(state: State, live: LiveRequest, now: float) -> None:
-    """Send the next piece of a running request's prompt."""
+    """Send the next prefill chunk of a running request."""
     share = live.get_current_share()
     target = state.get_targets()[share.target]
     start = max(live.position, share.start)
     stop = min(share.stop, start + _get_chunk_tokens(state, live, target))
     generate = stop >= live.prefill_stop
     req = live.req
-    need = _estimate_remaining_s(live, target)
+    remaining_s = _estimate_remaining_s(live, target)
     job = Job(
         hold=share.hold,
         model=req.model,
@@ -162,14 +166,14 @@
         reserve=_get_reserved_tokens(live, share),
         generate=generate,
         max_tokens=req.max_tokens - live.emitted if generate else 0,
-        priority=get_priority(state, req, now, need),
+        priority=get_priority(state, req, now, remaining_s),
         first_index=live.emitted,
     )
     _send_job(state, live, target, job, now)
 
 
 def send_reservation(state: State, live: LiveRequest, now: float) -> None:
-    """Reserve the memory of the next engine of a group."""
+    """Reserve memory on the next engine of a group."""
     ordered = sorted(live.shares, key=lambda share: share.target)
     share = ordered[live.reserved]
     target = state.get_targets()[share.target]
@@ -194,8 +198,12 @@
     now: float,
 ) -> None:
     """Send a call to one of the permitted plain services."""
-    fresh = tuple(one for one in candidates if _is_other_target(live, one))
-    target = choose_of_two(state, fresh or candidates).target
+    others = tuple(
+        candidate
+        for candidate in candidates
+        if _is_other_target(live, candidate)
+    )
+    target = choose_of_two(state, others or candidates).target
     name = target.info.name
     live.enter_phase(Phase.running)
     attempt = live.begin_attempt(name)
@@ -247,7 +255,7 @@
     if earlier is None:
         target.in_flight += 1
         target.breaker.start(now)
-    rest = max(0, live.get_current_share().stop - job.stop)
+    remaining_tokens = max(0, live.get_current_share().stop - job.stop)
     target.load.add(
         key,
         SentWork(
@@ -256,7 +264,7 @@
             job.reserve,
             now,
             earlier.reserved_at if earlier else now,
-            rest,
+            remaining_tokens,
         ),
     )
     live.awaited = (job.hold, job.stop)
@@ -281,13 +289,13 @@
     job: Job,
     now: float,
 ) -> None:
-    """Set the timer after which an engine that says nothing counts as lost."""
+    """Set the timer after which an attempt without a response fails."""
     report = target.load.report
     if report is None:
         return
     wait_s = target.load.predict_wait(job.priority, now)
     work_s = (job.stop - job.start) / report.rate
-    patience_s = max(MIN_SILENCE_S, SILENCE_FACTOR * (wait_s + work_s))
+    timeout_s = max(MIN_SILENCE_S, SILENCE_FACTOR * (wait_s + work_s))
     due = SilenceDue(
         live.req.req_id,
         live.attempt.number,
@@ -295,13 +303,13 @@
         job.stop,
         live.emitted,
     )
-    state.set_timer(now + patience_s, due)
+    state.set_timer(now + timeout_s, due)
 
 
 def _find_kv_source(live: LiveRequest, job: Job) -> Share | None:
-    for before, share in zip(live.shares, live.shares[1:]):
+    for previous, share in zip(live.shares, live.shares[1:]):
         if job.hold == share.hold and job.start == share.start:
-            return before if job.stop > job.start else None
+            return previous if job.stop > job.start else None
     return None
 
 
@@ -323,10 +331,14 @@
     if not state.policy.piece_s or report is None:
         return live.prefill_stop
     blocks = round(state.policy.piece_s * report.rate / PREFIX_BLOCK_TOKENS)
-    piece = max(1, blocks) * PREFIX_BLOCK_TOKENS
-    rest = live.get_current_share().stop - live.position
-    whole = live.prefill_stop <= state.policy.whole_tokens
-    return rest if whole or rest < piece * 3 // 2 else piece
+    chunk_tokens = max(1, blocks) * PREFIX_BLOCK_TOKENS
+    remaining_tokens = live.get_current_share().stop - live.position
+    is_unsplit = live.prefill_stop <= state.policy.whole_tokens
+    return (
+        remaining_tokens
+        if is_unsplit or remaining_tokens < chunk_tokens * 3 // 2
+        else chunk_tokens
+    )
 
 
 def _get_reserved_tokens(live: LiveRequest, share: Share) -> int:
@@ -344,16 +356,16 @@
     return prefill_s + (live.req.max_tokens - live.emitted) * report.itl_s
 
 
-def _is_other_target(live: LiveRequest, one: Candidate) -> bool:
+def _is_other_target(live: LiveRequest, candidate: Candidate) -> bool:
     if not live.attempts:
         return True
-    return live.attempt.target != one.target.info.name
+    return live.attempt.target != candidate.target.info.name
 
 
 def _refuse_if_hopeless(
     state: State, live: LiveRequest, waiting: QueuedRequest, now: float
 ) -> bool:
-    """Refuse a request that need not wait any more; return whether it was."""
+    """Refuse a request that must not wait longer; return whether it was."""
     if is_quarantined(state, live):
         refuse(state, live, Reason.quarantined)
         return True
@@ -364,5 +376,5 @@
 
 
 def _misses_deadline(state: State, waiting: QueuedRequest, now: float) -> bool:
-    late = now + waiting.least_s > waiting.req.deadline
-    return state.policy.admission and late
+    is_late = now + waiting.least_s > waiting.req.deadline
+    return state.policy.admission and is_late
--- a/trestledock/process/_duties.py
+++ b/trestledock/process/_duties.py
@@ -1,10 +1,10 @@
 """
-Duties
-======
+Periodic tasks
+==============
 
-What an instance does once a heartbeat: it tells its peers that it lives, marks
-those that don't, proposes epochs, asks for the lease, and repeats whatever has
-not been confirmed.
+The tasks that an instance runs at each heartbeat: it sends heartbeats, marks
+unreachable peers, proposes epochs, requests the lease, and repeats unconfirmed
+messages.
 """
 
 from trestledock.process._actions import AppendRecord, ToPeer
@@ -43,23 +43,23 @@
     state: State,
     now: float,
 ) -> None:
-    """Do every duty once and set the timer for the next time."""
+    """Run all periodic tasks and schedule the next run."""
     state.set_timer(now + state.timing.heartbeat_s, HeartbeatDue())
-    for duty in PERIODIC_TASKS:
-        duty(state, now)
+    for task in PERIODIC_TASKS:
+        task(state, now)
 
 
 def get_local_peers(state: State) -> list[Peer]:
-    """Return the other instances of this data centre that are not gone."""
+    """Return the other reachable instances of this data centre."""
     peers = state.fleet.get_live_peers(state.identity.data_centre)
     return [peer for peer in peers if peer.info.member != state.member]
 
 
 def detect_unreachable_peers(state: State, now: float) -> None:
-    """Mark the peers that have fallen silent.
+    """Mark the peers that have timed out.
 
-    Those are the peers of the data centre, the owners of guarded holds and
-    the guards of own ones; others send heartbeats too seldom for that.
+    This covers the peers of the data centre, the owners of watched blocks and
+    the watchers of own blocks; all others send heartbeats too rarely.
     """
     owners = {watched.owner for watched in state.reservation_watch.watched}
     owners |= state.reservation_ids.get_notified_peers()
@@ -76,19 +76,20 @@
 
 
 def expire_peers(state: State, now: float) -> None:
-    """Forget peers that have been gone for long."""
-    older_s = state.timing.forget_peer_s
+    """Remove peers that have been unreachable for a long time."""
+    retention_s = state.timing.forget_peer_s
     for member, peer in tuple(state.fleet.peers.items()):
-        if peer.gone and now - peer.heard_at > older_s:
+        if peer.gone and now - peer.heard_at > retention_s:
             state.fleet.peers.pop(member)
-    state.liveness.expire(now, older_s)
+    state.liveness.expire(now, retention_s)
 
 
 def send_heartbeats(state: State, now: float) -> None:
-    """Tell a few peers that this instance lives, and what they may lack.
+    """Send a heartbeat to a few random peers.
 
-    An instance that is not in the epoch yet tells every listed peer of its
-    data centre, since the others' ages don't cover it.
+    An instance that is not yet in the epoch sends it to all peers of its data
+    centre, because the ages in other heartbeats don't cover it.  Owners and
+    watchers of reservation blocks always get one.
     """
     heartbeat = make_heartbeat(state, now)
     local = get_local_peers(state)
@@ -112,9 +113,11 @@
 
 
 def make_heartbeat(state: State, now: float) -> Heartbeat:
-    """Return this instance's heartbeat."""
+    """Return a heartbeat of this instance."""
     cfg = state.version.cfg
-    limited = [team.name for team in cfg.teams if team.limit] if cfg else []
+    limited_teams = (
+        [team.name for team in cfg.teams if team.limit] if cfg else []
+    )
     epoch = state.claims.epoch
     return Heartbeat(
         data_centre=state.identity.data_centre,
@@ -127,35 +130,35 @@
         digests=_get_digests(state, now),
         demands=tuple(
             TeamDemand(name, state.limits.get_demand(name, now))
-            for name in limited
+            for name in limited_teams
         ),
     )
 
 
 def propose_epoch(state: State, now: float) -> None:
-    """Propose the live members as the next epoch, once they have settled."""
-    wanted = _get_desired_members(state)
-    if wanted != state.bookkeeping.desired_members:
-        state.bookkeeping.desired_members = wanted
+    """Propose the reachable members as the next epoch, once they are stable."""
+    desired = _get_desired_members(state)
+    if desired != state.bookkeeping.desired_members:
+        state.bookkeeping.desired_members = desired
         state.bookkeeping.desired_since = now
     cfg = state.version.cfg
-    if not wanted or cfg is None or not _may_append(state, now):
+    if not desired or cfg is None or not _may_append(state, now):
         return
     epoch = state.claims.epoch
     replicas = cfg.claims.replicas
-    if epoch and epoch.members == wanted and epoch.body.replicas == replicas:
+    if epoch and epoch.members == desired and epoch.body.replicas == replicas:
         return
-    rank = wanted.index(state.member) if state.member in wanted else 0
+    rank = desired.index(state.member) if state.member in desired else 0
     settled_at = state.bookkeeping.desired_since + state.timing.epoch_settle_s
     if now < settled_at + rank * state.timing.append_retry_s:
         return
     if now - state.bookkeeping.epoch_proposed_at < state.timing.append_retry_s:
         return
     state.bookkeeping.epoch_proposed_at = now
-    body = EpochBody(wanted, replicas)
+    body = EpochBody(desired, replicas)
     if epoch:
         body = EpochBody(
-            wanted,
+            desired,
             replicas,
             epoch.offset,
             epoch.members,
@@ -165,14 +168,14 @@
 
 
 def request_seals(state: State, now: float) -> None:
-    """Ask the members of earlier epochs for what they remember."""
-    gone = {
+    """Ask the members of earlier epochs to seal and hand over their claims."""
+    terminated = {
         name
         for handover in state.claims.handovers.values()
         for name in handover.members
         if _has_terminated(state, name, now)
     }
-    state.claims.expire(gone, now)
+    state.claims.expire(terminated, now)
     scope = EPOCH_PREFIX + state.identity.data_centre
     accepted = state.reader.fold.get_accepted_by_scope(scope)
     if accepted is None:
@@ -183,7 +186,7 @@
 
 
 def request_lease(state: State, now: float) -> None:
-    """Ask for the data centre's lease, or renew it."""
+    """Request or renew the lease of the data centre."""
     members = state.bookkeeping.desired_members
     if state.member not in members or not _may_append(state, now):
         return
@@ -194,14 +197,14 @@
 
 
 def append_snapshot(state: State, now: float) -> None:
-    """Keep the state on the log, well before its records expire."""
-    seen = state.reader.snapshots_seen
+    """Append a snapshot to the log, well before its records expire."""
+    snapshots_seen = state.reader.snapshots_seen
     if (
-        seen != state.bookkeeping.snapshots_seen
+        snapshots_seen != state.bookkeeping.snapshots_seen
         or not state.bookkeeping.snapshot_due
     ):
         wait_s = state.timing.snapshot_s * state.rng.uniform(1, 2)
-        state.bookkeeping.snapshots_seen = seen
+        state.bookkeeping.snapshots_seen = snapshots_seen
         state.bookkeeping.snapshot_due = now + wait_s
     if now >= state.bookkeeping.snapshot_due and _may_append(state, now):
         state.bookkeeping.snapshot_due = 0
@@ -211,20 +214,20 @@
 
 
 def maintain_reservations(state: State, now: float) -> None:
-    """Keep hold blocks guarded and repeat cancels."""
+    """Keep blocks of reservations watched, and repeat unconfirmed cancels."""
     maintain_blocks(state, now)
     repeat_cancels(state)
 
 
 def run_housekeeping(state: State, now: float) -> None:
-    """Drop what has become old, and try what waits once more."""
+    """Drop old load data and retry queued requests."""
     for target in state.get_targets().values():
         target.load.expire_done(now)
     schedule_dispatch_of_all(state, now)
 
 
 def is_drained(state: State) -> bool:
-    """Whether nothing is lost if this instance ends now."""
+    """Whether this instance can terminate without loss."""
     if state.live or state.reservation_watch.to_cancel:
         return False
     epoch = state.claims.epoch
@@ -236,21 +239,21 @@
 
 
 def _has_terminated(state: State, member: str, now: float) -> bool:
-    """Whether a member surely runs no more.
+    """Whether a member has certainly terminated.
 
-    The platform has dropped it from its list, or its instance has started
-    again since; and it has not been heard lately.
+    This is the case if it has timed out, and either the platform no longer
+    lists it or its instance has restarted since.
     """
     name, _, incarnation = member.partition('#')
-    own = name == state.identity.instance
-    restarted = own and incarnation < state.identity.incarnation
-    ended = (
-        restarted
+    is_own = name == state.identity.instance
+    has_restarted = is_own and incarnation < state.identity.incarnation
+    is_replaced = (
+        has_restarted
         or member in state.bookkeeping.unlisted_members
         or state.fleet.is_superseded(member)
     )
     silent_s = state.liveness.get_age(member, now)
-    return ended and silent_s > state.timing.peer_dead_s
+    return is_replaced and silent_s > state.timing.peer_dead_s
 
 
 def _get_desired_members(state: State) -> tuple[str, ...]:
--- a/trestledock/process/_explaining.py
+++ b/trestledock/process/_explaining.py
@@ -1,8 +1,8 @@
 """
-Explaining decisions
-====================
+Explanation of decisions
+========================
 
-Says in words, for an operator, why a request would be placed where.
+Explains to an operator where a request would be placed, and why.
 """
 
 from trestledock.process._choosing import (
@@ -21,23 +21,23 @@
 
 
 def explain(node: Node, req: Request, now: float) -> list[str]:
-    """Return a line for the class of the work and one for each target."""
+    """Return lines on the work's labels, its pool, and each target."""
     state = node.state
     cfg = state.version.cfg
-    field = find_permitted(state, req)
-    if cfg is None or field.pool is None:
-        return [f'refused: {field.reason.value}']
+    permitted_set = find_permitted(state, req)
+    if cfg is None or permitted_set.pool is None:
+        return [f'refused: {permitted_set.reason.value}']
     work = get_work_labels(req, state.identity.data_centre)
     rules = get_rules_by_work(cfg, work)
-    lines = [f'work {dict(work)}', f'pool {field.pool.name}']
+    lines = [f'work {dict(work)}', f'pool {permitted_set.pool.name}']
     lines.extend(f'rule {rule.name} applies' for rule in rules)
     for name, target in sorted(state.get_targets().items()):
         labels = state.fleet.get_labels(target)
-        permission = get_permission(field.pool, rules, labels)
+        permission = get_permission(permitted_set.pool, rules, labels)
         if not permission.allowed:
             lines.append(f'{name}: forbidden by {permission.forbidden_by}')
         elif not state.fleet.is_usable(target, now):
-            lines.append(f'{name}: permitted, but leaving or silent')
+            lines.append(f'{name}: permitted, but draining or unreachable')
     lines.extend(_explain_candidates(state, req, now))
     return lines
 
@@ -49,9 +49,10 @@
         found = find_candidates(state, req, now)
     if found.reason is not Reason.none:
         return [f'refused: {found.reason.value} {found.detail}'.strip()]
-    ranked = sorted(found.candidates, key=lambda one: one.score_s)
+    ranked = sorted(found.candidates, key=lambda candidate: candidate.score_s)
     return [
-        f'{one.target.info.name}: first token in {one.ttft_s:.3f} s, '
-        f'penalty {one.penalty_s:.3f}, {one.free_tokens} tokens free'
-        for one in ranked
+        f'{candidate.target.info.name}: first token in '
+        f'{candidate.ttft_s:.3f} s, penalty {candidate.penalty_s:.3f}, '
+        f'{candidate.free_tokens} tokens free'
+        for candidate in ranked
     ]
--- a/trestledock/process/_fleet.py
+++ b/trestledock/process/_fleet.py
@@ -2,10 +2,10 @@
 Fleet
 =====
 
-The targets and peers that an instance knows, from three witnesses: the
-platform's instance list, their own answers and the marks of operators.
-`leaving` from any of them is final for that incarnation.  Silence of the list
-changes nothing.
+The targets and peers that an instance knows, from three sources: the platform's
+instance list, their own responses, and the commands of operators.  A target
+that one of them reports as `leaving` drains, which is final for that
+incarnation.  An outage of the list changes nothing.
 """
 
 from dataclasses import dataclass, field
@@ -20,18 +20,23 @@
 from trestledock.request import Breaker
 from trestledock.version import Labels
 
-#: A target that is not listed and not heard for so long gets no new work.
+#: The time without a response after which an unlisted target gets no new work,
+#: in seconds.
 UNLISTED_TIMEOUT_S = 5.0
-#: A listed target that is not heard for so long gets no new work until it has
-#: answered again: it may have begun to leave meanwhile.
+#: The time without a response after which a listed target gets no new work
+#: until it responds again, in seconds.  It may have begun to drain meanwhile.
 LISTED_TIMEOUT_S = 15.0
-#: How many cached prefixes are remembered for a target.
+#: The maximum number of cached prefixes that are tracked per target.
 MAX_CACHED = 4096
 
 
 @dataclass
 class Target:
-    """What is known of one incarnation of a target."""
+    """An incarnation of a target, as known to this instance.
+
+    `polled` is true if this instance is the one of its data centre that polls
+    the target often and passes its load on to the others.
+    """
 
     info: TargetInfo
     listed: bool = True
@@ -46,7 +51,7 @@
     models: frozenset[str] = frozenset()
 
     def apply_cache_event(self, event: CacheEvent) -> None:
-        """Fold a cache event; a gap makes everything known uncertain."""
+        """Apply a cache event; a gap in the sequence clears the known cache."""
         if event.sequence <= self.cache_sequence:
             return
         if event.sequence != self.cache_sequence + 1:
@@ -60,7 +65,10 @@
 
 @dataclass
 class Peer:
-    """What is known of one incarnation of a peer."""
+    """An incarnation of a peer, as known to this instance.
+
+    `gone` is true while it is unreachable.
+    """
 
     info: PeerInfo
     heard_at: float
@@ -72,7 +80,11 @@
 
 @dataclass
 class Fleet:
-    """All targets by name and all peers by member name."""
+    """All targets by name, and all peers by member name.
+
+    `leaving` holds the keys of draining incarnations, `replaced` those of
+    targets that have restarted since; `revision` counts changes of the targets.
+    """
 
     targets: dict[str, Target] = field(default_factory=dict)
     peers: dict[str, Peer] = field(default_factory=dict)
@@ -86,7 +98,7 @@
         infos: tuple[TargetInfo, ...],
         now: float,
     ) -> list[TargetInfo]:
-        """Fold the instance list; return incarnations that were replaced."""
+        """Merge the targets of the instance list; return those replaced."""
         replaced = []
         for info in infos:
             if info.key not in self.replaced:
@@ -96,10 +108,10 @@
         return replaced
 
     def merge_peers(self, infos: tuple[PeerInfo, ...], now: float) -> None:
-        """Fold the peers of the instance list.
+        """Merge the peers of the instance list.
 
-        An entry without an incarnation says nothing of those that are known:
-        a list that lags may mean an earlier one.
+        An entry without an incarnation does not affect known peers, because a
+        stale list may refer to an earlier incarnation.
         """
         self.listed_peers = infos
         for info in infos:
@@ -110,7 +122,7 @@
                 peer.leaving = peer.leaving or info.leaving
 
     def get_unknown_peers(self) -> list[PeerInfo]:
-        """Return the listed peers that have not introduced themselves."""
+        """Return the listed peers that have sent no heartbeat."""
         known = {
             peer.info.name for peer in self.peers.values() if not peer.gone
         }
@@ -121,7 +133,7 @@
         ]
 
     def is_superseded(self, member: str) -> bool:
-        """Whether a later incarnation of a member is known."""
+        """Whether a later incarnation of the member is known."""
         name, _, incarnation = member.partition('#')
         return any(
             peer.info.name == name and peer.info.incarnation > incarnation
@@ -129,10 +141,10 @@
         )
 
     def get_superseded(self, info: PeerInfo) -> list[Peer]:
-        """Return the earlier incarnations of a peer that still count.
+        """Return the earlier incarnations of a peer that are not yet `gone`.
 
-        Incarnations sort by the time of their start, so that a late heartbeat
-        of an old one supersedes nothing.
+        Incarnations sort by the time of their start, so a late heartbeat of an
+        old incarnation supersedes nothing.
         """
         return [
             peer
@@ -143,7 +155,7 @@
         ]
 
     def record_heartbeat(self, info: PeerInfo, now: float) -> Peer:
-        """Note a sign of life of a peer, listed or not."""
+        """Record a heartbeat of a peer, listed or not."""
         peer = self.peers.get(info.member)
         if peer is None:
             peer = Peer(info, heard_at=now)
@@ -154,7 +166,7 @@
         return peer
 
     def record_report(self, name: str, report: LoadReport, now: float) -> None:
-        """Fold a target's own report."""
+        """Record a target's load report."""
         target = self.targets.get(name)
         if target is None:
             return
@@ -166,28 +178,28 @@
             self.leaving.add(target.info.key)
 
     def mark_leaving(self, key: str) -> bool:
-        """Mark an incarnation as leaving; return whether that is news."""
-        news = key not in self.leaving
+        """Mark an incarnation as draining; return whether it was not yet."""
+        is_new = key not in self.leaving
         self.leaving.add(key)
-        return news
+        return is_new
 
     def is_leaving(self, target: Target) -> bool:
-        """Whether a target gets no new work any more."""
+        """Whether a target is draining and gets no new work."""
         return target.info.key in self.leaving
 
     def is_usable(self, target: Target, now: float) -> bool:
         """Whether new work may be sent to a target at `now`."""
-        patience_s = LISTED_TIMEOUT_S if target.listed else UNLISTED_TIMEOUT_S
-        seen = now - target.heard_at < patience_s
-        live = seen and not self.is_leaving(target)
-        return live and target.breaker.allows(now)
+        timeout_s = LISTED_TIMEOUT_S if target.listed else UNLISTED_TIMEOUT_S
+        is_alive = now - target.heard_at < timeout_s
+        is_active = is_alive and not self.is_leaving(target)
+        return is_active and target.breaker.allows(now)
 
     def get_labels(self, target: Target) -> Labels:
-        """Return a target's labels with its name among them."""
+        """Return a target's labels, with its name as `instance`."""
         return {**target.info.labels, 'instance': target.info.name}
 
     def get_live_peers(self, data_centre: str) -> list[Peer]:
-        """Return the peers of a data centre that have not gone, by name."""
+        """Return the reachable peers of a data centre, sorted by name."""
         return [
             self.peers[name]
             for name in sorted(self.peers)
@@ -196,7 +208,7 @@
         ]
 
     def _merge_target(self, info: TargetInfo, now: float) -> TargetInfo | None:
-        """Take an entry; return the incarnation that it replaces, if any."""
+        """Merge an entry; return the incarnation that it replaces, if any."""
         if info.leaving:
             self.leaving.add(info.key)
         known = self.targets.get(info.name)
--- a/trestledock/process/_groups.py
+++ b/trestledock/process/_groups.py
@@ -1,11 +1,11 @@
 """
-Groups
-======
+Engine groups
+=============
 
-Plans prompts that are larger than one engine's memory over several engines:
-the ones with the most free memory, as many as the pool's share for giants
-allows.  A group is reserved all or nothing, in the order of the engines' names,
-so that two giants can't hold half each and wait.
+Divides giant prompts, which exceed one engine's memory, among several engines:
+those with the most free memory, up to the pool's limit for giants.  A group is
+reserved all or nothing, in the order of the engines' names, so that two giants
+can't deadlock with half of the engines each.
 """
 
 from dataclasses import dataclass
@@ -17,15 +17,15 @@
 from trestledock.process._state import State
 from trestledock.version import Pool
 
-#: The part of an engine's free memory that a group may take.
+#: The fraction of an engine's free memory that a group may use.
 MAX_GROUP_FILL = 0.9
-#: Engines that a group may have whatever the pool's share is.
+#: The minimum of a pool's limit on engines for giants.
 MIN_GROUP_LIMIT = 2
 
 
 @dataclass(frozen=True)
 class GroupPart:
-    """The tokens of a giant prompt that one engine of a group takes."""
+    """The part of a giant prompt that one engine of a group prefills."""
 
     target: Target
     tokens: int
@@ -34,14 +34,14 @@
 def plan_group(
     state: State,
     live: LiveRequest,
-    field: CandidateSet,
+    found: CandidateSet,
     now: float,
 ) -> tuple[Share, ...]:
-    """Return the shares of a group, nothing where there is no room now."""
-    if field.pool is None:
+    """Return the shares of a group, or nothing without enough capacity."""
+    if found.pool is None:
         return ()
-    bound = get_group_limit(state, len(field.candidates), field.pool)
-    parts = _split_prompt(live, field.candidates, bound)
+    limit = get_group_limit(state, len(found.candidates), found.pool)
+    parts = _split_prompt(live, found.candidates, limit)
     holds = [allocate_reservation(state, part.target, now) for part in parts]
     if not all(holds):
         for hold in holds:
@@ -57,26 +57,26 @@
 
 
 def get_giant_engine_limit(engines: int, pool: Pool) -> int:
-    """Return how many of a pool's engines giants may take together."""
+    """Return how many engines of a pool all giants together may use."""
     return max(MIN_GROUP_LIMIT, int(engines * pool.giant_share))
 
 
 def get_group_limit(state: State, engines: int, pool: Pool) -> int:
-    """Return how many engines another giant may take here now.
+    """Return how many engines this instance may use for another giant.
 
-    Every instance of the data centre has its part of the pool's share; one
-    that serves no giant may take the whole share for one.
+    The instances of the data centre divide the pool's limit equally, but an
+    instance without a giant may use the whole limit for one.
     """
-    share = get_giant_engine_limit(engines, pool)
-    held = count_giant_engines(state)
-    if not held:
-        return share
+    limit = get_giant_engine_limit(engines, pool)
+    used = count_giant_engines(state)
+    if not used:
+        return limit
     peers = state.fleet.get_live_peers(state.identity.data_centre)
-    return share // (len(peers) + 1) - held
+    return limit // (len(peers) + 1) - used
 
 
 def count_giant_engines(state: State) -> int:
-    """Return how many engines are held for giants by this instance."""
+    """Return how many engines this instance uses for giants."""
     return sum(
         len(live.shares) for live in state.live.values() if len(live.shares) > 1
     )
@@ -85,25 +85,32 @@
 def _split_prompt(
     live: LiveRequest,
     candidates: tuple[Candidate, ...],
-    bound: int,
+    limit: int,
 ) -> tuple[GroupPart, ...]:
-    """Split a giant over the engines with the most free memory.
+    """Split a giant among the engines with the most free memory.
 
-    Returns nothing where `bound` engines don't suffice now.  Each part leaves
-    room for the answer, because any may turn out to be the last.
+    Returns nothing if `limit` engines don't suffice.  Each part leaves room for
+    the response, because any part may turn out to be the last.
     """
     ordered = sorted(
         candidates,
-        key=lambda one: (-one.free_tokens, one.target.info.name),
+        key=lambda candidate: (
+            -candidate.free_tokens,
+            candidate.target.info.name,
+        ),
     )
-    left = live.prefill_stop
+    remaining_tokens = live.prefill_stop
     parts = []
-    for one in ordered[: max(0, bound)]:
-        room = int(one.free_tokens * MAX_GROUP_FILL) - live.req.max_tokens
-        if room <= 0:
+    for candidate in ordered[: max(0, limit)]:
+        usable_tokens = (
+            int(candidate.free_tokens * MAX_GROUP_FILL) - live.req.max_tokens
+        )
+        if usable_tokens <= 0:
             break
-        parts.append(GroupPart(one.target, min(left, room)))
-        left -= room
-        if left <= 0:
+        parts.append(
+            GroupPart(candidate.target, min(remaining_tokens, usable_tokens))
+        )
+        remaining_tokens -= usable_tokens
+        if remaining_tokens <= 0:
             return tuple(parts)
     return ()
--- a/trestledock/process/_guarding.py
+++ b/trestledock/process/_guarding.py
@@ -1,10 +1,10 @@
 """
-Guarding holds
-==============
+Watching of reservations
+========================
 
-Connects hold ids with the peers that guard them: which block may be used on a
-target, which peers still have to be told, and what is cancelled for owners
-that are gone.
+Connects blocks of reservation ids with the peers that watch them: it decides
+which block may be used on a target, informs the watchers, and cancels the
+reservations of unreachable owners.
 """
 
 from operator import itemgetter
@@ -24,9 +24,9 @@
 
 
 def allocate_reservation(state: State, target: Target, now: float) -> str:
-    """Return a hold id that is guarded, empty while none is.
+    """Return a reservation id that is watched, or an empty string.
 
-    An instance without any live peer uses its ids unguarded.
+    An instance without any reachable peer uses unwatched ids.
     """
     block = state.reservation_ids.get_block(target.info.name)
     if not block.confirmed_by and rank_watchers(state):
@@ -36,18 +36,18 @@
 
 
 def prepare_block(state: State, target: Target, now: float) -> None:
-    """Have a guarded block ready before the first request needs it."""
+    """Have a block watched before the first request needs it."""
     block = state.reservation_ids.get_block(target.info.name)
     if not block.watchers:
         request_watchers(state, block, target, now)
 
 
 def rank_watchers(state: State) -> list[Peer]:
-    """Return the peers that may guard, in the order to ask them.
+    """Return the peers that may watch blocks, in order of preference.
 
-    The first is of the own data centre, the next of others, one each, so that
-    no single failure takes an owner together with all its guards; rendezvous
-    hashing spreads the owners over the peers.
+    The first is in the own data centre, the next are in different other data
+    centres, so that no single failure takes out an owner with all its watchers.
+    Rendezvous hashing spreads the owners over the peers.
     """
     home = state.identity.data_centre
     ranks: dict[str, int] = {}
@@ -56,22 +56,24 @@
         peer = state.fleet.peers[name]
         if name == state.member or peer.gone or peer.leaving:
             continue
-        place = peer.info.data_centre
-        ranks[place] = ranks.get(place, -1) + 1
-        ordered.append((ranks[place], place != home, len(ordered), peer))
-    return [one[-1] for one in sorted(ordered, key=itemgetter(0, 1, 2))]
+        data_centre = peer.info.data_centre
+        ranks[data_centre] = ranks.get(data_centre, -1) + 1
+        ordered.append(
+            (ranks[data_centre], data_centre != home, len(ordered), peer)
+        )
+    return [entry[-1] for entry in sorted(ordered, key=itemgetter(0, 1, 2))]
 
 
 def request_watchers(
     state: State, block: IdBlock, target: Target, now: float
 ) -> None:
-    """Tell a block to peers until enough of them keep watch over it."""
+    """Ask peers to watch a block until enough of them have confirmed."""
     if now - block.asked_at < state.timing.cancel_retry_s:
         return
     block.asked_at = now
-    live = {peer.info.member for peer in rank_watchers(state)}
-    block.confirmed_by &= live
-    _release_watchers(state, block, block.watchers - live)
+    available = {peer.info.member for peer in rank_watchers(state)}
+    block.confirmed_by &= available
+    _release_watchers(state, block, block.watchers - available)
     for peer in rank_watchers(state):
         if len(block.watchers) >= WATCHERS_PER_BLOCK:
             break
@@ -87,7 +89,7 @@
 
 
 def on_hold_block(state: State, sender: str, message: HoldBlock) -> None:
-    """Guard a peer's block, or stop guarding it."""
+    """Watch a peer's block, or stop watching it."""
     watched = WatchedBlock(sender, message.target, message.first)
     if message.done:
         state.reservation_watch.remove_block(watched)
@@ -99,14 +101,14 @@
 def on_hold_block_kept(
     state: State, sender: str, message: HoldBlockKept
 ) -> None:
-    """Note that a peer guards a block of this instance."""
+    """Record that a peer watches a block of this instance."""
     block = state.reservation_ids.blocks.get((message.target, message.first))
     if block:
         block.confirmed_by.add(sender)
 
 
 def mark_unreachable(state: State, peer: Peer) -> None:
-    """Mark a peer as gone and cancel everything that it may hold."""
+    """Mark a peer as unreachable and cancel its reservations."""
     owner = peer.info.member
     peer.gone = True
     peer.knows_quarantine = False
@@ -117,7 +119,7 @@
 
 
 def maintain_blocks(state: State, now: float) -> None:
-    """Retire spent blocks and replace guards that are gone."""
+    """Retire finished blocks and replace unreachable watchers."""
     for done in state.reservation_ids.pop_done():
         _release_watchers(state, done, done.told)
     targets = state.get_targets()
@@ -132,15 +134,17 @@
 
 def repeat_cancels(state: State) -> None:
     """Repeat the cancels that their engines have not confirmed."""
-    keys = {target.info.name: target for target in state.get_targets().values()}
-    for key in tuple(state.reservation_watch.to_cancel):
-        target = keys.get(key)
+    targets = {
+        target.info.name: target for target in state.get_targets().values()
+    }
+    for name in tuple(state.reservation_watch.to_cancel):
+        target = targets.get(name)
         if target is None:
-            state.reservation_watch.to_cancel.pop(key)
+            state.reservation_watch.to_cancel.pop(name)
             continue
-        holds = tuple(sorted(state.reservation_watch.to_cancel[key]))
+        holds = tuple(sorted(state.reservation_watch.to_cancel[name]))
         address = target.info.address
-        state.emit(CancelHolds(key, address, holds[:BLOCK_SIZE]))
+        state.emit(CancelHolds(name, address, holds[:BLOCK_SIZE]))
 
 
 def _release_watchers(state: State, block: IdBlock, members: set[str]) -> None:
--- a/trestledock/process/_holds.py
+++ b/trestledock/process/_holds.py
@@ -1,33 +1,34 @@
 """
-Hold ids and their guards
-=========================
+Reservation ids and their watchers
+==================================
 
-An engine keeps memory for a hold until it is cancelled or its stream ends, so
-a hold whose owner dies must be cancelled by somebody else.  Ids are therefore
-known before they are used: an owner takes them from blocks, one sequence a
-target, and tells each block to a few peers first.  A peer that finds the owner
-gone cancels every id of its blocks; cancelling an unused id does no harm.
+An engine keeps a reservation until it is cancelled or its stream ends, so
+another instance must cancel the reservations of an owner that fails.  For this,
+an owner allocates ids in blocks, from one sequence per target, and informs a
+few peers of each block before using it.  A peer that finds the owner
+unreachable cancels every id of its blocks; cancelling an unused id has no
+effect.
 
-One message to each guard covers `BLOCK_SIZE` requests.
+One message to each watcher covers `BLOCK_SIZE` requests.
 """
 
 from dataclasses import dataclass, field
 
-#: Ids in a block.
+#: The number of ids in a block.
 BLOCK_SIZE = 64
-#: Rejected ids after which a block is not used any more.
+#: The number of rejected ids after which a block is closed.
 MAX_REJECTIONS = 2
-#: Peers that guard a block.
+#: The number of peers that watch a block.
 WATCHERS_PER_BLOCK = 3
 
 
 def make_reservation_id(member: str, target: str, number: int) -> str:
-    """Return the id of hold `number` of `member` on a target."""
+    """Return the id of reservation `number` of `member` on a target."""
     return f'{member}/{target}/{number}'
 
 
 def get_block_ids(member: str, target: str, first: int) -> tuple[str, ...]:
-    """Return every id of a block."""
+    """Return all ids of a block."""
     return tuple(
         make_reservation_id(member, target, number)
         for number in range(first, first + BLOCK_SIZE)
@@ -36,7 +37,11 @@
 
 @dataclass
 class IdBlock:
-    """An owner's block: which ids are open and who guards it."""
+    """A block of ids at its owner.
+
+    `watchers` are the peers that are asked to watch it, `confirmed_by` those
+    that have confirmed, `told` all that were ever asked.
+    """
 
     target: str
     first: int
@@ -51,18 +56,18 @@
 
     @property
     def is_exhausted(self) -> bool:
-        """Whether no id is left to use."""
+        """Whether no ids are left."""
         return self.closed or self.next_number >= self.first + BLOCK_SIZE
 
     @property
     def is_done(self) -> bool:
-        """Whether the block needs no guard any more."""
+        """Whether the block needs no watchers any more."""
         return self.is_exhausted and not self.open_ids
 
 
 @dataclass
 class ReservationIds:
-    """The owner's side: blocks by the name of the target."""
+    """The blocks of an owner, `current` by the name of the target."""
 
     member: str
     blocks: dict[tuple[str, int], IdBlock] = field(default_factory=dict)
@@ -70,7 +75,7 @@
     next_block_start: dict[str, int] = field(default_factory=dict)
 
     def get_block(self, target: str) -> IdBlock:
-        """Return the target's current block, a new one where it is spent."""
+        """Return the target's current block, or a new one if it is used up."""
         block = self.current.get(target)
         if block is None or block.is_exhausted:
             first = self.next_block_start.get(target, 0)
@@ -81,28 +86,29 @@
         return block
 
     def allocate_id(self, block: IdBlock) -> str:
-        """Take the next id of a block; it is open until released."""
+        """Return the next id of a block; it is open until released."""
         hold = make_reservation_id(self.member, block.target, block.next_number)
         block.next_number += 1
         block.open_ids.add(hold)
         return hold
 
     def release(self, hold: str) -> None:
-        """Note that an id holds nothing on its engine any more."""
+        """Record that a reservation was released on its engine."""
         for block in self.blocks.values():
             block.open_ids.discard(hold)
 
     def get_notified_peers(self) -> set[str]:
         """Return the peers that were ever told of a block in use.
 
-        They must hear this instance live, or they would cancel the block.
+        They need heartbeats of this instance, or they would cancel the block.
         """
         return set().union(*(block.told for block in self.blocks.values()))
 
     def record_rejection(self, hold: str) -> None:
-        """Close a block whose ids an engine keeps refusing.
+        """Record a rejected id, and close its block after too many.
 
-        A peer that took this instance for gone may have cancelled the block.
+        A peer that found this instance unreachable may have cancelled the
+        block.
         """
         for block in self.blocks.values():
             if hold in block.open_ids:
@@ -110,21 +116,24 @@
                 block.closed = block.rejections >= MAX_REJECTIONS
 
     def pop_done(self) -> list[IdBlock]:
-        """Remove and return the blocks that need no guard any more."""
+        """Remove and return the blocks that need no watchers any more."""
         done = [block for block in self.blocks.values() if block.is_done]
         for block in done:
             self.blocks.pop((block.target, block.first))
         return done
 
     def close_blocks(self) -> None:
-        """Use no id of any present block again, as after a pause."""
+        """Close all blocks, because watchers may have cancelled their ids.
+
+        This is needed after a pause of the process.
+        """
         for block in self.blocks.values():
             block.closed = True
 
 
 @dataclass(frozen=True)
 class WatchedBlock:
-    """A block that this instance guards for its owner."""
+    """A block that this instance watches for its owner."""
 
     owner: str
     target: str
@@ -133,39 +142,40 @@
 
 @dataclass
 class ReservationWatch:
-    """The guard's side: blocks of others, and cancels still to be confirmed.
+    """The blocks that this instance watches, and unconfirmed cancels.
 
-    `to_cancel` maps a target to the holds that it must confirm as gone.
+    `to_cancel` maps a target to the reservations that it must confirm as
+    released.
     """
 
     watched: dict[WatchedBlock, str] = field(default_factory=dict)
     to_cancel: dict[str, set[str]] = field(default_factory=dict)
 
     def add_block(self, watched: WatchedBlock, address: str) -> None:
-        """Guard a block."""
+        """Watch a block."""
         self.watched[watched] = address
 
     def remove_block(self, watched: WatchedBlock) -> None:
-        """Stop guarding a block."""
+        """Stop watching a block."""
         self.watched.pop(watched, None)
 
     def queue_owner_cancels(self, owner: str) -> list[WatchedBlock]:
-        """Queue the cancels for an owner that is gone; return its blocks."""
-        found = [one for one in self.watched if one.owner == owner]
-        for one in found:
-            self.watched.pop(one)
-            ids = get_block_ids(owner, one.target, one.first)
-            self.add_cancels(one.target, ids)
-        return found
+        """Queue the cancels for an unreachable owner; return its blocks."""
+        blocks = [block for block in self.watched if block.owner == owner]
+        for block in blocks:
+            self.watched.pop(block)
+            ids = get_block_ids(owner, block.target, block.first)
+            self.add_cancels(block.target, ids)
+        return blocks
 
     def add_cancels(self, target: str, holds: tuple[str, ...]) -> None:
-        """Queue holds of a target to be cancelled."""
+        """Queue reservations on a target to be cancelled."""
         self.to_cancel.setdefault(target, set()).update(holds)
 
     def confirm_cancels(self, target: str, holds: tuple[str, ...]) -> None:
-        """Note that a target holds nothing under these ids."""
-        left = self.to_cancel.get(target, set()).difference(holds)
-        if left:
-            self.to_cancel[target] = left
+        """Record that a target has released these reservations."""
+        unconfirmed = self.to_cancel.get(target, set()).difference(holds)
+        if unconfirmed:
+            self.to_cancel[target] = unconfirmed
         else:
             self.to_cancel.pop(target, None)
--- a/trestledock/process/_isolating.py
+++ b/trestledock/process/_isolating.py
@@ -1,10 +1,10 @@
 """
-Isolating deadly requests
-=========================
+Quarantine of queries of death
+==============================
 
-Requests that end the targets that run them go to no other: instances tell their
-peers of each end, and those that they hear for the first time of all that is
-quarantined.  What is quarantined is tried again now and then, by one instance.
+Requests that crash the targets that run them are not sent to other targets.
+Instances report each crash to their peers, and send new peers the whole
+quarantine.  From time to time, one instance probes a quarantined request.
 """
 
 from trestledock.process._ending import send_to_member
@@ -20,47 +20,47 @@
 def record_crash(
     state: State, live: LiveRequest, target_name: str, now: float
 ) -> None:
-    """Put the end of a target down to a request that it ran."""
+    """Attribute the crash of a target to a request that it ran."""
     target = state.get_targets().get(target_name)
     fingerprint = live.req.fingerprint
     if target is None or not fingerprint:
         return
     end = End(fingerprint, target.info.key)
     if state.quarantine.blames(end, now):
-        ends = TargetEnds(fingerprint, (end.incarnation,))
-        merge_crashes(state, ends, now)
-        _broadcast(state, ends)
+        crashes = TargetEnds(fingerprint, (end.incarnation,))
+        merge_crashes(state, crashes, now)
+        _broadcast(state, crashes)
 
 
-def merge_crashes(state: State, ends: TargetEnds, now: float) -> None:
-    """Note the targets that ended under a request."""
-    state.quarantine.clear_ends(ends.fingerprint, ends.cleared)
-    was_quarantined = state.quarantine.is_quarantined(ends.fingerprint)
-    for incarnation in ends.targets:
-        state.quarantine.note_end(End(ends.fingerprint, incarnation), now)
+def merge_crashes(state: State, crashes: TargetEnds, now: float) -> None:
+    """Merge the target crashes under a request, as seen here or by a peer."""
+    state.quarantine.clear_ends(crashes.fingerprint, crashes.cleared)
+    was_quarantined = state.quarantine.is_quarantined(crashes.fingerprint)
+    for incarnation in crashes.targets:
+        state.quarantine.note_end(End(crashes.fingerprint, incarnation), now)
     if (
-        state.quarantine.is_quarantined(ends.fingerprint)
+        state.quarantine.is_quarantined(crashes.fingerprint)
         and not was_quarantined
     ):
-        state.log_event('request_quarantined', detail=ends.fingerprint)
+        state.log_event('request_quarantined', detail=crashes.fingerprint)
     for forgotten in state.quarantine.trim():
         state.log_event('suspect_forgotten', detail=forgotten)
 
 
 def send_quarantine(state: State, peer: Peer, now: float) -> None:
-    """Have a peer that is heard for the first time know what is quarantined."""
+    """Send the quarantine to a peer that does not have it yet."""
     if peer.knows_quarantine:
         return
     peer.knows_quarantine = True
     for record in state.quarantine.get_records(now):
-        ends = TargetEnds(
+        crashes = TargetEnds(
             record.fingerprint, record.incarnations, record.cleared
         )
-        send_to_member(state, peer.info.member, ends)
+        send_to_member(state, peer.info.member, crashes)
 
 
 def record_answer(state: State, req: Request, now: float) -> None:
-    """Note that a target has answered a request: it ends none."""
+    """Record that a target completed a request, which clears it."""
     if not req.fingerprint:
         return
     cleared = state.quarantine.note_answered(req.fingerprint, now)
@@ -70,17 +70,17 @@
 
 
 def is_quarantined(state: State, live: LiveRequest) -> bool:
-    """Whether a request goes to no target; a trial is for its first one."""
-    is_tried = live.is_trial and not live.attempts
-    return not is_tried and state.quarantine.is_quarantined(
+    """Whether a request must not be sent; a probe allows one attempt."""
+    is_probe = live.is_trial and not live.attempts
+    return not is_probe and state.quarantine.is_quarantined(
         live.req.fingerprint
     )
 
 
 def start_due_probe(state: State, live: LiveRequest, now: float) -> None:
-    """Give a quarantined request to one target where a trial is due.
+    """Let a quarantined request through to one target if a probe is due.
 
-    Of all instances that hear one another the same one does.
+    Among instances that can reach each other, the same one always does so.
     """
     fingerprint = live.req.fingerprint
     is_due = state.quarantine.is_due(fingerprint, now)
@@ -88,16 +88,16 @@
         return
     members = [
         state.member,
-        *(one.info.member for one in _get_reachable_peers(state)),
+        *(peer.info.member for peer in _get_reachable_peers(state)),
     ]
     if rank_by_key(fingerprint, members)[0] == state.member:
         live.is_trial = True
         state.quarantine.note_trial(fingerprint, now)
 
 
-def _broadcast(state: State, ends: TargetEnds) -> None:
+def _broadcast(state: State, crashes: TargetEnds) -> None:
     for peer in _get_reachable_peers(state):
-        send_to_member(state, peer.info.member, ends)
+        send_to_member(state, peer.info.member, crashes)
 
 
 def _get_reachable_peers(state: State) -> list[Peer]:
--- a/trestledock/process/_limits.py
+++ b/trestledock/process/_limits.py
@@ -2,32 +2,33 @@
 Team limits
 ===========
 
-A team's limit holds over all instances without a controller.  Each instance
-enforces the part of the limit that its own recent demand is of the demand of
-all; peers tell theirs in heartbeats.  Without news the last known number of
-instances counts, so that the parts still add up to about the limit when
-instances can't hear each other.
+A team's limit applies to all instances together, without a central controller.
+Each instance enforces a share of the limit in proportion to its own recent
+demand; heartbeats carry the demands.  If the demand of a known peer is missing,
+the limit is divided equally among the known instances, so that the shares still
+add up to about the limit when instances can't reach each other.
 """
 
 from dataclasses import dataclass, field
 
-#: How fast the memory of demand fades, in seconds.
+#: The time over which demand is averaged and decays, in seconds.
 DEMAND_WINDOW_S = 10.0
-#: The demand that every instance is assumed to have at least.
+#: The minimum demand that is assumed for an instance, in engine seconds per
+#: second.
 MIN_DEMAND = 0.01
-#: How much of a limit may be spent in a burst, in seconds of it.
+#: The size of a burst, in seconds of the limit's rate.
 BURST_S = 10.0
 
 
 @dataclass
 class Demand:
-    """A decaying average of engine seconds asked for a second."""
+    """A decaying average of the requested engine seconds per second."""
 
     rate: float = 0
     updated_at: float = 0
 
     def add(self, cost: float, now: float) -> None:
-        """Count work of `cost` engine seconds."""
+        """Add work of `cost` engine seconds."""
         self.rate = self.get_rate(now) + cost / DEMAND_WINDOW_S
         self.updated_at = now
 
@@ -39,13 +40,13 @@
 
 @dataclass
 class Bucket:
-    """A token bucket of engine seconds, refilled at this instance's part."""
+    """A token bucket of engine seconds, refilled at this instance's share."""
 
     level: float
     filled_at: float
 
     def refill(self, rate: float, now: float) -> None:
-        """Add what has come in since the last call."""
+        """Refill the bucket for the time since the last call."""
         gained = max(0, now - self.filled_at) * rate
         self.level = min(rate * BURST_S, self.level + gained)
         self.filled_at = now
@@ -59,11 +60,11 @@
     buckets: dict[str, Bucket] = field(default_factory=dict)
 
     def record_demand(self, team: str, cost: float, now: float) -> None:
-        """Count a team's demand, admitted or not."""
+        """Record a team's demand, admitted or not."""
         self.demands.setdefault(team, Demand()).add(cost, now)
 
     def get_demand(self, team: str, now: float) -> float:
-        """Return a team's demand here, in engine seconds a second."""
+        """Return a team's local demand, in engine seconds per second."""
         demand = self.demands.get(team)
         return demand.get_rate(now) if demand else 0
 
@@ -71,24 +72,24 @@
         self,
         team: str,
         limit: float,
-        peers: list[float | None],
+        peer_demands: list[float | None],
         now: float,
     ) -> float:
-        """Return this instance's part of `limit`.
+        """Return this instance's share of `limit`.
 
-        `peers` holds each known peer's demand, None where there is no news.
+        `peer_demands` holds each known peer's demand, None if it is missing.
         """
-        if None in peers:
-            return limit / (len(peers) + 1)
+        if None in peer_demands:
+            return limit / (len(peer_demands) + 1)
         own = max(MIN_DEMAND, self.get_demand(team, now))
-        others = sum(max(MIN_DEMAND, rate or 0) for rate in peers)
+        others = sum(max(MIN_DEMAND, rate or 0) for rate in peer_demands)
         return limit * own / (own + others)
 
     def spend(self, team: str, cost: float, rate: float, now: float) -> float:
-        """Take `cost` from the bucket; return the seconds to wait instead.
+        """Take `cost` from the bucket, or return the seconds to wait.
 
-        Zero means that the work is admitted.  A bucket goes below zero for
-        work larger than its burst, so that such work can pass at all.
+        0 means that the work is admitted.  Work larger than a burst takes the
+        bucket below zero, because it could never be admitted otherwise.
         """
         bucket = self.buckets.get(team)
         if bucket is None:
--- a/trestledock/process/_live.py
+++ b/trestledock/process/_live.py
@@ -2,8 +2,8 @@
 Live requests
 =============
 
-The life of one admitted request inside an instance, as a small state table,
-with its attempts and the assembly of its answer.
+A request that is in progress at an instance: its phase, its attempts, and the
+assembly of its response.
 
 ::
 
@@ -28,7 +28,7 @@
 
 
 class Phase(str, Enum):
-    """Where a live request stands."""
+    """The phase of a live request."""
 
     queued = 'queued'
     claiming = 'claiming'
@@ -37,7 +37,7 @@
     done = 'done'
 
 
-#: Which phase may follow which.
+#: The permitted transitions between phases.
 NEXT_PHASES: Mapping[Phase, frozenset[Phase]] = MappingProxyType(
     {
         Phase.queued: frozenset((Phase.running, Phase.done)),
@@ -51,7 +51,7 @@
 
 @dataclass(frozen=True)
 class Share:
-    """The part of a prompt that one engine of a group holds."""
+    """The part of a prompt that one engine of a group prefills."""
 
     target: str
     start: int
@@ -61,7 +61,7 @@
 
 @dataclass
 class PendingClaim:
-    """A request's wait for the claim on its key."""
+    """The claim that a request needs for its key."""
 
     claim_id: str
     key: str
@@ -73,7 +73,14 @@
 
 @dataclass
 class LiveRequest:
-    """A live request."""
+    """A request in progress.
+
+    `least_s` is the minimum time that it takes once it is sent, `position` the
+    number of prefilled tokens, `reserved` the number of engines of the group
+    that have confirmed their reservation.  `awaited` is the reservation and the
+    last token of the job whose result is awaited.  `heard_at` is the arrival of
+    the last chunk in the attempt.
+    """
 
     req: Request
     arrived_at: float
@@ -100,23 +107,23 @@
 
     @property
     def emitted(self) -> int:
-        """How many tokens have been passed on to the caller."""
+        """The number of tokens that the caller has received."""
         return self.assembler.next_index
 
     @property
     def prefill_stop(self) -> int:
-        """How many tokens must be prefilled before the first new one."""
+        """The number of tokens to prefill before the next one is decoded."""
         return self.req.prompt_tokens + self.emitted
 
     def enter_phase(self, phase: Phase) -> bool:
-        """Go to `phase` where the table allows it; return whether it does."""
-        allowed = phase in NEXT_PHASES[self.phase]
-        if allowed:
+        """Enter `phase` if the transition is permitted; return whether so."""
+        is_allowed = phase in NEXT_PHASES[self.phase]
+        if is_allowed:
             self.phase = phase
-        return allowed
+        return is_allowed
 
     def begin_attempt(self, target: str) -> Attempt:
-        """Begin a new attempt, after the tokens passed on so far."""
+        """Begin a new attempt, which continues after the emitted tokens."""
         attempt = Attempt(len(self.attempts) + 1, target)
         self.attempts.append(attempt)
         self.assembler.switch(attempt.number)
@@ -127,29 +134,29 @@
         return attempt
 
     def advance_attempt(self, number: int, event: AttemptEvent) -> bool:
-        """Advance an attempt; return whether it is the newest and live."""
+        """Advance an attempt; return whether it is the current one."""
         if not 0 < number <= len(self.attempts):
             return False
         attempt = self.attempts[number - 1]
-        current = number == len(self.attempts) and attempt.is_live
+        is_current = number == len(self.attempts) and attempt.is_live
         self.attempts[number - 1] = attempt.advance(event)
-        return current
+        return is_current
 
     def derive_outcome(self) -> Outcome:
-        """Derive how the request would end now.
+        """Derive the outcome if the request ended now.
 
-        A key may have run through another instance before: without its claim
-        a call is `not_run` only if the caller says it is the first attempt.
+        Another instance may have run the key before: without a claim, a call is
+        `not_run` only if the caller says that this is the first attempt.
         """
         req = self.req
-        keyed = not req.idempotent and req.idempotency_key
-        granted = self.claim is not None and self.claim.granted
-        if keyed and not granted and not req.first_attempt:
+        has_key = not req.idempotent and req.idempotency_key
+        is_granted = self.claim is not None and self.claim.granted
+        if has_key and not is_granted and not req.first_attempt:
             return Outcome.unknown
         return derive_outcome(self.attempts, idempotent=req.idempotent)
 
     def get_current_share(self) -> Share:
-        """Return the share of the group that is to be prefilled next."""
+        """Return the share of the group that is prefilled next."""
         for share in self.shares:
             if self.position < share.stop:
                 return share
--- a/trestledock/process/_load.py
+++ b/trestledock/process/_load.py
@@ -1,34 +1,36 @@
 """
-Load of an engine
-=================
-
-Predicts how long new work waits at an engine.  Reports lag, so the prediction
-has two parts: the own work in flight, which is counted exactly, and that of
-the other instances, which is estimated from the last report, from the rate at
-which they added work between the last two, and from the rate at which the
-engine has drained it since.
+Load prediction
+===============
+
+Predicts how long new work waits at an engine.  Load reports lag, so the
+prediction has two parts.  This instance's work in flight is counted exactly.
+The work of other instances is estimated from the last report, the rate at which
+they added work between the last two reports, and the rate at which the engine
+has processed it since.
 """
 
 from dataclasses import dataclass, field, replace
 
 from trestledock.process._targets import LoadReport
 
-#: How long finished work is kept, to be set against older reports.
+#: The time for which finished work is kept to be compared with late reports, in
+#: seconds.
 DONE_RETENTION_S = 6.0
-#: How long the pace of own pieces counts, in seconds.
+#: The time for which a measured pace is valid, in seconds.
 MAX_PACE_AGE_S = 5.0
-#: The weight of the newest sample in learned rates.
+#: The weight of the newest sample in smoothed rates.
 SMOOTHING_FACTOR = 0.3
-#: The largest share of the prefill rate that others are assumed to add.
+#: The maximum rate at which others are assumed to add work, as a share of the
+#: prefill rate.
 MAX_OTHERS_SHARE = 1.0
 
 
 @dataclass(frozen=True)
 class SentWork:
-    """Own work sent to an engine.
+    """Work that this instance sent to an engine.
 
-    `tokens` are the prefill tokens of the piece that was sent, `rest` those
-    of the pieces to come, `reserve` the KV tokens held since `reserved_at`.
+    `tokens` counts the prefill tokens of the chunk that was sent, `rest` those
+    of the chunks to come, `reserve` the KV tokens reserved since `reserved_at`.
     """
 
     tokens: int
@@ -42,7 +44,7 @@
 
 @dataclass(frozen=True)
 class Pace:
-    """The seconds that a token of cut prompts took lately, waits included."""
+    """The recent prefill time per token of split prompts, with waits."""
 
     token_s: float
     measured_at: float
@@ -50,7 +52,7 @@
 
 @dataclass
 class EngineLoad:
-    """What this instance knows of the load of one engine."""
+    """The load of one engine, as known to this instance."""
 
     report: LoadReport | None = None
     reported_at: float = 0
@@ -64,7 +66,7 @@
     _waits_at: float = float('-inf')
 
     def record_report(self, report: LoadReport, now: float) -> None:
-        """Take a report unless a newer one is known."""
+        """Record a report unless a newer one is known."""
         reported_at = now - report.age_s
         if self.report and reported_at <= self.reported_at:
             return
@@ -73,32 +75,32 @@
         self.report = report
         self.reported_at = reported_at
 
-    def add(self, key: tuple[str, int], sent: SentWork) -> None:
-        """Count a piece of work that is being sent, after the one before."""
-        self.remove(key, sent.sent_at)
+    def add(self, key: tuple[str, int], work: SentWork) -> None:
+        """Add work that is being sent; it replaces earlier work of the key."""
+        self.remove(key, work.sent_at)
         self._waits.clear()
-        self.sent_work[key] = sent
-        self.sent_total += sent.tokens
+        self.sent_work[key] = work
+        self.sent_total += work.tokens
 
     def mark_prefilled(self, key: tuple[str, int], now: float) -> None:
-        """Count the prefill of a piece of work as done."""
-        sent = self.sent_work.get(key)
-        if sent and sent.prefilled_at is None:
+        """Record that the prefill of some work is done."""
+        work = self.sent_work.get(key)
+        if work and work.prefilled_at is None:
             self._waits.clear()
-            self.sent_work[key] = replace(sent, prefilled_at=now)
-            self._update_pace(sent, now)
+            self.sent_work[key] = replace(work, prefilled_at=now)
+            self._update_pace(work, now)
 
     def remove(self, key: tuple[str, int], now: float) -> None:
-        """Count work as ended, whatever became of it."""
-        sent = self.sent_work.pop(key, None)
-        if sent:
+        """Remove work that has ended, with or without success."""
+        work = self.sent_work.pop(key, None)
+        if work:
             self._waits.clear()
-            if sent.prefilled_at is None:
-                sent = replace(sent, prefilled_at=now)
-            self.done.append(sent)
+            if work.prefilled_at is None:
+                work = replace(work, prefilled_at=now)
+            self.done.append(work)
 
     def predict_wait(self, priority: int, now: float) -> float:
-        """Return the seconds until work of `priority` would be started."""
+        """Return the predicted wait of new work of `priority`, in seconds."""
         if now != self._waits_at:
             self._waits.clear()
             self._waits_at = now
@@ -107,22 +109,23 @@
         return self._waits[priority]
 
     def predict_free_tokens(self) -> int:
-        """Return the KV tokens that are free, as far as known."""
+        """Return the predicted number of free KV tokens."""
         report = self.report
         if report is None:
             return 0
-        since = sum(
-            sent.reserve
-            for sent in self.sent_work.values()
-            if sent.reserved_at > self.reported_at
+        reserved_since = sum(
+            work.reserve
+            for work in self.sent_work.values()
+            if work.reserved_at > self.reported_at
         )
-        return report.free_tokens - since
+        return report.free_tokens - reserved_since
 
     def get_pace(self, priority: int, now: float) -> float:
-        """Return the seconds a token of a cut prompt takes, 0 if unknown.
+        """Return the prefill time per token of split prompts, 0 if unknown.
 
-        Others send one piece at a time, too, so that their prompts are not
-        all in the engine's report; the pace of the own pieces tells of them.
+        Other instances also send one chunk at a time, so the engine's report
+        does not contain the rest of their prompts; the pace of this instance's
+        chunks reflects them.
         """
         pace = self.paces.get(priority)
         if pace is None or now - pace.measured_at > MAX_PACE_AGE_S:
@@ -130,37 +133,39 @@
         return pace.token_s
 
     def expire_done(self, now: float) -> None:
-        """Drop finished work that no report can be older than."""
+        """Drop finished work that predates any report still to come."""
         self.done = [
-            sent
-            for sent in self.done
-            if now - (sent.prefilled_at or now) < DONE_RETENTION_S
+            work
+            for work in self.done
+            if now - (work.prefilled_at or now) < DONE_RETENTION_S
         ]
 
     def _compute_wait(self, priority: int, now: float) -> float:
         report = self.report
         if report is None:
             return 0
-        ahead = self._count_own_tokens(priority) + self._estimate_others(
+        tokens_ahead = self._count_own_tokens(priority) + self._estimate_others(
             priority, now
         )
-        return (ahead + self._estimate_running_chunk(priority)) / report.rate
+        return (
+            tokens_ahead + self._estimate_running_chunk(priority)
+        ) / report.rate
 
     def _count_own_tokens(self, priority: int) -> int:
         return sum(
-            sent.tokens + sent.rest
-            for sent in self.sent_work.values()
-            if sent.prefilled_at is None and sent.priority <= priority
+            work.tokens + work.rest
+            for work in self.sent_work.values()
+            if work.prefilled_at is None and work.priority <= priority
         )
 
     def _count_own_in_report(self, priority: int) -> int:
-        moment = self.reported_at
+        reported_at = self.reported_at
         return sum(
-            sent.tokens
-            for sent in (*self.sent_work.values(), *self.done)
-            if sent.priority <= priority
-            and sent.sent_at <= moment
-            and (sent.prefilled_at is None or sent.prefilled_at > moment)
+            work.tokens
+            for work in (*self.sent_work.values(), *self.done)
+            if work.priority <= priority
+            and work.sent_at <= reported_at
+            and (work.prefilled_at is None or work.prefilled_at > reported_at)
         )
 
     def _estimate_others(self, priority: int, now: float) -> float:
@@ -168,36 +173,40 @@
         if report is None:
             return 0
         queued = sum(report.queued[: priority + 1])
-        known = max(0, queued - self._count_own_in_report(priority))
-        age = now - self.reported_at
-        return max(0, known + (self.others_rate - report.rate) * age)
+        reported_by_others = max(
+            0, queued - self._count_own_in_report(priority)
+        )
+        age_s = now - self.reported_at
+        return max(
+            0, reported_by_others + (self.others_rate - report.rate) * age_s
+        )
 
     def _estimate_running_chunk(self, priority: int) -> float:
-        lower = [
-            sent.tokens
-            for sent in self.sent_work.values()
-            if sent.prefilled_at is None and sent.priority > priority
+        lower_priority = [
+            work.tokens
+            for work in self.sent_work.values()
+            if work.prefilled_at is None and work.priority > priority
         ]
-        return min(lower) / 2 if lower else 0
+        return min(lower_priority) / 2 if lower_priority else 0
 
-    def _update_pace(self, sent: SentWork, now: float) -> None:
-        if not sent.rest or not sent.tokens:
+    def _update_pace(self, work: SentWork, now: float) -> None:
+        if not work.rest or not work.tokens:
             return
-        token_s = (now - sent.sent_at) / sent.tokens
-        known = self.get_pace(sent.priority, now)
-        if known:
-            token_s = known + SMOOTHING_FACTOR * (token_s - known)
-        self.paces[sent.priority] = Pace(token_s, now)
+        token_s = (now - work.sent_at) / work.tokens
+        previous_s = self.get_pace(work.priority, now)
+        if previous_s:
+            token_s = previous_s + SMOOTHING_FACTOR * (token_s - previous_s)
+        self.paces[work.priority] = Pace(token_s, now)
 
     def _update_others_rate(
         self, report: LoadReport, reported_at: float
     ) -> None:
         last_at, accepted, own = self._last_totals
-        span = reported_at - last_at
-        if self.report and span > 0:
+        span_s = reported_at - last_at
+        if self.report and span_s > 0:
             others = report.accepted_tokens - accepted
             others -= self.sent_total - own
-            rate = min(max(0, others / span), report.rate * MAX_OTHERS_SHARE)
+            rate = min(max(0, others / span_s), report.rate * MAX_OTHERS_SHARE)
             self.others_rate += SMOOTHING_FACTOR * (rate - self.others_rate)
         self._last_totals = (
             reported_at,
--- a/trestledock/process/_node.py
+++ b/trestledock/process/_node.py
@@ -2,9 +2,9 @@
 Node
 ====
 
-The core of an entry instance: a function of its state, a message and the
-time, without sockets, clocks or global randomness.  The daemon, the tests, the
-replay and programs that embed it drive the same `Node.step`.
+The core of an entry instance: a deterministic function of its state, a message,
+and the time, without sockets, clocks, or global randomness.  The daemon, the
+tests, the replay, and programs that embed it all drive `Node.step`.
 """
 
 from random import Random
@@ -21,7 +21,7 @@
 
 
 class Node:
-    """One entry instance without its sockets.
+    """An entry instance without sockets.
 
     >>> from trestledock.process import Tick
     >>> node = Node(Identity('entry-1', 'a', 'halle-passau'), Random(1))
@@ -37,13 +37,13 @@
         policy: Policy = Policy(),
         address: str = '',
     ) -> None:
-        """Begin with an empty state; the first step starts the duties."""
+        """Create an empty state; the first step starts the periodic tasks."""
         self.state = State(identity, timing, policy, rng, address)
         self.unready = False
         self._started = False
 
     def step(self, message: Any, now: float) -> tuple[Action, ...]:
-        """Take a message at the monotonic instant `now`; return actions."""
+        """Handle a message at the monotonic time `now`; return actions."""
         state = self.state
         state.actions = []
         self._start(now)
@@ -54,21 +54,21 @@
         return tuple(self._deliver_to_self(now))
 
     def get_next_timer(self) -> float:
-        """Return the instant at which a `Tick` is due at the latest."""
+        """Return the latest instant for the next `Tick`."""
         return self.state.timers.get_next()
 
     def is_ready(self) -> bool:
         """Whether requests can be served.
 
-        A version must be in force and the instance list must be known.
+        This needs a configuration in force and a known target.
         """
         if self.unready or self.state.shutting_down:
             return False
-        known = bool(self.state.fleet.targets)
-        return known and self.state.version.cfg is not None
+        has_targets = bool(self.state.fleet.targets)
+        return has_targets and self.state.version.cfg is not None
 
     def is_drained(self) -> bool:
-        """Whether the instance can end without cutting anything short."""
+        """Whether the instance can terminate without loss."""
         return is_drained(self.state)
 
     def _start(self, now: float) -> None:
@@ -87,13 +87,13 @@
         state.bookkeeping.last_step = now
 
     def _deliver_to_self(self, now: float) -> list[Action]:
-        """Hand what the instance sends to itself back to it at once."""
+        """Handle payloads to this instance itself; return other actions."""
         state = self.state
-        done: list[Action] = []
+        external: list[Action] = []
         while state.actions:
             action = state.actions.pop(0)
             if isinstance(action, ToPeer) and action.peer == state.member:
                 handle(PeerMessage(state.member, action.payload), state, now)
             else:
-                done.append(action)
-        return done
+                external.append(action)
+        return external
--- a/trestledock/process/_orders.py
+++ b/trestledock/process/_orders.py
@@ -1,11 +1,11 @@
 """
-Orders
-======
+Orders to engines
+=================
 
-The placer of a data centre orders engines to hold the models of their pools.
-What is wanted is a function of the version in force and the fleet, so two
-holders of the lease ask for the same; the fencing number and the lease's end
-on the holder's own clock stop one that wakes up late.
+The holder of a data centre's lease orders engines to load the models of their
+pools.  The desired models depend only on the configuration in force and the
+fleet, so two holders send the same orders.  The fencing number, and the end of
+the lease on the holder's own clock, stop a holder that resumes late.
 """
 
 from trestledock.process._actions import GiveOrder
@@ -13,31 +13,32 @@
 from trestledock.process._state import State
 from trestledock.version import TargetKind, matches
 
-#: Orders in flight at once, for the weight store's sake.
+#: The maximum number of engines that load models at once, to spare the weight
+#: store.
 MAX_CONCURRENT_LOADS = 2
-#: How long an order may take before it is given again, in seconds.
+#: The time after which an unfulfilled order is repeated, in seconds.
 ORDER_TIMEOUT_S = 30.0
 
 
 def give_orders(state: State, now: float) -> None:
-    """Order what is missing, a few engines at a time."""
+    """Order missing models, on a few engines at a time."""
     if not state.lease.may_order(now):
         return
     loading = 0
     for target in _get_local_engines(state):
-        wanted = get_desired_models(state, target)
-        if not wanted or wanted == target.models:
+        desired = get_desired_models(state, target)
+        if not desired or desired == target.models:
             continue
         loading += 1
         if loading > MAX_CONCURRENT_LOADS:
             break
         if now - target.ordered_at > ORDER_TIMEOUT_S:
             target.ordered_at = now
-            _send_order(state, target, wanted)
+            _send_order(state, target, desired)
 
 
 def get_desired_models(state: State, target: Target) -> frozenset[str]:
-    """Return the models that the version in force wants on a target."""
+    """Return the models that the configuration assigns to a target."""
     cfg = state.version.cfg
     if cfg is None:
         return frozenset()
@@ -60,13 +61,13 @@
     ]
 
 
-def _send_order(state: State, target: Target, wanted: frozenset[str]) -> None:
+def _send_order(state: State, target: Target, desired: frozenset[str]) -> None:
     state.count('orders', 'given')
     state.emit(
         GiveOrder(
             target.info.name,
             target.info.address,
-            tuple(sorted(wanted)),
+            tuple(sorted(desired)),
             state.lease.fencing,
             state.lease.get_order_limit(),
         ),
--- a/trestledock/process/_peering.py
+++ b/trestledock/process/_peering.py
@@ -1,9 +1,10 @@
 """
-Peering
-=======
+Messages from peers
+===================
 
-What instances tell each other: heartbeats with load, demand and leaving
-targets, the state of the log for those that are behind, and claims.
+Handles the payloads of peers: heartbeats with load, demand and draining
+targets, the log's state for instances that are behind, claims, watched
+reservations, and crashes of targets.
 """
 
 from functools import singledispatch
@@ -26,7 +27,7 @@
 
 
 def on_peer_message(message: PeerMessage, state: State, now: float) -> None:
-    """Take a payload from a peer."""
+    """Handle a message from a peer."""
     handle_payload(message.payload, message.sender, state, now)
 
 
@@ -37,8 +38,8 @@
     state: State,
     now: float,
 ) -> None:
-    """Take one payload; the kinds below are all there are."""
-    raise TypeError(f'no peer sends {type(payload).__name__}')
+    """Handle one payload; each type has its handler below."""
+    raise TypeError(f'no handler for payload {type(payload).__name__}')
 
 
 @handle_payload.register
@@ -60,7 +61,7 @@
         mark_unreachable(state, earlier)
     peer = state.fleet.record_heartbeat(info, now)
     send_quarantine(state, peer, now)
-    peer.demands = {one.team: one.demand for one in payload.demands}
+    peer.demands = {item.team: item.demand for item in payload.demands}
     for key in payload.leaving_targets:
         if state.fleet.mark_leaving(key):
             state.log_event('target_leaving', sender, key)
@@ -205,10 +206,10 @@
 
 
 def has_quorum(state: State, now: float) -> bool:
-    """Whether this member may grant: it is surely not cut off alone.
+    """Whether this member may grant claims, as it is certainly not isolated.
 
-    Either the log has answered lately, so that a newer epoch would be known,
-    or more than half of the epoch's members were heard lately.
+    Either the log was read recently, so that a newer epoch would be known, or
+    more than half of the epoch's members were heard recently.
     """
     epoch = state.claims.epoch
     if epoch is None:
--- a/trestledock/process/_platform.py
+++ b/trestledock/process/_platform.py
@@ -1,9 +1,10 @@
 """
-Platform
-========
+Messages from the platform
+==========================
 
-What the platform's services say: the instance list and the log.  Silence
-changes nothing; a list that lags only adds, replaces and marks.
+Handles the instance list, the log, load reports, and the commands of operators.
+An outage of the platform changes nothing; a stale list can only add, replace,
+and mark targets.
 """
 
 from trestledock.process._actions import AppendRecord, Published
@@ -33,12 +34,12 @@
 
 
 def on_instances(message: InstancesListed, state: State, now: float) -> None:
-    """Fold the instance list."""
-    before = len(state.fleet.leaving)
+    """Merge the instance list."""
+    leaving_before = len(state.fleet.leaving)
     for info in state.fleet.merge_targets(message.targets, now):
         state.log_event('target_replaced', info.key)
         fail_replaced(state, info.name, now)
-    if len(state.fleet.leaving) > before:
+    if len(state.fleet.leaving) > leaving_before:
         state.log_event('targets_leaving', 'platform')
     state.fleet.merge_peers(message.peers, now)
     listed = {peer.name for peer in message.peers if not peer.leaving}
@@ -50,7 +51,7 @@
 
 
 def on_load(message: LoadReported, state: State, now: float) -> None:
-    """Fold a target's report; work may have a place now."""
+    """Record a target's report; queued requests may fit now."""
     state.fleet.record_report(message.target, message.report, now)
     target = state.get_targets().get(message.target)
     if target and message.report.capacity_tokens:
@@ -59,14 +60,14 @@
 
 
 def on_cache_event(message: CacheReported, state: State, now: float) -> None:
-    """Fold a target's cache event."""
+    """Apply a target's cache event."""
     target = state.get_targets().get(message.target)
     if target:
         target.apply_cache_event(message.event)
 
 
 def on_log_read(message: LogRead, state: State, now: float) -> None:
-    """Fold what the log has, and put it in force."""
+    """Fold the records that were read, and apply them."""
     state.bookkeeping.log_read_at = now
     state.reader.feed(message.batch)
     apply_accepted(state, now)
@@ -76,14 +77,14 @@
 
 
 def on_mark_leaving(message: MarkLeaving, state: State, now: float) -> None:
-    """Mark a target as leaving on an operator's word."""
+    """Mark a target as draining at an operator's command."""
     target = state.get_targets().get(message.target)
     if target and state.fleet.mark_leaving(target.info.key):
         state.log_event('target_leaving', 'operator', target.info.key)
 
 
 def on_publish(message: Publish, state: State, now: float) -> None:
-    """Check a configuration and begin to publish it."""
+    """Check a configuration and start its publication."""
     base = message.base
     checked = check_configuration(message.body)
     errors = checked.swap().value_or(None)
@@ -109,24 +110,24 @@
     state: State,
     now: float,
 ) -> None:
-    """Take a target's answer to an order."""
+    """Record a target's response to an order."""
     state.count('orders', 'refused' if message.refused else 'taken')
     if message.refused:
         state.log_event('order_refused', message.target)
 
 
 def on_shutdown(message: Shutdown, state: State, now: float) -> None:
-    """Take no new work, finish what there is, and leave the epoch."""
+    """Stop accepting requests, finish those in progress, leave the epoch."""
     if not state.shutting_down:
         state.shutting_down = True
         state.log_event('shutting_down')
 
 
 def append_publications(state: State, now: float) -> None:
-    """Append what operators publish, again only from the tail of the log.
+    """Append pending publications, and repeat them at the tail of the log.
 
-    Appending twice does no harm: both records have one id and one base, so
-    the fold accepts one of them at the most.
+    Appending twice is harmless: both records have the same id and base, so the
+    fold accepts at most one of them.
     """
     if not state.reader.at_tail:
         return
@@ -142,6 +143,9 @@
     if epoch is None:
         return ()
     members = set(epoch.members).union(
-        *(set(one.members) for one in state.claims.handovers.values()),
+        *(
+            set(handover.members)
+            for handover in state.claims.handovers.values()
+        ),
     )
     return tuple(sorted(members))
