--- a/tests/processes.py
+++ b/tests/processes.py
@@ -1,4 +1,4 @@
-"""Real processes on loopback, started from the one binary."""
+"""Processes on loopback that run the packaged binary, for tests."""
 
 import os
 import signal
@@ -20,23 +20,23 @@
 
 
 def build_once():
-    """Build the binary unless CI has done so before."""
+    """Build the binary unless CI has built it before."""
     if not BINARY.exists():
         command = [sys.executable, '-m', 'trestledock.packaging', str(BINARY)]
         subprocess.run(command, check=True, cwd=ROOT)
 
 
-def wait_for(check, what):
-    """Wait until `check` holds; the limit is far above what is needed."""
-    limit = time.monotonic() + PATIENCE_S
-    while time.monotonic() < limit:
+def wait_for(check, condition):
+    """Wait until `check` returns true; the timeout is very generous."""
+    deadline = time.monotonic() + PATIENCE_S
+    while time.monotonic() < deadline:
         try:
             if check():
                 return
         except httpx.HTTPError:
             pass
         time.sleep(0.1)
-    raise AssertionError(f'{what} did not come about')
+    raise AssertionError(f'{condition}: timed out')
 
 
 class Processes:
@@ -57,8 +57,8 @@
         for number, site in enumerate(SITES):
             self.add_instance(f'entry-{number}', site)
 
-    def start(self, *words):
-        command = [sys.executable, '-S', str(BINARY), *words]
+    def start(self, *arguments):
+        command = [sys.executable, '-S', str(BINARY), *arguments]
         env = {
             name: text
             for name, text in os.environ.items()
@@ -73,7 +73,7 @@
         self.children.append(child)
         return child
 
-    def enlist(self, name, address, role, site, hardware=''):
+    def register(self, name, address, role, site, hardware=''):
         labels = {'role': role, 'data_centre': site, 'hardware': hardware}
         httpx.put(
             f'http://{self.platform}/v1/instances/{name}',
@@ -93,7 +93,7 @@
     def add_target(self, group, kind, role, name='booking-0', *options):
         address = f'127.0.0.1:{get_free_port()}'
         self.start(group, kind, '--listen', address, *options)
-        self.enlist(name, address, role, SITES[0], 'h100')
+        self.register(name, address, role, SITES[0], 'h100')
         return f'http://{address}'
 
     def add_instance(self, name, site):
@@ -105,7 +105,7 @@
         )
         self.instances.append(self.start('serve', '--settings', str(path)))
         self.urls.append(f'http://{address}')
-        self.enlist(name, address, 'entry', site)
+        self.register(name, address, 'entry', site)
 
     def publish(self):
         wait_for(lambda: httpx.get(f'{self.urls[0]}/healthz'), 'an instance')
@@ -120,11 +120,11 @@
 
     def is_settled(self, url):
         fleet = httpx.get(f'{url}/admin/fleet').json()
-        engines = [one for one in fleet['targets'] if one['models']]
-        known = {one['member'].partition('#')[0] for one in fleet['peers']}
+        engines = [target for target in fleet['targets'] if target['models']]
+        known = {peer['member'].partition('#')[0] for peer in fleet['peers']}
         return fleet['epoch'] and len(engines) == 2 and len(known) >= 2
 
-    def get_used(self):
+    def get_used_tokens(self):
         return [
             httpx.get(f'{url}/v1/holds').json()['used'] for url in self.engines
         ]
--- a/tests/test_checkers.py
+++ b/tests/test_checkers.py
@@ -1,4 +1,4 @@
-"""Each checker catches a bad history, and lets a good one pass."""
+"""Each checker rejects a bad history and accepts a good one."""
 
 import unittest
 
--- a/tests/test_claims.py
+++ b/tests/test_claims.py
@@ -1,4 +1,4 @@
-"""No interleaving of claims, epochs and losses grants a key twice."""
+"""Tests of the claim table: no interleaving grants a key twice."""
 
 import unittest
 
@@ -22,12 +22,12 @@
 
 
 class Members:
-    """Claim tables with the messages that fly between them."""
+    """Claim tables with the messages in flight between them."""
 
     def __init__(self, members):
         self.tables = {name: ClaimTable(name, KEEP_S) for name in NAMES}
         self.now = 0.0
-        self.flying = []
+        self.in_flight = []
         self.granted = {}
         self.epochs = [Epoch(1, EpochBody(members))]
         for name in members:
@@ -35,10 +35,10 @@
 
     def ask(self, key, claimant):
         epoch = self.epochs[-1]
-        claim_id = f'{claimant}/{len(self.flying)}/{self.now}'
+        claim_id = f'{claimant}/{len(self.in_flight)}/{self.now}'
         first = epoch.get_replicas_by_key(key)[0]
         ask = ClaimAsk(key, claim_id, epoch.offset, KEEP_S / 2)
-        self.flying.append((first, claimant, ask))
+        self.in_flight.append((first, claimant, ask))
 
     def change(self, members):
         last = self.epochs[-1]
@@ -53,15 +53,15 @@
         table = self.tables[old]
         table.enter(epoch, self.now)
         if table.epoch is epoch and old != new:
-            self.flying.append((new, old, table.seal(new, self.now)))
+            self.in_flight.append((new, old, table.seal(new, self.now)))
 
     def deliver(self, index, keep):
-        if not self.flying:
+        if not self.in_flight:
             return
-        index %= len(self.flying)
-        to, sender, payload = self.flying[index]
+        index %= len(self.in_flight)
+        to, sender, payload = self.in_flight[index]
         if not keep:
-            self.flying.pop(index)
+            self.in_flight.pop(index)
         if isinstance(payload, ClaimAnswer):
             if payload.grant == Grant.granted.value:
                 ids = self.granted.setdefault(payload.key, set())
@@ -77,7 +77,7 @@
             ClaimCopied: lambda: table.copied(sender, payload),
         }
         for member, answer in takers[type(payload)]():
-            self.flying.append((member, to, answer))
+            self.in_flight.append((member, to, answer))
 
 
 GROUPS = st.lists(
--- a/tests/test_parts.py
+++ b/tests/test_parts.py
@@ -1,4 +1,4 @@
-"""The small parts: load, queue, limits, holds, lease, liveness, selectors."""
+"""Unit tests of the core's parts: load, queue, limits, reservations, lease."""
 
 import unittest
 from random import Random
@@ -14,8 +14,8 @@
 )
 from trestledock.process._holds import (
     BLOCK_SIZE,
-    ReservationWatch,
     ReservationIds,
+    ReservationWatch,
     WatchedBlock,
 )
 from trestledock.process._limits import Limits
@@ -45,7 +45,7 @@
 
 
 class Load(unittest.TestCase):
-    def test_own_work_is_counted_exactly_and_others_drain(self):
+    def test_own_work_is_exact_and_other_work_is_processed(self):
         load = EngineLoad()
         load.record_report(REPORT, 10)
         self.assertAlmostEqual(load.predict_wait(2, 10), 4)
@@ -57,7 +57,7 @@
         load.mark_prefilled(('r', 1), 12.5)
         self.assertAlmostEqual(load.predict_wait(1, 12.5), 0)
 
-    def test_older_report_changes_nothing(self):
+    def test_older_report_is_ignored(self):
         load = EngineLoad()
         load.record_report(REPORT, 10)
         late = LoadReport(5, (9000,), 0, 10_000, 1000.0, 0.01)
@@ -83,7 +83,7 @@
         expected = 100 * one / (one + other)
         self.assertAlmostEqual(served.count('a'), expected, delta=6)
 
-    def test_idle_team_banks_nothing(self):
+    def test_idle_team_accumulates_no_credit(self):
         queue = FairQueue()
         for number in range(50):
             waiting = QueuedRequest(make_request('busy', number), 1, 1)
@@ -102,9 +102,9 @@
         self.assertEqual(next(queue.iter_in_order()).req.req_id, 'a2')
 
 
-class LimitParts(unittest.TestCase):
+class LimitShares(unittest.TestCase):
     @given(st.lists(st.floats(0.1, 50), min_size=2, max_size=8))
-    def test_parts_add_up_to_the_limit(self, demands):
+    def test_shares_add_up_to_the_limit(self, demands):
         total = 0
         for index, demand in enumerate(demands):
             limits = Limits()
@@ -113,32 +113,32 @@
             total += limits.get_share('t', 6, others, 0)
         self.assertAlmostEqual(total, 6, places=3)
 
-    def test_without_news_an_even_part(self):
+    def test_equal_shares_without_a_peers_demand(self):
         self.assertEqual(Limits().get_share('t', 6, [1.0, None], 0), 2)
 
-    def test_bucket_says_when_to_come_back(self):
+    def test_bucket_returns_the_wait(self):
         limits = Limits()
         self.assertEqual(limits.spend('t', 10, 1, 0), 0)
         self.assertAlmostEqual(limits.spend('t', 4, 1, 1), 3)
         self.assertEqual(limits.spend('t', 4, 1, 5), 0)
 
 
-class Holds(unittest.TestCase):
-    def test_guard_cancels_every_id_until_confirmed(self):
+class Reservations(unittest.TestCase):
+    def test_watcher_cancels_every_id_until_confirmed(self):
         ids = ReservationIds('owner#1')
         block = ids.get_block('engine')
         used = ids.allocate_id(block)
-        guard = ReservationWatch()
-        guard.add_block(WatchedBlock('owner#1', 'engine', block.first), '')
-        guard.queue_owner_cancels('owner#1')
-        self.assertIn(used, guard.to_cancel['engine'])
-        self.assertEqual(len(guard.to_cancel['engine']), BLOCK_SIZE)
-        guard.confirm_cancels('engine', (used,))
-        self.assertNotIn(used, guard.to_cancel['engine'])
-        guard.confirm_cancels('engine', tuple(guard.to_cancel['engine']))
-        self.assertEqual(guard.to_cancel, {})
-
-    def test_no_id_twice_and_blocks_retire(self):
+        watch = ReservationWatch()
+        watch.add_block(WatchedBlock('owner#1', 'engine', block.first), '')
+        watch.queue_owner_cancels('owner#1')
+        self.assertIn(used, watch.to_cancel['engine'])
+        self.assertEqual(len(watch.to_cancel['engine']), BLOCK_SIZE)
+        watch.confirm_cancels('engine', (used,))
+        self.assertNotIn(used, watch.to_cancel['engine'])
+        watch.confirm_cancels('engine', tuple(watch.to_cancel['engine']))
+        self.assertEqual(watch.to_cancel, {})
+
+    def test_ids_are_unique_and_blocks_retire(self):
         ids = ReservationIds('owner#1')
         seen = set()
         for _ in range(BLOCK_SIZE * 2):
@@ -148,7 +148,7 @@
             ids.release(hold)
         self.assertEqual(len(ids.pop_done()), 2)
 
-    def test_after_a_pause_no_old_block_is_used(self):
+    def test_no_old_block_after_a_pause(self):
         ids = ReservationIds('owner#1')
         before = ids.get_block('engine')
         ids.close_blocks()
@@ -159,17 +159,17 @@
     def setUp(self):
         self.lease = Lease('me', Timing())
 
-    def take(self, asked_at, read_at):
+    def acquire(self, asked_at, read_at):
         self.lease.note_asked('r1', asked_at)
         self.lease.observe(5, 'r1', LeaseBody('me', 10), read_at)
 
-    def test_counted_from_before_it_was_asked(self):
-        self.take(asked_at=0, read_at=6)
+    def test_counted_from_before_the_request(self):
+        self.acquire(asked_at=0, read_at=6)
         self.assertTrue(self.lease.is_held(7.9))
         self.assertFalse(self.lease.is_held(8.1))
 
-    def test_paused_holder_knows_that_it_lapsed(self):
-        self.take(asked_at=0, read_at=1)
+    def test_paused_holder_sees_expiry(self):
+        self.acquire(asked_at=0, read_at=1)
         self.assertFalse(self.lease.may_order(60))
         self.assertEqual(self.lease.get_order_limit(), 8)
 
@@ -177,18 +177,18 @@
         self.lease.observe(3, 'x', LeaseBody('other', 10), 0)
         self.assertFalse(self.lease.wants(11, 0))
         self.assertTrue(self.lease.wants(12.1, 0))
-        self.take(asked_at=12.1, read_at=12.5)
+        self.acquire(asked_at=12.1, read_at=12.5)
         self.assertFalse(self.lease.may_order(13))
         self.assertTrue(self.lease.may_order(16))
 
-    def test_older_record_changes_nothing(self):
-        self.take(asked_at=0, read_at=1)
+    def test_older_record_is_ignored(self):
+        self.acquire(asked_at=0, read_at=1)
         self.lease.observe(4, 'x', LeaseBody('other', 10), 2)
         self.assertEqual(self.lease.holder, 'me')
 
 
-class Small(unittest.TestCase):
-    def test_ages_travel_and_never_grow_younger(self):
+class SmallParts(unittest.TestCase):
+    def test_merged_ages_never_decrease(self):
         one, other = Liveness(), Liveness()
         one.record_heard('a', 10)
         members = ('a', 'b')
@@ -197,7 +197,7 @@
         self.assertLess(other.get_age('a', 12), 2.6)
         self.assertEqual(other.get_age('b', 12), float('inf'))
 
-    def test_rendezvous_moves_only_what_it_must(self):
+    def test_rendezvous_moves_only_keys_of_removed_names(self):
         names = ['a', 'b', 'c', 'd']
         for number in range(100):
             before = rank_by_key(str(number), names)[0]
@@ -220,7 +220,7 @@
         rng = Random(1)
         self.assertLessEqual(max(draw_backoff(9, rng) for _ in range(99)), 1)
 
-    def test_breaker_probes_once(self):
+    def test_breaker_allows_one_probe(self):
         breaker = Breaker()
         for _ in range(3):
             breaker.fail(0)
--- a/tests/test_process_isolating.py
+++ b/tests/test_process_isolating.py
@@ -1,4 +1,4 @@
-"""What instances of the own interface tell one another of deadly requests."""
+"""Tests of the quarantine shared by instances of the own interface."""
 
 import unittest
 from random import Random
@@ -7,9 +7,9 @@
 from trestledock.process._actions import ToPeer
 from trestledock.process._isolating import (
     is_quarantined,
+    merge_crashes,
     record_answer,
     record_crash,
-    merge_crashes,
     send_quarantine,
     start_due_probe,
 )
@@ -19,8 +19,10 @@
 from trestledock.request import Kind, Request
 
 REQ = Request('r1', 'kiosks', Kind.call, 9, fingerprint='f')
-TARGETS = tuple(TargetInfo(f't{one}', f'a:{one}', 'x') for one in range(3))
-TRIAL_S = 10
+TARGETS = tuple(
+    TargetInfo(f't{number}', f'a:{number}', 'x') for number in range(3)
+)
+PROBE_S = 10
 
 
 def make_instance(number):
@@ -39,67 +41,69 @@
     return LiveRequest(REQ, 0, pool='')
 
 
-def take_told(state):
-    """Return what an instance has told, once."""
-    told = [one.payload for one in state.actions if isinstance(one, ToPeer)]
+def pop_payloads(state):
+    """Remove and return the payloads that an instance has sent."""
+    payloads = [
+        action.payload for action in state.actions if isinstance(action, ToPeer)
+    ]
     state.actions.clear()
-    return told
+    return payloads
 
 
-def see_ends(state):
-    """Let a request end all targets at an instance; return what it tells."""
+def crash_targets(state):
+    """Record a crash of every target; return the payloads about it."""
     for target in TARGETS:
         record_crash(state, make_live(), target.name, 1)
-    return take_told(state)
+    return pop_payloads(state)
 
 
 class IsolatingTest(unittest.TestCase):
-    """Ends, answers and trials among two instances."""
+    """Crashes, completed requests and probes at two instances."""
 
     def setUp(self):
         self.one, self.other = map(make_instance, (0, 1))
 
-    def tell(self, ends):
-        for one in ends:
-            merge_crashes(self.other, one, 2)
+    def send(self, payloads):
+        for payload in payloads:
+            merge_crashes(self.other, payload, 2)
 
-    def test_ends_are_told(self):
-        self.tell(see_ends(self.one))
+    def test_crashes_are_sent(self):
+        self.send(crash_targets(self.one))
         self.assertTrue(is_quarantined(self.other, make_live()))
 
-    def test_new_peer_is_told_once(self):
-        see_ends(self.one)
+    def test_new_peer_gets_the_quarantine_once(self):
+        crash_targets(self.one)
         peer = self.one.fleet.peers['entry-1#0001']
         for _ in range(2):
             send_quarantine(self.one, peer, 3)
-        told = take_told(self.one)
-        self.assertEqual(len(told), 1)
-        self.tell(told)
+        payloads = pop_payloads(self.one)
+        self.assertEqual(len(payloads), 1)
+        self.send(payloads)
         self.assertTrue(is_quarantined(self.other, make_live()))
 
-    def test_answer_is_told(self):
-        """Else the other would go on refusing what one of them answers."""
-        ends = see_ends(self.one)
-        self.tell(ends)
+    def test_completion_is_sent(self):
+        """Otherwise the other instance would refuse a request that works."""
+        crashes = crash_targets(self.one)
+        self.send(crashes)
         record_answer(self.one, REQ, 3)
-        self.tell(take_told(self.one))
+        self.send(pop_payloads(self.one))
         self.assertFalse(is_quarantined(self.other, make_live()))
-        self.tell(ends)
+        self.send(crashes)
         self.assertFalse(is_quarantined(self.other, make_live()))
 
-    def test_one_of_them_tries_again(self):
-        self.tell(see_ends(self.one))
-        found = []
+    def test_one_instance_probes(self):
+        self.send(crash_targets(self.one))
+        probes = []
         for state in (self.one, self.other):
-            for at in (TRIAL_S, 2 + TRIAL_S, 3 + TRIAL_S):
+            for at in (PROBE_S, 2 + PROBE_S, 3 + PROBE_S):
                 live = make_live()
                 start_due_probe(state, live, at)
-                found.append(live.is_trial)
-        self.assertEqual(sum(found), 1)
+                probes.append(live.is_trial)
+        self.assertEqual(sum(probes), 1)
 
-    def test_unknown_request_is_not_blamed(self):
+    def test_request_without_fingerprint_is_not_suspected(self):
         live = LiveRequest(Request('r2', 'kiosks', Kind.call, 9), 0, pool='')
         for target in TARGETS:
             record_crash(self.one, live, target.name, 1)
         self.assertFalse(is_quarantined(self.one, live))
-        self.assertEqual(take_told(self.one), [])
+        self.assertEqual(pop_payloads(self.one), [])
--- a/tests/test_promises.py
+++ b/tests/test_promises.py
@@ -1,7 +1,7 @@
 """
-Each promise fails when its mechanism is switched off, and holds with it.
+Mutation tests: each promise is broken if its mechanism is disabled.
 
-The switch is a patch inside the test, never a flag of the product.
+The tests disable a mechanism by a patch, never by a flag of the product.
 """
 
 import unittest
@@ -29,7 +29,7 @@
         self.timers.push(at, timer)
 
 
-def push_as_it_comes(self, attempt, chunk):
+def push_unordered(self, attempt, chunk):
     self.next_index += chunk.tokens
     return (chunk,)
 
@@ -48,7 +48,7 @@
 
 LIVE = 'trestledock.process._live'
 
-#: promise, scenario, and the patches that switch the mechanism off
+#: Promise, scenario, and the patches that disable the mechanism.
 MUTANTS = (
     (
         'in_time',
@@ -72,7 +72,7 @@
     (
         'whole',
         'bad_network',
-        (mock.patch.object(Assembler, 'push', push_as_it_comes),),
+        (mock.patch.object(Assembler, 'push', push_unordered),),
     ),
     (
         'not_run',
@@ -141,15 +141,15 @@
 
 
 class Mutants(unittest.TestCase):
-    """The checker of a promise notices that its mechanism is gone."""
+    """The checker of a promise detects that its mechanism is disabled."""
 
     @params(*range(len(MUTANTS)))
-    def test_switched_off(self, number):
+    def test_disabled_mechanism(self, number):
         promise, scenario, patches = MUTANTS[number]
         text = (FOLDER / f'{scenario}.txt').read_text()
         with ExitStack() as stack:
             for patch in patches:
                 stack.enter_context(patch)
-            found = run_scenario(text)
-        broken = {line.partition(':')[0] for line in found}
-        self.assertIn(promise, broken, found[:3])
+            violations = run_scenario(text)
+        broken = {line.partition(':')[0] for line in violations}
+        self.assertIn(promise, broken, violations[:3])
--- a/tests/test_scenarios.py
+++ b/tests/test_scenarios.py
@@ -1,4 +1,4 @@
-"""Scenario files, each run on the virtual clock with every promise checked."""
+"""Runs each scenario file on a virtual clock and checks every promise."""
 
 import unittest
 from pathlib import Path
@@ -18,7 +18,7 @@
 
 
 class ScenarioFiles(unittest.TestCase):
-    """Every file in scenarios/ holds."""
+    """No file in scenarios/ breaks a promise."""
 
     @params(*NAMES)
     def test_file(self, name):
@@ -31,7 +31,7 @@
         self.assertEqual(run_scenario(expect), run_scenario(expect))
         self.assertEqual(len(run_scenario(expect)), 1)
 
-    def test_whatever_is_counted_has_a_metric(self):
+    def test_every_counter_has_a_metric(self):
         text = (FOLDER / 'kill_instance.txt').read_text()
         run = read_scenario(text)
         finish_run(run)
--- a/trestledock/process/_choosing.py
+++ b/trestledock/process/_choosing.py
@@ -280,7 +280,7 @@
     target = permitted.target
     report = target.load.report
     if report is None:
-        raise LookupError(f'no load report of target {target.info.name!r}')
+        raise LookupError(f'{target.info.name} has no load report')
     uncached_tokens = req.prompt_tokens - _count_cached_tokens(
         state, req, target
     )
