--- a/trestledock/process/__init__.py
+++ b/trestledock/process/__init__.py
@@ -52,13 +52,13 @@
 from trestledock.process._node import Node
 from trestledock.process._payloads import PAYLOADS, ClaimAsk, Payload
 from trestledock.process._policy import PLAIN, Chooser, Policy
-from trestledock.relay import rank_by_key
 from trestledock.process._targets import (
     CacheEvent,
     LoadReport,
     PeerInfo,
     TargetInfo,
 )
+from trestledock.relay import rank_by_key
 
 __all__ = (
     'PAYLOADS',
--- a/trestledock/process/_arrivals.py
+++ b/trestledock/process/_arrivals.py
@@ -17,9 +17,9 @@
 from trestledock.process._dispatching import (
     get_team,
     make_queued_request,
-    try_dispatch,
     schedule_dispatch,
     start_call,
+    try_dispatch,
 )
 from trestledock.process._ending import refuse
 from trestledock.process._groups import get_giant_engine_limit
--- a/trestledock/process/_choosing.py
+++ b/trestledock/process/_choosing.py
@@ -11,8 +11,8 @@
 
 from trestledock.process._fleet import LISTED_TIMEOUT_S, Target
 from trestledock.process._policy import Chooser
-from trestledock.relay import rank_by_key
 from trestledock.process._state import State
+from trestledock.relay import rank_by_key
 from trestledock.request import (
     CLASS_PRIORITY,
     URGENT_PRIORITY,
--- a/trestledock/process/_claiming.py
+++ b/trestledock/process/_claiming.py
@@ -18,7 +18,7 @@
 from trestledock.process._dispatching import start_call
 from trestledock.process._ending import finish_request, refuse, send_to_member
 from trestledock.process._epoch import Epoch
-from trestledock.process._live import PendingClaim, LiveRequest, Phase
+from trestledock.process._live import LiveRequest, PendingClaim, Phase
 from trestledock.process._payloads import ClaimAnswer, ClaimAsk
 from trestledock.process._state import State
 from trestledock.process._timers import ClaimDue
--- a/trestledock/process/_dispatching.py
+++ b/trestledock/process/_dispatching.py
@@ -18,7 +18,6 @@
     find_candidates,
     get_priority,
 )
-
 from trestledock.process._ending import refuse
 from trestledock.process._fleet import Target
 from trestledock.process._groups import plan_group
--- a/trestledock/process/_guarding.py
+++ b/trestledock/process/_guarding.py
@@ -19,8 +19,8 @@
     WatchedBlock,
 )
 from trestledock.process._payloads import HoldBlock, HoldBlockKept
-from trestledock.relay import rank_by_key
 from trestledock.process._state import State
+from trestledock.relay import rank_by_key
 
 
 def allocate_reservation(state: State, target: Target, now: float) -> str:
--- a/trestledock/process/_isolating.py
+++ b/trestledock/process/_isolating.py
@@ -11,9 +11,8 @@
 from trestledock.process._fleet import Peer
 from trestledock.process._live import LiveRequest
 from trestledock.process._payloads import TargetEnds
-from trestledock.relay import rank_by_key
 from trestledock.process._state import State
-from trestledock.relay import End
+from trestledock.relay import End, rank_by_key
 from trestledock.request import Request
 
 
--- a/trestledock/process/_peering.py
+++ b/trestledock/process/_peering.py
@@ -16,8 +16,8 @@
 from trestledock.process._epoch import Epoch
 from trestledock.process._guarding import (
     mark_unreachable,
-    on_hold_block_kept,
     on_hold_block,
+    on_hold_block_kept,
 )
 from trestledock.process._isolating import merge_crashes, send_quarantine
 from trestledock.process._messages import PeerMessage
--- a/trestledock/process/_state.py
+++ b/trestledock/process/_state.py
@@ -14,7 +14,7 @@
 from trestledock.process._claims import ClaimTable
 from trestledock.process._epoch import Epoch
 from trestledock.process._fleet import Fleet, Target
-from trestledock.process._holds import ReservationWatch, ReservationIds
+from trestledock.process._holds import ReservationIds, ReservationWatch
 from trestledock.process._identity import Identity, Timing
 from trestledock.process._lease import Lease
 from trestledock.process._limits import Limits
