--- a/trestledock/process/_claims.py
+++ b/trestledock/process/_claims.py
@@ -124,7 +124,7 @@
         return self.get_unknown_history_s(key, now) > 0
 
     def get_unknown_history_s(self, key: str, now: float) -> float:
-        """Return for how many seconds the history of `key` stays unknown."""
+        """Return the seconds for which `key` has an unknown history, or 0."""
         return max(
             (
                 handover.get_remaining_s(now, self.keep_s)
