--- a/tests/test_entry_anew.py
+++ b/tests/test_entry_anew.py
@@ -10,7 +10,7 @@
 from tests.following import Reading
 from tests.living import LivingEntry, run_life
 from tests.test_entry_pace import BOUND_S, EXCUSED_S, STEP_S
-from trestledock.entry import News
+from trestledock.entry import StoreUpdate
 
 #: For how long the reader stands still, and from when on a new entry runs after
 #: a target has left, in seconds.
@@ -30,7 +30,7 @@
             return news
         newest = {one.target_id: one for one in news.targets}
         present = [one for one in newest.values() if one.listed]
-        return News(targets=tuple(present), whole=True)
+        return StoreUpdate(targets=tuple(present), whole=True)
 
 
 async def start_anew(life):
@@ -42,7 +42,7 @@
     entry.disturbed_until = anyio.current_time()
     everybody = [*life.entries, entry]
     addresses = {one.name: f'127.0.0.1:{one.address[1]}' for one in everybody}
-    entry.gossip.neighbours.own = entry.address
+    entry.gossip.addresses.own = entry.address
     for one in everybody:
         one.gossip.meet(addresses)
     life.entries.append(entry)
--- a/tests/test_entry_incarnations.py
+++ b/tests/test_entry_incarnations.py
@@ -14,14 +14,14 @@
 from tests.relaying import (
     Hang,
     StubTarget,
-    Torn,
+    AbortedAnswer,
     make_answer,
     make_listed,
     make_route,
     run_world,
 )
-from trestledock.entry import TargetNews
-from trestledock.entry._tickets import RENEW_S, Tickets
+from trestledock.entry import TargetUpdate
+from trestledock.entry._tickets import RENEW_INTERVAL_S, Tickets
 from trestledock.relay import RouteKind, Standing
 
 #: When the incarnations were born, Unix time in milliseconds.
@@ -37,7 +37,7 @@
 
 def write(store, *words):
     """Append words of target 1 to the store; None removes its entry."""
-    store.records.extend(TargetNews('t1', word) for word in words)
+    store.records.extend(TargetUpdate('t1', word) for word in words)
 
 
 def get_births(entry):
@@ -54,7 +54,7 @@
         store = Store()
         write(store, *words)
         store.records.append(
-            TargetNews('t2', replace(make_listed(2, 80), born=OLD))
+            TargetUpdate('t2', replace(make_listed(2, 80), born=OLD))
         )
         return run_entries(2, store, lambda *some: scenario(store, *some))
 
@@ -172,7 +172,7 @@
 
     def test_repeat_at_the_next_one(self):
         """It is no target that was tried, and gets what may be repeated."""
-        old = StubTarget(Torn(b''))
+        old = StubTarget(AbortedAnswer(b''))
         new = StubTarget(make_answer())
         found = self.play(RouteKind.idempotent, old, new)
         self.assertEqual(found.status, 200)
@@ -180,7 +180,7 @@
 
     def test_unknown_outcome_stays_unknown(self):
         """The next one has not refused what the one before may have run."""
-        old = StubTarget(Torn(b''))
+        old = StubTarget(AbortedAnswer(b''))
         new = StubTarget(make_answer())
         found = self.play(RouteKind.non_idempotent, old, new)
         self.assertEqual(found.status, 502)
@@ -226,7 +226,7 @@
             scope = anyio.CancelScope()
             async with anyio.create_task_group() as group:
                 group.start_soon(tickets._renew, scope, holder, 'r1-1', 9)
-                await anyio.sleep(RENEW_S * 1.5)
+                await anyio.sleep(RENEW_INTERVAL_S * 1.5)
                 fleet.put(make_born(NEW, 1, target.port))
 
         run_world(make_route(), [target], scenario)
--- a/tests/test_entry_keeping.py
+++ b/tests/test_entry_keeping.py
@@ -7,10 +7,10 @@
 
 from tests.relaying import SETTINGS, make_listed
 from tests.virtual_loop import run_virtually
-from trestledock.entry import DirectoryError, Place, StoredQuarantine
-from trestledock.entry._keeping import CLAIM_S, WAIT_S, Keeping
+from trestledock.entry import DirectoryError, LogPosition, StoredQuarantine
+from trestledock.entry._quarantine_sync import CLAIM_S, WAIT_S, Keeping
 from trestledock.entry._state import EntryState
-from trestledock.relay import Sign
+from trestledock.relay import FailureKind
 
 TARGETS = tuple(make_listed(number, 80 + number) for number in range(5))
 
@@ -41,7 +41,7 @@
 
     async def read_whole(self):
         self._check()
-        return StoredQuarantine((), Place(0, None))
+        return StoredQuarantine((), LogPosition(0, None))
 
     def _check(self):
         self.calls += 1
@@ -55,16 +55,18 @@
     def __init__(self, topic, *, reads):
         state = EntryState(SETTINGS, 'entry-1#a', Random(1), None)
         self.isolation = state.isolation
-        self.isolation.ways.look = self._look
+        self.isolation.hooks.reconnect = self._look
         self.keeping = Keeping(state, topic, lambda: reads)
 
     async def see_ends(self, count):
         """See so many targets end under a request."""
         for target in TARGETS[:count]:
-            await self.isolation.note_lost('f', Sign.closed, [target])
+            await self.isolation.investigate_failure(
+                'f', FailureKind.closed, [target]
+            )
 
     async def _look(self, _):
-        return Sign.refused
+        return FailureKind.refused
 
 
 def run_entries(scenario, *reads):
--- a/tests/test_process_isolating.py
+++ b/tests/test_process_isolating.py
@@ -4,7 +4,7 @@
 from random import Random
 
 from trestledock.process import Identity, Policy, Timing
-from trestledock.process._actions import ToPeer
+from trestledock.process._actions import SendToPeer
 from trestledock.process._isolating import (
     is_quarantined,
     merge_crashes,
@@ -44,7 +44,9 @@
 def pop_payloads(state):
     """Remove and return the payloads that an instance has sent."""
     payloads = [
-        action.payload for action in state.actions if isinstance(action, ToPeer)
+        action.payload
+        for action in state.actions
+        if isinstance(action, SendToPeer)
     ]
     state.actions.clear()
     return payloads
--- a/trestledock/entry/_isolation.py
+++ b/trestledock/entry/_isolation.py
@@ -27,14 +27,14 @@
 from trestledock.entry import _events as events
 from trestledock.entry._logger import emit
 from trestledock.relay import (
-    End,
+    Crash,
     Fleet,
     Health,
-    Listed,
-    OpenEnds,
+    ListedTarget,
+    UnconfirmedCrashes,
     Quarantine,
-    Quarantined,
-    Sign,
+    QuarantineRecord,
+    FailureKind,
 )
 
 
@@ -53,42 +53,42 @@
 #: ends, and may write bytes that are no answer in its last moment.  Silence
 #: says nothing: whoever was left for it is not known to have run the request,
 #: and cuts and crowds make more of it than ends.
-INQUIRIES: Mapping[Sign, Inquiry] = MappingProxyType(
+INQUIRIES: Mapping[FailureKind, Inquiry] = MappingProxyType(
     {
-        Sign.none: Inquiry.none,
-        Sign.closed: Inquiry.look,
-        Sign.silent: Inquiry.none,
-        Sign.refused: Inquiry.none,
-        Sign.unreachable: Inquiry.none,
-        Sign.garbled: Inquiry.listing,
+        FailureKind.none: Inquiry.none,
+        FailureKind.closed: Inquiry.look,
+        FailureKind.silent: Inquiry.none,
+        FailureKind.refused: Inquiry.none,
+        FailureKind.unreachable: Inquiry.none,
+        FailureKind.garbled: Inquiry.listing,
     }
 )
 #: What shows at a look that a process has gone.  All else waits for a listing:
 #: one that listens may be its next start, and an address that isn't reached may
 #: be that of one that lives.
-ENDED = Sign.refused
+ENDED = FailureKind.refused
 #: An end of which another entry tells keeps this one from a target where it is
 #: no older than this, in seconds: its next start has another name.
 FRESH_S = 1.0
 #: Requests with so many ends are told of again, and when they are answered: one
 #: end says little, and each word goes to everybody.
-LEAST_TOLD = 2
+MIN_SHARED_CRASHES = 2
 SELF = 'self'
 #: Who says something where that is the platform's store.
 STORE = 'store'
 
-Look = Callable[[Listed], Awaitable[Sign]]
-Claim = Callable[[Quarantined], Awaitable[bool]]
-TellEnds = Callable[[Sequence[End]], None]
+Look = Callable[[ListedTarget], Awaitable[FailureKind]]
+Claim = Callable[[QuarantineRecord], Awaitable[bool]]
+TellEnds = Callable[[Sequence[Crash]], None]
 TellCleared = Callable[[str, Sequence[str]], None]
 
 
-async def _see_nothing(_: Listed) -> Sign:
+async def _see_nothing(_: ListedTarget) -> FailureKind:
     """Stand for a look at a target where nobody can."""
-    return Sign.unreachable
+    return FailureKind.unreachable
 
 
-async def _grant_nothing(_: Quarantined) -> bool:
+async def _grant_nothing(_: QuarantineRecord) -> bool:
     """Stand for a claim where there is no store."""
     return False
 
@@ -98,17 +98,17 @@
 
 
 @dataclass
-class Ways:
+class IsolationHooks:
     """How an isolation learns and tells.
 
     `look` connects to a target once more; `claim` takes the right to try a
     quarantined request from all other entries; the others tell these at once.
     """
 
-    look: Look = _see_nothing
+    reconnect: Look = _see_nothing
     claim: Claim = _grant_nothing
-    tell_ends: TellEnds = _tell_nobody
-    tell_cleared: TellCleared = _tell_nobody
+    send_crashes: TellEnds = _tell_nobody
+    send_cleared: TellCleared = _tell_nobody
 
 
 class Isolation:
@@ -123,11 +123,11 @@
         self.health = health
         self.fleet = fleet
         self.quarantine = Quarantine()
-        self.ways = Ways()
-        self.to_keep: set[str] = set()
-        self.wants_keeping = anyio.Event()
+        self.hooks = IsolationHooks()
+        self.unsaved: set[str] = set()
+        self.unsaved_added = anyio.Event()
         self.revision = 0
-        self._open = OpenEnds()
+        self._open = UnconfirmedCrashes()
         self._witnessed: set[str] = set()
         self._claiming: set[str] = set()
         self._tried: set[str] = set()
@@ -140,23 +140,23 @@
         """Return how many requests go to no target."""
         return sum(map(self.is_quarantined, self.quarantine.suspects))
 
-    def get_come_back_s(self, fingerprint: str) -> float:
+    def get_retry_after_s(self, fingerprint: str) -> float:
         """Return when to come back with a quarantined request, in seconds."""
         now = anyio.current_time()
-        return self.quarantine.get_come_back_s(fingerprint, now)
+        return self.quarantine.get_retry_after_s(fingerprint, now)
 
-    async def may_try(self, fingerprint: str) -> bool:
+    async def may_probe(self, fingerprint: str) -> bool:
         """Whether a quarantined request may be given to one target now.
 
         Of all such requests at all entries one may; the others don't wait.
         """
         now = anyio.current_time()
-        is_due = self.quarantine.is_due(fingerprint, now)
+        is_due = self.quarantine.is_probe_due(fingerprint, now)
         if not is_due or fingerprint in self._claiming:
             return False
         self._claiming.add(fingerprint)
         try:
-            granted = await self.ways.claim(
+            granted = await self.hooks.claim(
                 self.quarantine.make_record(fingerprint, now)
             )
         finally:
@@ -164,17 +164,17 @@
         # It may have been answered elsewhere while the store was asked.
         if not granted or not self.is_quarantined(fingerprint):
             return False
-        self.quarantine.note_trial(fingerprint, now)
+        self.quarantine.record_probe(fingerprint, now)
         self._tried.add(fingerprint)
         self.revision += 1
         emit(events.TrialGranted(fingerprint))
         return True
 
-    async def note_lost(
+    async def investigate_failure(
         self,
         fingerprint: str,
-        sign: Sign,
-        targets: Iterable[Listed],
+        sign: FailureKind,
+        targets: Iterable[ListedTarget],
     ) -> None:
         """Find out whether a target has ended with a request.
 
@@ -186,36 +186,40 @@
             return
         for target in targets:
             looks = inquiry is Inquiry.look
-            if looks and await self.ways.look(target) is ENDED:
-                end = End(fingerprint, target.incarnation)
+            if looks and await self.hooks.reconnect(target) is ENDED:
+                end = Crash(fingerprint, target.incarnation)
                 self._note_own([end], ENDED)
                 return
-            self._open.keep(fingerprint, target, anyio.current_time())
+            self._open.add(fingerprint, target, anyio.current_time())
 
-    def note_replaced(self, incarnation: str) -> None:
+    def record_replaced(self, incarnation: str) -> None:
         """Note that another start of a target is known: this one has ended."""
         now = anyio.current_time()
-        self._note_own(self._open.take(incarnation, now), Sign.none)
+        self._note_own(
+            self._open.pop_confirmed(incarnation, now), FailureKind.none
+        )
 
-    def note_listed(self, listed: Listed) -> None:
+    def record_listed(self, listed: ListedTarget) -> None:
         """Note a target: what had its address before has ended."""
         now = anyio.current_time()
-        self._note_own(self._open.take_replaced_by(listed, now), Sign.none)
+        self._note_own(
+            self._open.pop_replaced_by(listed, now), FailureKind.none
+        )
 
-    def note_answered(self, fingerprint: str) -> None:
+    def record_answered(self, fingerprint: str) -> None:
         """Note that a target has answered a request: it ends none."""
         was_quarantined = self.is_quarantined(fingerprint)
         now = anyio.current_time()
-        ends = self.quarantine.note_answered(fingerprint, now)
+        ends = self.quarantine.record_answer(fingerprint, now)
         self._note_cleared(fingerprint, len(ends), SELF)
-        if len(ends) >= LEAST_TOLD:
-            self.ways.tell_cleared(fingerprint, ends)
+        if len(ends) >= MIN_SHARED_CRASHES:
+            self.hooks.send_cleared(fingerprint, ends)
         if was_quarantined:
             self._keep(fingerprint)
 
-    def take_ends(
+    def merge_crashes(
         self,
-        ends: Iterable[tuple[End, float]],
+        ends: Iterable[tuple[Crash, float]],
         source: str,
     ) -> None:
         """Take ends that another entry knows, with their ages in seconds."""
@@ -225,45 +229,47 @@
             if age_s < FRESH_S:
                 self._avoid(end.incarnation, now)
 
-    def take_cleared(
+    def merge_cleared(
         self,
         fingerprint: str,
         ends: Iterable[str],
         source: str,
     ) -> None:
         """Take another's word that a request with some ends was answered."""
-        count = self.quarantine.clear_ends(fingerprint, ends)
+        count = self.quarantine.clear_crashes(fingerprint, ends)
         self._note_cleared(fingerprint, count, source)
 
-    def take_records(
+    def merge_records(
         self,
-        records: Iterable[Quarantined],
+        records: Iterable[QuarantineRecord],
         source: str,
     ) -> None:
         """Take what the store, or the list of another entry, has."""
         now = anyio.current_time()
         for record in records:
             fingerprint = record.fingerprint
-            self.take_cleared(fingerprint, record.cleared, source)
+            self.merge_cleared(fingerprint, record.cleared, source)
             was_quarantined = self.is_quarantined(fingerprint)
-            self.quarantine.take(record, now)
+            self.quarantine.merge(record, now)
             self._look_at(fingerprint, source, was_quarantined=was_quarantined)
 
-    def get_known(self) -> Iterator[tuple[End, float]]:
+    def get_known(self) -> Iterator[tuple[Crash, float]]:
         """Yield what an entry is told that is new, with ages."""
         now = anyio.current_time()
         for fingerprint, suspect in self.quarantine.suspects.items():
-            if len(suspect.incarnations) < LEAST_TOLD:
+            if len(suspect.incarnations) < MIN_SHARED_CRASHES:
                 continue
             age_s = now - suspect.since
             for incarnation in suspect.incarnations:
-                yield End(fingerprint, incarnation), age_s
+                yield Crash(fingerprint, incarnation), age_s
 
-    def is_told_again(self, end: End) -> bool:
+    def needs_resending(self, end: Crash) -> bool:
         """Whether a lost word of an end would matter."""
-        return self.quarantine.count_ends(end.fingerprint) >= LEAST_TOLD
+        return (
+            self.quarantine.count_crashes(end.fingerprint) >= MIN_SHARED_CRASHES
+        )
 
-    def note_restore(self) -> None:
+    def record_restore(self) -> None:
         """Have the store know again of trials that it may have lost.
 
         Others need not have heard of them yet, and would try once more.
@@ -271,43 +277,43 @@
         for fingerprint in filter(self.is_quarantined, self._tried):
             self._keep(fingerprint)
 
-    def take_to_keep(self) -> list[Quarantined]:
+    def pop_unsaved(self) -> list[QuarantineRecord]:
         """Return what the store is to know; nothing waits any more."""
         now = anyio.current_time()
-        found = sorted(self.to_keep & self.quarantine.suspects.keys())
-        self.to_keep = set()
-        self.wants_keeping = anyio.Event()
+        found = sorted(self.unsaved & self.quarantine.suspects.keys())
+        self.unsaved = set()
+        self.unsaved_added = anyio.Event()
         return [self.quarantine.make_record(one, now) for one in found]
 
-    def keep_again(self, records: Iterable[Quarantined]) -> None:
+    def requeue_unsaved(self, records: Iterable[QuarantineRecord]) -> None:
         """Have the store know later what it did not take."""
         for record in records:
             self._keep(record.fingerprint)
 
-    def _note_own(self, ends: list[End], sign: Sign) -> None:
+    def _note_own(self, ends: list[Crash], sign: FailureKind) -> None:
         now = anyio.current_time()
         for one in ends:
             self._avoid(one.incarnation, now)
-        blamed = [one for one in ends if self.quarantine.blames(one, now)]
+        blamed = [one for one in ends if self.quarantine.is_blamed(one, now)]
         for end in blamed:
             self._witnessed.add(end.fingerprint)
             if self._add(end, now, SELF):
-                count = self.quarantine.count_ends(end.fingerprint)
+                count = self.quarantine.count_crashes(end.fingerprint)
                 emit(
                     events.TargetEnded(
                         end.incarnation, end.fingerprint, sign.value, count
                     )
                 )
-        self.ways.tell_ends(blamed)
+        self.hooks.send_crashes(blamed)
 
     def _avoid(self, incarnation: str, now: float) -> None:
         """Leave a target alone that has ended, until its entry goes."""
         if incarnation in self.fleet.targets:
-            self.health.note_silence(incarnation, now)
+            self.health.record_silence(incarnation, now)
 
-    def _add(self, end: End, ended_at: float, source: str) -> bool:
+    def _add(self, end: Crash, ended_at: float, source: str) -> bool:
         was_quarantined = self.is_quarantined(end.fingerprint)
-        is_new = self.quarantine.note_end(end, ended_at)
+        is_new = self.quarantine.record_crash(end, ended_at)
         if is_new:
             self._look_at(
                 end.fingerprint, source, was_quarantined=was_quarantined
@@ -323,12 +329,12 @@
         that start later.  So up to three do, as any of them may be gone.
         """
         if self.is_quarantined(fingerprint) and not was_quarantined:
-            count = self.quarantine.count_ends(fingerprint)
+            count = self.quarantine.count_crashes(fingerprint)
             self.revision += 1
             emit(events.RequestQuarantined(fingerprint, count, source))
             if source != STORE and fingerprint in self._witnessed:
                 self._keep(fingerprint)
-        for forgotten in self.quarantine.trim():
+        for forgotten in self.quarantine.evict_excess():
             self._witnessed.discard(forgotten)
             emit(events.SuspectForgotten(forgotten))
 
@@ -340,5 +346,5 @@
         emit(events.RequestCleared(fingerprint, count, source))
 
     def _keep(self, fingerprint: str) -> None:
-        self.to_keep.add(fingerprint)
-        self.wants_keeping.set()
+        self.unsaved.add(fingerprint)
+        self.unsaved_added.set()
--- a/trestledock/entry/_logger.py
+++ b/trestledock/entry/_logger.py
@@ -44,7 +44,7 @@
 
 def emit(event: events.Event, *, failed: bool = False) -> None:
     """Count and write one event; `failed` adds the traceback at hand."""
-    METRICS.take(event)
+    METRICS.record_event(event)
     level = logging.ERROR if failed else logging.INFO
     logger.log(
         level, event.get_name(), extra=event.get_fields(), exc_info=failed
@@ -118,7 +118,7 @@
 
     def _put_left_out(self, kind: str, count: int, reason: str) -> None:
         event = events.LinesLeftOut(kind, count, reason)
-        METRICS.take(event)
+        METRICS.record_event(event)
         record = logger.makeRecord(
             logger.name,
             logging.WARNING,
--- a/trestledock/entry/_word_codec.py
+++ b/trestledock/entry/_message_codec.py
@@ -13,17 +13,17 @@
 from typing import Any, Callable, Mapping
 
 from trestledock.entry._checks import (
-    read_amount,
+    read_number,
     read_count,
-    read_flag,
+    read_bool,
     read_list,
     read_optional_count,
     read_text,
-    read_whole,
+    read_int,
 )
-from trestledock.entry._notice_rows import read_notices, write_notices
-from trestledock.entry._rows import read_change, write_change
-from trestledock.entry._words import (
+from trestledock.entry._notice_codec import decode_notices, encode_notices
+from trestledock.entry._flight_codec import decode_change, encode_change
+from trestledock.entry._messages import (
     Beat,
     Cleared,
     Ends,
@@ -32,9 +32,9 @@
     Question,
     Reply,
     ToldNotices,
-    Word,
+    Message,
 )
-from trestledock.relay import End
+from trestledock.relay import Crash
 
 MS = 1000
 #: How often an entry of an older version tells everything, in milliseconds.
@@ -46,12 +46,12 @@
 Plain = Mapping[str, Any]
 
 
-class BadWord(ValueError):
+class InvalidMessage(ValueError):
     """A datagram that makes no sense."""
 
 
 @singledispatch
-def _write(word: Word, now: float) -> dict[str, Any]:
+def _write(word: Message, now: float) -> dict[str, Any]:
     """Return the fields of a word beside its sender."""
     raise TypeError(f'no word: {word!r}')
 
@@ -66,7 +66,7 @@
         'leaving': word.leaving,
         'news_age_ms': round(word.news_age_s * MS),
         'again_ms': round(word.again_s * MS),
-        'flights': [write_change(*one, now) for one in word.changes],
+        'flights': [encode_change(*one, now) for one in word.changes],
     }
 
 
@@ -123,10 +123,10 @@
 
 @_write.register
 def _(word: ToldNotices, now: float) -> dict[str, Any]:
-    return {'kind': 'limits', **write_notices(word.notices, now)}
+    return {'kind': 'limits', **encode_notices(word.notices, now)}
 
 
-def write_word(word: Word, now: float) -> bytes:
+def encode_message(word: Message, now: float) -> bytes:
     """Return a word as it is sent."""
     plain = _write(word, now)
     plain['from'] = word.sender
@@ -137,13 +137,13 @@
     rows = read_list(plain['flights'])
     return Flights(
         sender=sender,
-        sequence=read_whole(plain['sequence']),
-        whole=read_flag(plain['whole']),
+        sequence=read_int(plain['sequence']),
+        whole=read_bool(plain['whole']),
         data_centre=read_text(plain['data_centre']),
-        leaving=read_flag(plain.get('leaving', False)),
-        news_age_s=read_amount(plain['news_age_ms']) / MS,
-        again_s=read_amount(plain.get('again_ms', OLDER_AGAIN_MS)) / MS,
-        changes=tuple([read_change(row, now) for row in rows]),
+        leaving=read_bool(plain.get('leaving', False)),
+        news_age_s=read_number(plain['news_age_ms']) / MS,
+        again_s=read_number(plain.get('again_ms', OLDER_AGAIN_MS)) / MS,
+        changes=tuple([decode_change(row, now) for row in rows]),
     )
 
 
@@ -151,29 +151,29 @@
     return Beat(
         sender,
         read_text(plain['data_centre']),
-        read_flag(plain.get('leaving', False)),
+        read_bool(plain.get('leaving', False)),
     )
 
 
 def _read_fresh(plain: Plain, sender: str, now: float) -> Fresh:
-    return Fresh(sender, read_amount(plain['news_age_ms']) / MS)
+    return Fresh(sender, read_number(plain['news_age_ms']) / MS)
 
 
 def _read_question(plain: Plain, sender: str, now: float) -> Question:
-    return Question(sender, read_amount(plain['asked_at']))
+    return Question(sender, read_number(plain['asked_at']))
 
 
 def _read_reply(plain: Plain, sender: str, now: float) -> Reply:
     """Read an answer; for older versions each read is a proof."""
-    proof_age_s = read_amount(plain['proof_age_s'])
+    proof_age_s = read_number(plain['proof_age_s'])
     return Reply(
         sender=sender,
-        asked_at=read_amount(plain['asked_at']),
+        asked_at=read_number(plain['asked_at']),
         proof_age_s=proof_age_s,
-        read_age_s=read_amount(plain.get('read_age_s', proof_age_s)),
-        list_age_s=read_amount(plain['list_age_s']),
-        version=read_whole(plain['version']),
-        revision=read_whole(plain['revision']),
+        read_age_s=read_number(plain.get('read_age_s', proof_age_s)),
+        list_age_s=read_number(plain['list_age_s']),
+        version=read_int(plain['version']),
+        revision=read_int(plain['revision']),
         epoch=read_optional_count(plain.get('epoch')),
     )
 
@@ -185,8 +185,8 @@
 
 def _read_end(
     fingerprint: Any, incarnation: Any, age_ms: Any
-) -> tuple[End, float]:
-    end = End(read_text(fingerprint), read_text(incarnation))
+) -> tuple[Crash, float]:
+    end = Crash(read_text(fingerprint), read_text(incarnation))
     return end, read_count(age_ms) / MS
 
 
@@ -196,24 +196,26 @@
 
 
 def _read_notices(plain: Plain, sender: str, now: float) -> ToldNotices:
-    return ToldNotices(sender, read_notices(plain, now))
-
-
-READERS: Mapping[str, Callable[[Plain, str, float], Word]] = MappingProxyType(
-    {
-        'flights': _read_flights,
-        'beat': _read_beat,
-        'fresh': _read_fresh,
-        'ask': _read_question,
-        'reply': _read_reply,
-        'ends': _read_ends,
-        'cleared': _read_cleared,
-        'limits': _read_notices,
-    }
+    return ToldNotices(sender, decode_notices(plain, now))
+
+
+READERS: Mapping[str, Callable[[Plain, str, float], Message]] = (
+    MappingProxyType(
+        {
+            'flights': _read_flights,
+            'beat': _read_beat,
+            'fresh': _read_fresh,
+            'ask': _read_question,
+            'reply': _read_reply,
+            'ends': _read_ends,
+            'cleared': _read_cleared,
+            'limits': _read_notices,
+        }
+    )
 )
 
 
-def read_word(raw: bytes, now: float) -> Word:
+def decode_message(raw: bytes, now: float) -> Message:
     """Return a word that came in, or raise `BadWord`.
 
     >>> read_word(b'{"kind":"fresh","from":"e","news_age_ms":250}', now=0)
@@ -223,4 +225,4 @@
         plain = json.loads(raw)
         return READERS[plain['kind']](plain, read_text(plain['from']), now)
     except UNREADABLE as exc:
-        raise BadWord(repr(exc)) from exc
+        raise InvalidMessage(repr(exc)) from exc
--- a/trestledock/entry/_words.py
+++ b/trestledock/entry/_messages.py
@@ -7,8 +7,8 @@
 
 from dataclasses import dataclass
 
-from trestledock.entry._rows import Change
-from trestledock.relay import End, Notice
+from trestledock.entry._flight_codec import Change
+from trestledock.relay import Crash, Notice
 
 
 @dataclass(frozen=True)
@@ -78,7 +78,7 @@
     """Targets that ended under requests, each with the age of the end."""
 
     sender: str
-    ends: tuple[tuple[End, float], ...]
+    ends: tuple[tuple[Crash, float], ...]
 
 
 @dataclass(frozen=True)
@@ -106,4 +106,6 @@
     notices: tuple[TargetNotice, ...]
 
 
-Word = ToldNotices | Flights | Beat | Fresh | Question | Reply | Ends | Cleared
+Message = (
+    ToldNotices | Flights | Beat | Fresh | Question | Reply | Ends | Cleared
+)
--- a/trestledock/entry/_metrics.py
+++ b/trestledock/entry/_metrics.py
@@ -186,7 +186,7 @@
         self.word_bytes: Counts = {}
         self.times: dict[str, Times] = {name: Times() for name in TIMES}
 
-    def take(self, event: events.Event) -> None:
+    def record_event(self, event: events.Event) -> None:
         """Count and observe an event, if the tables say so."""
         kind = type(event)
         counting = COUNTINGS.get(kind)
@@ -203,7 +203,9 @@
         """Observe a time on one of the direct histograms."""
         self.times[name].add(seconds)
 
-    def count_words(self, way: str, kind: str, size: int, count: int) -> None:
+    def count_messages(
+        self, way: str, kind: str, size: int, count: int
+    ) -> None:
         """Count words between entries, sent or heard, of `size` bytes each."""
         labels = (way, kind)
         self.words[labels] = self.words.get(labels, 0) + count
--- a/trestledock/entry/_notice_rows.py
+++ b/trestledock/entry/_notice_codec.py
@@ -12,13 +12,13 @@
 from typing import Any, Callable, Iterable, Mapping, Sequence
 
 from trestledock.entry._checks import (
-    read_amount,
+    read_number,
     read_count,
     read_list,
     read_text,
 )
-from trestledock.entry._words import TargetNotice
-from trestledock.relay import Leave, Notice, RateLimit, Rest, RestElsewhere
+from trestledock.entry._messages import TargetNotice
+from trestledock.relay import Drain, Notice, RateLimit, Backoff, PeerBackoff
 
 MS = 1000
 
@@ -38,7 +38,7 @@
     read: Callable[..., Row]
 
 
-def write_notices(
+def encode_notices(
     notices: Iterable[TargetNotice], now: float
 ) -> dict[str, list[Row]]:
     """Return the rows by kind."""
@@ -49,7 +49,7 @@
     return rows
 
 
-def read_notices(
+def decode_notices(
     plain: Mapping[str, Any], now: float
 ) -> tuple[TargetNotice, ...]:
     """Return what rows say, or raise where it makes no sense."""
@@ -86,10 +86,10 @@
 
 
 def _read_limit(now: float, per_s: Any) -> Row:
-    return (None if per_s is None else max(0, read_amount(per_s)),)
+    return (None if per_s is None else max(0, read_number(per_s)),)
 
 
-def _write_leave(leave: Leave, now: float) -> Row:
+def _write_leave(leave: Drain, now: float) -> Row:
     return ()
 
 
@@ -97,7 +97,7 @@
     return ()
 
 
-def _write_rest(rest: Rest, now: float) -> Row:
+def _write_rest(rest: Backoff, now: float) -> Row:
     return (max(0, round((rest.until - now) * MS)),)
 
 
@@ -109,7 +109,7 @@
 FORMS: Mapping[type, Form] = MappingProxyType(
     {
         RateLimit: Form('limits', RateLimit, _write_limit, _read_limit),
-        Leave: Form('leaves', Leave, _write_leave, _read_leave),
-        Rest: Form('rests', RestElsewhere, _write_rest, _read_rest),
+        Drain: Form('leaves', Drain, _write_leave, _read_leave),
+        Backoff: Form('rests', PeerBackoff, _write_rest, _read_rest),
     }
 )
--- a/trestledock/entry/_notices.py
+++ b/trestledock/entry/_notices.py
@@ -13,21 +13,21 @@
 import anyio
 
 from trestledock.entry import _events as events
-from trestledock.entry._dialect import AnswerNote
+from trestledock.entry._dialect import AnswerMetadata
 from trestledock.entry._job import Job
 from trestledock.entry._logger import emit
-from trestledock.entry._speakers import find_helper, find_speaker
+from trestledock.entry._answer_source import find_helper, find_speaker
 from trestledock.entry._state import EntryState
 from trestledock.relay import (
-    Change,
-    Leave,
-    Listed,
+    NoticeChange,
+    Drain,
+    ListedTarget,
     Notice,
     Placement,
     RateLimit,
-    Rest,
-    RestElsewhere,
-    get_spread_s,
+    Backoff,
+    PeerBackoff,
+    get_jitter_s,
 )
 
 MS = 1000
@@ -37,12 +37,12 @@
 OWN = 'self'
 
 
-def note_answer(
+def record_answer_notices(
     state: EntryState,
     job: Job,
     placement: Placement,
     status: int,
-    answer: AnswerNote,
+    answer: AnswerMetadata,
     asked_at: float,
 ) -> None:
     """Note what an answer to a request of the instant `asked_at` says."""
@@ -51,23 +51,23 @@
     speaker = find_speaker(state, job, placement, status, answer)
     if answer.leaves:
         _note_leave(state, peer, speaker, asked_at)
-    _note_ignored(state, peer, 'rest', answer.rest.unreadable)
-    if not answer.rest.rest_s:
+    _note_ignored(state, peer, 'rest', answer.rest.invalid_text)
+    if not answer.rest.backoff_s:
         _note_rested(state, speaker, answer, asked_at)
     elif speaker:
-        _note_rest(state, speaker, answer.rest.rest_s, status, asked_at)
+        _note_rest(state, speaker, answer.rest.backoff_s, status, asked_at)
         helper = find_helper(placement, answer.at_fault)
         if helper:
-            _note_rest(state, helper, answer.rest.rest_s, status, asked_at)
+            _note_rest(state, helper, answer.rest.backoff_s, status, asked_at)
     else:
         _note_ignored(state, peer, 'rest', 'not its own answer')
 
 
-def note_order(
+def record_order_notices(
     state: EntryState,
-    holder: Listed,
+    holder: ListedTarget,
     status: int,
-    answer: AnswerNote,
+    answer: AnswerMetadata,
     asked_at: float,
 ) -> None:
     """Note what an answer to an order says of the target that it is from."""
@@ -76,8 +76,8 @@
     peer = holder.incarnation
     if answer.leaves:
         _note_leave(state, peer, peer, asked_at)
-    if answer.rest.rest_s:
-        _note_rest(state, peer, answer.rest.rest_s, status, asked_at)
+    if answer.rest.backoff_s:
+        _note_rest(state, peer, answer.rest.backoff_s, status, asked_at)
 
 
 def _note_leave(
@@ -87,16 +87,16 @@
     if not speaker:
         _note_ignored(state, peer, 'leave', 'not its own answer')
         return
-    notice = Leave(asked_at, anyio.current_time())
-    if take_notice(state, speaker, notice, OWN) is Change.learnt:
-        state.tell_notices(speaker)
+    notice = Drain(asked_at, anyio.current_time())
+    if apply_notice(state, speaker, notice, OWN) is NoticeChange.learnt:
+        state.send_notices(speaker)
 
 
 def _note_limit(
     state: EntryState,
     peer: str,
     status: int,
-    answer: AnswerNote,
+    answer: AnswerMetadata,
     asked_at: float,
 ) -> None:
     """Note how many requests a second a target takes.
@@ -106,15 +106,15 @@
     what stands before it, that knows of no limit.
     """
     limit = answer.limit
-    _note_ignored(state, peer, 'limit', limit.unreadable)
+    _note_ignored(state, peer, 'limit', limit.invalid_text)
     speaks = answer.sealed and status < HTTPStatus.BAD_REQUEST
-    if limit.per_s is None and (limit.is_named or not speaks):
+    if limit.per_s is None and (limit.is_present or not speaks):
         return
     before = state.notices.get(RateLimit, peer)
     notice = RateLimit(limit.per_s, asked_at, anyio.current_time())
-    change = take_notice(state, peer, notice, OWN)
-    if change is not Change.nothing and _is_urgent(before, notice):
-        state.tell_notices(peer)
+    change = apply_notice(state, peer, notice, OWN)
+    if change is not NoticeChange.nothing and _is_urgent(before, notice):
+        state.send_notices(peer)
 
 
 def _note_rest(
@@ -122,38 +122,38 @@
 ) -> None:
     """Note for how long a target wants nothing more from this entry."""
     now = anyio.current_time()
-    left_ms = _get_left_ms(state.notices.get(Rest, peer))
-    until = now + rest_s + get_spread_s(rest_s, state.rng.random())
-    change = state.notices.note(peer, Rest(until, asked_at, now))
-    if change is not Change.nothing:
+    left_ms = _get_left_ms(state.notices.get(Backoff, peer))
+    until = now + rest_s + get_jitter_s(rest_s, state.rng.random())
+    change = state.notices.record(peer, Backoff(until, asked_at, now))
+    if change is not NoticeChange.nothing:
         rest_ms = round(rest_s * MS)
         emit(events.RestHeard(peer, rest_ms, left_ms, status, OWN))
-        state.tell_notices(peer)
+        state.send_notices(peer)
 
 
 def _note_rested(
-    state: EntryState, peer: str, answer: AnswerNote, asked_at: float
+    state: EntryState, peer: str, answer: AnswerMetadata, asked_at: float
 ) -> None:
     """Note that a target works again: it was asked after its rest."""
-    rest = state.notices.get(Rest, peer)
+    rest = state.notices.get(Backoff, peer)
     if rest and answer.sealed and rest.is_over(asked_at):
-        state.throttle.resting.forget(peer)
+        state.throttle.backoffs.forget(peer)
         emit(events.RestEnded(peer, round((asked_at - rest.until) * MS)))
         state.notify()
 
 
-def take_notice(
+def apply_notice(
     state: EntryState, peer: str, notice: Notice, source: str
-) -> Change:
+) -> NoticeChange:
     """Believe a notice of a target, if it is news; return what it changed.
 
     That a target leaves may come before its first record.
     """
-    if peer not in state.fleet.targets and not isinstance(notice, Leave):
-        return Change.nothing
+    if peer not in state.fleet.targets and not isinstance(notice, Drain):
+        return NoticeChange.nothing
     before = state.notices.get(type(notice), peer)
-    change = state.notices.note(peer, notice)
-    if change is Change.nothing:
+    change = state.notices.record(peer, notice)
+    if change is NoticeChange.nothing:
         return change
     emit(_make_heard(notice, before, peer, change, source))
     state.notify()
@@ -165,7 +165,7 @@
     notice: Notice,
     before: Notice | None,
     peer: str,
-    change: Change,
+    change: NoticeChange,
     source: str,
 ) -> events.Event:
     """Return the line on a notice that changed what is believed."""
@@ -177,7 +177,7 @@
     notice: RateLimit,
     before: RateLimit | None,
     peer: str,
-    change: Change,
+    change: NoticeChange,
     source: str,
 ) -> events.Event:
     return events.LimitHeard(
@@ -192,10 +192,10 @@
 
 @_make_heard.register
 def _(
-    notice: Leave,
-    before: Leave | None,
+    notice: Drain,
+    before: Drain | None,
     peer: str,
-    change: Change,
+    change: NoticeChange,
     source: str,
 ) -> events.Event:
     return events.LeaveHeard(peer, source, _get_age_ms(notice))
@@ -203,19 +203,21 @@
 
 @_make_heard.register
 def _(
-    notice: RestElsewhere,
-    before: RestElsewhere | None,
+    notice: PeerBackoff,
+    before: PeerBackoff | None,
     peer: str,
-    change: Change,
+    change: NoticeChange,
     source: str,
 ) -> events.Event:
     left_ms = _get_left_ms(before)
     return events.RestHeard(peer, _get_left_ms(notice), left_ms, 0, source)
 
 
-def note_sent(state: EntryState, req: str, placement: Placement) -> None:
+def log_send_against_notices(
+    state: EntryState, req: str, placement: Placement
+) -> None:
     """Write down that a request goes to targets that asked for something."""
-    for one in placement.engaged:
+    for one in placement.engaged_targets:
         peer = one.incarnation
         limit = state.notices.get(RateLimit, peer)
         if limit and limit.per_s is not None:
@@ -234,8 +236,8 @@
 
 def _note_against(state: EntryState, req: str, peer: str) -> None:
     """Write down that a request goes where nothing should."""
-    leave = state.notices.get(Leave, peer)
-    rest = state.notices.get(Rest, peer)
+    leave = state.notices.get(Drain, peer)
+    rest = state.notices.get(Backoff, peer)
     if leave:
         age_ms = _get_age_ms(leave)
         emit(events.SentAgainstNotice(req, peer, 'leave', age_ms))
@@ -244,7 +246,7 @@
         emit(events.SentAgainstNotice(req, peer, 'rest', age_ms))
 
 
-def _get_left_ms(rest: Rest | None) -> int:
+def _get_left_ms(rest: Backoff | None) -> int:
     """Return what is left of a rest, if there is one."""
     left_s = rest.until - anyio.current_time() if rest else 0
     return round(max(0, left_s) * MS)
--- a/trestledock/entry/_notices_exchange.py
+++ b/trestledock/entry/_notices_exchange.py
@@ -13,12 +13,19 @@
 
 from trestledock.entry._datagrams import Address, join_address
 from trestledock.entry._gossip import Gossip
-from trestledock.entry._notices import take_notice
-from trestledock.entry._words import TargetNotice, ToldNotices
-from trestledock.relay import Leave, Member, Members, Notice, RateLimit, Rest
+from trestledock.entry._notices import apply_notice
+from trestledock.entry._messages import TargetNotice, ToldNotices
+from trestledock.relay import (
+    Drain,
+    Member,
+    Membership,
+    Notice,
+    RateLimit,
+    Backoff,
+)
 
 #: The kinds of notices that concern all entries.
-SHARED = (RateLimit, Leave, Rest)
+SHARED = (RateLimit, Drain, Backoff)
 #: For how long it is told again that something was taken back, in seconds.
 LIFTED_S = 30.0
 #: How often is looked which entries there are, in seconds, while their number
@@ -33,21 +40,21 @@
         """Take part in the gossip."""
         self.gossip = gossip
         self.state = gossip.state
-        self._members: Members | None = None
+        self._members: Membership | None = None
         self._counts = (0, 0)
         self._looked_at = float('-inf')
         self.state.throttle.get_members = self.get_members
-        self.state.tell_notices = self._tell
+        self.state.send_notices = self._tell
         gossip.handlers[ToldNotices] = self._take
-        gossip.on_met.append(self._tell_known)
-        gossip.on_told.append(self._tell_again)
+        gossip.on_new_peer.append(self._tell_known)
+        gossip.on_full_state_sent.append(self._tell_again)
 
-    def get_members(self) -> Members:
+    def get_members(self) -> Membership:
         """Return the entries that are heard, and how many there are."""
         now = anyio.current_time()
         counts = (
             len(self.gossip.peers.known),
-            len(self.gossip.neighbours.places),
+            len(self.gossip.addresses.data_centres),
         )
         is_old = counts != self._counts or now - self._looked_at > LOOK_S
         if self._members is None or is_old:
@@ -56,22 +63,22 @@
             self._looked_at = now
         return self._members
 
-    def _find_members(self, now: float) -> Members:
+    def _find_members(self, now: float) -> Membership:
         settings = self.state.settings
         others = [
             Member(join_address(peer.address), peer.data_centre)
             for peer in self.gossip.peers.known.values()
         ]
-        return Members(
+        return Membership(
             Member(settings.peers, settings.data_centre),
             tuple(sorted(others, key=lambda one: one.name)),
-            self.gossip.neighbours.count(now) + 1,
+            self.gossip.addresses.count(now) + 1,
         )
 
     def _tell(self, target: str) -> None:
         """Have all others know what a target has just said."""
         known = [one for one in self._get_known() if one.target == target]
-        self._send(known, self.gossip.neighbours.get_all())
+        self._send(known, self.gossip.addresses.get_all())
 
     def _tell_known(self, address: Address) -> None:
         """Have an entry that is new know what is in force, and what is not."""
@@ -104,12 +111,12 @@
 
     def _take(self, word: ToldNotices, _: Address) -> bool:
         for one in word.notices:
-            take_notice(self.state, one.target, one.notice, word.sender)
+            apply_notice(self.state, one.target, one.notice, word.sender)
         return False
 
 
 def _is_told_again(notice: Notice, now: float) -> bool:
     """Whether to make good for lost words; a rest is over soon anyway."""
-    if notice.is_told or isinstance(notice, Rest):
+    if notice.is_shared or isinstance(notice, Backoff):
         return False
-    return notice.asks_for is not None or now - notice.heard_at <= LIFTED_S
+    return notice.requested is not None or now - notice.heard_at <= LIFTED_S
--- a/trestledock/entry/_state.py
+++ b/trestledock/entry/_state.py
@@ -21,27 +21,27 @@
 from trestledock.entry._reply import Reply
 from trestledock.entry._settings import EntrySettings
 from trestledock.relay import (
-    Board,
+    LoadTable,
     Catalog,
     Fleet,
     Health,
-    Load,
+    RemoteLoad,
     Member,
     Notices,
     Placer,
-    Proof,
-    Reach,
-    Restores,
+    FreshnessProof,
+    Reachability,
+    RestoreTracker,
     RateLimit,
-    Rest,
+    Backoff,
     Throttle,
-    Turns,
+    WaitQueue,
 )
 
 #: How long to wait before a duty that failed is begun again, in seconds.
 RESTART_S = 0.3
 #: What is told instead of the age of something never known, in seconds.
-MOST_AGE_S = 1_000_000
+MAX_AGE_S = 1_000_000
 #: What stands for the version where none is in force.
 NO_VERSION = -1
 #: What is shown as the epoch of a store that tells none.
@@ -96,29 +96,29 @@
     catalog: Catalog | None = None
     document: str = ''
     fleet: Fleet = field(default_factory=Fleet)
-    board: Board = field(default_factory=Board)
+    board: LoadTable = field(default_factory=LoadTable)
     health: Health = field(default_factory=Health)
-    reach: Reach = field(default_factory=Reach)
-    turns: Turns = field(default_factory=Turns)
+    reach: Reachability = field(default_factory=Reachability)
+    turns: WaitQueue = field(default_factory=WaitQueue)
     ignored_notices: dict[str, dict[str, str]] = field(default_factory=dict)
-    restores: Restores = field(default_factory=Restores)
+    restores: RestoreTracker = field(default_factory=RestoreTracker)
     waits: set[Wait] = field(default_factory=set)
     unanswered: set[Unanswered] = field(default_factory=set)
-    leaving: bool = False
+    draining: bool = False
     closing: bool = False
-    ending: bool = False
+    aborting: bool = False
     in_progress: int = 0
     many_entries: bool = False
     changed: anyio.Event = field(default_factory=anyio.Event)
     own_changed: anyio.Event = field(default_factory=anyio.Event)
     restored: anyio.Event = field(default_factory=anyio.Event)
-    catch_up: Callable[[], None] = _do_nothing
-    tell_own: Callable[[], None] = _do_nothing
-    tell_notices: Callable[[str], None] = _tell_nobody
-    learn_loads: Callable[[], Awaitable[None]] = _learn_nothing
-    loads: dict[str, Load] = field(default_factory=dict)
+    receive_messages: Callable[[], None] = _do_nothing
+    send_own_changes: Callable[[], None] = _do_nothing
+    send_notices: Callable[[str], None] = _tell_nobody
+    refresh_loads: Callable[[], Awaitable[None]] = _learn_nothing
+    remote_loads: dict[str, RemoteLoad] = field(default_factory=dict)
     isolation: Isolation = field(init=False)
-    proof: Proof = field(init=False)
+    proof: FreshnessProof = field(init=False)
     placer: Placer = field(init=False)
     throttle: Throttle = field(init=False)
     budgets: Budgets = field(init=False)
@@ -126,7 +126,7 @@
     def __post_init__(self) -> None:
         """Build the parts that share others."""
         self.isolation = Isolation(self.health, self.fleet)
-        self.proof = Proof(self.settings.revoke_s)
+        self.proof = FreshnessProof(self.settings.revoke_s)
         self.placer = Placer(
             self.board,
             self.health,
@@ -183,33 +183,35 @@
         with anyio.move_on_after(limit_s):
             await self.changed.wait()
 
-    def note_silence(self, target_id: str, now: float) -> None:
+    def record_silence(self, target_id: str, now: float) -> None:
         """Note that a target could not be reached or said nothing.
 
         Where it ended under a request, that says nothing of its data centre.
         """
         place = self._get_place(target_id)
-        if self.isolation.quarantine.was_ended(target_id):
+        if self.isolation.quarantine.has_crashed(target_id):
             place = ''
         if not self.health.is_suspect(target_id, now, place):
             emit(events.TargetSuspected(target_id, place))
-        self.health.note_silence(target_id, now, place)
+        self.health.record_silence(target_id, now, place)
 
-    def note_success(self, target_id: str, now: float) -> None:
+    def record_success(self, target_id: str, now: float) -> None:
         """Note that a target answered as it should."""
-        self.health.note_success(target_id, now, self._get_place(target_id))
+        self.health.record_success(target_id, now, self._get_place(target_id))
 
-    def note_early(self, target_id: str, now: float) -> None:
+    def record_early_failover(self, target_id: str, now: float) -> None:
         """Note that a request was given up early at a target."""
-        self.budgets.note_early(now)
+        self.budgets.record_early_failover(now)
         emit(events.TargetDoubted(target_id))
-        self.health.note_doubt(target_id, now, self._get_place(target_id))
+        self.health.record_early_timeout(
+            target_id, now, self._get_place(target_id)
+        )
 
-    def note_sent(self, target_id: str, now: float) -> None:
+    def record_sent(self, target_id: str, now: float) -> None:
         """Note that a request goes to a target."""
-        self.health.note_sent(self._get_place(target_id), now)
+        self.health.record_sent(self._get_place(target_id), now)
 
-    def note_heard(
+    def record_remote_entry(
         self,
         place: str,
         name: str,
@@ -220,30 +222,30 @@
         """Note that an entry of another data centre has spoken."""
         if place == self.settings.data_centre:
             return
-        self.health.note_heard(place)
+        self.health.record_message(place)
         if leaving:
-            self.reach.note_left(place, name)
+            self.reach.remove_instance(place, name)
         else:
-            self.reach.note_heard(place, name, now)
+            self.reach.record_message(place, name, now)
 
-    def check_reach(self, now: float) -> None:
+    def check_reachability(self, now: float) -> None:
         """Leave the targets of data centres that have fallen silent."""
-        for place in self.reach.look(now):
-            if self.health.note_quiet(place, now):
+        for place in self.reach.check(now):
+            if self.health.record_silent_data_centre(place, now):
                 emit(events.DataCentreQuiet(place))
                 self._end_waits(place)
 
-    def is_cut_off(self, target_id: str, now: float) -> bool:
+    def is_unreachable(self, target_id: str, now: float) -> bool:
         """Whether all entries of a target's data centre are silent."""
-        return self._get_place(target_id) in self.reach.get_quiet(now)
+        return self._get_place(target_id) in self.reach.get_silent(now)
 
-    def get_loads(self, now: float) -> set[str]:
+    def get_known_remote_loads(self, now: float) -> set[str]:
         """Return the data centres whose loads are known now; forget others."""
-        for place, load in tuple(self.loads.items()):
+        for place, load in tuple(self.remote_loads.items()):
             if not load.is_fresh(now):
-                self.loads.pop(place)
-                self.board.set_elsewhere(place, ())
-        return set(self.loads)
+                self.remote_loads.pop(place)
+                self.board.set_remote_load(place, ())
+        return set(self.remote_loads)
 
     def count_entries(self) -> int:
         """Return how many entries there are, this one included.
@@ -252,9 +254,9 @@
         cut off.
         """
         heard = self.board.count_peers() + 1
-        return max(heard, self.throttle.get_members().known)
+        return max(heard, self.throttle.get_members().known_count)
 
-    def note_list(
+    def record_list(
         self,
         as_of: float,
         now: float,
@@ -266,26 +268,26 @@
         It is no younger than `latest_at`.
         """
         watch = self.fleet.watch
-        gap_s = min(as_of - watch.read_at, MOST_AGE_S)
-        watch.note_read(as_of, now, latest_at)
+        gap_s = min(as_of - watch.read_at, MAX_AGE_S)
+        watch.record_read(as_of, now, latest_at)
         if watch.disturbed_at == now:
             emit(events.ListDisturbed(source, round(gap_s * MS)))
 
-    def note_epoch(self, epoch: int | None, now: float) -> None:
+    def record_epoch(self, epoch: int | None, now: float) -> None:
         """Note which copy of the store was read."""
         before = self.restores.epoch
-        if self.restores.note(epoch, now):
+        if self.restores.record_epoch(epoch, now):
             self._note_restore(STORE, before, epoch, now)
 
-    def note_told_epoch(
+    def record_reported_epoch(
         self, epoch: int | None, now: float, source: str
     ) -> None:
         """Note which copy of the store another entry knows."""
         before = self.restores.epoch
-        if self.restores.note_told(epoch):
+        if self.restores.record_peer_epoch(epoch):
             self._note_restore(source, before, epoch, now)
 
-    def get_news_age_s(self, now: float) -> float:
+    def get_store_age_s(self, now: float) -> float:
         """Return how long ago the older of what is known was read.
 
         A reader is only as good as the older of its configuration and its
@@ -293,15 +295,15 @@
         """
         return max(self.proof.get_read_age_s(now), self.get_list_age_s(now))
 
-    def get_offered_age_s(self, now: float) -> float:
+    def get_advertised_age_s(self, now: float) -> float:
         """Return the age of the news for those who might ask for it.
 
         An entry that ends stops to take connections while it still speaks, so
         it offers nothing from the beginning of its end on.
         """
-        if self.leaving:
-            return MOST_AGE_S
-        return min(self.get_news_age_s(now), MOST_AGE_S)
+        if self.draining:
+            return MAX_AGE_S
+        return min(self.get_store_age_s(now), MAX_AGE_S)
 
     def get_list_age_s(self, now: float) -> float:
         """Return the age of what is known of the targets in seconds."""
@@ -317,8 +319,8 @@
             'store_epoch': NO_EPOCH if epoch is None else epoch,
             'version': self.version,
             'targets': len(self.fleet.targets),
-            'targets_held': len(self.fleet.held),
-            'targets_leaving': self.fleet.count_leaving(),
+            'targets_held': len(self.fleet.retained),
+            'targets_leaving': self.fleet.count_draining(),
             'list_age_seconds': self.get_list_age_s(now),
             'peers': self.board.count_peers(),
             'targets_resting': self._count_resting(now),
@@ -329,7 +331,7 @@
         }
 
     @contextmanager
-    def keep_unanswered(
+    def track_unanswered(
         self,
         reply: Reply,
         scope: anyio.CancelScope,
@@ -342,21 +344,21 @@
         finally:
             self.unanswered.discard(one)
 
-    def end_requests(self) -> None:
+    def abort_requests(self) -> None:
         """Have each request that has no whole answer get its last word."""
-        self.ending = True
+        self.aborting = True
         for one in tuple(self.unanswered):
             if not one.reply.finished:
                 one.scope.cancel()
 
-    def is_leaving(self) -> bool:
+    def is_draining(self) -> bool:
         """Whether connections should be closed after their answer."""
-        return self.leaving
+        return self.draining
 
     def is_ready(self, now: float) -> bool:
         """Whether new connections should come here."""
         known = self.catalog is not None and bool(self.fleet.targets)
-        return known and not self.leaving and self.proof.is_ready(now)
+        return known and not self.draining and self.proof.is_ready(now)
 
     def _note_restore(
         self,
@@ -366,14 +368,14 @@
         now: float,
     ) -> None:
         """Hold what the copy lacks, and have what was lost written again."""
-        self.fleet.watch.note_restore(now)
-        self.isolation.note_restore()
+        self.fleet.watch.record_restore(now)
+        self.isolation.record_restore()
         emit(events.StoreRestored(source, before, epoch, self.version))
         self.restored.set()
         self.restored = anyio.Event()
 
     def _count_resting(self, now: float) -> int:
-        rests = self.notices.get_all(Rest).values()
+        rests = self.notices.get_all(Backoff).values()
         return sum(not one.is_over(now) for one in rests)
 
     def _get_quota_sum(self) -> float:
--- a/trestledock/entry/_restoring.py
+++ b/trestledock/entry/_store_repair.py
@@ -18,9 +18,9 @@
 from trestledock.entry._gossip import Gossip
 from trestledock.entry._isolation import STORE
 from trestledock.entry._logger import emit
-from trestledock.entry._reading import EXPECTED
+from trestledock.entry._store_reader import EXPECTED
 from trestledock.entry._state import EntryState
-from trestledock.relay import Quarantined
+from trestledock.relay import QuarantineRecord
 
 #: The readers of several data centres don't look at the same moment: each waits
 #: up to so long, in seconds, of the second in which all is to be there again.
@@ -57,9 +57,9 @@
             with anyio.move_on_after(LOOK_S):
                 await self.state.restored.wait()
             if self.is_reader() and self._is_store_there():
-                await self.look()
+                await self.repair()
 
-    async def look(self) -> None:
+    async def repair(self) -> None:
         """Do what is due; what fails is done at the next look."""
         try:
             with anyio.fail_after(SPREAD_S + TIMEOUT_S):
@@ -85,7 +85,7 @@
 
     async def _write_addresses(self) -> None:
         announced = await self.directory.read_peers()
-        self.gossip.meet(announced.addresses)
+        self.gossip.add_addresses(announced.addresses)
         there = set(announced.addresses.values())
         missing = {
             name: address
@@ -115,7 +115,7 @@
         if not any(isolation.quarantine.get_records(anyio.current_time())):
             return True
         stored = await self.directory.quarantine.read_whole()
-        isolation.take_records(stored.records, STORE)
+        isolation.merge_records(stored.records, STORE)
         there = {one.fingerprint: one for one in stored.records}
         missing = [
             one
@@ -138,14 +138,14 @@
         is_due = restores.needs_record(anyio.current_time())
         if is_due and epoch is not None:
             await self.directory.announce_settled(epoch)
-            restores.note_recorded(epoch)
+            restores.set_recorded_epoch(epoch)
 
 
-def _is_missing(one: Quarantined, there: Quarantined | None) -> bool:
+def _is_missing(one: QuarantineRecord, there: QuarantineRecord | None) -> bool:
     """Whether a record says more than the one that the store has."""
     if there is None:
         return True
     known = {*there.incarnations, *there.cleared}
     is_known = known.issuperset(one.incarnations)
     are_cleared = set(there.cleared).issuperset(one.cleared)
-    return not is_known or not are_cleared or one.trials > there.trials
+    return not is_known or not are_cleared or one.probes > there.probes
--- a/trestledock/entry/_listing.py
+++ b/trestledock/entry/_target_list.py
@@ -13,13 +13,13 @@
 
 import anyio
 
-from trestledock.clock import PauseWatch
+from trestledock.clock import SuspensionDetector
 from trestledock.entry import _events as events
-from trestledock.entry._dialect import News
+from trestledock.entry._dialect import StoreUpdate
 from trestledock.entry._logger import emit
 from trestledock.entry._pool import Pool
 from trestledock.entry._state import EntryState
-from trestledock.relay import BEFORE_ALL, Listed, Order
+from trestledock.relay import LOWEST_ORDER, ListedTarget, RecordOrder
 
 #: How often held targets are looked at, in seconds.
 LOOK_S = 0.2
@@ -31,7 +31,7 @@
 MS = 1000
 
 
-class Listing:
+class TargetListUpdater:
     """Keeps one entry's fleet as the newest list says."""
 
     def __init__(self, state: EntryState, pool: Pool) -> None:
@@ -40,52 +40,52 @@
         self.fleet = state.fleet
         self.pool = pool
 
-    def take(self, news: News) -> None:
+    def apply(self, news: StoreUpdate) -> None:
         """Take what a list says that is true as of `news.as_of`."""
         now = anyio.current_time()
-        self.state.note_list(news.as_of, now, news.source, news.latest_at)
+        self.state.record_list(news.as_of, now, news.source, news.latest_at)
         if news.whole:
             self._drop_missing(news, now)
-        records: dict[str, list[Listed | None]] = defaultdict(list)
+        records: dict[str, list[ListedTarget | None]] = defaultdict(list)
         for one in news.targets:
             records[one.target_id].append(one.listed)
         for target_id, of_one in records.items():
             before = self.fleet.get_by_id(target_id)
             self._take_records(target_id, of_one, news, now)
             if before and self.fleet.is_superseded(before):
-                self.state.isolation.note_replaced(before.incarnation)
+                self.state.isolation.record_replaced(before.incarnation)
                 self._forget([before.incarnation], news.source)
-        if not self.fleet.watch.is_settled(now):
+        if not self.fleet.watch.is_synchronized(now):
             self._hold(news, now)
 
-    def take_past(self, news: News) -> None:
+    def apply_removals(self, news: StoreUpdate) -> None:
         """Take what another entry knows of targets that have left."""
         now = anyio.current_time()
         for incarnation in news.leaving:
-            self.fleet.note_leaving(incarnation, now)
-        dropped = self.fleet.take_gone(news.gone)
+            self.fleet.record_draining(incarnation, now)
+        dropped = self.fleet.merge_removed(news.gone)
         self._forget(dropped, news.source)
 
     async def run(self) -> None:
         """Drop held targets whose time is over, until cancelled."""
         looked_at = anyio.current_time()
-        pauses = PauseWatch()
+        pauses = SuspensionDetector()
         while True:
             await anyio.sleep(LOOK_S)
             now = anyio.current_time()
-            pause_s = pauses.look()
+            pause_s = pauses.measure()
             if pause_s:
                 emit(events.Suspended(round(pause_s * MS)))
             if now - looked_at > LOOK_S + STOOD_STILL_S:
-                self.fleet.watch.note_trouble(now)
+                self.fleet.watch.record_failure(now)
             looked_at = now
-            self._forget(self.fleet.expire(now), LAPSED)
+            self._forget(self.fleet.expire_retained(now), LAPSED)
 
     def _take_records(
         self,
         target_id: str,
-        records: list[Listed | None],
-        news: News,
+        records: list[ListedTarget | None],
+        news: StoreUpdate,
         now: float,
     ) -> None:
         """Take the records of one target, in the order of the log.
@@ -101,14 +101,14 @@
                 self._put(listed, news)
             return
         for old in (*past, *present):
-            self.fleet.note_past(old)
+            self.fleet.record_outdated(old)
         self._drop(target_id, news, now)
 
     def _is_back(
         self,
         target_id: str,
-        past: list[Listed],
-        present: list[Listed],
+        past: list[ListedTarget],
+        present: list[ListedTarget],
     ) -> bool:
         """Whether a target was listed anew after its removal.
 
@@ -117,34 +117,34 @@
         may be from others, is not newer than all of them.
         """
         known = self.fleet.get_last_order(target_id)
-        newest = _get_newest(present, BEFORE_ALL)
+        newest = _get_newest(present, LOWEST_ORDER)
         return newest >= known and newest > _get_newest(past, known)
 
-    def _hold(self, news: News, now: float) -> None:
+    def _hold(self, news: StoreUpdate, now: float) -> None:
         """Hold what the source holds and what was never known here.
 
         Whoever has followed the store for long enough knows better.
         """
         for held in news.held:
-            if self.fleet.hold(held.listed, now + held.left_s):
+            if self.fleet.retain(held.listed, now + held.left_s):
                 self._note_held(held.listed, news, now)
 
-    def _drop_missing(self, news: News, now: float) -> None:
+    def _drop_missing(self, news: StoreUpdate, now: float) -> None:
         present = {one.target_id for one in news.targets if one.listed}
         for target_id in set(self.fleet.newest) - present:
             self._drop(target_id, news, now)
 
-    def _put(self, listed: Listed, news: News) -> None:
-        again = listed.target_id in self.fleet.gone
+    def _put(self, listed: ListedTarget, news: StoreUpdate) -> None:
+        again = listed.target_id in self.fleet.removed
         if not self.fleet.put(listed):
             return
-        self.state.isolation.note_listed(listed)
+        self.state.isolation.record_listed(listed)
         emit(
             events.TargetListed(
                 listed.incarnation,
                 listed.service,
                 listed.standing.value,
-                self.fleet.is_leaving(listed.incarnation),
+                self.fleet.is_draining(listed.incarnation),
                 listed.sequence,
                 news.source,
                 again,
@@ -152,18 +152,20 @@
         )
         self.state.notify()
 
-    def _drop(self, target_id: str, news: News, now: float) -> None:
+    def _drop(self, target_id: str, news: StoreUpdate, now: float) -> None:
         known = self.fleet.get_by_id(target_id)
         if known is None:
             return
-        was_held = known.incarnation in self.fleet.held
+        was_held = known.incarnation in self.fleet.retained
         until = self._get_grace_end(target_id, news, now)
-        if self.fleet.drop(target_id, until, now):
+        if self.fleet.record_removal(target_id, until, now):
             self._forget([known.incarnation], news.source)
         elif not was_held:
             self._note_held(known, news, now)
 
-    def _get_grace_end(self, target_id: str, news: News, now: float) -> float:
+    def _get_grace_end(
+        self, target_id: str, news: StoreUpdate, now: float
+    ) -> float:
         """Return until when a missing target may only have lapsed.
 
         By own evidence alone; the source may know better when the store was
@@ -179,15 +181,17 @@
         )
         return next(ends, watch.grace_end)
 
-    def _note_held(self, listed: Listed, news: News, now: float) -> None:
+    def _note_held(
+        self, listed: ListedTarget, news: StoreUpdate, now: float
+    ) -> None:
         name = listed.incarnation
-        left_s = self.fleet.held[name] - now
+        left_s = self.fleet.retained[name] - now
         emit(events.TargetHeld(name, news.source, round(left_s * MS)))
 
     def _forget(self, gone: list[str], source: str) -> None:
         for incarnation in gone:
             emit(events.TargetGone(incarnation, source))
-            self.pool.drop(incarnation)
+            self.pool.close_idle(incarnation)
             self.state.health.targets.pop(incarnation, None)
             self.state.throttle.forget(incarnation)
             self.state.ignored_notices.pop(incarnation, None)
@@ -196,8 +200,8 @@
 
 
 def _split_at_removal(
-    records: list[Listed | None],
-) -> tuple[list[Listed], list[Listed]]:
+    records: list[ListedTarget | None],
+) -> tuple[list[ListedTarget], list[ListedTarget]]:
     """Return the records before and after the last removal, if any.
 
     >>> one, two = Listed('t', 's', 'a'), Listed('t', 's', 'b')
@@ -209,9 +213,9 @@
     return _drop_none(records[:split_at]), _drop_none(records[split_at:])
 
 
-def _get_newest(records: list[Listed], least: Order) -> Order:
+def _get_newest(records: list[ListedTarget], least: RecordOrder) -> RecordOrder:
     return max((listed.order for listed in records), default=least)
 
 
-def _drop_none(records: Iterable[Listed | None]) -> list[Listed]:
+def _drop_none(records: Iterable[ListedTarget | None]) -> list[ListedTarget]:
     return [listed for listed in records if listed is not None]
--- a/trestledock/process/__init__.py
+++ b/trestledock/process/__init__.py
@@ -11,19 +11,19 @@
     Action,
     AppendRecord,
     CallService,
-    CancelHolds,
+    CancelReservations,
     Count,
     EmitChunks,
     Finish,
     GiveOrder,
     Job,
-    Note,
+    LogEvent,
     Published,
     ResumeStream,
     StartJob,
-    ToPeer,
+    SendToPeer,
 )
-from trestledock.process._claims import ClaimTable, Grant
+from trestledock.process._claims import ClaimTable, ClaimDecision
 from trestledock.process._epoch import Epoch, Handover
 from trestledock.process._explaining import explain
 from trestledock.process._fleet import Target
@@ -34,16 +34,16 @@
     AttemptFailed,
     CacheReported,
     CallDone,
-    CallerGone,
+    CallerDisconnected,
     CancelConfirmed,
     ChunkArrived,
     InstancesListed,
     LoadReported,
     LogRead,
-    MarkLeaving,
+    MarkDraining,
     OrderAnswered,
     PeerMessage,
-    PieceDone,
+    PrefillDone,
     Publish,
     Shutdown,
     StreamDone,
@@ -51,7 +51,7 @@
 )
 from trestledock.process._node import Node
 from trestledock.process._payloads import PAYLOADS, ClaimAsk, Payload
-from trestledock.process._policy import PLAIN, Chooser, Policy
+from trestledock.process._policy import BASELINE, Chooser, Policy
 from trestledock.process._targets import (
     CacheEvent,
     LoadReport,
@@ -62,7 +62,7 @@
 
 __all__ = (
     'PAYLOADS',
-    'PLAIN',
+    'BASELINE',
     'Action',
     'AppendRecord',
     'Arrive',
@@ -71,9 +71,9 @@
     'CacheReported',
     'CallDone',
     'CallService',
-    'CallerGone',
+    'CallerDisconnected',
     'CancelConfirmed',
-    'CancelHolds',
+    'CancelReservations',
     'Chooser',
     'ChunkArrived',
     'ClaimAsk',
@@ -83,7 +83,7 @@
     'Epoch',
     'Finish',
     'GiveOrder',
-    'Grant',
+    'ClaimDecision',
     'Handover',
     'Identity',
     'InstancesListed',
@@ -92,14 +92,14 @@
     'LoadReport',
     'LoadReported',
     'LogRead',
-    'MarkLeaving',
+    'MarkDraining',
     'Node',
-    'Note',
+    'LogEvent',
     'OrderAnswered',
     'Payload',
     'PeerInfo',
     'PeerMessage',
-    'PieceDone',
+    'PrefillDone',
     'Policy',
     'Publish',
     'Published',
@@ -111,7 +111,7 @@
     'TargetInfo',
     'Tick',
     'Timing',
-    'ToPeer',
+    'SendToPeer',
     'explain',
     'rank_by_key',
 )
--- a/trestledock/process/_actions.py
+++ b/trestledock/process/_actions.py
@@ -73,7 +73,7 @@
 
 
 @dataclass(frozen=True)
-class CancelHolds:
+class CancelReservations:
     """Cancel reservations on an engine; repeated until it confirms."""
 
     target: str
@@ -98,7 +98,7 @@
 
 
 @dataclass(frozen=True)
-class ToPeer:
+class SendToPeer:
     """Send a payload to a peer; it may be lost."""
 
     peer: str
@@ -144,7 +144,7 @@
 
 
 @dataclass(frozen=True)
-class Note:
+class LogEvent:
     """Write a state change to the instance's log output."""
 
     event: str
@@ -156,13 +156,13 @@
     StartJob
     | CallService
     | ResumeStream
-    | CancelHolds
+    | CancelReservations
     | EmitChunks
     | Finish
-    | ToPeer
+    | SendToPeer
     | AppendRecord
     | GiveOrder
     | Published
     | Count
-    | Note
+    | LogEvent
 )
--- a/trestledock/process/_answers.py
+++ b/trestledock/process/_answers.py
@@ -33,7 +33,7 @@
     CallDone,
     CancelConfirmed,
     ChunkArrived,
-    PieceDone,
+    PrefillDone,
     StreamDone,
 )
 from trestledock.process._state import State
@@ -57,9 +57,9 @@
 STREAM_STEP = 'stream'
 
 
-def on_prefill_done(message: PieceDone, state: State, now: float) -> None:
+def on_prefill_done(message: PrefillDone, state: State, now: float) -> None:
     """Send the next reservation or prefill chunk."""
-    live = state.live.get(message.req_id)
+    live = state.requests.get(message.req_id)
     if live is None or live.phase is not Phase.running:
         return
     if (message.hold, message.stop) != live.awaited:
@@ -71,7 +71,7 @@
 
 def on_chunk(message: ChunkArrived, state: State, now: float) -> None:
     """Send the caller the chunks that are in order."""
-    live = state.live.get(message.req_id)
+    live = state.requests.get(message.req_id)
     if live is None or live.phase is not Phase.running:
         return
     if not live.advance_attempt(message.attempt, AttemptEvent.answer):
@@ -88,7 +88,7 @@
 
 def on_stream_done(message: StreamDone, state: State, now: float) -> None:
     """Record the end of a stream, and wait a little for missing chunks."""
-    live = state.live.get(message.req_id)
+    live = state.requests.get(message.req_id)
     if live is None or live.phase is not Phase.running:
         return
     if not live.advance_attempt(message.attempt, AttemptEvent.answer):
@@ -114,7 +114,7 @@
 
 def on_silence_due(message: SilenceDue, state: State, now: float) -> None:
     """Fail an attempt whose engine has not responded to a job."""
-    live = state.live.get(message.req_id)
+    live = state.requests.get(message.req_id)
     if live is None or live.phase is not Phase.running:
         return
     is_same_job = live.awaited == (message.hold, message.stop)
@@ -131,7 +131,7 @@
 
 def fail_silent_streams(state: State, now: float) -> None:
     """Resume silent streams, or continue them on another engine."""
-    for live in tuple(state.live.values()):
+    for live in tuple(state.requests.values()):
         is_streaming = live.phase is Phase.running and live.heard_at > 0
         if is_streaming and now - live.heard_at > STREAM_TIMEOUT_S:
             live.heard_at = now
@@ -147,7 +147,7 @@
 
 def on_call_done(message: CallDone, state: State, now: float) -> None:
     """Send the caller the response of a plain service."""
-    live = state.live.get(message.req_id)
+    live = state.requests.get(message.req_id)
     if live is None or not live.advance_attempt(
         message.attempt, AttemptEvent.finish
     ):
@@ -170,7 +170,7 @@
     now: float,
 ) -> None:
     """Resume the stream, retry on another target, or end the request."""
-    live = state.live.get(message.req_id)
+    live = state.requests.get(message.req_id)
     if live is None or live.phase is not Phase.running:
         return
     if message.attempt != live.attempt.number:
@@ -192,7 +192,7 @@
 
 def on_retry_due(message: RetryDue, state: State, now: float) -> None:
     """Make the next attempt after the backoff."""
-    live = state.live.get(message.req_id)
+    live = state.requests.get(message.req_id)
     if live is None or live.phase is not Phase.backoff:
         return
     if live.req.kind is Kind.call:
@@ -240,7 +240,7 @@
 
 
 def _finish_if_complete(state: State, live: LiveRequest, now: float) -> None:
-    if not live.assembler.is_whole:
+    if not live.assembler.is_complete:
         return
     live.advance_attempt(live.attempt.number, AttemptEvent.finish)
     name = live.shares[-1].target
@@ -292,7 +292,7 @@
         refuse(state, live, Reason.quarantined, detail=message.detail)
     elif not (live.req.idempotent or message.not_started):
         refuse(state, live, reason, LOST_RETRY_AFTER_S, message.detail)
-    elif state.get_budget(live.pool).spend(now, instances=1):
+    elif state.get_budget(live.pool).try_spend(now, instances=1):
         state.count('retries', reason.value)
         live.enter_phase(Phase.backoff)
         state.get_queue(live.pool).mark_finished(live.req.req_id)
@@ -319,7 +319,7 @@
 
 def fail_replaced(state: State, target_name: str, now: float) -> None:
     """Fail the attempts on a target whose incarnation was replaced."""
-    for live in tuple(state.live.values()):
+    for live in tuple(state.requests.values()):
         used = {share.target for share in live.shares}
         if live.phase is Phase.running and target_name in used:
             live.resumed = True
--- a/trestledock/process/_applying.py
+++ b/trestledock/process/_applying.py
@@ -75,7 +75,7 @@
     state.epochs[data_centre] = epoch
     if data_centre != state.identity.data_centre:
         return
-    if state.claims.enter(epoch, now):
+    if state.claims.enter_epoch(epoch, now):
         state.log_event(
             'epoch', detail=f'{accepted.offset} {list(body.members)}'
         )
--- a/trestledock/process/_arrivals.py
+++ b/trestledock/process/_arrivals.py
@@ -25,7 +25,7 @@
 from trestledock.process._groups import get_giant_engine_limit
 from trestledock.process._isolating import is_quarantined, start_due_probe
 from trestledock.process._live import LiveRequest, Phase
-from trestledock.process._messages import Arrive, CallerGone
+from trestledock.process._messages import Arrive, CallerDisconnected
 from trestledock.process._queue import MAX_QUEUED
 from trestledock.process._state import State
 from trestledock.process._timers import DeadlinePassed
@@ -45,7 +45,7 @@
     """Admit a request or refuse it at once."""
     req = message.req
     live = LiveRequest(req, now, pool='')
-    state.live[req.req_id] = live
+    state.requests[req.req_id] = live
     state.set_timer(req.deadline, DeadlinePassed(req.req_id))
     state.count('requests', req.kind.value)
     reason = _check_basics(state, req, now)
@@ -54,15 +54,17 @@
         return
     start_due_probe(state, live, now)
     if is_quarantined(state, live):
-        wait_s = state.quarantine.get_come_back_s(req.fingerprint, now)
+        wait_s = state.quarantine.get_retry_after_s(req.fingerprint, now)
         refuse(state, live, Reason.quarantined, wait_s)
         return
     _ADMITTERS[req.kind](state, live, now)
 
 
-def on_caller_gone(message: CallerGone, state: State, now: float) -> None:
+def on_caller_gone(
+    message: CallerDisconnected, state: State, now: float
+) -> None:
     """End the request of a caller that has disconnected."""
-    live = state.live.get(message.req_id)
+    live = state.requests.get(message.req_id)
     if live:
         refuse(state, live, Reason.caller_gone)
 
@@ -71,7 +73,7 @@
     message: DeadlinePassed, state: State, now: float
 ) -> None:
     """End a request at its deadline, whatever messages were lost."""
-    live = state.live.get(message.req_id)
+    live = state.requests.get(message.req_id)
     if live:
         reason = Reason.deadline_passed
         if live.claim and live.claim.refused:
@@ -97,7 +99,7 @@
     if _refuse_without_candidate(state, live, found):
         return
     live.pool = found.pool.name if found.pool else ''
-    state.get_budget(live.pool).earn(now)
+    state.get_budget(live.pool).record_request(now)
     if live.req.idempotent or not live.req.idempotency_key:
         start_call(state, live, found.candidates, live.req.deadline, now)
         return
@@ -125,7 +127,7 @@
     wait_s = cost_ahead / len(found.candidates)
     if _refuse_late(state, live, best, wait_s, now):
         return
-    state.get_budget(live.pool).earn(now)
+    state.get_budget(live.pool).record_request(now)
     live.least_s = best.prefill_s + best.decode_s
     waiting = make_queued_request(state, live)
     queue.push(waiting)
@@ -200,7 +202,9 @@
     if not state.policy.admission:
         return False
     needed_s = wait_s + best.ttft_s + best.decode_s
-    excess_s = needed_s * state.policy.margin - (live.req.deadline - now)
+    excess_s = needed_s * state.policy.deadline_margin - (
+        live.req.deadline - now
+    )
     if excess_s > 0:
         refuse(state, live, Reason.deadline_unreachable, max(excess_s, wait_s))
     return excess_s > 0
--- a/trestledock/process/_choosing.py
+++ b/trestledock/process/_choosing.py
@@ -14,7 +14,7 @@
 from trestledock.process._state import State
 from trestledock.relay import rank_by_key
 from trestledock.request import (
-    CLASS_PRIORITY,
+    PRIORITY_BY_LENGTH,
     URGENT_PRIORITY,
     Reason,
     Request,
@@ -113,9 +113,9 @@
     """
     if not state.policy.priorities:
         return 1
-    if req.deadline - now - remaining_s < state.policy.urgent_s:
+    if req.deadline - now - remaining_s < state.policy.urgent_slack_s:
         return URGENT_PRIORITY
-    return CLASS_PRIORITY[req.length_class]
+    return PRIORITY_BY_LENGTH[req.length_class]
 
 
 def find_permitted(state: State, req: Request) -> PermittedSet:
@@ -229,7 +229,7 @@
         (by_name[name] for name in ranked),
         key=lambda choice: -choice.preference,
     )
-    return tuple(ordered[: state.policy.subset])
+    return tuple(ordered[: state.policy.subset_size])
 
 
 def choose_engine(
@@ -288,10 +288,15 @@
     decode_s = req.max_tokens * report.itl_s
     priority = get_priority(state, req, now, prefill_s + decode_s)
     wait_s = target.load.predict_wait(priority, now)
-    if state.policy.pace and uncached_tokens > state.policy.whole_tokens:
+    if (
+        state.policy.uses_pace
+        and uncached_tokens > state.policy.max_unchunked_tokens
+    ):
         paced_s = uncached_tokens * target.load.get_pace(priority, now)
         prefill_s = max(prefill_s, paced_s - wait_s)
-    penalty_s = (best - permitted.preference) * state.policy.prefer_s
+    penalty_s = (
+        best - permitted.preference
+    ) * state.policy.preference_penalty_s
     return Candidate(
         target,
         wait_s,
@@ -321,7 +326,7 @@
     tied = [
         candidate
         for candidate in candidates
-        if candidate.score_s <= lowest + state.policy.near_s
+        if candidate.score_s <= lowest + state.policy.tie_s
     ]
     return state.rng.choice(tied)
 
--- a/trestledock/process/_claiming.py
+++ b/trestledock/process/_claiming.py
@@ -14,7 +14,7 @@
 """
 
 from trestledock.process._choosing import choose_service
-from trestledock.process._claims import Grant
+from trestledock.process._claims import ClaimDecision
 from trestledock.process._dispatching import start_call
 from trestledock.process._ending import finish_request, refuse, send_to_member
 from trestledock.process._epoch import Epoch
@@ -73,7 +73,7 @@
 
 def on_claim_due(message: ClaimDue, state: State, now: float) -> None:
     """Repeat the request while there is no usable response."""
-    live = state.live.get(message.req_id)
+    live = state.requests.get(message.req_id)
     if live and live.phase is Phase.claiming:
         request_claim(state, live, now)
 
@@ -81,12 +81,12 @@
 def on_claim_answer(state: State, answer: ClaimAnswer, now: float) -> None:
     """Handle the response of a key's first replica."""
     req_id = answer.claim_id.removeprefix(f'{state.member}/')
-    live = state.live.get(req_id)
+    live = state.requests.get(req_id)
     if live is None or live.phase is not Phase.claiming or not live.claim:
         return
     if live.claim.claim_id == answer.claim_id:
         live.claim.heard_at = now
-        _ANSWER_HANDLERS[Grant(answer.grant)](state, live, answer, now)
+        _ANSWER_HANDLERS[ClaimDecision(answer.grant)](state, live, answer, now)
 
 
 def refuse_unclaimed(
@@ -203,10 +203,10 @@
 
 
 _ANSWER_HANDLERS = {  # noqa: WPS407 - read only by name
-    Grant.granted: _on_granted,
-    Grant.pending: _on_pending,
-    Grant.done: _on_done,
-    Grant.unknown: _on_unknown,
-    Grant.blind: _on_unknown_history,
-    Grant.stale: _on_stale,
+    ClaimDecision.granted: _on_granted,
+    ClaimDecision.pending: _on_pending,
+    ClaimDecision.done: _on_done,
+    ClaimDecision.unknown: _on_unknown,
+    ClaimDecision.blind: _on_unknown_history,
+    ClaimDecision.stale: _on_stale,
 }
--- a/trestledock/process/_claims.py
+++ b/trestledock/process/_claims.py
@@ -40,7 +40,7 @@
 MAX_VOUCHES = 16
 
 
-class Grant(str, Enum):
+class ClaimDecision(str, Enum):
     """The responses to a request for a claim."""
 
     granted = 'granted'
@@ -65,12 +65,12 @@
     acknowledged_by: set[str] = field(default_factory=set)
     acknowledged_epoch: int = -1
 
-    def decide_repeat(self, now: float) -> Grant:
+    def decide_repeat(self, now: float) -> ClaimDecision:
         """Return the response to another claim on the same key."""
         if self.outcome:
-            return Grant.done
+            return ClaimDecision.done
         expired = now > self.created_at + self.ttl_s
-        return Grant.unknown if expired else Grant.pending
+        return ClaimDecision.unknown if expired else ClaimDecision.pending
 
 
 #: Payloads to send, each with the name of the receiving member.
@@ -94,7 +94,7 @@
     vouches: set[int] = field(default_factory=set)
     handed_over_to: set[str] = field(default_factory=set)
 
-    def enter(self, epoch: Epoch, now: float) -> bool:
+    def enter_epoch(self, epoch: Epoch, now: float) -> bool:
         """Enter a newer epoch, which ends all grants in older epochs.
 
         Returns whether the epoch was newer.
@@ -134,7 +134,7 @@
             default=0,
         )
 
-    def ask(
+    def handle_ask(
         self, sender: str, message: ClaimAsk, now: float
     ) -> OutgoingPayloads:
         """Decide on a claim, as the first replica of its key."""
@@ -147,7 +147,7 @@
             self.claims[message.key] = claim
         return self._replicate(message, claim)
 
-    def copy(
+    def handle_copy(
         self, sender: str, message: ClaimCopy, now: float
     ) -> OutgoingPayloads:
         """Store the copy of a claim that the key's first replica sent."""
@@ -171,7 +171,9 @@
         )
         return [(sender, answer)]
 
-    def copied(self, sender: str, message: ClaimCopied) -> OutgoingPayloads:
+    def handle_copied(
+        self, sender: str, message: ClaimCopied
+    ) -> OutgoingPayloads:
         """Record an acknowledged copy; grant once every replica has one."""
         claim = self.claims.get(message.key)
         epoch = self.epoch
@@ -180,13 +182,13 @@
         if claim.claim_id != message.claim_id:
             return []
         if not message.recorded:
-            return [_answer_claimant(message, claim, Grant.unknown)]
+            return [_answer_claimant(message, claim, ClaimDecision.unknown)]
         self._record_acknowledgement(claim, sender)
         if claim.acknowledged_by >= set(self._get_other_replicas(message.key)):
-            return [_answer_claimant(message, claim, Grant.granted)]
+            return [_answer_claimant(message, claim, ClaimDecision.granted)]
         return []
 
-    def settle(self, message: ClaimResult) -> None:
+    def handle_result(self, message: ClaimResult) -> None:
         """Store the outcome of a claim; `not_run` releases the key."""
         claim = self.claims.get(message.key)
         if claim is None or claim.claim_id != message.claim_id:
@@ -270,15 +272,19 @@
         epoch = self.epoch
         key = message.key
         if epoch is None or epoch.offset != message.epoch:
-            return _make_answer(message, Grant.stale)
+            return _make_answer(message, ClaimDecision.stale)
         if epoch.get_replicas_by_key(key)[:1] != (self.member,):
-            return _make_answer(message, Grant.stale)
+            return _make_answer(message, ClaimDecision.stale)
         claim = self.claims.get(key)
         if claim and claim.claim_id != message.claim_id:
             return self._answer_repeat(message, claim, now)
         wait_s = self.get_unknown_history_s(key, now)
         if wait_s > 0:
-            grant = Grant.blind if self._is_history_lost(key) else Grant.stale
+            grant = (
+                ClaimDecision.blind
+                if self._is_history_lost(key)
+                else ClaimDecision.stale
+            )
             return _make_answer(message, grant, wait_s)
         return None
 
@@ -314,7 +320,7 @@
     def _replicate(self, message: ClaimAsk, claim: Claim) -> OutgoingPayloads:
         others = self._get_other_replicas(message.key)
         if self._is_replicated(claim, others):
-            return [_answer_claimant(message, claim, Grant.granted)]
+            return [_answer_claimant(message, claim, ClaimDecision.granted)]
         return [
             (
                 name,
@@ -372,7 +378,7 @@
 
 def _make_answer(
     message: ClaimAsk | ClaimCopied,
-    grant: Grant,
+    grant: ClaimDecision,
     wait_s: float = 0,
 ) -> ClaimAnswer:
     return ClaimAnswer(
@@ -386,7 +392,7 @@
 def _answer_claimant(
     message: ClaimAsk | ClaimCopied,
     claim: Claim,
-    grant: Grant,
+    grant: ClaimDecision,
 ) -> tuple[str, ClaimAnswer]:
     return claim.claimant, _make_answer(message, grant)
 
--- a/trestledock/process/_dispatching.py
+++ b/trestledock/process/_dispatching.py
@@ -52,7 +52,7 @@
     queue = state.get_queue(pool)
     unplaceable: set[tuple[str, ...]] = set()
     for waiting in tuple(queue.iter_in_order()):
-        live = state.live.get(waiting.req.req_id)
+        live = state.requests.get(waiting.req.req_id)
         placement_class = get_placement_class(waiting.req)
         if live is None:
             queue.remove(waiting.req.req_id)
@@ -327,12 +327,14 @@
 
 def _get_chunk_tokens(state: State, live: LiveRequest, target: Target) -> int:
     report = target.load.report
-    if not state.policy.piece_s or report is None:
+    if not state.policy.prefill_chunk_s or report is None:
         return live.prefill_stop
-    blocks = round(state.policy.piece_s * report.rate / PREFIX_BLOCK_TOKENS)
+    blocks = round(
+        state.policy.prefill_chunk_s * report.rate / PREFIX_BLOCK_TOKENS
+    )
     chunk_tokens = max(1, blocks) * PREFIX_BLOCK_TOKENS
     remaining_tokens = live.get_current_share().stop - live.position
-    is_unsplit = live.prefill_stop <= state.policy.whole_tokens
+    is_unsplit = live.prefill_stop <= state.policy.max_unchunked_tokens
     return (
         remaining_tokens
         if is_unsplit or remaining_tokens < chunk_tokens * 3 // 2
--- a/trestledock/process/_duties.py
+++ b/trestledock/process/_duties.py
@@ -7,7 +7,7 @@
 messages.
 """
 
-from trestledock.process._actions import AppendRecord, ToPeer
+from trestledock.process._actions import AppendRecord, SendToPeer
 from trestledock.process._answers import fail_silent_streams
 from trestledock.process._dispatching import schedule_dispatch_of_all
 from trestledock.process._ending import send_to_member
@@ -109,7 +109,7 @@
         send_to_member(state, member, heartbeat)
     for info in state.fleet.get_unknown_peers():
         if info.name != state.identity.instance:
-            state.emit(ToPeer(info.member, info.address, heartbeat))
+            state.emit(SendToPeer(info.member, info.address, heartbeat))
 
 
 def make_heartbeat(state: State, now: float) -> Heartbeat:
@@ -190,10 +190,10 @@
     members = state.bookkeeping.desired_members
     if state.member not in members or not _may_append(state, now):
         return
-    if state.lease.wants(now, members.index(state.member)):
+    if state.lease.should_request(now, members.index(state.member)):
         body = LeaseBody(state.member, state.timing.lease_s)
         record_id = _append(state, LEASE_PREFIX, dump_json(body))
-        state.lease.note_asked(record_id, now)
+        state.lease.record_request(record_id, now)
 
 
 def append_snapshot(state: State, now: float) -> None:
@@ -228,7 +228,7 @@
 
 def is_drained(state: State) -> bool:
     """Whether this instance can terminate without loss."""
-    if state.live or state.reservation_watch.to_cancel:
+    if state.requests or state.reservation_watch.to_cancel:
         return False
     epoch = state.claims.epoch
     if epoch is None:
--- a/trestledock/process/_ending.py
+++ b/trestledock/process/_ending.py
@@ -6,7 +6,7 @@
 in the queue, its attempt, its reservations on engines, and its claim.
 """
 
-from trestledock.process._actions import CancelHolds, Finish, ToPeer
+from trestledock.process._actions import CancelReservations, Finish, SendToPeer
 from trestledock.process._live import LiveRequest, Phase
 from trestledock.process._payloads import ClaimResult
 from trestledock.process._state import State
@@ -55,7 +55,7 @@
     if not live.enter_phase(Phase.done):
         return
     req = live.req
-    state.live.pop(req.req_id, None)
+    state.requests.pop(req.req_id, None)
     queue = state.get_queue(live.pool)
     queue.remove(req.req_id)
     queue.mark_finished(req.req_id)
@@ -97,7 +97,9 @@
     state.reservation_watch.add_cancels(target_name, (hold,))
     target = state.get_targets().get(target_name)
     if target:
-        state.emit(CancelHolds(target_name, target.info.address, (hold,)))
+        state.emit(
+            CancelReservations(target_name, target.info.address, (hold,))
+        )
 
 
 def _report_claim_result(
@@ -124,4 +126,4 @@
     """Send a payload to a member, possibly to this instance itself."""
     peer = state.fleet.peers.get(member)
     address = peer.info.address if peer else ''
-    state.emit(ToPeer(member, address, payload))  # type: ignore[arg-type]
+    state.emit(SendToPeer(member, address, payload))  # type: ignore[arg-type]
--- a/trestledock/process/_fleet.py
+++ b/trestledock/process/_fleet.py
@@ -17,7 +17,7 @@
     PeerInfo,
     TargetInfo,
 )
-from trestledock.request import Breaker
+from trestledock.request import CircuitBreaker
 from trestledock.version import Labels
 
 #: The time without a response after which an unlisted target gets no new work,
@@ -42,7 +42,7 @@
     listed: bool = True
     heard_at: float = 0
     load: EngineLoad = field(default_factory=EngineLoad)
-    breaker: Breaker = field(default_factory=Breaker)
+    breaker: CircuitBreaker = field(default_factory=CircuitBreaker)
     in_flight: int = 0
     polled: bool = False
     ordered_at: float = float('-inf')
@@ -177,13 +177,13 @@
         if report.leaving:
             self.leaving.add(target.info.key)
 
-    def mark_leaving(self, key: str) -> bool:
+    def mark_draining(self, key: str) -> bool:
         """Mark an incarnation as draining; return whether it was not yet."""
         is_new = key not in self.leaving
         self.leaving.add(key)
         return is_new
 
-    def is_leaving(self, target: Target) -> bool:
+    def is_draining(self, target: Target) -> bool:
         """Whether a target is draining and gets no new work."""
         return target.info.key in self.leaving
 
@@ -191,7 +191,7 @@
         """Whether new work may be sent to a target at `now`."""
         timeout_s = LISTED_TIMEOUT_S if target.listed else UNLISTED_TIMEOUT_S
         is_alive = now - target.heard_at < timeout_s
-        is_active = is_alive and not self.is_leaving(target)
+        is_active = is_alive and not self.is_draining(target)
         return is_active and target.breaker.allows(now)
 
     def get_labels(self, target: Target) -> Labels:
--- a/trestledock/process/_groups.py
+++ b/trestledock/process/_groups.py
@@ -78,7 +78,9 @@
 def count_giant_engines(state: State) -> int:
     """Return how many engines this instance uses for giants."""
     return sum(
-        len(live.shares) for live in state.live.values() if len(live.shares) > 1
+        len(live.shares)
+        for live in state.requests.values()
+        if len(live.shares) > 1
     )
 
 
--- a/trestledock/process/_guarding.py
+++ b/trestledock/process/_guarding.py
@@ -9,7 +9,7 @@
 
 from operator import itemgetter
 
-from trestledock.process._actions import CancelHolds
+from trestledock.process._actions import CancelReservations
 from trestledock.process._ending import send_to_member
 from trestledock.process._fleet import Peer, Target
 from trestledock.process._holds import (
@@ -144,7 +144,7 @@
             continue
         holds = tuple(sorted(state.reservation_watch.to_cancel[name]))
         address = target.info.address
-        state.emit(CancelHolds(name, address, holds[:BLOCK_SIZE]))
+        state.emit(CancelReservations(name, address, holds[:BLOCK_SIZE]))
 
 
 def _release_watchers(state: State, block: IdBlock, members: set[str]) -> None:
--- a/trestledock/process/_isolating.py
+++ b/trestledock/process/_isolating.py
@@ -12,7 +12,7 @@
 from trestledock.process._live import LiveRequest
 from trestledock.process._payloads import TargetEnds
 from trestledock.process._state import State
-from trestledock.relay import End, rank_by_key
+from trestledock.relay import Crash, rank_by_key
 from trestledock.request import Request
 
 
@@ -24,8 +24,8 @@
     fingerprint = live.req.fingerprint
     if target is None or not fingerprint:
         return
-    end = End(fingerprint, target.info.key)
-    if state.quarantine.blames(end, now):
+    end = Crash(fingerprint, target.info.key)
+    if state.quarantine.is_blamed(end, now):
         crashes = TargetEnds(fingerprint, (end.incarnation,))
         merge_crashes(state, crashes, now)
         _broadcast(state, crashes)
@@ -33,16 +33,18 @@
 
 def merge_crashes(state: State, crashes: TargetEnds, now: float) -> None:
     """Merge the target crashes under a request, as seen here or by a peer."""
-    state.quarantine.clear_ends(crashes.fingerprint, crashes.cleared)
+    state.quarantine.clear_crashes(crashes.fingerprint, crashes.cleared)
     was_quarantined = state.quarantine.is_quarantined(crashes.fingerprint)
     for incarnation in crashes.targets:
-        state.quarantine.note_end(End(crashes.fingerprint, incarnation), now)
+        state.quarantine.record_crash(
+            Crash(crashes.fingerprint, incarnation), now
+        )
     if (
         state.quarantine.is_quarantined(crashes.fingerprint)
         and not was_quarantined
     ):
         state.log_event('request_quarantined', detail=crashes.fingerprint)
-    for forgotten in state.quarantine.trim():
+    for forgotten in state.quarantine.evict_excess():
         state.log_event('suspect_forgotten', detail=forgotten)
 
 
@@ -62,7 +64,7 @@
     """Record that a target completed a request, which clears it."""
     if not req.fingerprint:
         return
-    cleared = state.quarantine.note_answered(req.fingerprint, now)
+    cleared = state.quarantine.record_answer(req.fingerprint, now)
     if cleared:
         state.log_event('request_cleared', detail=req.fingerprint)
         _broadcast(state, TargetEnds(req.fingerprint, (), cleared))
@@ -82,7 +84,7 @@
     Among instances that can reach each other, the same one always does so.
     """
     fingerprint = live.req.fingerprint
-    is_due = state.quarantine.is_due(fingerprint, now)
+    is_due = state.quarantine.is_probe_due(fingerprint, now)
     if not is_due or not is_quarantined(state, live):
         return
     members = [
@@ -91,7 +93,7 @@
     ]
     if rank_by_key(fingerprint, members)[0] == state.member:
         live.is_trial = True
-        state.quarantine.note_trial(fingerprint, now)
+        state.quarantine.record_probe(fingerprint, now)
 
 
 def _broadcast(state: State, crashes: TargetEnds) -> None:
--- a/trestledock/process/_lease.py
+++ b/trestledock/process/_lease.py
@@ -30,7 +30,7 @@
     orders_from: float = 0
     _request_times: dict[str, float] = field(default_factory=dict)
 
-    def note_asked(self, record_id: str, now: float) -> None:
+    def record_request(self, record_id: str, now: float) -> None:
         """Record that a lease record is about to be appended."""
         self.asked_at = now
         self._request_times[record_id] = now
@@ -63,11 +63,11 @@
         """Whether this instance may still act as the holder."""
         return now < self.held_until - self.timing.lease_margin_s
 
-    def get_order_limit(self) -> float:
+    def get_order_deadline(self) -> float:
         """Return the instant after which no order may be sent."""
         return self.held_until - self.timing.lease_margin_s
 
-    def may_order(self, now: float) -> bool:
+    def may_send_orders(self, now: float) -> bool:
         """Whether orders may be sent.
 
         A new holder first waits until the previous holder's orders can no
@@ -75,7 +75,7 @@
         """
         return self.is_held(now) and now >= self.orders_from
 
-    def wants(self, now: float, rank: int) -> bool:
+    def should_request(self, now: float, rank: int) -> bool:
         """Whether to request or renew the lease; higher ranks wait longer."""
         if now - self.asked_at < self.timing.append_retry_s:
             return False
--- a/trestledock/process/_messages.py
+++ b/trestledock/process/_messages.py
@@ -27,14 +27,14 @@
 
 
 @dataclass(frozen=True)
-class CallerGone:
+class CallerDisconnected:
     """The caller closed its connection."""
 
     req_id: str
 
 
 @dataclass(frozen=True)
-class PieceDone:
+class PrefillDone:
     """An engine prefilled the prompt of an attempt up to token `stop`."""
 
     req_id: str
@@ -138,7 +138,7 @@
 
 
 @dataclass(frozen=True)
-class MarkLeaving:
+class MarkDraining:
     """An operator marked a target as draining."""
 
     target: str
--- a/trestledock/process/_node.py
+++ b/trestledock/process/_node.py
@@ -10,7 +10,7 @@
 from random import Random
 from typing import Any
 
-from trestledock.process._actions import Action, ToPeer
+from trestledock.process._actions import Action, SendToPeer
 from trestledock.process._duties import is_drained
 from trestledock.process._identity import Identity, Timing
 from trestledock.process._messages import PeerMessage
@@ -92,7 +92,7 @@
         external: list[Action] = []
         while state.actions:
             action = state.actions.pop(0)
-            if isinstance(action, ToPeer) and action.peer == state.member:
+            if isinstance(action, SendToPeer) and action.peer == state.member:
                 handle(PeerMessage(state.member, action.payload), state, now)
             else:
                 external.append(action)
--- a/trestledock/process/_orders.py
+++ b/trestledock/process/_orders.py
@@ -22,7 +22,7 @@
 
 def give_orders(state: State, now: float) -> None:
     """Order missing models, on a few engines at a time."""
-    if not state.lease.may_order(now):
+    if not state.lease.may_send_orders(now):
         return
     loading = 0
     for target in _get_local_engines(state):
@@ -57,7 +57,7 @@
         for name, target in sorted(state.get_targets().items())
         if target.info.labels.get('data_centre') == state.identity.data_centre
         and target.load.report
-        and not state.fleet.is_leaving(target)
+        and not state.fleet.is_draining(target)
     ]
 
 
@@ -69,6 +69,6 @@
             target.info.address,
             tuple(sorted(desired)),
             state.lease.fencing,
-            state.lease.get_order_limit(),
+            state.lease.get_order_deadline(),
         ),
     )
--- a/trestledock/process/_peering.py
+++ b/trestledock/process/_peering.py
@@ -63,7 +63,7 @@
     send_quarantine(state, peer, now)
     peer.demands = {item.team: item.demand for item in payload.demands}
     for key in payload.leaving_targets:
-        if state.fleet.mark_leaving(key):
+        if state.fleet.mark_draining(key):
             state.log_event('target_leaving', sender, key)
     for digest in payload.digests:
         _merge_digest(state, digest, now)
@@ -94,7 +94,7 @@
     state: State,
     now: float,
 ) -> None:
-    state.reader.adopt(payload.snapshot)
+    state.reader.install_snapshot(payload.snapshot)
     apply_accepted(state, now)
 
 
@@ -106,7 +106,7 @@
     now: float,
 ) -> None:
     if has_quorum(state, now):
-        _send_all(state, state.claims.ask(sender, payload, now))
+        _send_all(state, state.claims.handle_ask(sender, payload, now))
 
 
 @handle_payload.register
@@ -117,7 +117,7 @@
     now: float,
 ) -> None:
     if has_quorum(state, now):
-        _send_all(state, state.claims.copy(sender, payload, now))
+        _send_all(state, state.claims.handle_copy(sender, payload, now))
 
 
 @handle_payload.register
@@ -128,7 +128,7 @@
     now: float,
 ) -> None:
     if has_quorum(state, now):
-        _send_all(state, state.claims.copied(sender, payload))
+        _send_all(state, state.claims.handle_copied(sender, payload))
 
 
 @handle_payload.register
@@ -148,7 +148,7 @@
     state: State,
     now: float,
 ) -> None:
-    state.claims.settle(payload)
+    state.claims.handle_result(payload)
 
 
 @handle_payload.register
@@ -160,7 +160,7 @@
 ) -> None:
     body = load_json(payload.accepted.body, EpochBody)
     epoch = Epoch(payload.accepted.offset, body)
-    state.claims.enter(epoch, now)
+    state.claims.enter_epoch(epoch, now)
     if state.claims.epoch and state.claims.epoch.offset == epoch.offset:
         send_to_member(state, sender, state.claims.seal(sender, now))
 
--- a/trestledock/process/_platform.py
+++ b/trestledock/process/_platform.py
@@ -20,7 +20,7 @@
     InstancesListed,
     LoadReported,
     LogRead,
-    MarkLeaving,
+    MarkDraining,
     OrderAnswered,
     Publish,
     Shutdown,
@@ -76,10 +76,10 @@
     schedule_dispatch_of_all(state, now)
 
 
-def on_mark_leaving(message: MarkLeaving, state: State, now: float) -> None:
+def on_mark_leaving(message: MarkDraining, state: State, now: float) -> None:
     """Mark a target as draining at an operator's command."""
     target = state.get_targets().get(message.target)
-    if target and state.fleet.mark_leaving(target.info.key):
+    if target and state.fleet.mark_draining(target.info.key):
         state.log_event('target_leaving', 'operator', target.info.key)
 
 
