--- a/tests/restoring.py
+++ b/tests/restoring.py
@@ -143,14 +143,14 @@
         await anyio.sleep(WAY_S)
         other = self.network.get(address)
         if other and self.network.get(self.address) is self:
-            other.gossip.take(raw, self.address)
+            other.gossip.handle_datagram(raw, self.address)
 
     async def _get(self, address, asked):
         await anyio.sleep(WAY_S)
         other = self.network.get(address)
         if other is None:
             raise WireError('connect', 'refused')
-        news = other.exchange.make_news(
+        news = other.exchange.encode_update(
             self.state.version, with_past=bool(asked)
         )
         await anyio.sleep(WAY_S)
--- a/tests/test_entry_isolation.py
+++ b/tests/test_entry_isolation.py
@@ -48,7 +48,7 @@
 
         async def scenario(isolation):
             for target in TARGETS[:3]:
-                await isolation.note_lost('f', sign, [target])
+                await isolation.investigate_failure('f', sign, [target])
 
         isolation = run_isolation(scenario, seen)
         return isolation.quarantine.count_crashes('f'), len(isolation.looks)
@@ -108,7 +108,7 @@
 
     def test_what_was_answered_is_not_blamed(self):
         async def scenario(isolation):
-            isolation.note_answered('f')
+            isolation.record_answered('f')
             for target in TARGETS[:3]:
                 await isolation.note_lost('f', FailureKind.closed, [target])
 
@@ -120,7 +120,7 @@
         """Its targets may have another version since it was answered."""
 
         async def scenario(isolation):
-            isolation.note_answered('f')
+            isolation.record_answered('f')
             for target in TARGETS:
                 await isolation.note_lost('f', FailureKind.closed, [target])
 
@@ -143,7 +143,7 @@
         """One sending ends, and something is learnt after a while."""
 
         async def scenario(isolation):
-            await isolation.note_lost('f', sign, [TARGETS[0]])
+            await isolation.investigate_failure('f', sign, [TARGETS[0]])
             await anyio.sleep(after_s)
             step(isolation)
 
@@ -152,7 +152,7 @@
 
     def test_started_again_under_its_id(self):
         def step(isolation):
-            isolation.note_replaced(TARGETS[0].incarnation)
+            isolation.record_replaced(TARGETS[0].incarnation)
 
         self.check(1, step)
         self.check(1, step, FailureKind.garbled)
@@ -163,10 +163,10 @@
         listed = ListedTarget(
             'new', 'svc', TARGETS[0].address, 'dc', Standing.ready, 8
         )
-        self.check(1, lambda isolation: isolation.note_listed(listed))
+        self.check(1, lambda isolation: isolation.record_listed(listed))
 
     def test_its_own_entry_changes(self):
-        self.check(0, lambda isolation: isolation.note_listed(TARGETS[0]))
+        self.check(0, lambda isolation: isolation.record_listed(TARGETS[0]))
 
 
 class TellingTest(unittest.TestCase):
@@ -178,7 +178,7 @@
             others = [
                 (Crash(name, f'o{one}'), 0) for name in 'fg' for one in '123'
             ]
-            isolation.take_ends(others, 'e#b')
+            isolation.merge_crashes(others, 'e#b')
 
         isolation = run_isolation(scenario)
         self.assertTrue(isolation.is_quarantined('f'))
@@ -204,7 +204,7 @@
             isolation.take_ends([(Crash('two', x), 0) for x in 'ab'], 'e#b')
             isolation.take_ends([(Crash('held', x), 0) for x in 'abc'], 'e#b')
             for name in ('none', 'one', 'two', 'held'):
-                isolation.note_answered(name)
+                isolation.record_answered(name)
 
         isolation = run_isolation(scenario)
         self.assertEqual(told, ['two', 'held'])
@@ -268,12 +268,12 @@
 
         async def scenario(isolation):
             async def ask():
-                found.append(await isolation.may_try('f'))
+                found.append(await isolation.may_probe('f'))
 
             isolation.ways.claim = claim
             isolation.take_ends([(Crash('f', x), 0) for x in 'abc'], 'e#b')
             await ask()
-            await anyio.sleep(isolation.get_come_back_s('f'))
+            await anyio.sleep(isolation.get_retry_after_s('f'))
             async with anyio.create_task_group() as group:
                 group.start_soon(ask)
                 group.start_soon(ask)
@@ -291,7 +291,7 @@
 
         async def scenario(isolation):
             async def claim(_):
-                isolation.take_cleared('f', ('a', 'b', 'c'), 'e#b')
+                isolation.merge_cleared('f', ('a', 'b', 'c'), 'e#b')
                 return True
 
             isolation.ways.claim = claim
--- a/tests/test_entry_keeping.py
+++ b/tests/test_entry_keeping.py
@@ -135,14 +135,14 @@
     def test_no_trial_while_the_store_is_away(self):
         async def scenario(topic, one):
             await one.see_ends(3)
-            await anyio.sleep(one.isolation.get_come_back_s('f'))
+            await anyio.sleep(one.isolation.get_retry_after_s('f'))
             topic.down = True
             calls = topic.calls
             for _ in range(100):
-                self.assertFalse(await one.isolation.may_try('f'))
+                self.assertFalse(await one.isolation.may_probe('f'))
             self.assertEqual(topic.calls - calls, 1)
             topic.down = False
             await anyio.sleep(CLAIM_S)
-            self.assertTrue(await one.isolation.may_try('f'))
+            self.assertTrue(await one.isolation.may_probe('f'))
 
         run_entries(scenario, False)
--- a/tests/test_entry_leaving.py
+++ b/tests/test_entry_leaving.py
@@ -114,7 +114,7 @@
         listed = state.fleet.targets[f't{number}']
         there = replace(listed, data_centre='dc-2', sequence=1)
         state.fleet.put(there)
-    state.note_heard('dc-2', 'entry-2', anyio.current_time())
+    state.record_remote_entry('dc-2', 'entry-2', anyio.current_time())
     state.spawn(look_at_each_beat, state)
 
 
@@ -228,7 +228,7 @@
                 group.start_soon(ask)
                 await anyio.sleep(0.1)
                 world.state.fleet.put(make_listed(1, port))
-                world.state.note_silence('t1', anyio.current_time())
+                world.state.record_silence('t1', anyio.current_time())
             return found[0]
 
         target = StreamTarget()
@@ -251,7 +251,7 @@
         async def scenario(world):
             state = world.state
             state.fleet.put(make_listed(1, port))
-            state.fleet.note_leaving('t1', 0)
+            state.fleet.record_draining('t1', 0)
             found = []
 
             async def ask():
@@ -367,7 +367,7 @@
 
         def leave(state):
             for name in ('t0', 't1'):
-                state.fleet.note_leaving(name, 0)
+                state.fleet.record_draining(name, 0)
 
         answers = [DelayedAnswer(b'', make_answer(b'bad', 500), pause_s=0.3)]
         found = self.ask(route, answers, during=leave)
--- a/tests/test_entry_notices.py
+++ b/tests/test_entry_notices.py
@@ -49,7 +49,7 @@
     async def scenario(world):
         world.state.board.put(Flight('x', 't1', 9, 9, Phase.prefill, since=0))
         await world.ask()
-        found.update(world.state.fleet.leaving)
+        found.update(world.state.fleet.draining)
 
     targets = [StubTarget(answer), StubTarget(make_answer())]
     run_world(route or make_route(max_attempts=1), targets, scenario)
--- a/tests/test_entry_signs.py
+++ b/tests/test_entry_signs.py
@@ -42,7 +42,7 @@
 
         target = StubTarget(answer, make_answer(status=500))
         run_world(STREAM, [target], scenario)
-        self.assertIs(found[0].sign, sign)
+        self.assertIs(found[0].failure_kind, sign)
 
     def test_reset_before_the_head(self):
         self.check(Reset, FailureKind.closed)
--- a/tests/test_platform_entries.py
+++ b/tests/test_platform_entries.py
@@ -68,7 +68,7 @@
         self.throttle = Throttle(Member('e', 'dc'), Notices(), Random().random)
         self.ignored_notices = {}
 
-    def note_list(self, as_of, now, source, latest_at):
+    def record_list(self, as_of, now, source, latest_at):
         """Note the age of a list that nobody asks for here."""
 
     def notify(self):
--- a/tests/test_relay_fleet.py
+++ b/tests/test_relay_fleet.py
@@ -27,13 +27,13 @@
 
 def drop(fleet, name, now):
     """Drop a target by what the fleet knows of the directory."""
-    return fleet.drop(name, fleet.watch.grace_end, now)
+    return fleet.record_removal(name, fleet.watch.grace_end, now)
 
 
 def disturb(fleet, began_at, ended_at):
     """Have the directory be asked in vain until a read at `ended_at`."""
-    fleet.watch.note_trouble(began_at)
-    fleet.watch.note_read(ended_at, ended_at)
+    fleet.watch.record_failure(began_at)
+    fleet.watch.record_read(ended_at, ended_at)
 
 
 class RecordTest(unittest.TestCase):
--- a/trestledock/clock.py
+++ b/trestledock/clock.py
@@ -76,8 +76,8 @@
     """Finds pauses of the machine: what the steady clock has missed since.
 
     >>> steady, counting = iter([5.0, 6.0, 6.1]), iter([7.0, 8.0, 38.1])
-    >>> watch = PauseWatch(steady.__next__, counting.__next__)
-    >>> watch.look(), round(watch.look())
+    >>> watch = SuspensionDetector(steady.__next__, counting.__next__)
+    >>> watch.measure(), round(watch.measure())
     (0, 30)
     """
 
--- a/trestledock/entry/_dialect.py
+++ b/trestledock/entry/_dialect.py
@@ -42,8 +42,8 @@
 class RateLimitHeader:
     """How many requests a second an answer's target takes from all entries.
 
-    `per_s` is None where no number was given; `is_named` says that there was
-    a word on it, and `unreadable` has what made no sense.
+    `per_s` is None where no number was given; `is_present` says that there was
+    a word on it, and `invalid_text` has what made no sense.
     """
 
     per_s: float | None = None
@@ -55,7 +55,7 @@
 class BackoffHeader:
     """For how many seconds an answer's target wants nothing more from here.
 
-    `unreadable` has what made no sense.
+    `invalid_text` has what made no sense.
     """
 
     backoff_s: float = 0
--- a/trestledock/entry/_gossip.py
+++ b/trestledock/entry/_gossip.py
@@ -54,8 +54,9 @@
 class Gossip:
     """The exchange of datagrams with the other entries.
 
-    What is in `on_met` is called with the address of each entry that is new,
-    what is in `on_told` with the addresses that were just told everything.
+    What is in `on_new_peer` is called with the address of each entry that is
+    new, what is in `on_full_state_sent` with the addresses that were just told
+    everything.
     """
 
     def __init__(self, state: EntryState) -> None:
--- a/trestledock/entry/_state.py
+++ b/trestledock/entry/_state.py
@@ -81,12 +81,13 @@
 class EntryState:
     """The state of one entry process.
 
-    It is `leaving` once it was asked to stop, `closing` once idle connections
-    are being closed, and `ending` once nothing may go on any more.  `catch_up`
-    takes the words of the other entries that have come in, `tell_own` tells
-    them at once of what has changed here, `tell_notices` of what a target has
-    said of itself; `learn_loads` asks other data centres what their targets
-    have to do, and `loads` has what they answered.
+    It is `draining` once it was asked to stop, `closing` once idle connections
+    are being closed, and `aborting` once nothing may go on any more.
+    `receive_messages` takes the words of the other entries that have come in,
+    `send_own_changes` tells them at once of what has changed here,
+    `send_notices` of what a target has said of itself; `refresh_loads` asks
+    other data centres what their targets have to do, and `remote_loads` has
+    what they answered.
     """
 
     settings: EntrySettings
--- a/trestledock/relay/_arithmetic.py
+++ b/trestledock/relay/_arithmetic.py
@@ -29,7 +29,7 @@
     """Return how long a prompt is read that an engine has to itself.
 
     >>> engine = EngineModel(8, 232_000, 0.001, 200_000, pair_s=1e-10)
-    >>> round(get_read_s(engine, 100_000), 3)
+    >>> round(get_prefill_s(engine, 100_000), 3)
     1.0
     """
     pairs = tokens * tokens / 2
@@ -54,7 +54,7 @@
     """Return how long an answer is usually written, without other work.
 
     >>> engine = EngineModel(8, 232_000, 0.001, 200_000)
-    >>> get_write_s(engine, PromptSize(1_000, 1_000))
+    >>> get_decode_s(engine, PromptSize(1_000, 1_000))
     0.35
     """
     step_s = engine.step_s + engine.step_context_s * size.total_tokens
--- a/trestledock/relay/_elsewhere.py
+++ b/trestledock/relay/_elsewhere.py
@@ -31,10 +31,10 @@
 
     `cost` is that of its best place nearby, None where it can't go there now.
 
-    >>> is_worth_asking(20.0, cost=0.6), is_worth_asking(20.0, cost=4.0)
+    >>> should_query_remote(20.0, cost=0.6), should_query_remote(20.0, cost=4.0)
     (False, True)
-    >>> is_worth_asking(20.0, cost=None), is_worth_asking(0.5, cost=None)
-    (True, False)
+    >>> [should_query_remote(worth, cost=None) for worth in (20.0, 0.5)]
+    [True, False]
     """
     if worth <= SMALL_WORTH:
         return False
@@ -86,7 +86,7 @@
         flight_id=f'{flight.flight_id}/{name}',
         target=name,
         helpers=tuple([ELSEWHERE for _ in flight.helpers]),
-        tickets=((ELSEWHERE, surplus),) if surplus else (),
+        reservations=((ELSEWHERE, surplus),) if surplus else (),
     )
 
 
--- a/trestledock/relay/_notices.py
+++ b/trestledock/relay/_notices.py
@@ -26,7 +26,7 @@
     """What a target said between two instants, whatever it is about.
 
     The request that it answers left at `asked_at`, the answer came at
-    `heard_at`; with `is_told` the other entries hear it without this one.
+    `heard_at`; with `is_shared` the other entries hear it without this one.
     """
 
     @property
@@ -108,11 +108,11 @@
     """What is believed of each kind of notice, by incarnation.
 
     >>> notices = Notices()
-    >>> notices.note('t1', Rest(until=4, asked_at=0, heard_at=1)).value
+    >>> notices.record('t1', Backoff(until=4, asked_at=0, heard_at=1)).value
     'learnt'
-    >>> notices.note('t1', Rest(until=3, asked_at=0, heard_at=2)).value
+    >>> notices.record('t1', Backoff(until=3, asked_at=0, heard_at=2)).value
     'nothing'
-    >>> notices.get(Rest, 't1').until
+    >>> notices.get(Backoff, 't1').until
     4
     """
 
--- a/trestledock/relay/_rate_limits.py
+++ b/trestledock/relay/_rate_limits.py
@@ -18,15 +18,15 @@
     """A target takes `per_s` requests a second, None for any number.
 
     That was said between `asked_at`, when the request left that it answers, and
-    `heard_at`; with `is_told` another instance heard it.
+    `heard_at`; with `is_shared` another instance heard it.
 
     >>> from trestledock.relay import Notices
     >>> notices = Notices()
-    >>> notices.note('t1', RateLimit(2, asked_at=0, heard_at=1)).value
+    >>> notices.record('t1', RateLimit(2, asked_at=0, heard_at=1)).value
     'learnt'
-    >>> notices.note('t1', RateLimit(None, asked_at=0.5, heard_at=2)).value
+    >>> notices.record('t1', RateLimit(None, asked_at=0.5, heard_at=2)).value
     'nothing'
-    >>> notices.note('t1', RateLimit(None, asked_at=1.5, heard_at=2)).value
+    >>> notices.record('t1', RateLimit(None, asked_at=1.5, heard_at=2)).value
     'lifted'
     """
 
--- a/trestledock/relay/_recent_answers.py
+++ b/trestledock/relay/_recent_answers.py
@@ -31,8 +31,8 @@
 class RecentAnswers:
     """The requests that were answered here lately.
 
-    >>> proven = Proven()
-    >>> proven.note_answered('f', now=0)
+    >>> proven = RecentAnswers()
+    >>> proven.record_answer('f', now=0)
     >>> [proven.excuses('f', now=1) for _ in range(4)]
     [True, True, True, False]
     """
--- a/trestledock/relay/_unconfirmed_crashes.py
+++ b/trestledock/relay/_unconfirmed_crashes.py
@@ -31,9 +31,9 @@
 class UnconfirmedCrashes:
     """What may have been the end of a target.
 
-    >>> found = OpenEnds()
-    >>> found.keep('f', Listed('t1', 's', 'a:1'), now=0)
-    >>> [end.fingerprint for end in found.take('t1', now=2)]
+    >>> found = UnconfirmedCrashes()
+    >>> found.add('f', ListedTarget('t1', 's', 'a:1'), now=0)
+    >>> [end.fingerprint for end in found.pop_confirmed('t1', now=2)]
     ['f']
     """
 
