--- a/tests/limiting.py
+++ b/tests/limiting.py
@@ -282,7 +282,7 @@
         """Tell the others until killed."""
         self.fleet.network[self.address] = self
         self.gossip.add_addresses(self.fleet.get_addresses())
-        self.state.tell_own = self.gossip.send_own_changes
+        self.state.send_own_changes = self.gossip.send_own_changes
         with self.scope:
             async with anyio.create_task_group() as group:
                 group.start_soon(self.gossip._tell_all)
--- a/tests/test_entry_isolation.py
+++ b/tests/test_entry_isolation.py
@@ -83,7 +83,9 @@
         """Whoever reads a prompt and those that help may end together."""
 
         async def scenario(isolation):
-            await isolation.note_lost('f', FailureKind.closed, TARGETS)
+            await isolation.investigate_failure(
+                'f', FailureKind.closed, TARGETS
+            )
 
         isolation = run_isolation(scenario)
         self.assertEqual(isolation.quarantine.count_crashes('f'), 1)
@@ -96,8 +98,10 @@
                 is_first = target is TARGETS[0]
                 return FailureKind.none if is_first else FailureKind.refused
 
-            isolation.ways.look = look
-            await isolation.note_lost('f', FailureKind.closed, TARGETS)
+            isolation.hooks.reconnect = look
+            await isolation.investigate_failure(
+                'f', FailureKind.closed, TARGETS
+            )
 
         isolation = run_isolation(scenario)
         self.assertEqual(isolation.told, [Crash('f', TARGETS[1].incarnation)])
@@ -110,7 +114,9 @@
         async def scenario(isolation):
             isolation.record_answered('f')
             for target in TARGETS[:3]:
-                await isolation.note_lost('f', FailureKind.closed, [target])
+                await isolation.investigate_failure(
+                    'f', FailureKind.closed, [target]
+                )
 
         isolation = run_isolation(scenario)
         self.assertFalse(isolation.is_quarantined('f'))
@@ -122,16 +128,20 @@
         async def scenario(isolation):
             isolation.record_answered('f')
             for target in TARGETS:
-                await isolation.note_lost('f', FailureKind.closed, [target])
+                await isolation.investigate_failure(
+                    'f', FailureKind.closed, [target]
+                )
 
         self.assertTrue(run_isolation(scenario).is_quarantined('f'))
 
     def test_an_answer_does_not_speak_for_ever(self):
         async def scenario(isolation):
-            isolation.note_answered('f')
+            isolation.record_answered('f')
             await anyio.sleep(ANSWER_TTL_S + 1)
             for target in TARGETS[:3]:
-                await isolation.note_lost('f', FailureKind.closed, [target])
+                await isolation.investigate_failure(
+                    'f', FailureKind.closed, [target]
+                )
 
         self.assertTrue(run_isolation(scenario).is_quarantined('f'))
 
@@ -174,7 +184,9 @@
 
     def test_store_is_told_by_whoever_has_seen_an_end(self):
         async def scenario(isolation):
-            await isolation.note_lost('f', FailureKind.closed, [TARGETS[0]])
+            await isolation.investigate_failure(
+                'f', FailureKind.closed, [TARGETS[0]]
+            )
             others = [
                 (Crash(name, f'o{one}'), 0) for name in 'fg' for one in '123'
             ]
@@ -187,7 +199,7 @@
 
     def test_store_is_not_told_what_it_told(self):
         async def scenario(isolation):
-            isolation.take_records(
+            isolation.merge_records(
                 [QuarantineRecord('f', ('a', 'b', 'c'))], 'store'
             )
 
@@ -199,10 +211,12 @@
         told = []
 
         async def scenario(isolation):
-            isolation.ways.tell_cleared = lambda name, _: told.append(name)
-            isolation.take_ends([(Crash('one', 'a'), 0)], 'e#b')
-            isolation.take_ends([(Crash('two', x), 0) for x in 'ab'], 'e#b')
-            isolation.take_ends([(Crash('held', x), 0) for x in 'abc'], 'e#b')
+            isolation.hooks.send_cleared = lambda name, _: told.append(name)
+            isolation.merge_crashes([(Crash('one', 'a'), 0)], 'e#b')
+            isolation.merge_crashes([(Crash('two', x), 0) for x in 'ab'], 'e#b')
+            isolation.merge_crashes(
+                [(Crash('held', x), 0) for x in 'abc'], 'e#b'
+            )
             for name in ('none', 'one', 'two', 'held'):
                 isolation.record_answered(name)
 
@@ -223,8 +237,8 @@
         async def scenario(isolation):
             for number in range(2):
                 isolation.fleet.put(make_listed(number, 80))
-            isolation.take_ends([(Crash('f', 't9'), 0)], 'b')
-            isolation.take_ends(
+            isolation.merge_crashes([(Crash('f', 't9'), 0)], 'b')
+            isolation.merge_crashes(
                 [(Crash('f', 't0'), 0), (Crash('f', 't1'), 9)], 'b'
             )
             now = anyio.current_time()
@@ -270,8 +284,8 @@
             async def ask():
                 found.append(await isolation.may_probe('f'))
 
-            isolation.ways.claim = claim
-            isolation.take_ends([(Crash('f', x), 0) for x in 'abc'], 'e#b')
+            isolation.hooks.claim = claim
+            isolation.merge_crashes([(Crash('f', x), 0) for x in 'abc'], 'e#b')
             await ask()
             await anyio.sleep(isolation.get_retry_after_s('f'))
             async with anyio.create_task_group() as group:
@@ -294,10 +308,10 @@
                 isolation.merge_cleared('f', ('a', 'b', 'c'), 'e#b')
                 return True
 
-            isolation.ways.claim = claim
-            isolation.take_ends([(Crash('f', x), 0) for x in 'abc'], 'e#b')
-            await anyio.sleep(isolation.get_come_back_s('f'))
-            found.append(await isolation.may_try('f'))
+            isolation.hooks.claim = claim
+            isolation.merge_crashes([(Crash('f', x), 0) for x in 'abc'], 'e#b')
+            await anyio.sleep(isolation.get_retry_after_s('f'))
+            found.append(await isolation.may_probe('f'))
             found.append(isolation.is_quarantined('f'))
 
         run_isolation(scenario)
--- a/tests/test_entry_leaving.py
+++ b/tests/test_entry_leaving.py
@@ -104,7 +104,7 @@
 async def look_at_each_beat(state):
     """Look for silent data centres as the product does."""
     while True:
-        state.check_reach(anyio.current_time())
+        state.check_reachability(anyio.current_time())
         await anyio.sleep(BEAT_INTERVAL_S)
 
 
@@ -260,8 +260,8 @@
             async with anyio.create_task_group() as group:
                 group.start_soon(ask)
                 await wait_for_request([first])
-                state.notices.drop(Drain, 't1')
-                state.fleet.note_leaving('t0', 0)
+                state.notices.discard(Drain, 't1')
+                state.fleet.record_draining('t0', 0)
                 await anyio.sleep(1)
                 listener = await anyio.create_tcp_listener(
                     local_host='127.0.0.1', local_port=port
--- a/tests/test_entry_limits.py
+++ b/tests/test_entry_limits.py
@@ -174,8 +174,8 @@
 
         async def scenario(world):
             other = Flight('o', 't0', tokens, 10, Phase.prefill, since=0)
-            world.state.board.hear('p', 1, [('o', other)], whole=True)
-            world.state.fleet.drop('t1', 0, 0)
+            world.state.board.apply_update('p', 1, [('o', other)], whole=True)
+            world.state.fleet.record_removal('t1', 0, 0)
             with anyio.fail_after(SCENARIO_TIMEOUT_S):
                 found.append(await world.ask(headers=SIZES))
 
--- a/tests/test_entry_signs.py
+++ b/tests/test_entry_signs.py
@@ -78,4 +78,4 @@
 
         with self.assertRaises(WireError) as found:
             anyio.run(main)
-        self.assertIs(found.exception.sign, FailureKind.refused)
+        self.assertIs(found.exception.failure_kind, FailureKind.refused)
--- a/tests/test_platform_quarantine.py
+++ b/tests/test_platform_quarantine.py
@@ -59,7 +59,7 @@
             self.assertEqual([record.fingerprint for record in found], ['f'])
             self.assertEqual(found[0].incarnations, RECORD.incarnations)
             self.assertLess(abs(found[0].age_s - RECORD.age_s), 30)
-            self.assertEqual(found[0].trials, 0)
+            self.assertEqual(found[0].probes, 0)
             answered = QuarantineRecord('f', (), cleared=RECORD.incarnations)
             await one.write_records([answered])
             found = await other.read_records(0)
--- a/tests/test_relay_quarantine.py
+++ b/tests/test_relay_quarantine.py
@@ -18,7 +18,7 @@
 def note(quarantine, fingerprint, *targets, now=0):
     """Note that targets ended while they ran a request."""
     for target in targets:
-        quarantine.note_end(Crash(fingerprint, target), now)
+        quarantine.record_crash(Crash(fingerprint, target), now)
 
 
 def make_quarantine(*targets):
--- a/trestledock/bench/ablation.py
+++ b/trestledock/bench/ablation.py
@@ -113,16 +113,22 @@
     ('all mechanisms', DEFAULT_POLICY),
     ('no packing of short requests', replace(DEFAULT_POLICY, packing=False)),
     ('no helpers', replace(DEFAULT_POLICY, helpers=False)),
-    ('own data centre not first', replace(DEFAULT_POLICY, near_first=False)),
-    ('harm to others not counted', replace(DEFAULT_POLICY, harm=False)),
-    ('callers wait for ever', replace(DEFAULT_POLICY, departure=False)),
+    ('own data centre not first', replace(DEFAULT_POLICY, prefer_local=False)),
+    (
+        'harm to others not counted',
+        replace(DEFAULT_POLICY, weigh_cost_to_others=False),
+    ),
+    ('callers wait for ever', replace(DEFAULT_POLICY, abandonment=False)),
     ('no waiting for a better place', replace(DEFAULT_POLICY, waiting=False)),
     ('no queue of late ones', replace(DEFAULT_POLICY, queueing=False)),
-    ('no price of idle engines', replace(DEFAULT_POLICY, engine_cost=0)),
-    ('no refusal for harm', replace(DEFAULT_POLICY, harm_limit=NO_LIMIT)),
+    ('no price of idle engines', replace(DEFAULT_POLICY, idle_engine_cost=0)),
+    (
+        'no refusal for harm',
+        replace(DEFAULT_POLICY, max_cost_to_others=NO_LIMIT),
+    ),
     (
         'no engines of other data centres',
-        replace(DEFAULT_POLICY, elsewhere=False),
+        replace(DEFAULT_POLICY, remote_targets=False),
     ),
     ('long prompts not told first', replace(DEFAULT_POLICY, claims=False)),
 )
--- a/trestledock/entry/_message_codec.py
+++ b/trestledock/entry/_message_codec.py
@@ -216,7 +216,7 @@
 
 
 def decode_message(raw: bytes, now: float) -> Message:
-    """Return a word that came in, or raise `BadWord`.
+    """Return a word that came in, or raise `InvalidMessage`.
 
     >>> decode_message(b'{"kind":"fresh","from":"e","news_age_ms":250}', now=0)
     Fresh(sender='e', news_age_s=0.25)
--- a/trestledock/entry/_quarantine_sync.py
+++ b/trestledock/entry/_quarantine_sync.py
@@ -93,7 +93,7 @@
                 and not known.is_probe_due
             ):
                 return False
-        tried = replace(record, age_s=0, trials=record.probes + 1)
+        tried = replace(record, age_s=0, probes=record.probes + 1)
         return await self.store.write_records([tried], stored.end)
 
     async def _follow(self) -> None:
--- a/trestledock/entry/_sending.py
+++ b/trestledock/entry/_sending.py
@@ -136,7 +136,11 @@
         except WireError as exc:
             self.state.record_silence(peer, anyio.current_time())
             return RelayAttempt(
-                AttemptOutcome.not_sent, exc.step, peer, exc.detail, exc.sign
+                AttemptOutcome.not_sent,
+                exc.step,
+                peer,
+                exc.detail,
+                exc.failure_kind,
             )
         obstacle = self._find_obstacle(job, placement) or self._find_restrained(
             job, placement
@@ -213,9 +217,13 @@
             self.state.health.record_failure(peer, anyio.current_time())
             # Connections that go silent do so together, while new ones work.
             self.pool.close_idle(peer)
-            await self._find_out(job, placement, exc.sign)
+            await self._find_out(job, placement, exc.failure_kind)
             return RelayAttempt(
-                AttemptOutcome.lost, exc.step, peer, exc.detail, exc.sign
+                AttemptOutcome.lost,
+                exc.step,
+                peer,
+                exc.detail,
+                exc.failure_kind,
             )
         finally:
             await self.pool.release(placement.target, wire, idle_s)
--- a/trestledock/entry/_wire.py
+++ b/trestledock/entry/_wire.py
@@ -58,7 +58,7 @@
         super().__init__(f'{step}: {detail}')
         self.step = step
         self.detail = detail
-        self.sign = failure_kind
+        self.failure_kind = failure_kind
 
 
 @dataclass(frozen=True)
--- a/trestledock/relay/_asking.py
+++ b/trestledock/relay/_asking.py
@@ -78,7 +78,7 @@
         """Return where the request goes now, or what else is done with it."""
         timing = replace(self.timing, write_s=get_decode_s(engine, self.size))
         if not placer.policy.abandonment:
-            timing = replace(timing, gone=FOREVER, deadline=FOREVER)
+            timing = replace(timing, abandoned_at=FOREVER, deadline=FOREVER)
         work = self._make_work(timing, now)
         placement = placer.place(work, engine, targets, now)
         if placement is None:
--- a/trestledock/relay/_notices.py
+++ b/trestledock/relay/_notices.py
@@ -131,7 +131,7 @@
     def get(self, kind: type[Kind], target: str) -> Kind | None:
         """Return what a target asks for, if it asks for anything."""
         found = self.by_kind.get(kind, {}).get(target)
-        return found if found and found.asks_for is not None else None
+        return found if found and found.requested is not None else None
 
     def get_all(self, kind: type[Kind]) -> dict[str, Kind]:
         """Return the newest notices of a kind, by target."""
--- a/trestledock/relay/_proof.py
+++ b/trestledock/relay/_proof.py
@@ -19,7 +19,7 @@
 
 @dataclass
 class FreshnessProof:
-    """The newest proof; `bound_s` of zero asks for none.
+    """The newest proof; `max_age_s` of zero asks for none.
 
     `read_at` is when the configuration was read for the last time, by this
     instance or the one it asks: a read need not prove anything, and where it
--- a/trestledock/relay/_quotas.py
+++ b/trestledock/relay/_quotas.py
@@ -32,7 +32,7 @@
 
 @dataclass(frozen=True)
 class Membership:
-    """An entry and the others that it hears; `known` counts the unheard, too.
+    """An entry and others that it hears; `known_count` counts the unheard, too.
 
     >>> own, other = Member('a', 'dc'), Member('b', 'dc')
     >>> Membership(own, (other,), known_count=4).heard_share
