--- a/tests/test_process_isolating.py
+++ b/tests/test_process_isolating.py
@@ -8,7 +8,7 @@
 from trestledock.process._isolating import (
     is_quarantined,
     merge_crashes,
-    record_answer,
+    record_completion,
     record_crash,
     send_quarantine,
     start_due_probe,
@@ -87,7 +87,7 @@
         """Otherwise the other instance would refuse a request that works."""
         crashes = crash_targets(self.one)
         self.send(crashes)
-        record_answer(self.one, REQ, 3)
+        record_completion(self.one, REQ, 3)
         self.send(pop_payloads(self.one))
         self.assertFalse(is_quarantined(self.other, make_live()))
         self.send(crashes)
--- a/trestledock/process/_answers.py
+++ b/trestledock/process/_answers.py
@@ -24,7 +24,7 @@
 )
 from trestledock.process._isolating import (
     is_quarantined,
-    record_answer,
+    record_completion,
     record_crash,
 )
 from trestledock.process._live import LiveRequest, Phase
@@ -62,14 +62,14 @@
     live = state.requests.get(message.req_id)
     if live is None or live.phase is not Phase.running:
         return
-    if (message.hold, message.stop) != live.awaited:
+    if (message.hold, message.stop) != live.awaited_job:
         return
     if live.advance_attempt(message.attempt, AttemptEvent.answer):
         _continue_prefill(state, live, message.stop, now)
         schedule_dispatch(state, live.pool, now)
 
 
-def on_chunk(message: ChunkArrived, state: State, now: float) -> None:
+def on_chunk_arrived(message: ChunkArrived, state: State, now: float) -> None:
     """Send the caller the chunks that are in order."""
     live = state.requests.get(message.req_id)
     if live is None or live.phase is not Phase.running:
@@ -117,7 +117,7 @@
     live = state.requests.get(message.req_id)
     if live is None or live.phase is not Phase.running:
         return
-    is_same_job = live.awaited == (message.hold, message.stop)
+    is_same_job = live.awaited_job == (message.hold, message.stop)
     if is_same_job and live.emitted == message.emitted:
         failed = AttemptFailed(
             message.req_id,
@@ -154,7 +154,7 @@
         return
     target = state.get_targets()[live.attempt.target]
     target.breaker.succeed()
-    record_answer(state, live.req, now)
+    record_completion(state, live.req, now)
     verdict = Verdict(
         Outcome.answered,
         peer=live.attempt.target,
@@ -220,11 +220,11 @@
     key = (live.req.req_id, live.attempt.number)
     target = state.get_targets()[live.get_current_share().target]
     target.load.mark_prefilled(key, now)
-    if len(live.shares) > 1 and live.reserved < len(live.shares):
-        live.reserved += 1
+    if len(live.shares) > 1 and live.reserved_engines < len(live.shares):
+        live.reserved_engines += 1
     else:
-        live.position = stop
-    if 1 < len(live.shares) and live.reserved < len(live.shares):
+        live.prefilled_tokens = stop
+    if 1 < len(live.shares) and live.reserved_engines < len(live.shares):
         send_reservation(state, live, now)
     else:
         send_prefill_chunk(state, live, now)
@@ -245,7 +245,7 @@
     live.advance_attempt(live.attempt.number, AttemptEvent.finish)
     name = live.shares[-1].target
     state.get_targets()[name].breaker.succeed()
-    record_answer(state, live.req, now)
+    record_completion(state, live.req, now)
     verdict = Verdict(Outcome.answered, peer=name, tokens=live.emitted)
     finish_request(state, live, verdict)
     schedule_dispatch(state, live.pool, now)
--- a/trestledock/process/_arrivals.py
+++ b/trestledock/process/_arrivals.py
@@ -60,7 +60,7 @@
     _ADMITTERS[req.kind](state, live, now)
 
 
-def on_caller_gone(
+def on_caller_disconnected(
     message: CallerDisconnected, state: State, now: float
 ) -> None:
     """End the request of a caller that has disconnected."""
--- a/trestledock/process/_claims.py
+++ b/trestledock/process/_claims.py
@@ -36,8 +36,8 @@
 #: characters.
 MAX_STORED_BODY_CHARS = 16_384
 
-#: The maximum number of epochs that a member vouches for.
-MAX_VOUCHES = 16
+#: The maximum number of complete epochs that a member remembers.
+MAX_COMPLETE_EPOCHS = 16
 
 
 class ClaimDecision(str, Enum):
@@ -82,8 +82,8 @@
     """The claims that one member stores.
 
     `member` is the member's own name, `keep_s` the time for which an outcome
-    is kept.  `vouches` holds the epochs for which this member has every claim
-    on its keys.
+    is kept.  `complete_epochs` holds the epochs for which this member has every
+    claim on its keys; they are sent as `vouches`.
     """
 
     member: str
@@ -91,7 +91,7 @@
     epoch: Epoch | None = None
     claims: dict[str, Claim] = field(default_factory=dict)
     handovers: dict[int, Handover] = field(default_factory=dict)
-    vouches: set[int] = field(default_factory=set)
+    complete_epochs: set[int] = field(default_factory=set)
     handed_over_to: set[str] = field(default_factory=set)
 
     def enter_epoch(self, epoch: Epoch, now: float) -> bool:
@@ -109,14 +109,16 @@
                 sealed={self.member},
                 started_at=now,
             )
-            if epoch.body.previous_offset in self.vouches:
-                handover.heard.add(self.member)
+            if epoch.body.previous_offset in self.complete_epochs:
+                handover.handed_over_by.add(self.member)
             self.handovers[epoch.body.previous_offset] = handover
         self.epoch = epoch
         self.handed_over_to = set()
         if self.member in epoch.members:
-            self.vouches.add(epoch.offset)
-            self.vouches = set(sorted(self.vouches)[-MAX_VOUCHES:])
+            self.complete_epochs.add(epoch.offset)
+            self.complete_epochs = set(
+                sorted(self.complete_epochs)[-MAX_COMPLETE_EPOCHS:]
+            )
         return True
 
     def has_unknown_history(self, key: str, now: float) -> bool:
@@ -215,7 +217,7 @@
             for handover in self.handovers.values()
             if handover.offset != epoch.body.previous_offset
         )
-        vouches = tuple(sorted(self.vouches))
+        vouches = tuple(sorted(self.complete_epochs))
         self.handed_over_to.add(requester)
         return SealAnswer(epoch.offset, vouches, entries, blinds)
 
@@ -233,7 +235,7 @@
         for handover in self.handovers.values():
             handover.sealed.add(sender)
             if handover.offset in answer.vouches:
-                handover.heard.add(sender)
+                handover.handed_over_by.add(sender)
 
     def get_unsealed_members(self) -> tuple[str, ...]:
         """Return the members of earlier epochs that have not sealed them."""
@@ -370,7 +372,7 @@
             blind.offset,
             blind.members,
             blind.replicas,
-            heard=set(blind.heard),
+            handed_over_by=set(blind.heard),
             closed_at=closed_at if blind.closed else None,
             started_at=now,
         )
--- a/trestledock/process/_dispatching.py
+++ b/trestledock/process/_dispatching.py
@@ -152,7 +152,7 @@
     """Send the next prefill chunk of a running request."""
     share = live.get_current_share()
     target = state.get_targets()[share.target]
-    start = max(live.position, share.start)
+    start = max(live.prefilled_tokens, share.start)
     stop = min(share.stop, start + _get_chunk_tokens(state, live, target))
     generate = stop >= live.prefill_stop
     req = live.req
@@ -174,7 +174,7 @@
 def send_reservation(state: State, live: LiveRequest, now: float) -> None:
     """Reserve memory on the next engine of a group."""
     ordered = sorted(live.shares, key=lambda share: share.target)
-    share = ordered[live.reserved]
+    share = ordered[live.reserved_engines]
     target = state.get_targets()[share.target]
     job = Job(
         hold=share.hold,
@@ -266,7 +266,7 @@
             remaining_tokens,
         ),
     )
-    live.awaited = (job.hold, job.stop)
+    live.awaited_job = (job.hold, job.stop)
     _set_silence_timer(state, live, target, job, now)
     source = _find_kv_source(live, job)
     state.emit(
@@ -333,7 +333,7 @@
         state.policy.prefill_chunk_s * report.rate / PREFIX_BLOCK_TOKENS
     )
     chunk_tokens = max(1, blocks) * PREFIX_BLOCK_TOKENS
-    remaining_tokens = live.get_current_share().stop - live.position
+    remaining_tokens = live.get_current_share().stop - live.prefilled_tokens
     is_unsplit = live.prefill_stop <= state.policy.max_unchunked_tokens
     return (
         remaining_tokens
@@ -353,7 +353,7 @@
     report = target.load.report
     if report is None:
         return 0
-    prefill_s = (live.prefill_stop - live.position) / report.rate
+    prefill_s = (live.prefill_stop - live.prefilled_tokens) / report.rate
     return prefill_s + (live.req.max_tokens - live.emitted) * report.itl_s
 
 
--- a/trestledock/process/_duties.py
+++ b/trestledock/process/_duties.py
@@ -126,7 +126,7 @@
         epoch=epoch.offset if epoch else -1,
         ages=state.liveness.encode(epoch.members, now) if epoch else '',
         leaving=state.shutting_down,
-        leaving_targets=_get_leaving(state),
+        leaving_targets=_get_draining(state),
         digests=_get_digests(state, now),
         demands=tuple(
             TeamDemand(name, state.limits.get_demand(name, now))
@@ -222,7 +222,7 @@
 def run_housekeeping(state: State, now: float) -> None:
     """Drop old load data and retry queued requests."""
     for target in state.get_targets().values():
-        target.load.expire_done(now)
+        target.load.expire_finished_work(now)
     schedule_dispatch_of_all(state, now)
 
 
@@ -277,7 +277,7 @@
     return record_id
 
 
-def _get_leaving(state: State) -> tuple[str, ...]:
+def _get_draining(state: State) -> tuple[str, ...]:
     present = {target.info.key for target in state.get_targets().values()}
     return tuple(sorted(state.fleet.leaving & present))
 
--- a/trestledock/process/_epoch.py
+++ b/trestledock/process/_epoch.py
@@ -43,7 +43,7 @@
 class Handover:
     """The handover of an earlier epoch's claims.
 
-    `heard` holds the members that handed over every claim on their keys,
+    `handed_over_by` holds the members that sent every claim on their keys,
     `sealed` those that have sealed the epoch.  From `closed_at` on, certainly
     no member can grant claims in the epoch; only then does the time begin to
     run for which histories stay unknown.
@@ -52,7 +52,7 @@
     offset: int
     members: tuple[str, ...]
     replicas: int
-    heard: set[str] = field(default_factory=set)
+    handed_over_by: set[str] = field(default_factory=set)
     sealed: set[str] = field(default_factory=set)
     closed_at: float | None = None
     started_at: float = 0
@@ -60,11 +60,11 @@
     def has_unknown_history(self, key: str) -> bool:
         """Whether no replica of `key` in the earlier epoch has responded."""
         replicas = rank_by_key(key, self.members)[: self.replicas]
-        return self.heard.isdisjoint(replicas)
+        return self.handed_over_by.isdisjoint(replicas)
 
     def covers_all_keys(self) -> bool:
         """Whether every key has a replica that has responded."""
-        missing = len(set(self.members) - self.heard)
+        missing = len(set(self.members) - self.handed_over_by)
         return missing < min(self.replicas, len(self.members))
 
     def is_done(self, now: float, keep_s: float) -> bool:
@@ -102,7 +102,7 @@
             self.offset,
             self.members,
             self.replicas,
-            tuple(sorted(self.heard)),
+            tuple(sorted(self.handed_over_by)),
             self.get_remaining_s(now, keep_s),
             self.closed_at is not None,
         )
--- a/trestledock/process/_guarding.py
+++ b/trestledock/process/_guarding.py
@@ -78,7 +78,7 @@
         if len(block.watchers) >= WATCHERS_PER_BLOCK:
             break
         block.watchers.add(peer.info.member)
-    block.told |= block.watchers
+    block.notified |= block.watchers
     for member in sorted(block.watchers - block.confirmed_by):
         payload = HoldBlock(
             target.info.name,
@@ -120,8 +120,8 @@
 
 def maintain_blocks(state: State, now: float) -> None:
     """Retire finished blocks and replace unreachable watchers."""
-    for done in state.reservation_ids.pop_done():
-        _release_watchers(state, done, done.told)
+    for finished in state.reservation_ids.pop_done():
+        _release_watchers(state, finished, finished.notified)
     targets = state.get_targets()
     for block in tuple(state.reservation_ids.blocks.values()):
         target = targets.get(block.target)
--- a/trestledock/process/_holds.py
+++ b/trestledock/process/_holds.py
@@ -40,14 +40,14 @@
     """A block of ids at its owner.
 
     `watchers` are the peers that are asked to watch it, `confirmed_by` those
-    that have confirmed, `told` all that were ever asked.
+    that have confirmed, `notified` all that were ever asked.
     """
 
     target: str
     first: int
     next_number: int
     watchers: set[str] = field(default_factory=set)
-    told: set[str] = field(default_factory=set)
+    notified: set[str] = field(default_factory=set)
     confirmed_by: set[str] = field(default_factory=set)
     open_ids: set[str] = field(default_factory=set)
     asked_at: float = float('-inf')
@@ -98,11 +98,11 @@
             block.open_ids.discard(hold)
 
     def get_notified_peers(self) -> set[str]:
-        """Return the peers that were ever told of a block in use.
+        """Return all peers that were ever asked to watch a block in use.
 
         They need heartbeats of this instance, or they would cancel the block.
         """
-        return set().union(*(block.told for block in self.blocks.values()))
+        return set().union(*(block.notified for block in self.blocks.values()))
 
     def record_rejection(self, hold: str) -> None:
         """Record a rejected id, and close its block after too many.
--- a/trestledock/process/_isolating.py
+++ b/trestledock/process/_isolating.py
@@ -24,9 +24,9 @@
     fingerprint = live.req.fingerprint
     if target is None or not fingerprint:
         return
-    end = Crash(fingerprint, target.info.key)
-    if state.quarantine.is_blamed(end, now):
-        crashes = TargetEnds(fingerprint, (end.incarnation,))
+    crash = Crash(fingerprint, target.info.key)
+    if state.quarantine.is_blamed(crash, now):
+        crashes = TargetEnds(fingerprint, (crash.incarnation,))
         merge_crashes(state, crashes, now)
         _broadcast(state, crashes)
 
@@ -60,7 +60,7 @@
         send_to_member(state, peer.info.member, crashes)
 
 
-def record_answer(state: State, req: Request, now: float) -> None:
+def record_completion(state: State, req: Request, now: float) -> None:
     """Record that a target completed a request, which clears it."""
     if not req.fingerprint:
         return
--- a/trestledock/process/_live.py
+++ b/trestledock/process/_live.py
@@ -75,11 +75,12 @@
 class LiveRequest:
     """A request in progress.
 
-    `least_s` is the minimum time that it takes once it is sent, `position` the
-    number of prefilled tokens, `reserved` the number of engines of the group
-    that have confirmed their reservation.  `awaited` is the reservation and the
-    last token of the job whose result is awaited.  `heard_at` is the arrival of
-    the last chunk in the attempt.
+    `least_s` is the minimum time that it takes once it is sent.
+    `reserved_engines` counts the engines of the group that have confirmed their
+    reservation.  `awaited_job` is the reservation and the last token of the job
+    whose result is awaited.  `heard_at` is the arrival of the last chunk in the
+    attempt.  With `is_trial`, the request probes whether it still crashes
+    targets.
     """
 
     req: Request
@@ -91,10 +92,10 @@
     attempts: list[Attempt] = field(default_factory=list)
     assembler: Assembler = field(default_factory=lambda: Assembler(0))
     shares: tuple[Share, ...] = ()
-    position: int = 0
-    reserved: int = 0
+    prefilled_tokens: int = 0
+    reserved_engines: int = 0
     resumed: bool = False
-    awaited: tuple[str, int] = ('', 0)
+    awaited_job: tuple[str, int] = ('', 0)
     claim: PendingClaim | None = None
     first_token_at: float | None = None
     heard_at: float = 0
@@ -127,8 +128,8 @@
         attempt = Attempt(len(self.attempts) + 1, target)
         self.attempts.append(attempt)
         self.assembler.switch(attempt.number)
-        self.position = 0
-        self.reserved = 0
+        self.prefilled_tokens = 0
+        self.reserved_engines = 0
         self.resumed = False
         self.heard_at = 0
         return attempt
@@ -158,6 +159,6 @@
     def get_current_share(self) -> Share:
         """Return the share of the group that is prefilled next."""
         for share in self.shares:
-            if self.position < share.stop:
+            if self.prefilled_tokens < share.stop:
                 return share
         return self.shares[-1]
--- a/trestledock/process/_load.py
+++ b/trestledock/process/_load.py
@@ -15,7 +15,7 @@
 
 #: The time for which finished work is kept to be compared with late reports, in
 #: seconds.
-DONE_RETENTION_S = 6.0
+FINISHED_RETENTION_S = 6.0
 #: The time for which a measured pace is valid, in seconds.
 MAX_PACE_AGE_S = 5.0
 #: The weight of the newest sample in smoothed rates.
@@ -29,8 +29,9 @@
 class SentWork:
     """Work that this instance sent to an engine.
 
-    `tokens` counts the prefill tokens of the chunk that was sent, `rest` those
-    of the chunks to come, `reserve` the KV tokens reserved since `reserved_at`.
+    `tokens` counts the prefill tokens of the chunk that was sent,
+    `remaining_tokens` those of the chunks to come, and `reserve` the KV tokens
+    reserved since `reserved_at`.
     """
 
     tokens: int
@@ -38,7 +39,7 @@
     reserve: int
     sent_at: float
     reserved_at: float
-    rest: int = 0
+    remaining_tokens: int = 0
     prefilled_at: float | None = None
 
 
@@ -58,7 +59,7 @@
     reported_at: float = 0
     others_rate: float = 0
     sent_work: dict[tuple[str, int], SentWork] = field(default_factory=dict)
-    done: list[SentWork] = field(default_factory=list)
+    finished_work: list[SentWork] = field(default_factory=list)
     paces: dict[int, Pace] = field(default_factory=dict)
     sent_total: int = 0
     _last_totals: tuple[float, int, int] = (0, 0, 0)
@@ -97,7 +98,7 @@
             self._waits.clear()
             if work.prefilled_at is None:
                 work = replace(work, prefilled_at=now)
-            self.done.append(work)
+            self.finished_work.append(work)
 
     def predict_wait(self, priority: int, now: float) -> float:
         """Return the predicted wait of new work of `priority`, in seconds."""
@@ -132,12 +133,12 @@
             return 0
         return pace.token_s
 
-    def expire_done(self, now: float) -> None:
+    def expire_finished_work(self, now: float) -> None:
         """Drop finished work that predates any report still to come."""
-        self.done = [
+        self.finished_work = [
             work
-            for work in self.done
-            if now - (work.prefilled_at or now) < DONE_RETENTION_S
+            for work in self.finished_work
+            if now - (work.prefilled_at or now) < FINISHED_RETENTION_S
         ]
 
     def _compute_wait(self, priority: int, now: float) -> float:
@@ -153,7 +154,7 @@
 
     def _count_own_tokens(self, priority: int) -> int:
         return sum(
-            work.tokens + work.rest
+            work.tokens + work.remaining_tokens
             for work in self.sent_work.values()
             if work.prefilled_at is None and work.priority <= priority
         )
@@ -162,7 +163,7 @@
         reported_at = self.reported_at
         return sum(
             work.tokens
-            for work in (*self.sent_work.values(), *self.done)
+            for work in (*self.sent_work.values(), *self.finished_work)
             if work.priority <= priority
             and work.sent_at <= reported_at
             and (work.prefilled_at is None or work.prefilled_at > reported_at)
@@ -190,7 +191,7 @@
         return min(lower_priority) / 2 if lower_priority else 0
 
     def _update_pace(self, work: SentWork, now: float) -> None:
-        if not work.rest or not work.tokens:
+        if not work.remaining_tokens or not work.tokens:
             return
         token_s = (now - work.sent_at) / work.tokens
         previous_s = self.get_pace(work.priority, now)
--- a/trestledock/process/_payloads.py
+++ b/trestledock/process/_payloads.py
@@ -104,7 +104,7 @@
 
 @dataclass(frozen=True)
 class ClaimAnswer:
-    """The response to a `ClaimAsk`; `grant` is a value of `Grant`."""
+    """The response to a `ClaimAsk`; `grant` is a `ClaimDecision`."""
 
     key: str
     claim_id: str
--- a/trestledock/process/_platform.py
+++ b/trestledock/process/_platform.py
@@ -33,7 +33,9 @@
 )
 
 
-def on_instances(message: InstancesListed, state: State, now: float) -> None:
+def on_instances_listed(
+    message: InstancesListed, state: State, now: float
+) -> None:
     """Merge the instance list."""
     leaving_before = len(state.fleet.leaving)
     for info in state.fleet.merge_targets(message.targets, now):
@@ -50,7 +52,7 @@
     }
 
 
-def on_load(message: LoadReported, state: State, now: float) -> None:
+def on_load_reported(message: LoadReported, state: State, now: float) -> None:
     """Record a target's report; queued requests may fit now."""
     state.fleet.record_report(message.target, message.report, now)
     target = state.get_targets().get(message.target)
@@ -59,7 +61,7 @@
         schedule_dispatch_of_all(state, now)
 
 
-def on_cache_event(message: CacheReported, state: State, now: float) -> None:
+def on_cache_reported(message: CacheReported, state: State, now: float) -> None:
     """Apply a target's cache event."""
     target = state.get_targets().get(message.target)
     if target:
@@ -76,7 +78,7 @@
     schedule_dispatch_of_all(state, now)
 
 
-def on_mark_leaving(message: MarkDraining, state: State, now: float) -> None:
+def on_mark_draining(message: MarkDraining, state: State, now: float) -> None:
     """Mark a target as draining at an operator's command."""
     target = state.get_targets().get(message.target)
     if target and state.fleet.mark_draining(target.info.key):
--- a/trestledock/process/_policy.py
+++ b/trestledock/process/_policy.py
@@ -3,8 +3,7 @@
 ================
 
 The parameters of placement and admission.  Their default values come from the
-replay (docs/MEASUREMENTS.md).  `PLAIN` is the baseline without any of the
-mechanisms.
+replay (docs/MEASUREMENTS.md).  `BASELINE` does without all of the mechanisms.
 """
 
 from dataclasses import dataclass
@@ -23,16 +22,17 @@
 class Policy:
     """The parameters of placement and admission.
 
-    `piece_s` is the length of a prefill chunk in engine seconds, 0 for whole
-    prompts.  Prompts of up to `whole_tokens` are never split, because chunks of
-    other prompts would run in between.  `window_s` limits the predicted prefill
-    wait at an engine; further requests stay in the fair queue.  Predictions
-    within `near_s` of the best count as equal, and one of them is drawn at
-    random.  `pace` enables the measured pace of chunks in predictions for split
-    prompts.  `subset` is the number of permitted engines that an instance
-    considers.  `margin` multiplies the predicted time that is compared with the
-    deadline, `prefer_s` is the penalty for each level of preference, and work
-    with less slack than `urgent_s` gets the urgent priority.
+    `prefill_chunk_s` is the length of a prefill chunk in engine seconds, 0 for
+    whole prompts.  Prompts of up to `max_unchunked_tokens` are never split,
+    because chunks of other prompts would run in between.  `window_s` limits the
+    predicted prefill wait at an engine; further requests stay in the fair
+    queue.  Predictions within `tie_s` of the best count as equal, and one of
+    them is drawn at random.  `uses_pace` enables the measured pace of chunks in
+    predictions for split prompts.  `subset_size` is the number of permitted
+    engines that an instance considers.  `deadline_margin` multiplies the
+    predicted time that is compared with the deadline, `preference_penalty_s` is
+    added for each level of preference that is missed, and work with less slack
+    than `urgent_slack_s` gets the urgent priority.
     """
 
     chooser: Chooser = Chooser.predicted
--- a/trestledock/process/_registry.py
+++ b/trestledock/process/_registry.py
@@ -15,7 +15,7 @@
     on_attempt_failed,
     on_call_done,
     on_cancel_confirmed,
-    on_chunk,
+    on_chunk_arrived,
     on_gap_due,
     on_prefill_done,
     on_retry_due,
@@ -24,7 +24,7 @@
 )
 from trestledock.process._arrivals import (
     on_arrive,
-    on_caller_gone,
+    on_caller_disconnected,
     on_deadline_passed,
 )
 from trestledock.process._claiming import on_claim_due
@@ -32,11 +32,11 @@
 from trestledock.process._duties import on_heartbeat_due
 from trestledock.process._peering import on_peer_message
 from trestledock.process._platform import (
-    on_cache_event,
-    on_instances,
-    on_load,
+    on_cache_reported,
+    on_instances_listed,
+    on_load_reported,
     on_log_read,
-    on_mark_leaving,
+    on_mark_draining,
     on_order_answered,
     on_publish,
     on_shutdown,
@@ -59,19 +59,19 @@
 HANDLERS: Mapping[type, Handler] = MappingProxyType(
     {
         messages.Arrive: on_arrive,
-        messages.CallerDisconnected: on_caller_gone,
+        messages.CallerDisconnected: on_caller_disconnected,
         messages.PrefillDone: on_prefill_done,
-        messages.ChunkArrived: on_chunk,
+        messages.ChunkArrived: on_chunk_arrived,
         messages.StreamDone: on_stream_done,
         messages.CallDone: on_call_done,
         messages.AttemptFailed: on_attempt_failed,
         messages.CancelConfirmed: on_cancel_confirmed,
-        messages.LoadReported: on_load,
-        messages.CacheReported: on_cache_event,
-        messages.InstancesListed: on_instances,
+        messages.LoadReported: on_load_reported,
+        messages.CacheReported: on_cache_reported,
+        messages.InstancesListed: on_instances_listed,
         messages.PeerMessage: on_peer_message,
         messages.LogRead: on_log_read,
-        messages.MarkDraining: on_mark_leaving,
+        messages.MarkDraining: on_mark_draining,
         messages.OrderAnswered: on_order_answered,
         messages.Publish: on_publish,
         messages.Shutdown: on_shutdown,
