--- a/trestledock/process/_claims.py
+++ b/trestledock/process/_claims.py
@@ -41,7 +41,13 @@
 
 
 class ClaimDecision(str, Enum):
-    """The responses to a request for a claim."""
+    """The responses to a request for a claim.
+
+    `pending`: another call with the key may still run.  `done`: it has ended,
+    and its outcome follows.  `unknown`: it may have run, but has not reported
+    an outcome in time, or a replica knows another claim.  `blind`: the key's
+    history is lost.  `stale`: this member can't decide on the key now.
+    """
 
     granted = 'granted'
     pending = 'pending'
--- a/trestledock/process/_holds.py
+++ b/trestledock/process/_holds.py
@@ -67,7 +67,7 @@
 
 @dataclass
 class ReservationIds:
-    """The blocks of an owner, `current` by the name of the target."""
+    """The blocks of an owner; `current` maps a target to its current block."""
 
     member: str
     blocks: dict[tuple[str, int], IdBlock] = field(default_factory=dict)
--- a/trestledock/process/_liveness.py
+++ b/trestledock/process/_liveness.py
@@ -43,12 +43,12 @@
             if 0 <= step < len(_DIGITS) - 1:
                 self.record_heard(member, now - (step + 1) * AGE_STEP_S)
 
-    def expire(self, now: float, older_s: float) -> None:
-        """Drop members not heard for `older_s` seconds."""
+    def expire(self, now: float, retention_s: float) -> None:
+        """Drop members not heard for `retention_s` seconds."""
         self.heard_at = {
             member: at
             for member, at in self.heard_at.items()
-            if now - at < older_s
+            if now - at < retention_s
         }
 
     def _get_step(self, age: float) -> int:
--- a/trestledock/process/_payloads.py
+++ b/trestledock/process/_payloads.py
@@ -90,7 +90,7 @@
 
 @dataclass(frozen=True)
 class ClaimCopied:
-    """Tells whether a replica recorded a claim.
+    """Reports whether a replica recorded a claim.
 
     A replica refuses if it knows another claim on the key, or is in another
     epoch.
--- a/trestledock/process/_policy.py
+++ b/trestledock/process/_policy.py
@@ -3,7 +3,7 @@
 ================
 
 The parameters of placement and admission.  Their default values come from the
-replay (docs/MEASUREMENTS.md).  `BASELINE` does without all of the mechanisms.
+replay (docs/MEASUREMENTS.md).  `BASELINE` has all mechanisms disabled.
 """
 
 from dataclasses import dataclass
@@ -11,7 +11,7 @@
 
 
 class Chooser(str, Enum):
-    """How an engine is chosen among the permitted engines."""
+    """The method of choosing among the permitted engines."""
 
     predicted = 'predicted'
     round_robin = 'round_robin'
--- a/trestledock/process/_queue.py
+++ b/trestledock/process/_queue.py
@@ -96,7 +96,7 @@
 
     def iter_in_order(self) -> Iterator[QueuedRequest]:
         """Yield the waiting requests in dispatch order."""
-        lowest = self._get_lowest_waiting()
+        lowest = self._get_lowest_virtual_time()
         yield from sorted(
             self.waiting.values(),
             key=lambda waiting: self._get_sort_key(waiting, lowest),
@@ -131,7 +131,7 @@
             waiting.req.team == team for waiting in self.waiting.values()
         )
 
-    def _get_lowest_waiting(self) -> float:
+    def _get_lowest_virtual_time(self) -> float:
         return min(
             (
                 self.virtual_times.get(waiting.req.team, self.min_virtual_time)
--- a/trestledock/process/_state.py
+++ b/trestledock/process/_state.py
@@ -46,7 +46,7 @@
 
 @dataclass
 class Bookkeeping:
-    """When the periodic tasks last ran, and counters that they use."""
+    """Times and counters of the periodic tasks and of dispatch."""
 
     last_step: float = float('-inf')
     log_read_at: float = float('-inf')
