--- a/trestledock/process/_identity.py
+++ b/trestledock/process/_identity.py
@@ -29,7 +29,15 @@
 
 @dataclass(frozen=True)
 class Timing:
-    """Intervals and timeouts of the process, in seconds."""
+    """Intervals and timeouts of the process, in seconds.
+
+    A peer is unreachable after `peer_dead_s` without a sign of it, and removed
+    after `forget_peer_s`.  A new epoch is proposed once its members have been
+    stable for `epoch_settle_s`.  A new lease holder waits `order_flight_s` for
+    the previous holder's orders to arrive.  Snapshots follow one another after
+    `snapshot_s` to twice that time.  A step later than `pause_s` after the
+    previous one counts as a pause of the process.
+    """
 
     heartbeat_s: float = 1.0
     peer_dead_s: float = 4.0
