--- a/trestledock/process/_answers.py
+++ b/trestledock/process/_answers.py
@@ -1,32 +1,33 @@
 """
-Answers
-=======
+Results of attempts
+===================
 
-What targets say of the attempts that were sent to them: pieces done, chunks,
-final markers, whole answers and failures, and what follows: the next piece,
-the caller's tokens, a resumed stream, or another attempt elsewhere.
+Handles what targets report of their attempts: prefill progress, chunks, ends
+of streams, complete responses, and failures.  Each leads to the next prefill
+chunk, to tokens for the caller, to a resumed stream, or to an attempt on
+another target.
 """
 
 from trestledock.process._actions import EmitChunks, ResumeStream
 from trestledock.process._choosing import choose_service
 from trestledock.process._dispatching import (
-    make_waiting,
-    pump_soon,
-    send_piece,
+    make_queued_request,
+    schedule_dispatch,
+    send_prefill_chunk,
     send_reservation,
     start_call,
 )
 from trestledock.process._ending import (
-    end,
+    finish_request,
     refuse,
     release_attempt,
 )
 from trestledock.process._isolating import (
     is_quarantined,
-    note_answered,
-    note_end,
+    record_completion,
+    record_crash,
 )
-from trestledock.process._live import Live, Phase
+from trestledock.process._live import LiveRequest, Phase
 from trestledock.process._messages import (
     AttemptFailed,
     CallDone,
@@ -46,34 +47,34 @@
     draw_backoff,
 )
 
-#: How long chunks may be missing after the final marker, in seconds.
-GAP_PATIENCE_S = 0.5
-#: When to come back after an attempt was lost, in seconds.
-LOST_WAIT_S = 1.0
-#: How long a stream may be silent between two tokens, in seconds.
-STREAM_SILENCE_S = 5.0
-#: What is counted for a stream that is resumed or continued.
+#: How long chunks may be missing after the end of a stream, in seconds.
+GAP_TIMEOUT_S = 0.5
+#: The Retry-After time after a lost attempt, in seconds.
+LOST_RETRY_AFTER_S = 1.0
+#: The timeout between two tokens of a stream, in seconds.
+STREAM_TIMEOUT_S = 5.0
+#: The step that failures of a stream name; only these are resumed.
 STREAM_STEP = 'stream'
 
 
-def on_piece_done(message: PrefillDone, state: State, now: float) -> None:
-    """Go on with the next reservation or piece."""
+def on_prefill_done(message: PrefillDone, state: State, now: float) -> None:
+    """Send the next reservation or prefill chunk."""
     live = state.requests.get(message.req_id)
     if live is None or live.phase is not Phase.running:
         return
-    if (message.hold, message.stop) != live.awaited:
+    if (message.hold, message.stop) != live.awaited_job:
         return
-    if live.note(message.attempt, AttemptEvent.answer):
-        _advance(state, live, message.stop, now)
-        pump_soon(state, live.pool, now)
+    if live.advance_attempt(message.attempt, AttemptEvent.answer):
+        _continue_prefill(state, live, message.stop, now)
+        schedule_dispatch(state, live.pool, now)
 
 
-def on_chunk(message: ChunkArrived, state: State, now: float) -> None:
-    """Pass on what is in order."""
+def on_chunk_arrived(message: ChunkArrived, state: State, now: float) -> None:
+    """Send the caller the chunks that are in order."""
     live = state.requests.get(message.req_id)
     if live is None or live.phase is not Phase.running:
         return
-    if not live.note(message.attempt, AttemptEvent.answer):
+    if not live.advance_attempt(message.attempt, AttemptEvent.answer):
         return
     live.heard_at = now
     if live.first_token_at is None:
@@ -81,25 +82,25 @@
     _mark_prefilled(state, live, now)
     ready = live.assembler.push(message.attempt, message.chunk)
     if ready:
-        state.act(EmitChunks(message.req_id, ready))
-    _end_if_whole(state, live, now)
+        state.emit(EmitChunks(message.req_id, ready))
+    _finish_if_complete(state, live, now)
 
 
 def on_stream_done(message: StreamDone, state: State, now: float) -> None:
-    """Take the final marker; wait a little for chunks that are missing."""
+    """Record the end of a stream, and wait a little for missing chunks."""
     live = state.requests.get(message.req_id)
     if live is None or live.phase is not Phase.running:
         return
-    if not live.note(message.attempt, AttemptEvent.answer):
+    if not live.advance_attempt(message.attempt, AttemptEvent.answer):
         return
     live.assembler.finish(message.attempt, message.count)
-    _end_if_whole(state, live, now)
+    _finish_if_complete(state, live, now)
     due = GapDue(message.req_id, message.attempt)
-    state.set_timer(now + GAP_PATIENCE_S, due)
+    state.set_timer(now + GAP_TIMEOUT_S, due)
 
 
-def on_gap(message: GapDue, state: State, now: float) -> None:
-    """Ask for the chunks that are still missing after the final marker."""
+def on_gap_due(message: GapDue, state: State, now: float) -> None:
+    """Treat chunks that are still missing as a failure of the stream."""
     failed = AttemptFailed(
         message.req_id,
         message.attempt,
@@ -111,54 +112,56 @@
     on_attempt_failed(failed, state, now)
 
 
-def on_silence(message: SilenceDue, state: State, now: float) -> None:
-    """Count an engine that has said nothing of a job as lost."""
+def on_silence_due(message: SilenceDue, state: State, now: float) -> None:
+    """Fail an attempt whose engine has not responded to a job."""
     live = state.requests.get(message.req_id)
     if live is None or live.phase is not Phase.running:
         return
-    same = live.awaited == (message.hold, message.stop)
-    if same and live.emitted == message.emitted:
-        silent = AttemptFailed(
+    is_same_job = live.awaited_job == (message.hold, message.stop)
+    if is_same_job and live.emitted == message.emitted:
+        failed = AttemptFailed(
             message.req_id,
             message.attempt,
             not_started=False,
             step='silence',
             peer=live.attempt.target,
         )
-        on_attempt_failed(silent, state, now)
+        on_attempt_failed(failed, state, now)
 
 
-def end_silent_streams(state: State, now: float) -> None:
-    """Resume, or go on elsewhere with, streams that have fallen silent."""
+def fail_silent_streams(state: State, now: float) -> None:
+    """Resume silent streams, or continue them on another engine."""
     for live in tuple(state.requests.values()):
-        streaming = live.phase is Phase.running and live.heard_at > 0
-        if streaming and now - live.heard_at > STREAM_SILENCE_S:
+        is_streaming = live.phase is Phase.running and live.heard_at > 0
+        if is_streaming and now - live.heard_at > STREAM_TIMEOUT_S:
             live.heard_at = now
-            silent = AttemptFailed(
+            failed = AttemptFailed(
                 live.req.req_id,
                 live.attempt.number,
                 not_started=False,
                 step=STREAM_STEP,
                 peer=live.attempt.target,
             )
-            on_attempt_failed(silent, state, now)
+            on_attempt_failed(failed, state, now)
 
 
 def on_call_done(message: CallDone, state: State, now: float) -> None:
-    """Give the caller the answer of a plain service."""
+    """Send the caller the response of a plain service."""
     live = state.requests.get(message.req_id)
-    if live is None or not live.note(message.attempt, AttemptEvent.finish):
+    if live is None or not live.advance_attempt(
+        message.attempt, AttemptEvent.finish
+    ):
         return
     target = state.get_targets()[live.attempt.target]
     target.breaker.succeed()
-    note_answered(state, live.req, now)
+    record_completion(state, live.req, now)
     verdict = Verdict(
         Outcome.answered,
         peer=live.attempt.target,
         status=message.status,
         body=message.body,
     )
-    end(state, live, verdict)
+    finish_request(state, live, verdict)
 
 
 def on_attempt_failed(
@@ -166,38 +169,38 @@
     state: State,
     now: float,
 ) -> None:
-    """Resume, retry elsewhere, or end the request."""
+    """Resume the stream, retry on another target, or end the request."""
     live = state.requests.get(message.req_id)
     if live is None or live.phase is not Phase.running:
         return
     if message.attempt != live.attempt.number:
         return
     if message.ended:
-        note_end(state, live, message.peer, now)
-    if _resume(state, live, message):
+        record_crash(state, live, message.peer, now)
+    if _try_resume(state, live, message):
         return
     event = AttemptEvent.reject if message.not_started else AttemptEvent.lose
-    if not live.note(message.attempt, event):
+    if not live.advance_attempt(message.attempt, event):
         return
     target = state.get_targets()[live.attempt.target]
     target.breaker.fail(now)
     if message.not_started and live.shares:
-        state.hold_ids.note_rejection(live.shares[0].hold)
-    release_attempt(state, live, is_whole=False)
-    _retry(state, live, message, now)
+        state.reservation_ids.record_rejection(live.shares[0].hold)
+    release_attempt(state, live, is_complete=False)
+    _retry_or_refuse(state, live, message, now)
 
 
 def on_retry_due(message: RetryDue, state: State, now: float) -> None:
-    """Make the next attempt."""
+    """Make the next attempt after the backoff."""
     live = state.requests.get(message.req_id)
     if live is None or live.phase is not Phase.backoff:
         return
     if live.req.kind is Kind.call:
-        _call_again(state, live, now)
+        _retry_call(state, live, now)
         return
-    live.enter(Phase.queued)
-    state.get_queue(live.pool).push(make_waiting(state, live))
-    pump_soon(state, live.pool, now)
+    live.enter_phase(Phase.queued)
+    state.get_queue(live.pool).push(make_queued_request(state, live))
+    schedule_dispatch(state, live.pool, now)
 
 
 def on_cancel_confirmed(
@@ -205,51 +208,55 @@
     state: State,
     now: float,
 ) -> None:
-    """Note that an engine holds nothing under these ids any more."""
-    state.guard.confirm(message.target, message.holds)
+    """Record that an engine has released these reservations."""
+    state.reservation_watch.confirm_cancels(message.target, message.holds)
     for hold in message.holds:
-        state.hold_ids.release(hold)
+        state.reservation_ids.release(hold)
 
 
-def _advance(state: State, live: Live, stop: int, now: float) -> None:
+def _continue_prefill(
+    state: State, live: LiveRequest, stop: int, now: float
+) -> None:
     key = (live.req.req_id, live.attempt.number)
-    target = state.get_targets()[live.get_share().target]
+    target = state.get_targets()[live.get_current_share().target]
     target.load.mark_prefilled(key, now)
-    if len(live.shares) > 1 and live.reserved < len(live.shares):
-        live.reserved += 1
+    if len(live.shares) > 1 and live.reserved_engines < len(live.shares):
+        live.reserved_engines += 1
     else:
-        live.position = stop
-    if 1 < len(live.shares) and live.reserved < len(live.shares):
+        live.prefilled_tokens = stop
+    if 1 < len(live.shares) and live.reserved_engines < len(live.shares):
         send_reservation(state, live, now)
     else:
-        send_piece(state, live, now)
+        send_prefill_chunk(state, live, now)
 
 
-def _mark_prefilled(state: State, live: Live, now: float) -> None:
+def _mark_prefilled(state: State, live: LiveRequest, now: float) -> None:
     key = (live.req.req_id, live.attempt.number)
     target = state.get_targets()[live.shares[-1].target]
-    sent = target.load.sends.get(key)
-    if sent and sent.prefilled_at is None:
+    work = target.load.sent_work.get(key)
+    if work and work.prefilled_at is None:
         target.load.mark_prefilled(key, now)
-        pump_soon(state, live.pool, now)
+        schedule_dispatch(state, live.pool, now)
 
 
-def _end_if_whole(state: State, live: Live, now: float) -> None:
+def _finish_if_complete(state: State, live: LiveRequest, now: float) -> None:
     if not live.assembler.is_complete:
         return
-    live.note(live.attempt.number, AttemptEvent.finish)
+    live.advance_attempt(live.attempt.number, AttemptEvent.finish)
     name = live.shares[-1].target
     state.get_targets()[name].breaker.succeed()
-    note_answered(state, live.req, now)
+    record_completion(state, live.req, now)
     verdict = Verdict(Outcome.answered, peer=name, tokens=live.emitted)
-    end(state, live, verdict)
-    pump_soon(state, live.pool, now)
+    finish_request(state, live, verdict)
+    schedule_dispatch(state, live.pool, now)
 
 
-def _resume(state: State, live: Live, message: AttemptFailed) -> bool:
-    """Ask the same engine once more for a stream that broke off."""
-    started = live.first_token_at is not None and live.shares
-    if not started or live.resumed or message.not_started:
+def _try_resume(
+    state: State, live: LiveRequest, message: AttemptFailed
+) -> bool:
+    """Ask the same engine once to resume a broken stream."""
+    has_started = live.first_token_at is not None and live.shares
+    if not has_started or live.resumed or message.not_started:
         return False
     if message.ended:
         return False
@@ -259,7 +266,7 @@
     share = live.shares[-1]
     target = state.get_targets()[share.target]
     state.count('retries', 'resume')
-    state.act(
+    state.emit(
         ResumeStream(
             live.req.req_id,
             live.attempt.number,
@@ -272,9 +279,9 @@
     return True
 
 
-def _retry(
+def _retry_or_refuse(
     state: State,
-    live: Live,
+    live: LiveRequest,
     message: AttemptFailed,
     now: float,
 ) -> None:
@@ -284,41 +291,43 @@
     if is_quarantined(state, live):
         refuse(state, live, Reason.quarantined, detail=message.detail)
     elif not (live.req.idempotent or message.not_started):
-        refuse(state, live, reason, LOST_WAIT_S, message.detail)
+        refuse(state, live, reason, LOST_RETRY_AFTER_S, message.detail)
     elif state.get_budget(live.pool).try_spend(now, instances=1):
         state.count('retries', reason.value)
-        live.enter(Phase.backoff)
-        state.get_queue(live.pool).finish(live.req.req_id)
+        live.enter_phase(Phase.backoff)
+        state.get_queue(live.pool).mark_finished(live.req.req_id)
         backoff = draw_backoff(len(live.attempts), state.rng)
         state.set_timer(now + backoff, RetryDue(live.req.req_id))
     else:
-        refuse(state, live, Reason.retry_budget, LOST_WAIT_S, reason.value)
+        refuse(
+            state, live, Reason.retry_budget, LOST_RETRY_AFTER_S, reason.value
+        )
 
 
-def _call_again(state: State, live: Live, now: float) -> None:
+def _retry_call(state: State, live: LiveRequest, now: float) -> None:
     not_after = live.claim.not_after if live.claim else live.req.deadline
-    field = choose_service(state, live.req, now)
+    found = choose_service(state, live.req, now)
     if is_quarantined(state, live):
         refuse(state, live, Reason.quarantined)
-    elif not field.candidates:
-        refuse(state, live, field.reason, LOST_WAIT_S, field.detail)
+    elif not found.candidates:
+        refuse(state, live, found.reason, LOST_RETRY_AFTER_S, found.detail)
     elif now >= not_after:
-        refuse(state, live, Reason.deadline_passed, LOST_WAIT_S)
+        refuse(state, live, Reason.deadline_passed, LOST_RETRY_AFTER_S)
     else:
-        start_call(state, live, field.candidates, not_after, now)
+        start_call(state, live, found.candidates, not_after, now)
 
 
-def drop_replaced(state: State, target_name: str, now: float) -> None:
-    """Fail the attempts on an incarnation that has been replaced."""
+def fail_replaced(state: State, target_name: str, now: float) -> None:
+    """Fail the attempts on a target whose incarnation was replaced."""
     for live in tuple(state.requests.values()):
-        held = {share.target for share in live.shares}
-        if live.phase is Phase.running and target_name in held:
+        used = {share.target for share in live.shares}
+        if live.phase is Phase.running and target_name in used:
             live.resumed = True
-            cancelled = AttemptFailed(
+            failed = AttemptFailed(
                 live.req.req_id,
                 live.attempt.number,
                 not_started=False,
                 step='incarnation',
                 peer=target_name,
             )
-            on_attempt_failed(cancelled, state, now)
+            on_attempt_failed(failed, state, now)
--- a/trestledock/process/_applying.py
+++ b/trestledock/process/_applying.py
@@ -1,9 +1,9 @@
 """
-Applying accepted records
-=========================
+Application of accepted records
+===============================
 
-Puts in force what the fold has accepted: the configuration, the epochs of all
-data centres and the lease of this one.  Versions only ever grow.
+Applies the records that the fold has accepted: the configuration, the epochs of
+all data centres, and the lease of this one.  Version numbers never decrease.
 """
 
 from trestledock.process._actions import Published
@@ -22,7 +22,7 @@
 
 
 def apply_accepted(state: State, now: float) -> None:
-    """Put everything in force that the fold holds and that is newer."""
+    """Apply all accepted records that are newer than the current state."""
     for scope, accepted in tuple(state.reader.fold.scopes.items()):
         if scope == CONFIGURATION:
             _apply_configuration(state, accepted)
@@ -32,8 +32,8 @@
             _apply_lease(state, accepted, now)
 
 
-def settle_publications(state: State) -> None:
-    """Tell the operators whose records have been read back."""
+def report_publications(state: State) -> None:
+    """Report the verdicts on publications that were read back from the log."""
     for publish_id in tuple(state.publishing):
         verdict = state.reader.fold.verdicts.get(publish_id)
         if verdict is None:
@@ -41,7 +41,7 @@
         wait = state.publishing.pop(publish_id)
         detail = '' if verdict else 'another version was accepted before'
         number = state.version.number
-        state.act(Published(publish_id, verdict, number, wait.base, detail))
+        state.emit(Published(publish_id, verdict, number, wait.base, detail))
 
 
 def _apply_configuration(state: State, accepted: Accepted) -> None:
@@ -50,7 +50,7 @@
     cfg = check_configuration(accepted.body).unwrap()
     state.version = Version(accepted.offset, cfg)
     state.claims.keep_s = cfg.claims.keep_s
-    state.note('version_in_force', detail=str(accepted.offset))
+    state.log_event('version_in_force', detail=str(accepted.offset))
 
 
 def _apply_lease(state: State, accepted: Accepted, now: float) -> None:
@@ -76,4 +76,6 @@
     if data_centre != state.identity.data_centre:
         return
     if state.claims.enter_epoch(epoch, now):
-        state.note('epoch', detail=f'{accepted.offset} {list(body.members)}')
+        state.log_event(
+            'epoch', detail=f'{accepted.offset} {list(body.members)}'
+        )
--- a/trestledock/process/_claims.py
+++ b/trestledock/process/_claims.py
@@ -2,18 +2,18 @@
 Claims
 ======
 
-At most once across instances.  A non-idempotent call with an idempotency key
-runs only under a claim on the key.  The first replica of the key decides, the
-others keep a copy, and a claim is granted once all of them have recorded it.
-In the steady state no platform is needed; only a change of members goes
-through the log, see `trestledock.process` on epochs.
-
-A claim is one-shot: its claimant starts the call at most once and not after
-the claim's time to live.  Outcomes are kept for a while, so that a repeat of
-a key gets the answer of the first run, waits for it, or is told `unknown`.
-
-The module holds the part of a member; nothing in it knows requests or sockets,
-so that others can embed it.
+At-most-once execution across instances.  A non-idempotent call with an
+idempotency key runs only under a claim on the key.  The first replica of the
+key decides on claims, the other replicas keep copies, and a claim is granted
+once all replicas have recorded it.  This needs the platform only when the
+members change: a new epoch goes through the log, see `_epoch`.
+
+A claimant starts the call at most once, within the claim's time to live.
+Outcomes are kept for a while, so that a repeated call gets the first call's
+response, waits for it, or ends as `unknown`.
+
+This module implements one member.  It depends on neither requests nor sockets,
+so that other programs can embed it.
 """
 
 from dataclasses import dataclass, field
@@ -32,15 +32,22 @@
 )
 from trestledock.request import Outcome
 
-#: The longest answer, in characters, that is kept for repeats.
-MAX_KEPT_BODY = 16_384
+#: The maximum length of a response that is kept for repeated calls, in
+#: characters.
+MAX_STORED_BODY_CHARS = 16_384
 
-#: How many epochs a member vouches for.
-MAX_VOUCHES = 16
+#: The maximum number of complete epochs that a member remembers.
+MAX_COMPLETE_EPOCHS = 16
 
 
 class ClaimDecision(str, Enum):
-    """The answers to a request for a claim."""
+    """The responses to a request for a claim.
+
+    `pending`: another call with the key may still run.  `done`: it has ended,
+    and its outcome follows.  `unknown`: it may have run, but has not reported
+    an outcome in time, or a replica knows another claim.  `blind`: the key's
+    history is lost.  `stale`: this member can't decide on the key now.
+    """
 
     granted = 'granted'
     pending = 'pending'
@@ -52,35 +59,37 @@
 
 @dataclass
 class Claim:
-    """What a replica remembers of a claim."""
+    """A claim as stored by a replica."""
 
     claim_id: str
     claimant: str
-    made_at: float
+    created_at: float
     ttl_s: float
     outcome: str = ''
     status: int = 0
     body: str = ''
-    copied: set[str] = field(default_factory=set)
-    copied_epoch: int = -1
+    acknowledged_by: set[str] = field(default_factory=set)
+    acknowledged_epoch: int = -1
 
-    def get_grant(self, now: float) -> ClaimDecision:
-        """Return the answer to another claim on the same key."""
+    def decide_repeat(self, now: float) -> ClaimDecision:
+        """Return the response to another claim on the same key."""
         if self.outcome:
             return ClaimDecision.done
-        expired = now > self.made_at + self.ttl_s
+        expired = now > self.created_at + self.ttl_s
         return ClaimDecision.unknown if expired else ClaimDecision.pending
 
 
-#: Payloads to send, each with the member it goes to.
-Sends = list[tuple[str, ClaimAnswer | ClaimCopy | ClaimCopied]]
+#: Payloads to send, each with the name of the receiving member.
+OutgoingPayloads = list[tuple[str, ClaimAnswer | ClaimCopy | ClaimCopied]]
 
 
 @dataclass
 class ClaimTable:
-    """The claims that one member keeps.
+    """The claims that one member stores.
 
-    `member` is the member's own name, `keep_s` how long an outcome is kept.
+    `member` is the member's own name, `keep_s` the time for which an outcome
+    is kept.  `complete_epochs` holds the epochs for which this member has every
+    claim on its keys; they are sent as `vouches`.
     """
 
     member: str
@@ -88,13 +97,13 @@
     epoch: Epoch | None = None
     claims: dict[str, Claim] = field(default_factory=dict)
     handovers: dict[int, Handover] = field(default_factory=dict)
-    vouches: set[int] = field(default_factory=set)
-    handed_to: set[str] = field(default_factory=set)
+    complete_epochs: set[int] = field(default_factory=set)
+    handed_over_to: set[str] = field(default_factory=set)
 
     def enter_epoch(self, epoch: Epoch, now: float) -> bool:
-        """Enter a newer epoch; nothing is granted in older ones from here on.
+        """Enter a newer epoch, which ends all grants in older epochs.
 
-        Returns whether the epoch was news.
+        Returns whether the epoch was newer.
         """
         if self.epoch and epoch.offset <= self.epoch.offset:
             return False
@@ -104,46 +113,52 @@
                 epoch.body.previous,
                 epoch.body.previous_replicas,
                 sealed={self.member},
-                begun_at=now,
+                started_at=now,
             )
-            if epoch.body.previous_offset in self.vouches:
-                handover.heard.add(self.member)
+            if epoch.body.previous_offset in self.complete_epochs:
+                handover.handed_over_by.add(self.member)
             self.handovers[epoch.body.previous_offset] = handover
         self.epoch = epoch
-        self.handed_to = set()
+        self.handed_over_to = set()
         if self.member in epoch.members:
-            self.vouches.add(epoch.offset)
-            self.vouches = set(sorted(self.vouches)[-MAX_VOUCHES:])
+            self.complete_epochs.add(epoch.offset)
+            self.complete_epochs = set(
+                sorted(self.complete_epochs)[-MAX_COMPLETE_EPOCHS:]
+            )
         return True
 
-    def is_blind(self, key: str, now: float) -> bool:
-        """Whether an earlier run under `key` can't be ruled out."""
-        return self.get_blind_left(key, now) > 0
+    def has_unknown_history(self, key: str, now: float) -> bool:
+        """Whether an earlier run under `key` can't be excluded."""
+        return self.get_unknown_history_s(key, now) > 0
 
-    def get_blind_left(self, key: str, now: float) -> float:
-        """Return for how many seconds `key` stays blind, 0 where it is not."""
+    def get_unknown_history_s(self, key: str, now: float) -> float:
+        """Return the seconds for which `key` has an unknown history, or 0."""
         return max(
             (
-                handover.get_left(now, self.keep_s)
+                handover.get_remaining_s(now, self.keep_s)
                 for handover in self.handovers.values()
-                if handover.is_blind(key)
+                if handover.has_unknown_history(key)
             ),
             default=0,
         )
 
-    def handle_ask(self, sender: str, message: ClaimAsk, now: float) -> Sends:
+    def handle_ask(
+        self, sender: str, message: ClaimAsk, now: float
+    ) -> OutgoingPayloads:
         """Decide on a claim, as the first replica of its key."""
-        grant = self._check(message, now)
+        grant = self._check_grantable(message, now)
         if grant:
             return [(sender, grant)]
         claim = self.claims.get(message.key)
         if claim is None:
             claim = Claim(message.claim_id, sender, now, message.ttl_s)
             self.claims[message.key] = claim
-        return self._spread(message, claim)
+        return self._replicate(message, claim)
 
-    def handle_copy(self, sender: str, message: ClaimCopy, now: float) -> Sends:
-        """Record a copy of a claim for the first replica of its key."""
+    def handle_copy(
+        self, sender: str, message: ClaimCopy, now: float
+    ) -> OutgoingPayloads:
+        """Store the copy of a claim that the key's first replica sent."""
         known = self.claims.get(message.key)
         current = self.epoch and self.epoch.offset == message.epoch
         recorded = bool(current) and (
@@ -164,8 +179,10 @@
         )
         return [(sender, answer)]
 
-    def handle_copied(self, sender: str, message: ClaimCopied) -> Sends:
-        """Count an acknowledged copy; grant once every replica has one."""
+    def handle_copied(
+        self, sender: str, message: ClaimCopied
+    ) -> OutgoingPayloads:
+        """Record an acknowledged copy; grant once every replica has one."""
         claim = self.claims.get(message.key)
         epoch = self.epoch
         if claim is None or epoch is None or message.epoch != epoch.offset:
@@ -174,13 +191,13 @@
             return []
         if not message.recorded:
             return [_answer_claimant(message, claim, ClaimDecision.unknown)]
-        self._count_copy(claim, sender)
-        if claim.copied >= set(self._get_others(message.key)):
+        self._record_acknowledgement(claim, sender)
+        if claim.acknowledged_by >= set(self._get_other_replicas(message.key)):
             return [_answer_claimant(message, claim, ClaimDecision.granted)]
         return []
 
     def handle_result(self, message: ClaimResult) -> None:
-        """Keep the outcome of a claim; `not_run` frees the key again."""
+        """Store the outcome of a claim; `not_run` releases the key."""
         claim = self.claims.get(message.key)
         if claim is None or claim.claim_id != message.claim_id:
             return
@@ -189,43 +206,45 @@
             return
         claim.outcome = message.outcome
         claim.status = message.status
-        claim.body = message.body[:MAX_KEPT_BODY]
+        claim.body = message.body[:MAX_STORED_BODY_CHARS]
 
-    def seal(self, asker: str, now: float) -> SealAnswer:
-        """Hand over what `asker` needs, as a replica in this epoch."""
+    def seal(self, requester: str, now: float) -> SealAnswer:
+        """Return the claims for `requester`, as a replica in this epoch."""
         epoch = self.epoch
         if epoch is None:
-            raise LookupError('a member seals only once it is in an epoch')
+            raise LookupError('cannot seal: this member has no epoch')
         entries = tuple(
             _to_entry(key, claim, now)
             for key, claim in self.claims.items()
-            if asker in epoch.get_replicas_by_key(key)
+            if requester in epoch.get_replicas_by_key(key)
         )
         blinds = tuple(
-            handover.to_blind(now, self.keep_s)
+            handover.to_payload(now, self.keep_s)
             for handover in self.handovers.values()
             if handover.offset != epoch.body.previous_offset
         )
-        vouches = tuple(sorted(self.vouches))
-        self.handed_to.add(asker)
+        vouches = tuple(sorted(self.complete_epochs))
+        self.handed_over_to.add(requester)
         return SealAnswer(epoch.offset, vouches, entries, blinds)
 
-    def take_over(self, sender: str, answer: SealAnswer, now: float) -> None:
-        """Take the claims of a member that has sealed the earlier epochs."""
+    def import_claims(
+        self, sender: str, answer: SealAnswer, now: float
+    ) -> None:
+        """Import the claims of a member that has sealed the earlier epochs."""
         epoch = self.epoch
         if epoch is None or answer.epoch != epoch.offset:
             return
         for entry in answer.entries:
-            self._merge(entry, now)
+            self._merge_entry(entry, now)
         for blind in answer.blinds:
-            self._add_blind(blind, now)
+            self._add_unknown_history(blind, now)
         for handover in self.handovers.values():
             handover.sealed.add(sender)
             if handover.offset in answer.vouches:
-                handover.heard.add(sender)
+                handover.handed_over_by.add(sender)
 
-    def get_unheard(self) -> tuple[str, ...]:
-        """Return the members of earlier epochs that are still to be asked."""
+    def get_unsealed_members(self) -> tuple[str, ...]:
+        """Return the members of earlier epochs that have not sealed them."""
         return tuple(
             sorted(
                 {
@@ -237,25 +256,27 @@
             ),
         )
 
-    def forget(self, gone: set[str], now: float) -> None:
-        """Drop claims and handovers whose time is over.
+    def expire(self, terminated: set[str], now: float) -> None:
+        """Drop expired claims and finished handovers.
 
-        `gone` holds the members of which it is certain that they have ended.
+        `terminated` holds the members that have certainly terminated.
         """
         self.claims = {
             key: claim
             for key, claim in self.claims.items()
-            if now - claim.made_at <= self.keep_s + claim.ttl_s
+            if now - claim.created_at <= self.keep_s + claim.ttl_s
         }
         for handover in self.handovers.values():
-            handover.close(gone, now)
+            handover.close_if_inactive(terminated, now)
         self.handovers = {
             offset: handover
             for offset, handover in self.handovers.items()
             if not handover.is_done(now, self.keep_s)
         }
 
-    def _check(self, message: ClaimAsk, now: float) -> ClaimAnswer | None:
+    def _check_grantable(
+        self, message: ClaimAsk, now: float
+    ) -> ClaimAnswer | None:
         epoch = self.epoch
         key = message.key
         if epoch is None or epoch.offset != message.epoch:
@@ -264,26 +285,26 @@
             return _make_answer(message, ClaimDecision.stale)
         claim = self.claims.get(key)
         if claim and claim.claim_id != message.claim_id:
-            return self._repeat(message, claim, now)
-        left = self.get_blind_left(key, now)
-        if left > 0:
+            return self._answer_repeat(message, claim, now)
+        wait_s = self.get_unknown_history_s(key, now)
+        if wait_s > 0:
             grant = (
                 ClaimDecision.blind
-                if self._is_lost(key)
+                if self._is_history_lost(key)
                 else ClaimDecision.stale
             )
-            return _make_answer(message, grant, left)
+            return _make_answer(message, grant, wait_s)
         return None
 
-    def _is_lost(self, key: str) -> bool:
-        """Whether nobody is left who could still tell of a blind key."""
+    def _is_history_lost(self, key: str) -> bool:
+        """Whether no member can still provide the history of a key."""
         return all(
             handover.closed_at is not None
             for handover in self.handovers.values()
-            if handover.is_blind(key)
+            if handover.has_unknown_history(key)
         )
 
-    def _repeat(
+    def _answer_repeat(
         self,
         message: ClaimAsk,
         claim: Claim,
@@ -292,21 +313,21 @@
         return ClaimAnswer(
             message.key,
             message.claim_id,
-            claim.get_grant(now).value,
+            claim.decide_repeat(now).value,
             claim.outcome,
             claim.status,
             claim.body,
         )
 
-    def _get_others(self, key: str) -> tuple[str, ...]:
+    def _get_other_replicas(self, key: str) -> tuple[str, ...]:
         if self.epoch is None:
             return ()
         replicas = self.epoch.get_replicas_by_key(key)
         return tuple(name for name in replicas if name != self.member)
 
-    def _spread(self, message: ClaimAsk, claim: Claim) -> Sends:
-        others = self._get_others(message.key)
-        if self._is_copied(claim, others):
+    def _replicate(self, message: ClaimAsk, claim: Claim) -> OutgoingPayloads:
+        others = self._get_other_replicas(message.key)
+        if self._is_replicated(claim, others):
             return [_answer_claimant(message, claim, ClaimDecision.granted)]
         return [
             (
@@ -322,20 +343,20 @@
             for name in others
         ]
 
-    def _is_copied(self, claim: Claim, others: tuple[str, ...]) -> bool:
+    def _is_replicated(self, claim: Claim, others: tuple[str, ...]) -> bool:
         if not others:
             return True
-        current = self.epoch and claim.copied_epoch == self.epoch.offset
-        return bool(current) and claim.copied >= set(others)
+        current = self.epoch and claim.acknowledged_epoch == self.epoch.offset
+        return bool(current) and claim.acknowledged_by >= set(others)
 
-    def _count_copy(self, claim: Claim, sender: str) -> None:
+    def _record_acknowledgement(self, claim: Claim, sender: str) -> None:
         offset = self.epoch.offset if self.epoch else -1
-        if claim.copied_epoch != offset:
-            claim.copied_epoch = offset
-            claim.copied = set()
-        claim.copied.add(sender)
+        if claim.acknowledged_epoch != offset:
+            claim.acknowledged_epoch = offset
+            claim.acknowledged_by = set()
+        claim.acknowledged_by.add(sender)
 
-    def _merge(self, entry: ClaimEntry, now: float) -> None:
+    def _merge_entry(self, entry: ClaimEntry, now: float) -> None:
         known = self.claims.get(entry.key)
         if known and (known.outcome or not entry.outcome):
             return
@@ -349,7 +370,7 @@
             entry.body,
         )
 
-    def _add_blind(self, blind: Blind, now: float) -> None:
+    def _add_unknown_history(self, blind: Blind, now: float) -> None:
         if blind.offset in self.handovers or blind.left_s <= 0:
             return
         closed_at = now + blind.left_s - self.keep_s
@@ -357,9 +378,9 @@
             blind.offset,
             blind.members,
             blind.replicas,
-            heard=set(blind.heard),
+            handed_over_by=set(blind.heard),
             closed_at=closed_at if blind.closed else None,
-            begun_at=now,
+            started_at=now,
         )
 
 
@@ -389,7 +410,7 @@
         key,
         claim.claim_id,
         claim.claimant,
-        now - claim.made_at,
+        now - claim.created_at,
         claim.ttl_s,
         claim.outcome,
         claim.status,
--- a/trestledock/process/_duties.py
+++ b/trestledock/process/_duties.py
@@ -1,20 +1,20 @@
 """
-Duties
-======
+Periodic tasks
+==============
 
-What an instance does once a heartbeat: it tells its peers that it lives, marks
-those that don't, proposes epochs, asks for the lease, and repeats whatever has
-not been confirmed.
+The tasks that an instance runs at each heartbeat: it sends heartbeats, marks
+unreachable peers, proposes epochs, requests the lease, and repeats unconfirmed
+messages.
 """
 
 from trestledock.process._actions import AppendRecord, SendToPeer
-from trestledock.process._answers import end_silent_streams
-from trestledock.process._dispatching import pump_all
-from trestledock.process._ending import send
+from trestledock.process._answers import fail_silent_streams
+from trestledock.process._dispatching import schedule_dispatch_of_all
+from trestledock.process._ending import send_to_member
 from trestledock.process._fleet import Peer
 from trestledock.process._guarding import (
-    keep_blocks,
-    mark_gone,
+    maintain_blocks,
+    mark_unreachable,
     repeat_cancels,
 )
 from trestledock.process._identity import LOCAL_FANOUT, REMOTE_FANOUT
@@ -43,26 +43,26 @@
     state: State,
     now: float,
 ) -> None:
-    """Do every duty once and set the timer for the next time."""
+    """Run all periodic tasks and schedule the next run."""
     state.set_timer(now + state.timing.heartbeat_s, HeartbeatDue())
-    for duty in DUTIES:
-        duty(state, now)
+    for task in PERIODIC_TASKS:
+        task(state, now)
 
 
 def get_local_peers(state: State) -> list[Peer]:
-    """Return the other instances of this data centre that are not gone."""
+    """Return the other reachable instances of this data centre."""
     peers = state.fleet.get_live_peers(state.identity.data_centre)
     return [peer for peer in peers if peer.info.member != state.member]
 
 
-def mark_gone_peers(state: State, now: float) -> None:
-    """Mark the peers that have fallen silent.
+def detect_unreachable_peers(state: State, now: float) -> None:
+    """Mark the peers that have timed out.
 
-    Those are the peers of the data centre, the owners of guarded holds and
-    the guards of own ones; others send heartbeats too seldom for that.
+    This covers the peers of the data centre, the owners of watched blocks and
+    the watchers of own blocks; all others send heartbeats too rarely.
     """
-    owners = {watched.owner for watched in state.guard.watched}
-    owners |= state.hold_ids.get_guards()
+    owners = {watched.owner for watched in state.reservation_watch.watched}
+    owners |= state.reservation_ids.get_notified_peers()
     watched_peers = [
         peer
         for name, peer in state.fleet.peers.items()
@@ -72,23 +72,24 @@
         member = peer.info.member
         heard_at = now - state.liveness.get_age(member, now)
         if now - max(peer.heard_at, heard_at) > state.timing.peer_dead_s:
-            mark_gone(state, peer)
+            mark_unreachable(state, peer)
 
 
-def forget_peers(state: State, now: float) -> None:
-    """Forget peers that have been gone for long."""
-    older_s = state.timing.forget_peer_s
+def expire_peers(state: State, now: float) -> None:
+    """Remove peers that have been unreachable for a long time."""
+    retention_s = state.timing.forget_peer_s
     for member, peer in tuple(state.fleet.peers.items()):
-        if peer.gone and now - peer.heard_at > older_s:
+        if peer.gone and now - peer.heard_at > retention_s:
             state.fleet.peers.pop(member)
-    state.liveness.forget(now, older_s)
+    state.liveness.expire(now, retention_s)
 
 
 def send_heartbeats(state: State, now: float) -> None:
-    """Tell a few peers that this instance lives, and what they may lack.
+    """Send a heartbeat to a few random peers.
 
-    An instance that is not in the epoch yet tells every listed peer of its
-    data centre, since the others' ages don't cover it.
+    An instance that is not yet in the epoch sends it to all peers of its data
+    centre, because the ages in other heartbeats don't cover it.  Owners and
+    watchers of reservation blocks always get one.
     """
     heartbeat = make_heartbeat(state, now)
     local = get_local_peers(state)
@@ -102,19 +103,21 @@
     ]
     chosen = state.rng.sample(remote, min(REMOTE_FANOUT, len(remote)))
     members = {peer.info.member for peer in (*local, *chosen)}
-    members |= state.hold_ids.get_guards()
-    members |= {watched.owner for watched in state.guard.watched}
+    members |= state.reservation_ids.get_notified_peers()
+    members |= {watched.owner for watched in state.reservation_watch.watched}
     for member in sorted(members):
-        send(state, member, heartbeat)
-    for info in state.fleet.get_strangers():
+        send_to_member(state, member, heartbeat)
+    for info in state.fleet.get_unknown_peers():
         if info.name != state.identity.instance:
-            state.act(SendToPeer(info.member, info.address, heartbeat))
+            state.emit(SendToPeer(info.member, info.address, heartbeat))
 
 
 def make_heartbeat(state: State, now: float) -> Heartbeat:
-    """Return this instance's heartbeat."""
+    """Return a heartbeat of this instance."""
     cfg = state.version.cfg
-    limited = [team.name for team in cfg.teams if team.limit] if cfg else []
+    limited_teams = (
+        [team.name for team in cfg.teams if team.limit] if cfg else []
+    )
     epoch = state.claims.epoch
     return Heartbeat(
         data_centre=state.identity.data_centre,
@@ -123,39 +126,39 @@
         epoch=epoch.offset if epoch else -1,
         ages=state.liveness.encode(epoch.members, now) if epoch else '',
         leaving=state.shutting_down,
-        leaving_targets=_get_leaving(state),
+        leaving_targets=_get_draining(state),
         digests=_get_digests(state, now),
         demands=tuple(
             TeamDemand(name, state.limits.get_demand(name, now))
-            for name in limited
+            for name in limited_teams
         ),
     )
 
 
 def propose_epoch(state: State, now: float) -> None:
-    """Propose the live members as the next epoch, once they have settled."""
-    wanted = _get_wanted_members(state)
-    if wanted != state.duties.wanted_members:
-        state.duties.wanted_members = wanted
-        state.duties.wanted_since = now
+    """Propose the reachable members as the next epoch, once they are stable."""
+    desired = _get_desired_members(state)
+    if desired != state.bookkeeping.desired_members:
+        state.bookkeeping.desired_members = desired
+        state.bookkeeping.desired_since = now
     cfg = state.version.cfg
-    if not wanted or cfg is None or not _may_append(state, now):
+    if not desired or cfg is None or not _may_append(state, now):
         return
     epoch = state.claims.epoch
     replicas = cfg.claims.replicas
-    if epoch and epoch.members == wanted and epoch.body.replicas == replicas:
+    if epoch and epoch.members == desired and epoch.body.replicas == replicas:
         return
-    rank = wanted.index(state.member) if state.member in wanted else 0
-    settled_at = state.duties.wanted_since + state.timing.epoch_settle_s
+    rank = desired.index(state.member) if state.member in desired else 0
+    settled_at = state.bookkeeping.desired_since + state.timing.epoch_settle_s
     if now < settled_at + rank * state.timing.append_retry_s:
         return
-    if now - state.duties.epoch_asked_at < state.timing.append_retry_s:
+    if now - state.bookkeeping.epoch_proposed_at < state.timing.append_retry_s:
         return
-    state.duties.epoch_asked_at = now
-    body = EpochBody(wanted, replicas)
+    state.bookkeeping.epoch_proposed_at = now
+    body = EpochBody(desired, replicas)
     if epoch:
         body = EpochBody(
-            wanted,
+            desired,
             replicas,
             epoch.offset,
             epoch.members,
@@ -164,27 +167,27 @@
     _append(state, EPOCH_PREFIX, dump_json(body))
 
 
-def ask_for_seals(state: State, now: float) -> None:
-    """Ask the members of earlier epochs for what they remember."""
-    gone = {
+def request_seals(state: State, now: float) -> None:
+    """Ask the members of earlier epochs to seal and hand over their claims."""
+    terminated = {
         name
         for handover in state.claims.handovers.values()
         for name in handover.members
-        if _has_ended(state, name, now)
+        if _has_terminated(state, name, now)
     }
-    state.claims.forget(gone, now)
+    state.claims.expire(terminated, now)
     scope = EPOCH_PREFIX + state.identity.data_centre
     accepted = state.reader.fold.get_accepted_by_scope(scope)
     if accepted is None:
         return
-    for member in state.claims.get_unheard():
+    for member in state.claims.get_unsealed_members():
         if member in state.fleet.peers:
-            send(state, member, SealAsk(accepted))
+            send_to_member(state, member, SealAsk(accepted))
 
 
-def ask_for_lease(state: State, now: float) -> None:
-    """Ask for the data centre's lease, or renew it."""
-    members = state.duties.wanted_members
+def request_lease(state: State, now: float) -> None:
+    """Request or renew the lease of the data centre."""
+    members = state.bookkeeping.desired_members
     if state.member not in members or not _may_append(state, now):
         return
     if state.lease.should_request(now, members.index(state.member)):
@@ -193,64 +196,67 @@
         state.lease.record_request(record_id, now)
 
 
-def keep_snapshot(state: State, now: float) -> None:
-    """Keep the state on the log, well before its records expire."""
-    seen = state.reader.snapshots_seen
-    if seen != state.duties.snapshots_seen or not state.duties.snapshot_due:
+def append_snapshot(state: State, now: float) -> None:
+    """Append a snapshot to the log, well before its records expire."""
+    snapshots_seen = state.reader.snapshots_seen
+    if (
+        snapshots_seen != state.bookkeeping.snapshots_seen
+        or not state.bookkeeping.snapshot_due
+    ):
         wait_s = state.timing.snapshot_s * state.rng.uniform(1, 2)
-        state.duties.snapshots_seen = seen
-        state.duties.snapshot_due = now + wait_s
-    if now >= state.duties.snapshot_due and _may_append(state, now):
-        state.duties.snapshot_due = 0
+        state.bookkeeping.snapshots_seen = snapshots_seen
+        state.bookkeeping.snapshot_due = now + wait_s
+    if now >= state.bookkeeping.snapshot_due and _may_append(state, now):
+        state.bookkeeping.snapshot_due = 0
         record_id = state.make_record_id('snapshot')
         record = make_snapshot_record(record_id, state.reader.fold)
-        state.act(AppendRecord(record))
+        state.emit(AppendRecord(record))
 
 
-def keep_holds(state: State, now: float) -> None:
-    """Keep hold blocks guarded and repeat cancels."""
-    keep_blocks(state, now)
+def maintain_reservations(state: State, now: float) -> None:
+    """Keep blocks of reservations watched, and repeat unconfirmed cancels."""
+    maintain_blocks(state, now)
     repeat_cancels(state)
 
 
-def tidy(state: State, now: float) -> None:
-    """Drop what has become old, and try what waits once more."""
+def run_housekeeping(state: State, now: float) -> None:
+    """Drop old load data and retry queued requests."""
     for target in state.get_targets().values():
-        target.load.forget_done(now)
-    pump_all(state, now)
+        target.load.expire_finished_work(now)
+    schedule_dispatch_of_all(state, now)
 
 
 def is_drained(state: State) -> bool:
-    """Whether nothing is lost if this instance ends now."""
-    if state.requests or state.guard.to_cancel:
+    """Whether this instance can terminate without loss."""
+    if state.requests or state.reservation_watch.to_cancel:
         return False
     epoch = state.claims.epoch
     if epoch is None:
         return True
     if state.member in epoch.members:
-        return not _get_wanted_members(state)
-    return state.claims.handed_to >= set(epoch.members)
+        return not _get_desired_members(state)
+    return state.claims.handed_over_to >= set(epoch.members)
 
 
-def _has_ended(state: State, member: str, now: float) -> bool:
-    """Whether a member surely runs no more.
+def _has_terminated(state: State, member: str, now: float) -> bool:
+    """Whether a member has certainly terminated.
 
-    The platform has dropped it from its list, or its instance has started
-    again since; and it has not been heard lately.
+    This is the case if it has timed out, and either the platform no longer
+    lists it or its instance has restarted since.
     """
     name, _, incarnation = member.partition('#')
-    own = name == state.identity.instance
-    restarted = own and incarnation < state.identity.incarnation
-    ended = (
-        restarted
-        or member in state.duties.delisted
+    is_own = name == state.identity.instance
+    has_restarted = is_own and incarnation < state.identity.incarnation
+    is_replaced = (
+        has_restarted
+        or member in state.bookkeeping.unlisted_members
         or state.fleet.is_superseded(member)
     )
     silent_s = state.liveness.get_age(member, now)
-    return ended and silent_s > state.timing.peer_dead_s
+    return is_replaced and silent_s > state.timing.peer_dead_s
 
 
-def _get_wanted_members(state: State) -> tuple[str, ...]:
+def _get_desired_members(state: State) -> tuple[str, ...]:
     names = [
         peer.info.member for peer in get_local_peers(state) if not peer.leaving
     ]
@@ -267,11 +273,11 @@
     scope = prefix + state.identity.data_centre
     record_id = state.make_record_id(scope)
     base = state.reader.fold.get_base_by_scope(scope)
-    state.act(AppendRecord(Record(record_id, scope, base, body)))
+    state.emit(AppendRecord(Record(record_id, scope, base, body)))
     return record_id
 
 
-def _get_leaving(state: State) -> tuple[str, ...]:
+def _get_draining(state: State) -> tuple[str, ...]:
     present = {target.info.key for target in state.get_targets().values()}
     return tuple(sorted(state.fleet.leaving & present))
 
@@ -290,16 +296,16 @@
     )
 
 
-DUTIES = (
-    mark_gone_peers,
-    forget_peers,
+PERIODIC_TASKS = (
+    detect_unreachable_peers,
+    expire_peers,
     send_heartbeats,
     propose_epoch,
-    ask_for_seals,
-    ask_for_lease,
+    request_seals,
+    request_lease,
     give_orders,
-    keep_snapshot,
-    keep_holds,
-    end_silent_streams,
-    tidy,
+    append_snapshot,
+    maintain_reservations,
+    fail_silent_streams,
+    run_housekeeping,
 )
--- a/trestledock/process/_guarding.py
+++ b/trestledock/process/_guarding.py
@@ -1,53 +1,53 @@
 """
-Guarding holds
-==============
+Watching of reservations
+========================
 
-Connects hold ids with the peers that guard them: which block may be used on a
-target, which peers still have to be told, and what is cancelled for owners
-that are gone.
+Connects blocks of reservation ids with the peers that watch them: it decides
+which block may be used on a target, informs the watchers, and cancels the
+reservations of unreachable owners.
 """
 
 from operator import itemgetter
 
 from trestledock.process._actions import CancelReservations
-from trestledock.process._ending import send
+from trestledock.process._ending import send_to_member
 from trestledock.process._fleet import Peer, Target
 from trestledock.process._holds import (
     BLOCK_SIZE,
-    GUARDS,
-    Block,
-    Watched,
+    WATCHERS_PER_BLOCK,
+    IdBlock,
+    WatchedBlock,
 )
 from trestledock.process._payloads import HoldBlock, HoldBlockKept
-from trestledock.relay import rank_by_key
 from trestledock.process._state import State
+from trestledock.relay import rank_by_key
 
 
-def take_hold(state: State, target: Target, now: float) -> str:
-    """Return a hold id that is guarded, empty while none is.
+def allocate_reservation(state: State, target: Target, now: float) -> str:
+    """Return a reservation id that is watched, or an empty string.
 
-    An instance without any live peer uses its ids unguarded.
+    An instance without any reachable peer uses unwatched ids.
     """
-    block = state.hold_ids.get_block(target.info.name)
-    if not block.kept_by and get_guards(state):
-        ask_guards(state, block, target, now)
+    block = state.reservation_ids.get_block(target.info.name)
+    if not block.confirmed_by and rank_watchers(state):
+        request_watchers(state, block, target, now)
         return ''
-    return state.hold_ids.take_id(block)
+    return state.reservation_ids.allocate_id(block)
 
 
 def prepare_block(state: State, target: Target, now: float) -> None:
-    """Have a guarded block ready before the first request needs it."""
-    block = state.hold_ids.get_block(target.info.name)
-    if not block.guards:
-        ask_guards(state, block, target, now)
+    """Have a block watched before the first request needs it."""
+    block = state.reservation_ids.get_block(target.info.name)
+    if not block.watchers:
+        request_watchers(state, block, target, now)
 
 
-def get_guards(state: State) -> list[Peer]:
-    """Return the peers that may guard, in the order to ask them.
+def rank_watchers(state: State) -> list[Peer]:
+    """Return the peers that may watch blocks, in order of preference.
 
-    The first is of the own data centre, the next of others, one each, so that
-    no single failure takes an owner together with all its guards; rendezvous
-    hashing spreads the owners over the peers.
+    The first is in the own data centre, the next are in different other data
+    centres, so that no single failure takes out an owner with all its watchers.
+    Rendezvous hashing spreads the owners over the peers.
     """
     home = state.identity.data_centre
     ranks: dict[str, int] = {}
@@ -56,106 +56,117 @@
         peer = state.fleet.peers[name]
         if name == state.member or peer.gone or peer.leaving:
             continue
-        place = peer.info.data_centre
-        ranks[place] = ranks.get(place, -1) + 1
-        ordered.append((ranks[place], place != home, len(ordered), peer))
-    return [one[-1] for one in sorted(ordered, key=itemgetter(0, 1, 2))]
+        data_centre = peer.info.data_centre
+        ranks[data_centre] = ranks.get(data_centre, -1) + 1
+        ordered.append(
+            (ranks[data_centre], data_centre != home, len(ordered), peer)
+        )
+    return [entry[-1] for entry in sorted(ordered, key=itemgetter(0, 1, 2))]
 
 
-def ask_guards(state: State, block: Block, target: Target, now: float) -> None:
-    """Tell a block to peers until enough of them keep watch over it."""
+def request_watchers(
+    state: State, block: IdBlock, target: Target, now: float
+) -> None:
+    """Ask peers to watch a block until enough of them have confirmed."""
     if now - block.asked_at < state.timing.cancel_retry_s:
         return
     block.asked_at = now
-    live = {peer.info.member for peer in get_guards(state)}
-    block.kept_by &= live
-    _dismiss(state, block, block.guards - live)
-    for peer in get_guards(state):
-        if len(block.guards) >= GUARDS:
+    available = {peer.info.member for peer in rank_watchers(state)}
+    block.confirmed_by &= available
+    _release_watchers(state, block, block.watchers - available)
+    for peer in rank_watchers(state):
+        if len(block.watchers) >= WATCHERS_PER_BLOCK:
             break
-        block.guards.add(peer.info.member)
-    block.told |= block.guards
-    for member in sorted(block.guards - block.kept_by):
+        block.watchers.add(peer.info.member)
+    block.notified |= block.watchers
+    for member in sorted(block.watchers - block.confirmed_by):
         payload = HoldBlock(
             target.info.name,
             target.info.address,
             block.first,
         )
-        send(state, member, payload)
+        send_to_member(state, member, payload)
 
 
-def take_block(state: State, sender: str, message: HoldBlock) -> None:
-    """Guard a peer's block, or stop guarding it."""
-    watched = Watched(sender, message.target, message.first)
+def on_hold_block(state: State, sender: str, message: HoldBlock) -> None:
+    """Watch a peer's block, or stop watching it."""
+    watched = WatchedBlock(sender, message.target, message.first)
     if message.done:
-        state.guard.unwatch(watched)
+        state.reservation_watch.remove_block(watched)
         return
-    state.guard.watch(watched, message.address)
-    send(state, sender, HoldBlockKept(message.target, message.first))
+    state.reservation_watch.add_block(watched, message.address)
+    send_to_member(state, sender, HoldBlockKept(message.target, message.first))
 
 
-def note_kept(state: State, sender: str, message: HoldBlockKept) -> None:
-    """Note that a peer guards a block of this instance."""
-    block = state.hold_ids.blocks.get((message.target, message.first))
+def on_hold_block_kept(
+    state: State, sender: str, message: HoldBlockKept
+) -> None:
+    """Record that a peer watches a block of this instance."""
+    block = state.reservation_ids.blocks.get((message.target, message.first))
     if block:
-        block.kept_by.add(sender)
+        block.confirmed_by.add(sender)
 
 
-def mark_gone(state: State, peer: Peer) -> None:
-    """Mark a peer as gone and cancel everything that it may hold."""
+def mark_unreachable(state: State, peer: Peer) -> None:
+    """Mark a peer as unreachable and cancel its reservations."""
     owner = peer.info.member
     peer.gone = True
     peer.knows_quarantine = False
-    state.note('peer_gone', owner)
-    for watched in state.guard.take_up(owner):
+    state.log_event('peer_gone', owner)
+    for watched in state.reservation_watch.queue_owner_cancels(owner):
         state.count('taken_up_holds')
-        state.note('holds_taken_up', owner, watched.target)
+        state.log_event('holds_taken_up', owner, watched.target)
 
 
-def keep_blocks(state: State, now: float) -> None:
-    """Retire spent blocks and replace guards that are gone."""
-    for done in state.hold_ids.pop_done():
-        _dismiss(state, done, done.told)
+def maintain_blocks(state: State, now: float) -> None:
+    """Retire finished blocks and replace unreachable watchers."""
+    for finished in state.reservation_ids.pop_done():
+        _release_watchers(state, finished, finished.notified)
     targets = state.get_targets()
-    for block in tuple(state.hold_ids.blocks.values()):
+    for block in tuple(state.reservation_ids.blocks.values()):
         target = targets.get(block.target)
         if target is None:
             _drop_block(state, block)
         else:
-            ask_guards(state, block, target, now)
+            request_watchers(state, block, target, now)
             _prepare_next(state, block, target, now)
 
 
 def repeat_cancels(state: State) -> None:
     """Repeat the cancels that their engines have not confirmed."""
-    keys = {target.info.name: target for target in state.get_targets().values()}
-    for key in tuple(state.guard.to_cancel):
-        target = keys.get(key)
+    targets = {
+        target.info.name: target for target in state.get_targets().values()
+    }
+    for name in tuple(state.reservation_watch.to_cancel):
+        target = targets.get(name)
         if target is None:
-            state.guard.to_cancel.pop(key)
+            state.reservation_watch.to_cancel.pop(name)
             continue
-        holds = tuple(sorted(state.guard.to_cancel[key]))
+        holds = tuple(sorted(state.reservation_watch.to_cancel[name]))
         address = target.info.address
-        state.act(CancelReservations(key, address, holds[:BLOCK_SIZE]))
+        state.emit(CancelReservations(name, address, holds[:BLOCK_SIZE]))
 
 
-def _dismiss(state: State, block: Block, members: set[str]) -> None:
+def _release_watchers(state: State, block: IdBlock, members: set[str]) -> None:
     for member in sorted(members):
         payload = HoldBlock(block.target, '', block.first, done=True)
-        send(state, member, payload)
-    block.guards -= members
+        send_to_member(state, member, payload)
+    block.watchers -= members
 
 
-def _drop_block(state: State, block: Block) -> None:
-    state.hold_ids.blocks.pop((block.target, block.first))
-    state.hold_ids.current.pop(block.target, None)
+def _drop_block(state: State, block: IdBlock) -> None:
+    state.reservation_ids.blocks.pop((block.target, block.first))
+    state.reservation_ids.current.pop(block.target, None)
 
 
 def _prepare_next(
     state: State,
-    block: Block,
+    block: IdBlock,
     target: Target,
     now: float,
 ) -> None:
-    if block.is_spent and state.hold_ids.current.get(block.target) is block:
+    if (
+        block.is_exhausted
+        and state.reservation_ids.current.get(block.target) is block
+    ):
         prepare_block(state, target, now)
--- a/trestledock/process/_load.py
+++ b/trestledock/process/_load.py
@@ -1,34 +1,37 @@
 """
-Load of an engine
-=================
-
-Predicts how long new work waits at an engine.  Reports lag, so the prediction
-has two parts: the own work in flight, which is counted exactly, and that of
-the other instances, which is estimated from the last report, from the rate at
-which they added work between the last two, and from the rate at which the
-engine has drained it since.
+Load prediction
+===============
+
+Predicts how long new work waits at an engine.  Load reports lag, so the
+prediction has two parts.  This instance's work in flight is counted exactly.
+The work of other instances is estimated from the last report, the rate at which
+they added work between the last two reports, and the rate at which the engine
+has processed it since.
 """
 
 from dataclasses import dataclass, field, replace
 
 from trestledock.process._targets import LoadReport
 
-#: How long finished work is kept, to be set against older reports.
-KEEP_DONE_S = 6.0
-#: How long the pace of own pieces counts, in seconds.
-KEEP_PACE_S = 5.0
-#: The weight of the newest sample in learned rates.
-LEARN = 0.3
-#: The largest share of the prefill rate that others are assumed to add.
-OTHERS_CAP = 1.0
+#: The time for which finished work is kept to be compared with late reports, in
+#: seconds.
+FINISHED_RETENTION_S = 6.0
+#: The time for which a measured pace is valid, in seconds.
+MAX_PACE_AGE_S = 5.0
+#: The weight of the newest sample in smoothed rates.
+SMOOTHING_FACTOR = 0.3
+#: The maximum rate at which others are assumed to add work, as a share of the
+#: prefill rate.
+MAX_OTHERS_SHARE = 1.0
 
 
 @dataclass(frozen=True)
-class Sent:
-    """Own work sent to an engine.
+class SentWork:
+    """Work that this instance sent to an engine.
 
-    `tokens` are the prefill tokens of the piece that was sent, `rest` those
-    of the pieces to come, `reserve` the KV tokens held since `reserved_at`.
+    `tokens` counts the prefill tokens of the chunk that was sent,
+    `remaining_tokens` those of the chunks to come, and `reserve` the KV tokens
+    reserved since `reserved_at`.
     """
 
     tokens: int
@@ -36,69 +39,69 @@
     reserve: int
     sent_at: float
     reserved_at: float
-    rest: int = 0
+    remaining_tokens: int = 0
     prefilled_at: float | None = None
 
 
 @dataclass(frozen=True)
 class Pace:
-    """The seconds that a token of cut prompts took lately, waits included."""
+    """The recent prefill time per token of split prompts, with waits."""
 
     token_s: float
-    noted_at: float
+    measured_at: float
 
 
 @dataclass
 class EngineLoad:
-    """What this instance knows of the load of one engine."""
+    """The load of one engine, as known to this instance."""
 
     report: LoadReport | None = None
     reported_at: float = 0
     others_rate: float = 0
-    sends: dict[tuple[str, int], Sent] = field(default_factory=dict)
-    done: list[Sent] = field(default_factory=list)
+    sent_work: dict[tuple[str, int], SentWork] = field(default_factory=dict)
+    finished_work: list[SentWork] = field(default_factory=list)
     paces: dict[int, Pace] = field(default_factory=dict)
     sent_total: int = 0
-    _mark: tuple[float, int, int] = (0, 0, 0)
+    _last_totals: tuple[float, int, int] = (0, 0, 0)
     _waits: dict[int, float] = field(default_factory=dict)
     _waits_at: float = float('-inf')
 
-    def take_report(self, report: LoadReport, now: float) -> None:
-        """Take a report unless a newer one is known."""
+    def record_report(self, report: LoadReport, now: float) -> None:
+        """Record a report unless a newer one is known."""
         reported_at = now - report.age_s
         if self.report and reported_at <= self.reported_at:
             return
         self._waits.clear()
-        self._learn_others(report, reported_at)
+        self._update_others_rate(report, reported_at)
         self.report = report
         self.reported_at = reported_at
 
-    def add(self, key: tuple[str, int], sent: Sent) -> None:
-        """Count a piece of work that is being sent, after the one before."""
-        self.remove(key, sent.sent_at)
+    def add(self, key: tuple[str, int], work: SentWork) -> None:
+        """Add work that is being sent; it replaces earlier work of the key."""
+        self.remove(key, work.sent_at)
         self._waits.clear()
-        self.sends[key] = sent
-        self.sent_total += sent.tokens
+        self.sent_work[key] = work
+        self.sent_total += work.tokens
 
     def mark_prefilled(self, key: tuple[str, int], now: float) -> None:
-        """Count the prefill of a piece of work as done."""
-        sent = self.sends.get(key)
-        if sent and sent.prefilled_at is None:
+        """Record that the prefill of some work is done."""
+        work = self.sent_work.get(key)
+        if work and work.prefilled_at is None:
             self._waits.clear()
-            self.sends[key] = replace(sent, prefilled_at=now)
-            self._learn_pace(sent, now)
+            self.sent_work[key] = replace(work, prefilled_at=now)
+            self._update_pace(work, now)
 
     def remove(self, key: tuple[str, int], now: float) -> None:
-        """Count work as ended, whatever became of it."""
-        sent = self.sends.pop(key, None)
-        if sent:
+        """Remove work that has ended, with or without success."""
+        work = self.sent_work.pop(key, None)
+        if work:
             self._waits.clear()
-            if sent.prefilled_at is None:
-                sent = replace(sent, prefilled_at=now)
-            self.done.append(sent)
+            if work.prefilled_at is None:
+                work = replace(work, prefilled_at=now)
+            self.finished_work.append(work)
 
     def predict_wait(self, priority: int, now: float) -> float:
-        """Return the seconds until work of `priority` would be started."""
+        """Return the predicted wait of new work of `priority`, in seconds."""
         if now != self._waits_at:
             self._waits.clear()
             self._waits_at = now
@@ -106,93 +109,108 @@
             self._waits[priority] = self._compute_wait(priority, now)
         return self._waits[priority]
 
-    def predict_free(self) -> int:
-        """Return the KV tokens that are free, as far as known."""
+    def predict_free_tokens(self) -> int:
+        """Return the predicted number of free KV tokens."""
         report = self.report
         if report is None:
             return 0
-        since = sum(
-            sent.reserve
-            for sent in self.sends.values()
-            if sent.reserved_at > self.reported_at
+        reserved_since = sum(
+            work.reserve
+            for work in self.sent_work.values()
+            if work.reserved_at > self.reported_at
         )
-        return report.free_tokens - since
+        return report.free_tokens - reserved_since
 
     def get_pace(self, priority: int, now: float) -> float:
-        """Return the seconds a token of a cut prompt takes, 0 if unknown.
+        """Return the prefill time per token of split prompts, 0 if unknown.
 
-        Others send one piece at a time, too, so that their prompts are not
-        all in the engine's report; the pace of the own pieces tells of them.
+        Other instances also send one chunk at a time, so the engine's report
+        does not contain the rest of their prompts; the pace of this instance's
+        chunks reflects them.
         """
         pace = self.paces.get(priority)
-        if pace is None or now - pace.noted_at > KEEP_PACE_S:
+        if pace is None or now - pace.measured_at > MAX_PACE_AGE_S:
             return 0
         return pace.token_s
 
-    def forget_done(self, now: float) -> None:
-        """Drop finished work that no report can be older than."""
-        self.done = [
-            sent
-            for sent in self.done
-            if now - (sent.prefilled_at or now) < KEEP_DONE_S
+    def expire_finished_work(self, now: float) -> None:
+        """Drop finished work that predates any report still to come."""
+        self.finished_work = [
+            work
+            for work in self.finished_work
+            if now - (work.prefilled_at or now) < FINISHED_RETENTION_S
         ]
 
     def _compute_wait(self, priority: int, now: float) -> float:
         report = self.report
         if report is None:
             return 0
-        ahead = self._own(priority) + self._others(priority, now)
-        return (ahead + self._rest_of_piece(priority)) / report.rate
+        tokens_ahead = self._count_own_tokens(priority) + self._estimate_others(
+            priority, now
+        )
+        return (
+            tokens_ahead + self._estimate_running_chunk(priority)
+        ) / report.rate
 
-    def _own(self, priority: int) -> int:
+    def _count_own_tokens(self, priority: int) -> int:
         return sum(
-            sent.tokens + sent.rest
-            for sent in self.sends.values()
-            if sent.prefilled_at is None and sent.priority <= priority
+            work.tokens + work.remaining_tokens
+            for work in self.sent_work.values()
+            if work.prefilled_at is None and work.priority <= priority
         )
 
-    def _own_at_report(self, priority: int) -> int:
-        moment = self.reported_at
+    def _count_own_in_report(self, priority: int) -> int:
+        reported_at = self.reported_at
         return sum(
-            sent.tokens
-            for sent in (*self.sends.values(), *self.done)
-            if sent.priority <= priority
-            and sent.sent_at <= moment
-            and (sent.prefilled_at is None or sent.prefilled_at > moment)
+            work.tokens
+            for work in (*self.sent_work.values(), *self.finished_work)
+            if work.priority <= priority
+            and work.sent_at <= reported_at
+            and (work.prefilled_at is None or work.prefilled_at > reported_at)
         )
 
-    def _others(self, priority: int, now: float) -> float:
+    def _estimate_others(self, priority: int, now: float) -> float:
         report = self.report
         if report is None:
             return 0
         queued = sum(report.queued[: priority + 1])
-        known = max(0, queued - self._own_at_report(priority))
-        age = now - self.reported_at
-        return max(0, known + (self.others_rate - report.rate) * age)
-
-    def _rest_of_piece(self, priority: int) -> float:
-        lower = [
-            sent.tokens
-            for sent in self.sends.values()
-            if sent.prefilled_at is None and sent.priority > priority
+        reported_by_others = max(
+            0, queued - self._count_own_in_report(priority)
+        )
+        age_s = now - self.reported_at
+        return max(
+            0, reported_by_others + (self.others_rate - report.rate) * age_s
+        )
+
+    def _estimate_running_chunk(self, priority: int) -> float:
+        lower_priority = [
+            work.tokens
+            for work in self.sent_work.values()
+            if work.prefilled_at is None and work.priority > priority
         ]
-        return min(lower) / 2 if lower else 0
+        return min(lower_priority) / 2 if lower_priority else 0
 
-    def _learn_pace(self, sent: Sent, now: float) -> None:
-        if not sent.rest or not sent.tokens:
+    def _update_pace(self, work: SentWork, now: float) -> None:
+        if not work.remaining_tokens or not work.tokens:
             return
-        token_s = (now - sent.sent_at) / sent.tokens
-        known = self.get_pace(sent.priority, now)
-        if known:
-            token_s = known + LEARN * (token_s - known)
-        self.paces[sent.priority] = Pace(token_s, now)
-
-    def _learn_others(self, report: LoadReport, reported_at: float) -> None:
-        last_at, accepted, own = self._mark
-        span = reported_at - last_at
-        if self.report and span > 0:
+        token_s = (now - work.sent_at) / work.tokens
+        previous_s = self.get_pace(work.priority, now)
+        if previous_s:
+            token_s = previous_s + SMOOTHING_FACTOR * (token_s - previous_s)
+        self.paces[work.priority] = Pace(token_s, now)
+
+    def _update_others_rate(
+        self, report: LoadReport, reported_at: float
+    ) -> None:
+        last_at, accepted, own = self._last_totals
+        span_s = reported_at - last_at
+        if self.report and span_s > 0:
             others = report.accepted_tokens - accepted
             others -= self.sent_total - own
-            rate = min(max(0, others / span), report.rate * OTHERS_CAP)
-            self.others_rate += LEARN * (rate - self.others_rate)
-        self._mark = (reported_at, report.accepted_tokens, self.sent_total)
+            rate = min(max(0, others / span_s), report.rate * MAX_OTHERS_SHARE)
+            self.others_rate += SMOOTHING_FACTOR * (rate - self.others_rate)
+        self._last_totals = (
+            reported_at,
+            report.accepted_tokens,
+            self.sent_total,
+        )
--- a/trestledock/process/_platform.py
+++ b/trestledock/process/_platform.py
@@ -1,18 +1,19 @@
 """
-Platform
-========
+Messages from the platform
+==========================
 
-What the platform's services say: the instance list and the log.  Silence
-changes nothing; a list that lags only adds, replaces and marks.
+Handles the instance list, the log, load reports, and the commands of operators.
+An outage of the platform changes nothing; a stale list can only add, replace,
+and mark targets.
 """
 
 from trestledock.process._actions import AppendRecord, Published
-from trestledock.process._answers import drop_replaced
+from trestledock.process._answers import fail_replaced
 from trestledock.process._applying import (
     apply_accepted,
-    settle_publications,
+    report_publications,
 )
-from trestledock.process._dispatching import pump_all
+from trestledock.process._dispatching import schedule_dispatch_of_all
 from trestledock.process._guarding import prepare_block
 from trestledock.process._messages import (
     CacheReported,
@@ -24,7 +25,7 @@
     Publish,
     Shutdown,
 )
-from trestledock.process._state import PublishWait, State
+from trestledock.process._state import PendingPublication, State
 from trestledock.version import (
     CONFIGURATION,
     Record,
@@ -32,65 +33,67 @@
 )
 
 
-def on_instances(message: InstancesListed, state: State, now: float) -> None:
-    """Fold the instance list."""
-    before = len(state.fleet.leaving)
-    for info in state.fleet.take_targets(message.targets, now):
-        state.note('target_replaced', info.key)
-        drop_replaced(state, info.name, now)
-    if len(state.fleet.leaving) > before:
-        state.note('targets_leaving', 'platform')
-    state.fleet.take_peers(message.peers, now)
+def on_instances_listed(
+    message: InstancesListed, state: State, now: float
+) -> None:
+    """Merge the instance list."""
+    leaving_before = len(state.fleet.leaving)
+    for info in state.fleet.merge_targets(message.targets, now):
+        state.log_event('target_replaced', info.key)
+        fail_replaced(state, info.name, now)
+    if len(state.fleet.leaving) > leaving_before:
+        state.log_event('targets_leaving', 'platform')
+    state.fleet.merge_peers(message.peers, now)
     listed = {peer.name for peer in message.peers if not peer.leaving}
-    state.duties.delisted = {
+    state.bookkeeping.unlisted_members = {
         member
         for member in _get_epoch_members(state)
         if member.partition('#')[0] not in listed
     }
 
 
-def on_load(message: LoadReported, state: State, now: float) -> None:
-    """Fold a target's report; work may have a place now."""
-    state.fleet.take_report(message.target, message.report, now)
+def on_load_reported(message: LoadReported, state: State, now: float) -> None:
+    """Record a target's report; queued requests may fit now."""
+    state.fleet.record_report(message.target, message.report, now)
     target = state.get_targets().get(message.target)
     if target and message.report.capacity_tokens:
         prepare_block(state, target, now)
-        pump_all(state, now)
+        schedule_dispatch_of_all(state, now)
 
 
-def on_cache_event(message: CacheReported, state: State, now: float) -> None:
-    """Fold a target's cache event."""
+def on_cache_reported(message: CacheReported, state: State, now: float) -> None:
+    """Apply a target's cache event."""
     target = state.get_targets().get(message.target)
     if target:
-        target.take_cache_event(message.event)
+        target.apply_cache_event(message.event)
 
 
 def on_log_read(message: LogRead, state: State, now: float) -> None:
-    """Fold what the log has, and put it in force."""
-    state.duties.log_read_at = now
+    """Fold the records that were read, and apply them."""
+    state.bookkeeping.log_read_at = now
     state.reader.feed(message.batch)
     apply_accepted(state, now)
-    settle_publications(state)
+    report_publications(state)
     append_publications(state, now)
-    pump_all(state, now)
+    schedule_dispatch_of_all(state, now)
 
 
-def on_mark_leaving(message: MarkDraining, state: State, now: float) -> None:
-    """Mark a target as leaving on an operator's word."""
+def on_mark_draining(message: MarkDraining, state: State, now: float) -> None:
+    """Mark a target as draining at an operator's command."""
     target = state.get_targets().get(message.target)
     if target and state.fleet.mark_draining(target.info.key):
-        state.note('target_leaving', 'operator', target.info.key)
+        state.log_event('target_leaving', 'operator', target.info.key)
 
 
 def on_publish(message: Publish, state: State, now: float) -> None:
-    """Check a configuration and begin to publish it."""
+    """Check a configuration and start its publication."""
     base = message.base
     checked = check_configuration(message.body)
     errors = checked.swap().value_or(None)
     if errors is not None:
         number = state.version.number
         detail = str(errors)
-        state.act(
+        state.emit(
             Published(message.publish_id, False, number, base, detail),
         )
         return
@@ -98,9 +101,9 @@
         base = state.reader.fold.get_base_by_scope(CONFIGURATION)
     state.publishing.setdefault(
         message.publish_id,
-        PublishWait(base, message.body),
+        PendingPublication(base, message.body),
     )
-    settle_publications(state)
+    report_publications(state)
     append_publications(state, now)
 
 
@@ -109,24 +112,24 @@
     state: State,
     now: float,
 ) -> None:
-    """Take a target's answer to an order."""
+    """Record a target's response to an order."""
     state.count('orders', 'refused' if message.refused else 'taken')
     if message.refused:
-        state.note('order_refused', message.target)
+        state.log_event('order_refused', message.target)
 
 
 def on_shutdown(message: Shutdown, state: State, now: float) -> None:
-    """Take no new work, finish what there is, and leave the epoch."""
+    """Stop accepting requests, finish those in progress, leave the epoch."""
     if not state.shutting_down:
         state.shutting_down = True
-        state.note('shutting_down')
+        state.log_event('shutting_down')
 
 
 def append_publications(state: State, now: float) -> None:
-    """Append what operators publish, again only from the tail of the log.
+    """Append pending publications, and repeat them at the tail of the log.
 
-    Appending twice does no harm: both records have one id and one base, so
-    the fold accepts one of them at the most.
+    Appending twice is harmless: both records have the same id and base, so the
+    fold accepts at most one of them.
     """
     if not state.reader.at_tail:
         return
@@ -134,7 +137,7 @@
         if now - wait.appended_at >= state.timing.append_retry_s:
             wait.appended_at = now
             record = Record(publish_id, CONFIGURATION, wait.base, wait.body)
-            state.act(AppendRecord(record))
+            state.emit(AppendRecord(record))
 
 
 def _get_epoch_members(state: State) -> tuple[str, ...]:
@@ -142,6 +145,9 @@
     if epoch is None:
         return ()
     members = set(epoch.members).union(
-        *(set(one.members) for one in state.claims.handovers.values()),
+        *(
+            set(handover.members)
+            for handover in state.claims.handovers.values()
+        ),
     )
     return tuple(sorted(members))
--- a/trestledock/process/_policy.py
+++ b/trestledock/process/_policy.py
@@ -1,9 +1,9 @@
 """
-Policy
-======
+Placement policy
+================
 
-The knobs of placement and admission, with the values that the replay spoke
-for (docs/MEASUREMENTS.md).  `BASELINE` is the baseline without the mechanisms.
+The parameters of placement and admission.  Their default values come from the
+replay (docs/MEASUREMENTS.md).  `BASELINE` has all mechanisms disabled.
 """
 
 from dataclasses import dataclass
@@ -11,7 +11,7 @@
 
 
 class Chooser(str, Enum):
-    """How an engine is picked among the permitted ones."""
+    """The method of choosing among the permitted engines."""
 
     predicted = 'predicted'
     round_robin = 'round_robin'
@@ -20,16 +20,19 @@
 
 @dataclass(frozen=True)
 class Policy:
-    """One set of decisions.
-
-    `prefill_chunk_s` is the length of a prefill piece in engine seconds, zero
-    for whole prompts; a prompt of up to `max_unchunked_tokens` is never cut,
-    since another prompt's piece would get in between.  `window_s` is how much
-    prefill may wait at an engine before the rest waits in the fair queue.
-    `tie_s` is the band of predictions that count as equal and among which one
-    is drawn.  `uses_pace` says whether the pace of own pieces counts for cut
-    prompts, `subset_size` is how many of the permitted engines an instance
-    looks at.
+    """The parameters of placement and admission.
+
+    `prefill_chunk_s` is the length of a prefill chunk in engine seconds, 0 for
+    whole prompts.  Prompts of up to `max_unchunked_tokens` are never split,
+    because chunks of other prompts would run in between.  `window_s` limits the
+    predicted prefill wait at an engine; further requests stay in the fair
+    queue.  Predictions within `tie_s` of the best count as equal, and one of
+    them is drawn at random.  `uses_pace` enables the measured pace of chunks in
+    predictions for split prompts.  `subset_size` is the number of permitted
+    engines that an instance considers.  `deadline_margin` multiplies the
+    predicted time that is compared with the deadline, `preference_penalty_s` is
+    added for each level of preference that is missed, and work with less slack
+    than `urgent_slack_s` gets the urgent priority.
     """
 
     chooser: Chooser = Chooser.predicted
@@ -47,7 +50,7 @@
     uses_pace: bool = True
 
 
-#: Everything off: whole prompts in order of arrival, round robin.
+#: The baseline: whole prompts in order of arrival, round robin.
 BASELINE = Policy(
     chooser=Chooser.round_robin,
     prefill_chunk_s=0,
--- a/trestledock/process/_queue.py
+++ b/trestledock/process/_queue.py
@@ -2,13 +2,14 @@
 Fair queue
 ==========
 
-Requests that are admitted but not yet sent to an engine.  Between teams it
-shares predicted engine seconds by weight: each team has a virtual time, and
-the one furthest behind goes first.  The queue is work-conserving, and an idle
-team banks nothing.  Within a team the least slack goes first.
-
-Shorter classes go before longer ones, except for a team that is ahead of the
-others by more than `MAX_LEAD_S`: it waits for them.
+Holds requests that are admitted but not yet sent to an engine.  Weighted fair
+queueing divides the predicted engine seconds among the teams: each team has a
+virtual time, and the team with the lowest goes first.  The queue is
+work-conserving, and an idle team accumulates no credit.  Within a team the
+request with the least slack goes first.
+
+Requests of shorter length classes precede longer ones, except those of a team
+whose virtual time leads the lowest by more than `MAX_LEAD_S`.
 """
 
 from dataclasses import dataclass, field
@@ -16,24 +17,24 @@
 
 from trestledock.request import LengthClass, Request
 
-#: How far, in weighted engine seconds, a team may run ahead of the others
-#: before its short work loses precedence.
+#: The lead in virtual time (weighted engine seconds) above which a team's short
+#: requests lose their precedence.
 MAX_LEAD_S = 2.0
-#: The most requests that may wait in one instance.
+#: The maximum number of requests queued in one pool of an instance.
 MAX_QUEUED = 4096
 
 
-def get_rank(req: Request) -> int:
+def get_length_rank(req: Request) -> int:
     """Return the rank of a request's length class, the shortest first."""
     return list(LengthClass).index(req.length_class)
 
 
 @dataclass(frozen=True)
-class Waiting:
+class QueuedRequest:
     """A queued request with its predicted cost in engine seconds.
 
-    `least_s` is the least time that it takes once it is sent, `rank` that of
-    its length class.
+    `least_s` is the minimum time that it takes once it is sent, `rank` the rank
+    of its length class.
     """
 
     req: Request
@@ -43,8 +44,8 @@
     rank: int = 0
 
     @property
-    def slack_key(self) -> float:
-        """The instant at which the work must be started at the latest."""
+    def latest_start(self) -> float:
+        """The latest instant at which the work can start."""
         return self.req.deadline - self.cost
 
 
@@ -52,58 +53,62 @@
 class FairQueue:
     """The queue of one pool."""
 
-    clocks: dict[str, float] = field(default_factory=dict)
-    waiting: dict[str, Waiting] = field(default_factory=dict)
+    virtual_times: dict[str, float] = field(default_factory=dict)
+    waiting: dict[str, QueuedRequest] = field(default_factory=dict)
     running: dict[str, str] = field(default_factory=dict)
-    floor: float = 0
+    min_virtual_time: float = 0
 
-    def push(self, waiting: Waiting) -> None:
-        """Queue a request."""
+    def push(self, waiting: QueuedRequest) -> None:
+        """Add a request."""
         team = waiting.req.team
         if not self._is_active(team):
-            behind = self.clocks.get(team, self.floor)
-            self.clocks[team] = max(behind, self.floor)
+            last_virtual_time = self.virtual_times.get(
+                team, self.min_virtual_time
+            )
+            self.virtual_times[team] = max(
+                last_virtual_time, self.min_virtual_time
+            )
         self.waiting[waiting.req.req_id] = waiting
 
-    def remove(self, req_id: str) -> Waiting | None:
-        """Take a request out without charging its team."""
+    def remove(self, req_id: str) -> QueuedRequest | None:
+        """Remove a request without charging its team."""
         return self.waiting.pop(req_id, None)
 
-    def charge(self, waiting: Waiting) -> None:
-        """Take a request out to run it and charge its team."""
+    def charge(self, waiting: QueuedRequest) -> None:
+        """Move a request from waiting to running, and charge its team."""
         team = waiting.req.team
         self.waiting.pop(waiting.req.req_id, None)
         self.running[waiting.req.req_id] = team
-        start = self.clocks.get(team, self.floor)
-        self.clocks[team] = start + waiting.cost / waiting.weight
-        self.floor = max(self.floor, start)
+        begun_at = self.virtual_times.get(team, self.min_virtual_time)
+        self.virtual_times[team] = begun_at + waiting.cost / waiting.weight
+        self.min_virtual_time = max(self.min_virtual_time, begun_at)
 
-    def finish(self, req_id: str) -> None:
-        """Note that a request no longer runs."""
+    def mark_finished(self, req_id: str) -> None:
+        """Record that a request no longer runs."""
         self.running.pop(req_id, None)
 
-    def has_before(self, waiting: Waiting) -> bool:
-        """Whether others of its class or a shorter one wait, too."""
+    def has_waiting_before(self, waiting: QueuedRequest) -> bool:
+        """Whether other requests of its or a shorter class are waiting."""
         return any(
             other.rank <= waiting.rank and other is not waiting
             for other in self.waiting.values()
         )
 
-    def iter_next(self) -> Iterator[Waiting]:
-        """Yield the waiting requests in the order to try them."""
-        least = self._get_least()
+    def iter_in_order(self) -> Iterator[QueuedRequest]:
+        """Yield the waiting requests in dispatch order."""
+        lowest = self._get_lowest_virtual_time()
         yield from sorted(
             self.waiting.values(),
-            key=lambda waiting: self._rank(waiting, least),
+            key=lambda waiting: self._get_sort_key(waiting, lowest),
         )
 
-    def predict_ahead(self, req: Request, weight: float) -> float:
+    def predict_cost_ahead(self, req: Request, weight: float) -> float:
         """Return the engine seconds that will be spent before `req`.
 
-        The own team's work counts in full; that of the others by their
-        share while both wait, at most all of it.
+        Work of the same team counts in full; work of another team counts up to
+        that team's weighted share while both wait.
         """
-        rank = get_rank(req)
+        rank = get_length_rank(req)
         own: float = 0
         others: dict[str, float] = {}
         weights: dict[str, float] = {}
@@ -126,20 +131,22 @@
             waiting.req.team == team for waiting in self.waiting.values()
         )
 
-    def _get_least(self) -> float:
+    def _get_lowest_virtual_time(self) -> float:
         return min(
             (
-                self.clocks.get(waiting.req.team, self.floor)
+                self.virtual_times.get(waiting.req.team, self.min_virtual_time)
                 for waiting in self.waiting.values()
             ),
-            default=self.floor,
+            default=self.min_virtual_time,
         )
 
-    def _rank(
+    def _get_sort_key(
         self,
-        waiting: Waiting,
-        least: float,
+        waiting: QueuedRequest,
+        lowest: float,
     ) -> tuple[bool, int, float, float]:
-        clock = self.clocks.get(waiting.req.team, self.floor)
-        ahead = clock - least > MAX_LEAD_S
-        return ahead, waiting.rank, clock, waiting.slack_key
+        virtual_time = self.virtual_times.get(
+            waiting.req.team, self.min_virtual_time
+        )
+        ahead = virtual_time - lowest > MAX_LEAD_S
+        return ahead, waiting.rank, virtual_time, waiting.latest_start
--- a/trestledock/process/_registry.py
+++ b/trestledock/process/_registry.py
@@ -1,9 +1,8 @@
 """
-Registry of handlers
-====================
+Handler registry
+================
 
-Which function takes which message: one flat table, and the dispatcher made
-from it.
+Maps each type of message and timer to its handler.
 """
 
 from functools import singledispatch
@@ -16,28 +15,28 @@
     on_attempt_failed,
     on_call_done,
     on_cancel_confirmed,
-    on_chunk,
-    on_gap,
-    on_piece_done,
+    on_chunk_arrived,
+    on_gap_due,
+    on_prefill_done,
     on_retry_due,
-    on_silence,
+    on_silence_due,
     on_stream_done,
 )
 from trestledock.process._arrivals import (
     on_arrive,
-    on_caller_gone,
-    on_deadline,
+    on_caller_disconnected,
+    on_deadline_passed,
 )
 from trestledock.process._claiming import on_claim_due
-from trestledock.process._dispatching import on_pump_due
+from trestledock.process._dispatching import on_dispatch_due
 from trestledock.process._duties import on_heartbeat_due
 from trestledock.process._peering import on_peer_message
 from trestledock.process._platform import (
-    on_cache_event,
-    on_instances,
-    on_load,
+    on_cache_reported,
+    on_instances_listed,
+    on_load_reported,
     on_log_read,
-    on_mark_leaving,
+    on_mark_draining,
     on_order_answered,
     on_publish,
     on_shutdown,
@@ -49,40 +48,40 @@
 
 @singledispatch
 def handle(message: Any, state: State, now: float) -> None:
-    """Take one message; the table below holds all that there are."""
+    """Handle a message or timer, see `HANDLERS`."""
     raise TypeError(f'no handler for {type(message).__name__}')
 
 
 def on_tick(message: messages.Tick, state: State, now: float) -> None:
-    """Nothing but the timers, which every step runs first."""
+    """Do nothing: every step runs the due timers first."""
 
 
 HANDLERS: Mapping[type, Handler] = MappingProxyType(
     {
         messages.Arrive: on_arrive,
-        messages.CallerDisconnected: on_caller_gone,
-        messages.PrefillDone: on_piece_done,
-        messages.ChunkArrived: on_chunk,
+        messages.CallerDisconnected: on_caller_disconnected,
+        messages.PrefillDone: on_prefill_done,
+        messages.ChunkArrived: on_chunk_arrived,
         messages.StreamDone: on_stream_done,
         messages.CallDone: on_call_done,
         messages.AttemptFailed: on_attempt_failed,
         messages.CancelConfirmed: on_cancel_confirmed,
-        messages.LoadReported: on_load,
-        messages.CacheReported: on_cache_event,
-        messages.InstancesListed: on_instances,
+        messages.LoadReported: on_load_reported,
+        messages.CacheReported: on_cache_reported,
+        messages.InstancesListed: on_instances_listed,
         messages.PeerMessage: on_peer_message,
         messages.LogRead: on_log_read,
-        messages.MarkDraining: on_mark_leaving,
+        messages.MarkDraining: on_mark_draining,
         messages.OrderAnswered: on_order_answered,
         messages.Publish: on_publish,
         messages.Shutdown: on_shutdown,
         messages.Tick: on_tick,
-        timers.DeadlinePassed: on_deadline,
+        timers.DeadlinePassed: on_deadline_passed,
         timers.RetryDue: on_retry_due,
         timers.ClaimDue: on_claim_due,
-        timers.GapDue: on_gap,
-        timers.SilenceDue: on_silence,
-        timers.PumpDue: on_pump_due,
+        timers.GapDue: on_gap_due,
+        timers.SilenceDue: on_silence_due,
+        timers.DispatchDue: on_dispatch_due,
         timers.HeartbeatDue: on_heartbeat_due,
     }
 )
--- a/trestledock/process/_state.py
+++ b/trestledock/process/_state.py
@@ -1,9 +1,9 @@
 """
-State of an instance
-====================
+Instance state
+==============
 
-All state of one entry instance, owned by one task.  The handlers of the core
-read and change it and leave their actions in `out`.
+The entire state of an entry instance, owned by a single task.  The handlers
+read and change it, and append their actions to `State.actions`.
 """
 
 from dataclasses import dataclass, field
@@ -14,11 +14,11 @@
 from trestledock.process._claims import ClaimTable
 from trestledock.process._epoch import Epoch
 from trestledock.process._fleet import Fleet, Target
-from trestledock.process._holds import Guard, HoldIds
+from trestledock.process._holds import ReservationIds, ReservationWatch
 from trestledock.process._identity import Identity, Timing
 from trestledock.process._lease import Lease
 from trestledock.process._limits import Limits
-from trestledock.process._live import Live
+from trestledock.process._live import LiveRequest
 from trestledock.process._liveness import Liveness
 from trestledock.process._policy import Policy
 from trestledock.process._queue import FairQueue
@@ -36,8 +36,8 @@
 
 
 @dataclass
-class PublishWait:
-    """A publication whose verdict is not known yet."""
+class PendingPublication:
+    """A publication that is not yet accepted or rejected."""
 
     base: int
     body: str
@@ -45,20 +45,20 @@
 
 
 @dataclass
-class Duties:
-    """When the duties of the process were last done, and their inputs."""
+class Bookkeeping:
+    """Times and counters of the periodic tasks and of dispatch."""
 
     last_step: float = float('-inf')
     log_read_at: float = float('-inf')
     snapshots_seen: int = 0
     snapshot_due: float = 0
-    wanted_members: tuple[str, ...] = ()
-    wanted_since: float = 0
-    epoch_asked_at: float = float('-inf')
-    delisted: set[str] = field(default_factory=set)
+    desired_members: tuple[str, ...] = ()
+    desired_since: float = 0
+    epoch_proposed_at: float = float('-inf')
+    unlisted_members: set[str] = field(default_factory=set)
     record_count: int = 0
     round_robin: int = 0
-    pumps: set[str] = field(default_factory=set)
+    scheduled_pools: set[str] = field(default_factory=set)
 
 
 @dataclass
@@ -73,49 +73,51 @@
     version: Version = field(default_factory=Version)
     reader: Reader = field(default_factory=Reader)
     fleet: Fleet = field(default_factory=Fleet)
-    permits: dict[tuple[str, ...], Any] = field(default_factory=dict)
+    permitted_sets: dict[tuple[str, ...], Any] = field(default_factory=dict)
     limits: Limits = field(default_factory=Limits)
     queues: dict[str, FairQueue] = field(default_factory=dict)
     budgets: dict[str, RetryBudget] = field(default_factory=dict)
-    requests: dict[str, Live] = field(default_factory=dict)
+    requests: dict[str, LiveRequest] = field(default_factory=dict)
     epochs: dict[str, Epoch] = field(default_factory=dict)
     liveness: Liveness = field(default_factory=Liveness)
-    guard: Guard = field(default_factory=Guard)
+    reservation_watch: ReservationWatch = field(
+        default_factory=ReservationWatch
+    )
     timers: Timers = field(default_factory=Timers)
-    publishing: dict[str, PublishWait] = field(default_factory=dict)
-    duties: Duties = field(default_factory=Duties)
+    publishing: dict[str, PendingPublication] = field(default_factory=dict)
+    bookkeeping: Bookkeeping = field(default_factory=Bookkeeping)
     quarantine: Quarantine = field(default_factory=Quarantine)
     shutting_down: bool = False
-    out: list[Action] = field(default_factory=list)
+    actions: list[Action] = field(default_factory=list)
     claims: ClaimTable = field(init=False)
-    hold_ids: HoldIds = field(init=False)
+    reservation_ids: ReservationIds = field(init=False)
     lease: Lease = field(init=False)
 
     def __post_init__(self) -> None:
-        """Build the parts that carry the member's name."""
+        """Create the parts that need the member name."""
         self.claims = ClaimTable(self.member)
-        self.hold_ids = HoldIds(self.member)
+        self.reservation_ids = ReservationIds(self.member)
         self.lease = Lease(self.member, self.timing)
 
     @property
     def member(self) -> str:
-        """This incarnation's name among its peers."""
+        """The unique name of this incarnation."""
         return self.identity.member
 
-    def act(self, action: Action) -> None:
-        """Ask the tasks around the core for something."""
-        self.out.append(action)
+    def emit(self, action: Action) -> None:
+        """Append an action."""
+        self.actions.append(action)
 
     def count(self, name: str, label: str = '') -> None:
-        """Count an event."""
-        self.out.append(Count(name, label))
+        """Increment a counter."""
+        self.actions.append(Count(name, label))
 
-    def note(self, event: str, peer: str = '', detail: str = '') -> None:
-        """Log a change of state."""
-        self.out.append(LogEvent(event, peer, detail))
+    def log_event(self, event: str, peer: str = '', detail: str = '') -> None:
+        """Log a state change."""
+        self.actions.append(LogEvent(event, peer, detail))
 
     def set_timer(self, at: float, timer: Any) -> None:
-        """Send a message to this instance for later."""
+        """Schedule `timer` to be handled at the instant `at`."""
         self.timers.push(at, timer)
 
     def get_queue(self, pool: str) -> FairQueue:
@@ -123,7 +125,7 @@
         return self.queues.setdefault(pool, FairQueue())
 
     def get_budget(self, pool: str) -> RetryBudget:
-        """Return the retry budget of a pool at this instance."""
+        """Return this instance's retry budget for a pool."""
         return self.budgets.setdefault(pool, RetryBudget(RetryLimits()))
 
     def get_targets(self) -> Mapping[str, Target]:
@@ -131,10 +133,10 @@
         return self.fleet.targets
 
     def make_record_id(self, purpose: str) -> str:
-        """Return a record id that no other incarnation will use."""
-        self.duties.record_count += 1
-        return f'{self.member}/{purpose}/{self.duties.record_count}'
+        """Return a record id that is unique across incarnations."""
+        self.bookkeeping.record_count += 1
+        return f'{self.member}/{purpose}/{self.bookkeeping.record_count}'
 
     def is_log_fresh(self, now: float) -> bool:
-        """Whether the log has answered lately."""
-        return now - self.duties.log_read_at < self.timing.peer_dead_s
+        """Whether the log was read recently."""
+        return now - self.bookkeeping.log_read_at < self.timing.peer_dead_s
