--- a/trestledock/entry/_datagrams.py
+++ b/trestledock/entry/_datagrams.py
@@ -2,11 +2,11 @@
 Datagrams
 =========
 
-The socket on which entries speak to one another.  Sending and receiving never
-wait: what comes in is kept by the operating system until somebody looks.  An
-idle entry among 76 got 68 datagrams a second; not to be woken by them, and to
-get fewer, took its wake-ups from 290 to 62 a second and halved its processor
-time (a profile of one process over six seconds).
+The UDP socket between entries. Sending and receiving never block: the operating
+system buffers incoming datagrams until they are read. An idle entry among 76
+received 68 datagrams a second; polling instead of waking up for each, and
+sending fewer, reduced its wake-ups from 290 to 62 a second and halved its
+processor time (profile of one process over six seconds).
 """
 
 import socket
@@ -17,12 +17,12 @@
 
 Address = tuple[str, int]
 
-#: More than any datagram that is sent.
+#: Size of the receive buffer, above that of any datagram sent.
 MOST_BYTES = 65_535
 
 
 class Datagrams:
-    """A datagram socket that never blocks."""
+    """Non-blocking datagram socket."""
 
     def __init__(self, address: Address) -> None:
         """Bind the socket."""
@@ -31,7 +31,7 @@
         self._socket.bind(address)
 
     def send(self, raw: bytes, where: Iterable[Address]) -> None:
-        """Send to some addresses; each may be lost."""
+        """Send to some addresses, without any guarantee of delivery."""
         for address in where:
             try:
                 self._socket.sendto(raw, address)
@@ -39,7 +39,7 @@
                 emit(events.DatagramDropped(repr(exc)))
 
     def receive(self) -> Iterator[tuple[bytes, Address]]:
-        """Yield what has come in, with its sender."""
+        """Yield the datagrams that have arrived, with their senders."""
         while True:
             try:
                 yield self._socket.recvfrom(MOST_BYTES)
@@ -55,7 +55,7 @@
 
 
 def join_address(address: Address) -> str:
-    """Return an address as `IP:PORT`.
+    """Format an address as `IP:PORT`.
 
     >>> join_address(('10.0.0.1', 80))
     '10.0.0.1:80'
@@ -65,6 +65,6 @@
 
 
 def split_address(address: str) -> Address:
-    """Return the parts of `IP:PORT`."""
+    """Parse `IP:PORT`."""
     host, _, port = address.rpartition(':')
     return host, int(port)
--- a/trestledock/entry/_ends.py
+++ b/trestledock/entry/_ends.py
@@ -1,9 +1,9 @@
 """
-Ends between entries
-====================
+Exchange of crashes between entries
+===================================
 
-Tells the other entries at once which targets have ended under which requests,
-and which such requests were answered after all.
+Sends the other entries each crash of a target during a request at once, and
+each answer to a request that had crashed targets.
 """
 
 from typing import Iterable, Sequence
@@ -15,19 +15,19 @@
 from trestledock.entry._words import Cleared, Ends
 from trestledock.relay import End
 
-#: When an end is told again that others must not miss, in seconds after it was
-#: told last: words may be lost, or an entry be cut off for a while.
+#: Delays between repetitions of an important crash message, in seconds:
+#: messages may be lost, or an entry be cut off for a while.
 AGAIN_S = (0.3, 0.7, 2.0)
 
-#: An end with its age, in seconds.
+#: Crash with its age, in seconds.
 AgedEnd = tuple[End, float]
 
 
 class EndsExchange:
-    """Tells and hears of ends for one entry."""
+    """Sends and receives crashes for one entry."""
 
     def __init__(self, gossip: Gossip) -> None:
-        """Take part in the gossip."""
+        """Register the handlers with the gossip and the isolation."""
         self.gossip = gossip
         self.isolation = gossip.state.isolation
         self.isolation.ways.tell_ends = self.tell
@@ -37,7 +37,7 @@
         gossip.on_met.append(self._tell_known)
 
     def tell(self, ends: Sequence[End]) -> None:
-        """Have all others know of targets that have just ended."""
+        """Send crashes that have just happened to all other entries."""
         if not ends:
             return
         self._send([(end, 0) for end in ends], self._get_all())
@@ -52,7 +52,7 @@
             self._send([(end, age_s) for end in ends], self._get_all())
 
     def _tell_known(self, address: Address) -> None:
-        """Have an entry that is new know what matters of what is known."""
+        """Send the known crashes that matter to a new entry."""
         self._send(list(self.isolation.get_known()), [address])
 
     def _tell_cleared(self, fingerprint: str, ends: Sequence[str]) -> None:
--- a/trestledock/entry/_events.py
+++ b/trestledock/entry/_events.py
@@ -2,10 +2,9 @@
 Log events
 ==========
 
-One type for each decision that touches a request, or that changes what the
-process believes.  Names end in their unit: `_ms` milliseconds, `_s` seconds.
-docs/OPERATIONS.md has them as a table, and a test holds that against this
-module.
+One type for each decision about a request, and for each change in what the
+process knows. Fields end in their unit: `_ms` milliseconds, `_s` seconds.
+docs/OPERATIONS.md has them as a table, and a test compares it with this module.
 """
 
 from types import MappingProxyType
@@ -14,10 +13,11 @@
 
 @dataclass_transform(frozen_default=True)
 class Event:
-    """The base of all events; its name is the message of the line.
+    """Base of all events; the name of the class is the message of the line.
 
-    A subclass lists its fields, as a data class does.  No code is generated for
-    it: for these types that took some 25 ms of each start, a fifteenth of it.
+    A subclass lists its fields like a data class. No code is generated for it,
+    because generating data classes for these types took some 25 ms of each
+    start, a fifteenth of the total.
 
     >>> PeerMet('entry-1').get_fields()
     {'peer': 'entry-1'}
@@ -26,24 +26,24 @@
     names: ClassVar[tuple[str, ...]] = ()
 
     def __init_subclass__(cls) -> None:
-        """Take the names of the fields in their order."""
+        """Collect the names of the fields in order."""
         cls.names = tuple(cls.__annotations__)
 
     def __init__(self, *fields: Any, **named: Any) -> None:
-        """Keep the fields, each given once."""
+        """Set the fields, each given exactly once."""
         found = dict(zip(self.names, fields, strict=False), **named)
         is_once = len(found) == len(fields) + len(named)
         if not is_once or found.keys() != set(self.names):
-            raise TypeError(f'{type(self).__name__} takes {self.names}')
+            raise TypeError(f'{type(self).__name__} needs {self.names}')
         self.__dict__.update(found)
 
     def __setattr__(self, name: str, setting: Any) -> None:
-        """Refuse: what has happened does not change."""
-        raise AttributeError(f'{name} of {type(self).__name__}')
+        """Refuse changes, as events are immutable."""
+        raise AttributeError(f'{name} is read-only in {type(self).__name__}')
 
     @classmethod
     def get_name(cls) -> str:
-        """Return the name in words joined by underscores.
+        """Return the name of the class in snake case.
 
         >>> VersionApplied.get_name()
         'version_applied'
@@ -56,9 +56,9 @@
 
 
 class Admitted(Event):
-    """A request has a route and a team, and times that it is judged by.
+    """A request was admitted with its route, its team and its time limits.
 
-    Its `fingerprint` is that of each attempt at the same request.
+    Its `fingerprint` is the same for each attempt at the same request.
     """
 
     req: str
@@ -74,7 +74,7 @@
 
 
 class Placed(Event):
-    """A target was chosen; the rest is what decided it."""
+    """A target was chosen; the other fields are what the choice depended on."""
 
     req: str
     peer: str
@@ -89,7 +89,7 @@
 
 
 class MemoryRefused(Event):
-    """Memory was not granted at all engines of a prompt."""
+    """Not all engines of a prompt granted memory for it."""
 
     req: str
     granted: int
@@ -97,7 +97,7 @@
 
 
 class FirstEvent(Event):
-    """The first part of a stream came, beside what was predicted."""
+    """The first event of a stream arrived, with its predicted time."""
 
     req: str
     peer: str
@@ -106,9 +106,10 @@
 
 
 class SendingEnded(Event):
-    """A sending ended without an answer that can be passed on.
+    """An attempt ended without an answer that can be passed on.
 
-    `sign` says how the way to its target ended, if it did.
+    `sign` is the evidence of how the connection to its target failed, if it
+    did.
     """
 
     req: str
@@ -122,7 +123,7 @@
 
 
 class Repeated(Event):
-    """A request goes to another target; `sendings` have been made so far."""
+    """A request goes to another target, after `sendings` attempts."""
 
     req: str
     sendings: int
@@ -130,9 +131,9 @@
 
 
 class Answered(Event):
-    """The target's answer was passed on whole.
+    """The target's answer was passed on completely.
 
-    `first_ms` is when its first part came after admission, `longest_ms` the
+    `first_ms` is the time from admission to its first part, `longest_ms` the
     longest pause after that.
     """
 
@@ -145,14 +146,14 @@
 
 
 class FailurePassedOn(Event):
-    """The target's own failure was passed on, since nothing better came."""
+    """The target's own error was passed on, for lack of a better answer."""
 
     req: str
     status: int
 
 
 class Refused(Event):
-    """A request was given up; 503 says that nothing has run."""
+    """A request was given up; status 503 says that nothing has run."""
 
     req: str
     reason: str
@@ -170,7 +171,7 @@
 
 
 class CallerLeft(Event):
-    """The caller closed its connection; its work was cancelled."""
+    """The caller closed its connection, and its work was cancelled."""
 
     req: str
 
@@ -183,9 +184,9 @@
 
 
 class TargetListed(Event):
-    """A target is new, or its entry has changed; `again` after it was gone.
+    """A target is new or its record has changed; `again` after a removal.
 
-    `leaves` says that it has said so, in whatever way.
+    `leaves` says that the target is draining, whatever the source of that.
     """
 
     peer: str
@@ -198,14 +199,14 @@
 
 
 class TargetGone(Event):
-    """A target's entry has gone."""
+    """A target's record was removed."""
 
     peer: str
     source: str
 
 
 class TargetHeld(Event):
-    """A target's entry is missing, but may only have lapsed."""
+    """A target's record is missing, but may only have lapsed."""
 
     peer: str
     source: str
@@ -213,7 +214,7 @@
 
 
 class ListDisturbed(Event):
-    """Entries that are missing from a list of targets may have lapsed."""
+    """Records that are missing from a list of targets may only have lapsed."""
 
     source: str
     gap_ms: int
@@ -228,31 +229,31 @@
 
 
 class RecordIgnored(Event):
-    """A record makes no sense, so it names no target or entry to use."""
+    """A record is invalid and was ignored."""
 
     peer: str
     detail: str
 
 
 class TargetDoubted(Event):
-    """A target did not answer when expected, and another one is asked."""
+    """A target did not answer in time, and another one is asked."""
 
     peer: str
 
 
 class TargetSuspected(Event):
-    """A target said nothing and is left alone for a while."""
+    """A target is silent and is not used for a while."""
 
     peer: str
     data_centre: str
 
 
 class LimitHeard(Event):
-    """What a target says of how many requests a second it takes from all.
+    """The rate limit that a target reported has changed.
 
-    `change` is learnt, changed or lifted; the numbers are None where it takes
-    any number.  `source` is who heard it, this entry (`self`) or another one,
-    and the target may have said it `age_ms` ago.
+    `change` is learnt, changed or lifted; the rates are None without a limit.
+    `source` is the entry that received the notice, this one (`self`) or
+    another, and `age_ms` the maximum age of the notice.
     """
 
     peer: str
@@ -264,9 +265,9 @@
 
 
 class NoticeIgnored(Event):
-    """An answer of a target says what makes no sense, or for somebody else.
+    """A notice in an answer is invalid, or not the target's own.
 
-    `notice` is what it is about: limit, rest or leave.
+    `notice` is its kind: limit, rest or leave.
     """
 
     peer: str
@@ -275,10 +276,10 @@
 
 
 class LeaveHeard(Event):
-    """A target says in an answer that it leaves.
+    """A target reported in an answer that it is draining.
 
-    `source` is who heard it, this entry (`self`) or another one, and the target
-    may have said it `age_ms` ago.
+    `source` is the entry that received the notice, this one (`self`) or
+    another, and `age_ms` the maximum age of the notice.
     """
 
     peer: str
@@ -287,11 +288,11 @@
 
 
 class RestHeard(Event):
-    """A target turns a request away and wants nothing from an entry.
+    """A target refused a request and asked an entry to back off.
 
-    That is for `rest_ms` from now on; `before_ms` was left of an earlier word.
-    `source` is the entry that was turned away, this one (`self`) with `status`,
-    or another one.
+    The back-off lasts for `rest_ms` from now on; `before_ms` was left of an
+    earlier one. `source` is the entry that was refused, this one (`self`) with
+    `status`, or another.
     """
 
     peer: str
@@ -302,16 +303,16 @@
 
 
 class RestEnded(Event):
-    """A target answered what it was asked `after_ms` after its rest."""
+    """A target answered a request sent `after_ms` after its back-off."""
 
     peer: str
     after_ms: int
 
 
 class SentAgainstNotice(Event):
-    """A request was sent to a target that leaves or rests.
+    """A request was sent to a draining or backed-off target.
 
-    `notice` says which, as it was heard `age_ms` ago.
+    `notice` says which, as received `age_ms` ago.
     """
 
     req: str
@@ -321,9 +322,9 @@
 
 
 class SentUnderLimit(Event):
-    """A request was sent to a target that takes only so many a second.
+    """A request was sent to a target with a rate limit.
 
-    `quota_per_s` is the part of it that this entry may send.
+    `quota_per_s` is the share of this entry in it.
     """
 
     req: str
@@ -334,10 +335,11 @@
 
 
 class TargetEnded(Event):
-    """A target ended while it ran a request.
+    """A target crashed while it ran a request.
 
-    `sign` is what was seen of it after that, where another start of it was not
-    listed; `ends` is how many the request is answerable for by now.
+    `sign` is the evidence at a new connection, or none if another incarnation
+    of the target was listed; `ends` is the number of crashes attributed to the
+    request so far.
     """
 
     peer: str
@@ -347,9 +349,10 @@
 
 
 class RequestQuarantined(Event):
-    """A request goes to no target from now on: too many ended under it.
+    """A request goes to no target from now on, after too many crashes.
 
-    `source` is who told of the last one: this entry, another one or the store.
+    `source` is the origin of the last crash: this entry, another one or the
+    store.
     """
 
     fingerprint: str
@@ -358,7 +361,7 @@
 
 
 class RequestCleared(Event):
-    """A request under which targets had ended was answered by one."""
+    """A request that had crashed targets was answered by one."""
 
     fingerprint: str
     ends: int
@@ -366,37 +369,37 @@
 
 
 class TrialGranted(Event):
-    """A quarantined request is given to one target, in case it works now."""
+    """A quarantined request goes to one target as a probe."""
 
     fingerprint: str
 
 
 class SuspectForgotten(Event):
-    """The ends of a request were forgotten, since there are too many others."""
+    """The crashes of a request were dropped, as too many others have some."""
 
     fingerprint: str
 
 
 class DataCentreQuiet(Event):
-    """All entries of a data centre are silent; its targets are left alone."""
+    """All entries of a data centre are silent; its targets are not used."""
 
     data_centre: str
 
 
 class PeerMet(Event):
-    """Another entry is heard."""
+    """The first message of another entry arrived."""
 
     peer: str
 
 
 class PeerLost(Event):
-    """Another entry is not heard any more; its flights are forgotten."""
+    """Another entry is silent; its in-flight requests are dropped."""
 
     peer: str
 
 
 class StoreLost(Event):
-    """The store does not answer, at a step."""
+    """A call to the store failed, at a step."""
 
     step: str
     detail: str
@@ -409,35 +412,36 @@
 
 
 class ReaderChosen(Event):
-    """Which entry reads the store for this one."""
+    """An entry was chosen to read the store for this one."""
 
     peer: str
 
 
 class NewsLost(Event):
-    """What another entry knows could not be fetched."""
+    """An update could not be fetched from another entry."""
 
     peer: str
     detail: str
 
 
 class LoadLost(Event):
-    """What targets of another data centre have to do could not be asked."""
+    """The loads of another data centre's targets could not be queried."""
 
     data_centre: str
     detail: str
 
 
 class HistoryForgotten(Event):
-    """The store has dropped records; everything is read anew."""
+    """The store has dropped records; everything is read again."""
 
     topic: str
 
 
 class StoreRestored(Event):
-    """The store came back from an older copy, as its answers or others say.
+    """The store was restored from an older copy.
 
-    `version` is that of the configuration in force, which stays.
+    `source` is the store or the entry that reported it; `version` is that of
+    the configuration in force, which stays.
     """
 
     source: str
@@ -447,21 +451,21 @@
 
 
 class EpochDoubted(Event):
-    """An answer of the store has an epoch that can't follow the one before."""
+    """An answer of the store has an epoch that can't follow the known one."""
 
     before: str
     told: str
 
 
 class WrittenAgain(Event):
-    """What a restored store lacked was written once more."""
+    """Data that a restored store lacked was written again."""
 
     what: str
     keys: list[str]
 
 
 class DatagramDropped(Event):
-    """A datagram could not be sent, or made no sense."""
+    """A datagram could not be sent, or was invalid."""
 
     detail: str
 
@@ -474,17 +478,17 @@
 
 
 class Failed(Event):
-    """Something unforeseen; the traceback is in `exc_info`."""
+    """An unexpected exception; the traceback is in `exc_info`."""
 
     step: str
 
 
 class Started(Event):
-    """The process has its settings.
+    """The process has started with its settings.
 
-    Without `counts_suspension` the system has no clock that goes on while the
-    machine is suspended: a pause is not noticed, and what is believed is
-    younger by it than it should be.
+    Without `counts_suspension` the system has no clock that runs while the
+    machine is suspended: a pause goes unnoticed, and state is older by it than
+    its computed age.
     """
 
     member: str
@@ -493,13 +497,13 @@
 
 
 class Suspended(Event):
-    """The machine stood still for a while, which the clock has counted."""
+    """The machine was suspended for a while, which the clock has counted."""
 
     pause_ms: int
 
 
 class ReloadAsked(Event):
-    """The settings file has changed."""
+    """The settings were read again after a signal."""
 
     changed: bool
 
@@ -517,7 +521,7 @@
 
 
 class LinesLeftOut(Event):
-    """How many lines of a kind were left out, and why."""
+    """A number of lines of a kind were dropped, for a reason."""
 
     kind: str
     count: int
@@ -533,7 +537,7 @@
 
 #: All events, for the table in docs/OPERATIONS.md.
 EVENTS: tuple[type[Event], ...] = tuple(Event.__subclasses__())
-#: The messages of their lines.
+#: Messages of the log lines by event.
 NAMES: Mapping[type[Event], str] = MappingProxyType(
     {kind: _make_name(kind) for kind in EVENTS}
 )
--- a/trestledock/entry/_exposition.py
+++ b/trestledock/entry/_exposition.py
@@ -2,8 +2,8 @@
 Exposition of the metrics
 =========================
 
-Gives the numbers of an entry to `prometheus_client`, which makes the text that
-is served.
+Converts the metrics of an entry for `prometheus_client`, which renders the
+text.
 """
 
 from itertools import accumulate
@@ -33,15 +33,15 @@
 )
 
 PREFIX = 'trestledock'
-#: Above every bound of a histogram.
+#: Upper bound of the last bucket of a histogram.
 ABOVE_ALL = float('inf')
 
 
 class _Numbers(Collector):
-    """The numbers of one process, as they are now."""
+    """Collector of the current metrics of one process."""
 
     def __init__(self, metrics: Metrics, gauges: Mapping[str, float]) -> None:
-        """Keep what is shown."""
+        """Take the metrics and gauges to show."""
         self.metrics = metrics
         self.gauges = gauges
 
@@ -86,7 +86,7 @@
 
 
 def render(metrics: Metrics, gauges: Mapping[str, float]) -> bytes:
-    """Return everything as text."""
+    """Return all metrics as text."""
     registry = CollectorRegistry()
     registry.register(_Numbers(metrics, gauges))
     return generate_latest(registry)
--- a/trestledock/entry/_following.py
+++ b/trestledock/entry/_following.py
@@ -1,10 +1,10 @@
 """
-Following the store
-===================
+Store follower
+==============
 
 Keeps configuration, targets and peers up to date: decides when to read the
-store, and whom to ask who has read it.  A version is applied whole and never
-goes back.
+store, and which entry to ask that has read it. A version is applied as a whole,
+and an older one never replaces a newer one.
 """
 
 import anyio
@@ -25,33 +25,34 @@
     get_retry_s,
 )
 
-#: How long the fetch of news from the reader may take, in seconds, and how long
-#: at least where an own read is due soon: some hundred times the way there.
+#: Timeout for fetching an update from the reader, in seconds, and its minimum
+#: if an own read is due soon: some hundred times the network latency.
 FETCH_S = 1.0
 FETCH_LEAST_S = 0.25
-#: After how many vain fetches in a row an entry is not asked for a while, and
-#: for how long, in seconds: one may fail where many ask at once, and the others
-#: take less than that to find another reader.
+#: After so many failed fetches in a row an entry is not asked for the given
+#: time, in seconds: a single one may fail while many entries ask at once, and
+#: the others find another reader in less than that time.
 UNFIT_TRIES = 2
 UNFIT_S = 1.5
-#: How often the list of peers is read, in seconds.  Each entry announces
-#: itself before its first read, so that of two the later one sees the other
-#: and tells it; reading again only makes good what nobody expects.
+#: Interval of reading the list of peers, in seconds. Each entry announces
+#: itself before its first read, so that of two the later one sees the other and
+#: contacts it; later reads only cover unexpected cases.
 PEERS_S = 120.0
-#: How long to wait after the first list of peers could not be read, in seconds.
+#: Delay before the first list of peers is read again after a failure, in
+#: seconds.
 PEERS_RETRY_S = 1.0
-#: How many neighbours an entry asks that starts after a restore of the store:
-#: some of them may have started just now, too, and know no more.
+#: Maximum number of neighbours asked by an entry that starts after a restore of
+#: the store: some of them may have just started too, and know no more.
 MOST_CONSULTED = 3
-#: How long it waits for their answers to its greeting first, in seconds: some
-#: tens of times the way there and back.
+#: How long such an entry first waits for answers to its first messages, in
+#: seconds: some tens of round trips.
 GREETING_S = 0.06
-#: What pauses are multiplied by at random, so that entries don't keep step.
+#: Range of the random factor for pauses, so that entries don't synchronize.
 JITTER = (0.9, 1.1)
 
 
 class Follower:
-    """Keeps one entry's knowledge up to date."""
+    """Keeps the configuration, targets and peers of one entry up to date."""
 
     def __init__(
         self,
@@ -60,7 +61,7 @@
         pool: Pool,
         exchange: NewsExchange,
     ) -> None:
-        """Keep what is read and where it goes."""
+        """Take the source of updates and the state they are applied to."""
         self.state = state
         self.listing = Listing(state, pool)
         self.reading = StoreReading(state, directory, self.listing, exchange)
@@ -72,7 +73,7 @@
         self._pace = ReadPace(state.settings.settle_s)
 
     async def run(self) -> None:
-        """Follow until cancelled."""
+        """Follow the store until cancelled."""
         async with anyio.create_task_group() as group:
             group.start_soon(self._follow)
             group.start_soon(self._follow_peers)
@@ -83,10 +84,10 @@
         return self._reader == self.state.member
 
     async def consult(self) -> None:
-        """Ask neighbours for what a store may lack that was just restored.
+        """Ask neighbours for what a restored store may lack.
 
-        They may know a newer configuration, and targets that have left; and
-        what they have proven of the store before counts for this entry, too.
+        They may have a newer configuration, and know of removed targets. What
+        they proved by the store before the restore also counts for this entry.
         """
         await anyio.sleep(GREETING_S)
         for name in self.gossip.peers.get_near()[:MOST_CONSULTED]:
@@ -105,7 +106,7 @@
                 await self._ask(reader)
 
     async def _ask(self, reader: str) -> None:
-        """Learn from the reader; read the store where that does not help."""
+        """Get updates from the reader; read the store if that fails."""
         await self.exchange.ask(reader)
         if self.exchange.take_proof(reader):
             await self._fetch(reader)
@@ -130,7 +131,7 @@
             self._unfit[reader] = now + UNFIT_S
 
     def _apply_passed_on(self, news: News) -> bool:
-        """Apply another entry's configuration; return whether it made sense."""
+        """Apply another entry's configuration; return whether it was valid."""
         try:
             self.reading.apply(news)
         except DirectoryError as exc:
@@ -139,25 +140,26 @@
         return True
 
     def _get_fetch_s(self, now: float) -> float:
-        """Return how long a fetch may take: an own read does not wait for it.
+        """Return the timeout of a fetch, so that it does not delay an own read.
 
-        A reader that stands still accepts the connection and says nothing.
-        While the store is away, nobody else can tell.
+        A reader whose process is stopped accepts the connection without ever
+        answering. While the store is unavailable other entries are the only
+        source.
         """
         if self.reading.is_lost():
             return FETCH_S
         return min(FETCH_S, max(FETCH_LEAST_S, self._get_own_read_in_s(now)))
 
     def _get_ask_pause_s(self, now: float) -> float:
-        """Return when to ask again: at the latest when an own read is due."""
+        """Return the time until the next question or, if sooner, own read."""
         due_in_s = self._get_own_read_in_s(now)
         pause_s = self._pace.ask_s
         return min(pause_s, due_in_s) if due_in_s > 0 else pause_s
 
     def _take_list(self, news: News) -> None:
-        """Take another entry's list if it is surely newer than the own one.
+        """Apply another entry's list if it is certainly newer than the own one.
 
-        What it knows of the past counts in any case.
+        Its knowledge of removed targets applies in any case.
         """
         now = anyio.current_time()
         self.state.note_told_epoch(news.epoch, now, news.source)
--- a/trestledock/entry/_gossip.py
+++ b/trestledock/entry/_gossip.py
@@ -2,10 +2,10 @@
 Gossip between entries
 ======================
 
-Tells the other entries what this one has in flight (each change at once,
-everything now and then) and how fresh what it knows of the store is, and takes
-what they tell.  A lost datagram is made good by the next one.  What comes in is
-looked at now and then, and before each choice of a target.
+Sends the requests that this entry has in flight to the other entries (each
+change at once, the full state periodically) with the age of its copy of the
+store, and receives theirs. The next message makes up for a lost datagram.
+Incoming datagrams are read periodically and before each choice of a target.
 """
 
 from typing import Any, Callable, Iterable, Mapping, Sequence
@@ -24,38 +24,40 @@
 from trestledock.entry._words import Beat, Flights, Fresh, Word
 from trestledock.relay import BEAT_S, Candidate, Flight
 
-#: How long changes are gathered, in seconds.
+#: How long changes are collected before they are sent, in seconds.
 GATHER_S = 0.004
-#: How often everything is told, in seconds, at least.
+#: Minimum period of the full state, in seconds: within the near group, and to
+#: other data centres.
 WHOLE_S = 0.5
 FAR_S = 3.0
-#: So many words a second that tell everything come to an entry at most, from
-#: near and from far: the more entries, the more rarely each tells it.
+#: Maximum number of full-state messages that an entry receives in a second,
+#: from the near group and from other data centres: the period grows with the
+#: number of entries.
 MOST_WHOLE = 20
 MOST_FAR = 13
-#: How often is looked for words, in seconds: where beats are listened for or
-#: somebody waits for answers, and where not.  Choices of targets look anyway.
+#: Polling interval for datagrams, in seconds: where heartbeats count or an
+#: answer is awaited, and otherwise. Choosing a target polls as well.
 LOOK_S = 0.02
 LOOK_MANY_S = 0.1
-#: For how long after a question more of them are expected, in seconds.
+#: For how long after a question more are expected, in seconds.
 ATTENTIVE_S = 1.0
-#: Flights, or other rows, in one datagram.
+#: Maximum number of in-flight requests, or of other rows, in one datagram.
 MAX_FLIGHTS = 100
 MAX_ROWS = 100
 
-#: Takes a word; true where it changes what targets have to do.
+#: Handles a message; true if it changes the load of targets.
 Handler = Callable[[Any, Address], bool]
 
 
 class Gossip:
-    """The exchange of datagrams with the other entries.
+    """Exchange of datagrams with the other entries.
 
-    What is in `on_met` is called with the address of each entry that is new,
-    what is in `on_told` with the addresses that were just told everything.
+    The callbacks in `on_met` get the address of each new entry, those in
+    `on_told` the addresses that the full state was just sent to.
     """
 
     def __init__(self, state: EntryState) -> None:
-        """Begin without peers."""
+        """Start without peers."""
         self.state = state
         own = split_address(state.settings.peers)
         self.neighbours = Neighbours(own, state.settings.data_centre)
@@ -74,18 +76,18 @@
         self._told_far: dict[str, set[str]] = {}
 
     def meet(self, addresses: Mapping[str, str]) -> None:
-        """Take the addresses of the other entries by name, and greet them."""
+        """Add the addresses of other entries by name, and contact new ones."""
         found = map(split_address, addresses.values())
         new = self.neighbours.meet(found, anyio.current_time())
         self._tell_whole(new, self._get_far_s())
 
     def get_candidates(self, now: float) -> list[Candidate]:
-        """Return the entries that may read the store, this one included."""
+        """Return the entries that may read the store, including this one."""
         own = Candidate(self.state.member, self.state.get_offered_age_s(now))
         return [own, *self.peers.get_candidates(now)]
 
     async def run(self) -> None:
-        """Talk and listen until cancelled."""
+        """Send and receive until cancelled."""
         self._datagrams = Datagrams(self.neighbours.own)
         self.state.catch_up = self.catch_up
         self.state.tell_own = self.tell_own
@@ -100,7 +102,7 @@
             self._datagrams = None
 
     def send(self, word: Word, where: Sequence[Address]) -> None:
-        """Send a word to some addresses; it may be lost."""
+        """Send a message to some addresses, without guaranteed delivery."""
         if self._datagrams is None or not where:
             return
         raw = write_word(word, anyio.current_time())
@@ -114,13 +116,13 @@
         rows: Sequence[Any],
         where: Sequence[Address],
     ) -> None:
-        """Send rows in as many words as they need."""
+        """Send rows in as many messages as they need."""
         for start in range(0, len(rows), MAX_ROWS):
             part = tuple(rows[start : start + MAX_ROWS])
             self.send(make_word(self.state.member, part), where)
 
     def catch_up(self) -> None:
-        """Take all words that have come in."""
+        """Handle all datagrams that have arrived."""
         if self._datagrams is None:
             return
         is_news = False
@@ -130,16 +132,16 @@
             self.state.notify()
 
     async def wait_for(self, event: anyio.Event) -> None:
-        """Wait for an event that a word brings."""
+        """Wait for an event that a message sets."""
         while not event.is_set():
             with anyio.move_on_after(LOOK_S):
                 await event.wait()
             self.catch_up()
 
     def take(self, raw: bytes, sender: Address) -> bool:
-        """Take a word; return whether it changes what targets have to do.
+        """Handle a datagram; return whether it changes the load of targets.
 
-        One that makes no sense changes nothing.
+        An invalid datagram changes nothing.
         """
         now = anyio.current_time()
         try:
@@ -151,13 +153,13 @@
         return bool(self.handlers[type(word)](word, sender))
 
     def tell_fresh(self) -> None:
-        """Have the others know that the store was just read here."""
+        """Announce that this entry has just read the store."""
         if not self.state.leaving:
             age_s = self.state.get_offered_age_s(anyio.current_time())
             self.send(Fresh(self.state.member, age_s), self._get_near())
 
     def tell_own(self) -> None:
-        """Tell what has changed of the own flights since the last time."""
+        """Send the own in-flight requests that changed since the last time."""
         changes = list(self.state.board.take_changes().items())
         if changes:
             again_s = self._get_whole_s()
@@ -165,7 +167,7 @@
             self._tell_changes_far(changes)
 
     def be_attentive(self) -> None:
-        """Look for words more often for a while: others wait for answers."""
+        """Poll more often for a while, as other entries wait for answers."""
         self._attentive_until = anyio.current_time() + ATTENTIVE_S
 
     def _take_flights(self, word: Flights, sender: Address) -> bool:
@@ -195,10 +197,10 @@
         )
 
     def _welcome(self, name: str, address: Address) -> None:
-        """Take a new peer in the place of the one that ran there before.
+        """Register a new peer, replacing an earlier process at its address.
 
-        It is told everything at once: else it would know nothing of this one
-        for as long as everything is told only now and then.
+        It gets the full state at once: otherwise it would know nothing of this
+        entry until the next period.
         """
         emit(events.PeerMet(name))
         for before in self.peers.get_others_at(name):
@@ -225,9 +227,10 @@
         return LOOK_MANY_S
 
     async def _beat(self) -> None:
-        """Let other data centres hear this entry, and listen for them.
+        """Send heartbeats to other data centres, and check for theirs.
 
-        With many entries the others speak too rarely to be listened for.
+        With many entries messages between data centres are too rare to detect
+        silence by.
         """
         place = self.state.settings.data_centre
         while True:
@@ -247,10 +250,11 @@
             self._tell_end()
 
     def _tell_changes_far(self, changes: Sequence[Change]) -> None:
-        """Tell other data centres at once of what goes to their targets.
+        """Send changes to the data centres of the targets that they concern.
 
-        That is rare where there are many entries: only long prompts go there.
-        An end names no target, so it is told where its beginning was.
+        With many entries that is rare: only long prompts go to other data
+        centres. An ended request names no target, so its end goes where its
+        start was sent.
         """
         far = self.neighbours.get_far(many=self.state.many_entries)
         for flight_id, flight in changes:
@@ -268,7 +272,7 @@
                 )
 
     def _tell_end(self) -> None:
-        """Tell at once that this entry is ending."""
+        """Announce at once that this entry is draining."""
         if self.state.leaving and not self._is_end_told:
             self._is_end_told = True
             self._tell_whole(self.neighbours.get_all(), self._get_far_s())
@@ -287,7 +291,7 @@
             self._drop_silent(anyio.current_time())
 
     def _tell_far(self) -> None:
-        """Tell the other data centres of the flights at their targets."""
+        """Send other data centres the in-flight requests at their targets."""
         own = list(self.state.board.own.items())[:MAX_FLIGHTS]
         far = self.neighbours.get_far(many=self.state.many_entries)
         for place, where in far.items():
@@ -320,7 +324,7 @@
         return self.neighbours.get_near(many=self.state.many_entries)
 
     def _get_places(self, flight: Flight) -> set[str]:
-        """Return the data centres of the targets that a flight is at."""
+        """Return the data centres of the targets that a request occupies."""
         listed = self.state.fleet.targets
         return {
             listed[name].data_centre
--- a/trestledock/entry/_isolation.py
+++ b/trestledock/entry/_isolation.py
@@ -1,12 +1,12 @@
 """
-Isolation of deadly requests
-============================
-
-Finds out why a connection to a target ended in the middle of a request, puts it
-down to the request where the target ended with it, and has the other entries
-and the store know.  A target that merely closes its connections takes new ones
-at once; where one has ended nobody listens, and another start of it is listed
-later.
+Isolation of requests that crash targets
+========================================
+
+Finds out why a connection to a target was closed in the middle of a request,
+attributes a crash of the target to the request, and informs the other entries
+and the store. A target that merely closes connections accepts new ones at once.
+After a crash nothing listens at the address, and another incarnation of the
+target is listed later.
 """
 
 from dataclasses import dataclass
@@ -39,9 +39,10 @@
 
 
 class Inquiry(Enum):
-    """How it is found out whether a target has ended with a request.
+    """How to find out whether a target crashed during a request.
 
-    `look` connects to it once more, `listing` waits for another start of it.
+    `look` connects to it again, `listing` waits until another incarnation of it
+    is listed.
     """
 
     none = 'none'
@@ -49,10 +50,10 @@
     look = 'look'
 
 
-#: What is done by how a sending ended.  A process closes its connections as it
-#: ends, and may write bytes that are no answer in its last moment.  Silence
-#: says nothing: whoever was left for it is not known to have run the request,
-#: and cuts and crowds make more of it than ends.
+#: Inquiry by failure evidence. A crashing process closes its connections, and
+#: may write bytes that are no valid answer first. Silence proves nothing: a
+#: target given up for silence is not known to have run the request, and network
+#: partitions and overload cause more silence than crashes do.
 INQUIRIES: Mapping[Sign, Inquiry] = MappingProxyType(
     {
         Sign.none: Inquiry.none,
@@ -63,18 +64,19 @@
         Sign.garbled: Inquiry.listing,
     }
 )
-#: What shows at a look that a process has gone.  All else waits for a listing:
-#: one that listens may be its next start, and an address that isn't reached may
-#: be that of one that lives.
+#: Evidence at a new connection that the process is gone. Anything else waits
+#: for a listing: a process that listens may be the next incarnation, and an
+#: unreachable address may be that of a live one.
 ENDED = Sign.refused
-#: An end of which another entry tells keeps this one from a target where it is
-#: no older than this, in seconds: its next start has another name.
+#: Maximum age of a crash reported by another entry, in seconds, at which this
+#: entry stops using the target: the next incarnation has another name.
 FRESH_S = 1.0
-#: Requests with so many ends are told of again, and when they are answered: one
-#: end says little, and each word goes to everybody.
+#: Minimum number of crashes of a request for which crash messages are repeated
+#: and its answer is announced: one crash says little, and each message goes to
+#: every entry.
 LEAST_TOLD = 2
 SELF = 'self'
-#: Who says something where that is the platform's store.
+#: Source in log events for what the platform's store said.
 STORE = 'store'
 
 Look = Callable[[Listed], Awaitable[Sign]]
@@ -84,25 +86,26 @@
 
 
 async def _see_nothing(_: Listed) -> Sign:
-    """Stand for a look at a target where nobody can."""
+    """Default for `look`, without connections."""
     return Sign.unreachable
 
 
 async def _grant_nothing(_: Quarantined) -> bool:
-    """Stand for a claim where there is no store."""
+    """Default for `claim`, without a store."""
     return False
 
 
 def _tell_nobody(*_: Any) -> None:
-    """Stand for telling where nobody speaks."""
+    """Default for sending, without other entries."""
 
 
 @dataclass
 class Ways:
-    """How an isolation learns and tells.
+    """Callbacks of the isolation.
 
-    `look` connects to a target once more; `claim` takes the right to try a
-    quarantined request from all other entries; the others tell these at once.
+    `look` connects to a target again; `claim` reserves the right to probe a
+    quarantined request among all entries; the others send to all entries at
+    once.
     """
 
     look: Look = _see_nothing
@@ -112,14 +115,14 @@
 
 
 class Isolation:
-    """Keeps requests from targets that would end under them.
+    """Keeps requests that crash targets away from them.
 
-    `to_keep` has what the store is to know, and `wants_keeping` is set with it;
-    `revision` grows with each change of what is quarantined.
+    `to_keep` has the requests to save in the store, and `wants_keeping` is set
+    when one is added; `revision` grows with each change of the quarantine.
     """
 
     def __init__(self, health: Health, fleet: Fleet) -> None:
-        """Begin with no end."""
+        """Start without any crashes."""
         self.health = health
         self.fleet = fleet
         self.quarantine = Quarantine()
@@ -133,20 +136,20 @@
         self._tried: set[str] = set()
 
     def is_quarantined(self, fingerprint: str) -> bool:
-        """Whether a request goes to no target."""
+        """Whether a request must not go to any target."""
         return self.quarantine.is_quarantined(fingerprint)
 
     def count_quarantined(self) -> int:
-        """Return how many requests go to no target."""
+        """Return the number of quarantined requests."""
         return sum(map(self.is_quarantined, self.quarantine.suspects))
 
     def get_come_back_s(self, fingerprint: str) -> float:
-        """Return when to come back with a quarantined request, in seconds."""
+        """Return the Retry-After of a quarantined request, in seconds."""
         now = anyio.current_time()
         return self.quarantine.get_come_back_s(fingerprint, now)
 
     async def may_try(self, fingerprint: str) -> bool:
-        """Whether a quarantined request may be given to one target now.
+        """Whether a quarantined request may go to one target as a probe now.
 
         Of all such requests at all entries one may; the others don't wait.
         """
@@ -161,7 +164,7 @@
             )
         finally:
             self._claiming.discard(fingerprint)
-        # It may have been answered elsewhere while the store was asked.
+        # Another entry may have got an answer to it during the claim.
         if not granted or not self.is_quarantined(fingerprint):
             return False
         self.quarantine.note_trial(fingerprint, now)
@@ -176,10 +179,10 @@
         sign: Sign,
         targets: Iterable[Listed],
     ) -> None:
-        """Find out whether a target has ended with a request.
+        """Find out whether a target has crashed during a request.
 
-        Of all that work on a request one end counts: its reader and its
-        helpers may have ended together.
+        Only one crash counts among all targets that work on a request: its
+        engine and the helpers may have crashed together.
         """
         inquiry = INQUIRIES[sign]
         if inquiry is Inquiry.none:
@@ -193,17 +196,17 @@
             self._open.keep(fingerprint, target, anyio.current_time())
 
     def note_replaced(self, incarnation: str) -> None:
-        """Note that another start of a target is known: this one has ended."""
+        """Record another incarnation of a target: the given one crashed."""
         now = anyio.current_time()
         self._note_own(self._open.take(incarnation, now), Sign.none)
 
     def note_listed(self, listed: Listed) -> None:
-        """Note a target: what had its address before has ended."""
+        """Record a listed target: its predecessor at the address crashed."""
         now = anyio.current_time()
         self._note_own(self._open.take_replaced_by(listed, now), Sign.none)
 
     def note_answered(self, fingerprint: str) -> None:
-        """Note that a target has answered a request: it ends none."""
+        """Record that a target has answered a request without a crash."""
         was_quarantined = self.is_quarantined(fingerprint)
         now = anyio.current_time()
         ends = self.quarantine.note_answered(fingerprint, now)
@@ -218,7 +221,7 @@
         ends: Iterable[tuple[End, float]],
         source: str,
     ) -> None:
-        """Take ends that another entry knows, with their ages in seconds."""
+        """Add crashes reported by another entry, with ages in seconds."""
         now = anyio.current_time()
         for end, age_s in ends:
             self._add(end, now - age_s, source)
@@ -231,7 +234,7 @@
         ends: Iterable[str],
         source: str,
     ) -> None:
-        """Take another's word that a request with some ends was answered."""
+        """Remove crashes of a request that was answered at another entry."""
         count = self.quarantine.clear_ends(fingerprint, ends)
         self._note_cleared(fingerprint, count, source)
 
@@ -240,7 +243,7 @@
         records: Iterable[Quarantined],
         source: str,
     ) -> None:
-        """Take what the store, or the list of another entry, has."""
+        """Add records of the store, or from another entry's update."""
         now = anyio.current_time()
         for record in records:
             fingerprint = record.fingerprint
@@ -250,7 +253,7 @@
             self._look_at(fingerprint, source, was_quarantined=was_quarantined)
 
     def get_known(self) -> Iterator[tuple[End, float]]:
-        """Yield what an entry is told that is new, with ages."""
+        """Yield the crashes that a new entry is sent, with their ages."""
         now = anyio.current_time()
         for fingerprint, suspect in self.quarantine.suspects.items():
             if len(suspect.incarnations) < LEAST_TOLD:
@@ -260,19 +263,19 @@
                 yield End(fingerprint, incarnation), age_s
 
     def is_told_again(self, end: End) -> bool:
-        """Whether a lost word of an end would matter."""
+        """Whether the loss of a message about a crash would matter."""
         return self.quarantine.count_ends(end.fingerprint) >= LEAST_TOLD
 
     def note_restore(self) -> None:
-        """Have the store know again of trials that it may have lost.
+        """Save the probes again that a restored store may have lost.
 
-        Others need not have heard of them yet, and would try once more.
+        Other entries may not know of them yet, and would probe once more.
         """
         for fingerprint in filter(self.is_quarantined, self._tried):
             self._keep(fingerprint)
 
     def take_to_keep(self) -> list[Quarantined]:
-        """Return what the store is to know; nothing waits any more."""
+        """Return and clear the records that are to be saved."""
         now = anyio.current_time()
         found = sorted(self.to_keep & self.quarantine.suspects.keys())
         self.to_keep = set()
@@ -280,7 +283,7 @@
         return [self.quarantine.make_record(one, now) for one in found]
 
     def keep_again(self, records: Iterable[Quarantined]) -> None:
-        """Have the store know later what it did not take."""
+        """Mark records for saving again after a failure."""
         for record in records:
             self._keep(record.fingerprint)
 
@@ -301,7 +304,7 @@
         self.ways.tell_ends(blamed)
 
     def _avoid(self, incarnation: str, now: float) -> None:
-        """Leave a target alone that has ended, until its entry goes."""
+        """Stop using a crashed target until its record is removed."""
         if incarnation in self.fleet.targets:
             self.health.note_silence(incarnation, now)
 
@@ -317,10 +320,11 @@
     def _look_at(
         self, fingerprint: str, source: str, *, was_quarantined: bool
     ) -> None:
-        """Note whether a request is quarantined from now on.
+        """Log and save a request that has become quarantined.
 
-        An entry that has seen one of its ends has the store know, for those
-        that start later.  So up to three do, as any of them may be gone.
+        An entry that observed one of its crashes saves it in the store, for
+        entries that start later. So up to three entries do, as any of them may
+        have stopped.
         """
         if self.is_quarantined(fingerprint) and not was_quarantined:
             count = self.quarantine.count_ends(fingerprint)
--- a/trestledock/entry/_keeping.py
+++ b/trestledock/entry/_keeping.py
@@ -1,12 +1,12 @@
 """
-Keeping the quarantine
-======================
+Synchronization of the quarantine
+=================================
 
 The platform's store remembers which requests are quarantined, for entries that
-start later, or when all have ended at the same moment.  Nothing else is
-written: some records for each such request, and one for each trial.  Whoever
-reads the store for others waits in one long call for what is new, which costs a
-call each few seconds; the others are told with the list of targets.
+start later, or if all entries stop at once. Only a few records for each such
+request and one for each probe are written. The entry that reads the store for
+others waits for new records in a long poll, which costs a call every few
+seconds; the others get them with the list of targets.
 """
 
 from dataclasses import replace
@@ -22,19 +22,19 @@
 from trestledock.entry._state import EntryState
 from trestledock.relay import Quarantined
 
-#: How long one read waits for something new, in seconds: an open connection may
-#: fall silent for good, and its time-out ends another two seconds later.
+#: Duration of one long poll, in seconds: an open connection may go silent for
+#: good, and its timeout ends two seconds later.
 WAIT_S = 5.0
-#: How long a call may take beside that, in seconds.
+#: Time allowed for a call in addition to its wait, in seconds.
 TIMEOUT_S = 1.0
-#: After a call in vain the next one comes so much later, in seconds: at first,
-#: and at most as that doubles.  Each call has a price, a refused one too.
+#: Delay after a failed call, in seconds: the initial one, which doubles with
+#: each failure, and the maximum. Each call is charged, including refused ones.
 RETRY_S = 1.0
 RETRY_MOST_S = 8.0
-#: How often an entry asks for the right to a trial at most, in seconds: what is
-#: quarantined may come many times a second, and each call has a price.
+#: Minimum interval between claims of the right to probe, in seconds: a
+#: quarantined request may arrive many times a second, and each call is charged.
 CLAIM_S = 2.0
-#: How often is looked whether this entry reads the store by now, in seconds.
+#: Interval of checking whether this entry has become the reader, in seconds.
 LOOK_S = 0.5
 
 
@@ -47,7 +47,7 @@
         store: QuarantineStore,
         is_reader: Callable[[], bool],
     ) -> None:
-        """Keep the store; `is_reader` says whether others are told by it."""
+        """Take the store; `is_reader` tells if this entry reads for others."""
         self.state = state
         self.isolation = state.isolation
         self.store = store
@@ -63,7 +63,7 @@
             group.start_soon(self._write)
 
     async def claim(self, record: Quarantined) -> bool:
-        """Take the right to try a request; nobody has it without the store."""
+        """Claim the right to probe a request; refused without the store."""
         now = anyio.current_time()
         if now < self._claim_at:
             return False
@@ -76,11 +76,12 @@
             return False
 
     async def _claim(self, record: Quarantined) -> bool:
-        """Write that a request is tried now, unless somebody else wrote.
+        """Write that a request is probed now, unless another entry wrote first.
 
-        Of several claims one succeeds: each holds only where the records still
-        end where they were read to.  After a restore of the store there is none
-        until others have had the time to write again what they tried.
+        Of several claims one succeeds, because each is valid only if the
+        records still end where they were read to. After a restore of the store
+        no claim succeeds until the other entries have had time to save their
+        probes again.
         """
         stored = await self.store.read_whole()
         now = anyio.current_time()
--- a/trestledock/entry/_listing.py
+++ b/trestledock/entry/_listing.py
@@ -1,11 +1,11 @@
 """
-List of targets in force
-========================
+Target list
+===========
 
-Takes lists of targets, from the store or from another entry, into the fleet,
-and notes what changes by them.  A list and the instant that it is true for are
-taken together or not at all: a young list with old entries would send work to
-targets that have left.
+Applies lists of targets, from the store or from another entry, to the fleet and
+logs the changes. A list and the instant as of which it is valid are applied
+together or not at all: a recent time with outdated records would send requests
+to removed targets.
 """
 
 from collections import defaultdict
@@ -21,27 +21,27 @@
 from trestledock.entry._state import EntryState
 from trestledock.relay import BEFORE_ALL, Listed, Order
 
-#: How often held targets are looked at, in seconds.
+#: Interval of the check for expired retained targets, in seconds.
 LOOK_S = 0.2
-#: A look that comes so much later means that the process stood still, in
-#: seconds: nobody here can tell what the store went through meanwhile.
+#: A check that is later than this, in seconds, means that the process was
+#: stopped: the store may have failed and recovered unnoticed in that time.
 STOOD_STILL_S = 1.0
-#: Who says that a target is gone where it was held and did not come back.
+#: Source in the log event for a retained target whose retention expired.
 LAPSED = 'lapsed'
 MS = 1000
 
 
 class Listing:
-    """Keeps one entry's fleet as the newest list says."""
+    """Keeps the fleet of one entry equal to the newest list of targets."""
 
     def __init__(self, state: EntryState, pool: Pool) -> None:
-        """Keep the fleet, and the connections that end with a target."""
+        """Take the state, and the pool of connections to targets."""
         self.state = state
         self.fleet = state.fleet
         self.pool = pool
 
     def take(self, news: News) -> None:
-        """Take what a list says that is true as of `news.as_of`."""
+        """Apply a list that is valid as of `news.as_of`."""
         now = anyio.current_time()
         self.state.note_list(news.as_of, now, news.source, news.latest_at)
         if news.whole:
@@ -59,7 +59,7 @@
             self._hold(news, now)
 
     def take_past(self, news: News) -> None:
-        """Take what another entry knows of targets that have left."""
+        """Apply another entry's knowledge of removed and draining targets."""
         now = anyio.current_time()
         for incarnation in news.leaving:
             self.fleet.note_leaving(incarnation, now)
@@ -67,7 +67,7 @@
         self._forget(dropped, news.source)
 
     async def run(self) -> None:
-        """Drop held targets whose time is over, until cancelled."""
+        """Remove retained targets as their time runs out, until cancelled."""
         looked_at = anyio.current_time()
         pauses = PauseWatch()
         while True:
@@ -88,10 +88,10 @@
         news: News,
         now: float,
     ) -> None:
-        """Take the records of one target, in the order of the log.
+        """Apply the records of one target, in the order of the log.
 
-        A removal may be long past, where this entry has not read for a while,
-        and a record behind it may be an old one that was written late.
+        A removal may be long past if this entry has not read for a while, and a
+        record after it may be an old one that was written late.
         """
         past, present = _split_at_removal(records)
         if len(present) == len(records) or self._is_back(
@@ -110,20 +110,21 @@
         past: list[Listed],
         present: list[Listed],
     ) -> bool:
-        """Whether a target was listed anew after its removal.
+        """Whether a target was listed again after its removal.
 
-        Its records are newer then than those before the removal; where there
-        are none, newer than the last one known.  And the last one known, which
-        may be from others, is not newer than all of them.
+        If so, its records are newer than those before the removal or, if there
+        are none, than the last known one. The last known one, which may come
+        from other entries, must not be newer than all of them.
         """
         known = self.fleet.get_last_order(target_id)
         newest = _get_newest(present, BEFORE_ALL)
         return newest >= known and newest > _get_newest(past, known)
 
     def _hold(self, news: News, now: float) -> None:
-        """Hold what the source holds and what was never known here.
+        """Retain the targets that the source retains and that are unknown here.
 
-        Whoever has followed the store for long enough knows better.
+        An entry that has followed the store for long enough relies on its own
+        knowledge instead.
         """
         for held in news.held:
             if self.fleet.hold(held.listed, now + held.left_s):
@@ -164,10 +165,10 @@
             self._note_held(known, news, now)
 
     def _get_grace_end(self, target_id: str, news: News, now: float) -> float:
-        """Return until when a missing target may only have lapsed.
+        """Return until when a missing target's record may only have lapsed.
 
-        By own evidence alone; the source may know better when the store was
-        back, or that it was never away.
+        The time comes from local evidence alone, unless the source knows when
+        the store was back, or that it never failed.
         """
         watch = self.fleet.watch
         if news.settled or not watch.is_disturbed(now):
--- a/trestledock/entry/_logger.py
+++ b/trestledock/entry/_logger.py
@@ -2,10 +2,10 @@
 Structured log
 ==============
 
-Writes events as JSON lines to standard output.  The volume is bounded for each
-kind of event, failures more generously than successes, and writing never
-blocks: what standard output does not take is kept for a while and then left
-out, and a line says how much.
+Writes events as JSON lines to standard output. The volume is limited for each
+kind of event, with a higher limit for failures than for successes. Writing
+never blocks: lines that standard output does not accept wait in a bounded
+queue, and a line reports how many were dropped.
 """
 
 import logging
@@ -21,13 +21,13 @@
 from trestledock.entry import _events as events
 from trestledock.entry._metrics import METRICS
 
-#: Lines of one kind a second; those of failures may be more.
+#: Maximum number of lines of a kind in a second, and the same for failures.
 MOST_LINES = 60
 MOST_FAILURES = 240
-#: Lines that wait for standard output to take them.
+#: Maximum number of lines that wait for standard output.
 MOST_WAITING = 2_000
 
-#: Kinds of which more is kept: they tell why a request failed.
+#: Kinds with the higher limit, as they tell why a request failed.
 FAILURES = frozenset(
     kind.get_name()
     for kind in (
@@ -43,7 +43,7 @@
 
 
 def emit(event: events.Event, *, failed: bool = False) -> None:
-    """Count and write one event; `failed` adds the traceback at hand."""
+    """Count and log an event; `failed` adds the current traceback."""
     METRICS.take(event)
     level = logging.ERROR if failed else logging.INFO
     logger.log(
@@ -65,12 +65,12 @@
     counts: dict[str, int] = field(default_factory=dict)
 
     def allows(self, kind: str) -> bool:
-        """Whether a line of this kind is written."""
+        """Whether another line of this kind may be written."""
         self.counts[kind] = self.counts.get(kind, 0) + 1
         return self.counts[kind] <= _get_most(kind)
 
     def turn(self) -> dict[str, int]:
-        """Return what was left out, once a second has passed."""
+        """Return the dropped lines by kind, once a second has passed."""
         second = int(self.clock())
         if second == self.second:
             return {}
@@ -87,7 +87,7 @@
 
 
 class PipeHandler(logging.Handler):
-    """Writes lines to a file descriptor without ever waiting for it."""
+    """Log handler that writes to a file descriptor without blocking."""
 
     def __init__(self, descriptor: int, limit: LineLimit | None = None) -> None:
         """Make the descriptor non-blocking."""
@@ -99,7 +99,7 @@
         os.set_blocking(descriptor, False)
 
     def emit(self, record: logging.LogRecord) -> None:
-        """Write a record, or leave it out."""
+        """Write a record, or drop it."""
         for kind, count in self.limit.turn().items():
             self._put_left_out(kind, count, 'rate')
         if self.limit.allows(record.getMessage()):
@@ -137,7 +137,7 @@
             try:
                 count = os.write(self.descriptor, line)
             except OSError:
-                # Full or closed: what waits is written with a later line.
+                # Full or closed: a later call writes the waiting lines.
                 return
             if count < len(line):
                 self.waiting[0] = line[count:]
--- a/trestledock/entry/_metrics.py
+++ b/trestledock/entry/_metrics.py
@@ -2,9 +2,9 @@
 Metrics of an entry
 ===================
 
-Counters and histograms, mostly made from the log events: a table says which
-event counts where, under which labels, and which of its fields is observed.
-Labels come from small fixed sets, never from callers.
+Counters and histograms, mostly derived from the log events: a table lists which
+events are counted, under which labels, and which of their fields are observed.
+Label values come from small fixed sets, never from callers.
 """
 
 from bisect import bisect_left
@@ -14,14 +14,14 @@
 
 from trestledock.entry import _events as events
 
-#: Upper bounds of the histograms of times, in seconds.
+#: Upper bounds of the time histograms, in seconds.
 BOUNDS_S = (0.01, 0.03, 0.1, 0.2, 0.3, 0.5, 1, 1.5, 2.5, 5, 10, 20)
 MS = 1000
 
 
 @dataclass(frozen=True)
 class Counting:
-    """How an event counts: the fields that become labels."""
+    """Counter of an event: its help text and the fields used as labels."""
 
     text: str
     labels: tuple[str, ...] = ()
@@ -29,7 +29,7 @@
 
 @dataclass(frozen=True)
 class Timing:
-    """How an event is observed: a field in milliseconds, and as what."""
+    """Histogram of an event: its name, help text and field in milliseconds."""
 
     name: str
     text: str
@@ -107,7 +107,7 @@
     }
 )
 
-#: Histograms that are observed directly, in seconds.
+#: Histograms without an event, in seconds.
 DIRECT: Mapping[str, str] = MappingProxyType(
     {
         'pause': 'Pauses between the events of streams',
@@ -115,17 +115,17 @@
     }
 )
 
-#: All histograms by name, with what they show.
+#: Help texts of all histograms by name.
 TIMES: Mapping[str, str] = MappingProxyType(
     {**{one.name: one.text for one in TIMINGS.values()}, **DIRECT}
 )
 
-#: What is counted of the words between entries, and under which labels.
+#: Help texts and labels of the counters of messages between entries.
 WORDS_TEXT = 'Words between entries'
 WORD_BYTES_TEXT = 'Bytes of words between entries'
 WORDS_LABELS = ('way', 'kind')
 
-#: Gauges, set when they are read.
+#: Help texts of the gauges, whose values are set on each request.
 GAUGES: Mapping[str, str] = MappingProxyType(
     {
         'in_progress': 'Requests in progress',
@@ -147,23 +147,23 @@
 )
 
 
-#: How often something was counted, by its labels.
+#: Counts by labels.
 Counts = dict[tuple[str, ...], int]
 
 
 def _make_first(counting: Counting) -> Counts:
-    """Return what is shown before anything was counted."""
+    """Return the counts before the first event."""
     return {} if counting.labels else {(): 0}
 
 
 def _make_counts() -> list[int]:
-    """Return a count for each bound, and one for what is above all."""
+    """Return a count for each bound, and one for larger values."""
     return [0 for _ in (*BOUNDS_S, None)]
 
 
 @dataclass
 class Times:
-    """How often a time fell up to each bound, how often at all, and the sum."""
+    """Histogram of times: counts by bucket, and the sum."""
 
     counts: list[int] = field(default_factory=_make_counts)
     total_s: float = 0
@@ -175,10 +175,10 @@
 
 
 class Metrics:
-    """The metrics of one process: plain numbers until somebody asks."""
+    """Metrics of one process, as plain numbers until they are requested."""
 
     def __init__(self) -> None:
-        """Begin with nothing counted."""
+        """Start with empty counts."""
         self.counts: dict[type[events.Event], Counts] = {
             kind: _make_first(counting) for kind, counting in COUNTINGS.items()
         }
@@ -187,7 +187,7 @@
         self.times: dict[str, Times] = {name: Times() for name in TIMES}
 
     def take(self, event: events.Event) -> None:
-        """Count and observe an event, if the tables say so."""
+        """Count and observe an event, if it is in the tables."""
         kind = type(event)
         counting = COUNTINGS.get(kind)
         if counting:
@@ -200,23 +200,23 @@
             self.times[timing.name].add(taken_ms / MS)
 
     def observe(self, name: str, seconds: float) -> None:
-        """Observe a time on one of the direct histograms."""
+        """Observe a time in a histogram without an event."""
         self.times[name].add(seconds)
 
     def count_words(self, way: str, kind: str, size: int, count: int) -> None:
-        """Count words between entries, sent or heard, of `size` bytes each."""
+        """Count messages between entries, of `size` bytes each."""
         labels = (way, kind)
         self.words[labels] = self.words.get(labels, 0) + count
         known = self.word_bytes.get(labels, 0)
         self.word_bytes[labels] = known + size * count
 
     def render(self, gauges: Mapping[str, float]) -> bytes:
-        """Return everything as text, with the gauges as of now."""
-        # What renders takes 30 ms to import, and few processes are ever asked.
+        """Return all metrics as text, with the current gauges."""
+        # Importing the renderer takes 30 ms, and few processes are scraped.
         from trestledock.entry._exposition import render  # noqa: WPS433
 
         return render(self, gauges)
 
 
-#: The metrics of this process.
+#: Metrics of this process.
 METRICS = Metrics()
--- a/trestledock/entry/_neighbours.py
+++ b/trestledock/entry/_neighbours.py
@@ -2,9 +2,10 @@
 Addresses of the other entries
 ==============================
 
-Whom to tell what.  Up to some number of entries are all told everything; with
-more of them those of other data centres are told more rarely, and only of what
-concerns their targets: what all tell all grows with the square of the entries.
+Which entries receive which messages. Up to a number of entries all exchange
+everything. Above it, entries of other data centres receive less, and only what
+concerns their targets, because the traffic of a full mesh grows with the square
+of the number of entries.
 """
 
 from collections import defaultdict
@@ -12,20 +13,20 @@
 
 from trestledock.entry._datagrams import Address
 
-#: Up to so many other entries are all told at once.
+#: Maximum number of other entries that form a full mesh.
 MOST_TOLD_ALL = 16
-#: What stands for the data centre of an entry that was not heard yet.
+#: Data centre of an entry that no message has come from yet.
 UNKNOWN = ''
-#: For how long an entry that is not heard counts as one of all, in seconds: it
-#: may be cut off, or start again.
+#: How long a silent entry still counts, in seconds: it may be cut off or
+#: restarting.
 FORGET_S = 600
 
 
 class Neighbours:
-    """The addresses of the other entries, with their data centres."""
+    """Addresses of the other entries, with their data centres."""
 
     def __init__(self, own: Address, data_centre: str) -> None:
-        """Begin without any but the own one."""
+        """Start with the own address only."""
         self.own = own
         self.data_centre = data_centre
         self.places: dict[Address, str] = {}
@@ -33,7 +34,7 @@
         self._near: list[Address] | None = None
 
     def meet(self, addresses: Iterable[Address], now: float) -> list[Address]:
-        """Take addresses; return those that are new."""
+        """Add addresses; return those that are new."""
         new = [
             one
             for one in addresses
@@ -44,28 +45,32 @@
         return new
 
     def note(self, address: Address, place: str, now: float) -> None:
-        """Note in which data centre an entry is that is heard or met."""
+        """Record the data centre of an entry."""
         self._seen_at[address] = now
         if self.places.get(address) != place:
             self.places[address] = place
             self._near = None
 
     def note_left(self, address: Address) -> None:
-        """Note that an entry has ended as planned."""
+        """Record that an entry has shut down as planned."""
         self._seen_at.pop(address, None)
 
     def count(self, now: float) -> int:
-        """Return how many others there are, heard or not."""
+        """Return the number of other entries, including silent ones."""
         return sum(
             now - seen_at <= FORGET_S for seen_at in self._seen_at.values()
         )
 
     def get_all(self) -> list[Address]:
-        """Return the addresses of all others."""
+        """Return the addresses of all other entries."""
         return list(self.places)
 
     def get_near(self, *, many: bool) -> list[Address]:
-        """Return who is told at once: all, if there are not many."""
+        """Return the entries that get the full state often.
+
+        These are all if there are not `many`, otherwise those that are in this
+        data centre or in an unknown one.
+        """
         if not many:
             return self.get_all()
         if self._near is None:
@@ -76,7 +81,7 @@
         return self._near
 
     def get_far(self, *, many: bool) -> Mapping[str, list[Address]]:
-        """Return the others by data centre: none, if there are not many."""
+        """Return the entries elsewhere by data centre, if there are `many`."""
         far: dict[str, list[Address]] = defaultdict(list)
         if many:
             for address, place in self.places.items():
@@ -85,7 +90,7 @@
         return far
 
     def get_elsewhere(self) -> list[Address]:
-        """Return the addresses that are not known to be in this one."""
+        """Return the addresses that are not known to be in this data centre."""
         return [
             address
             for address, place in self.places.items()
--- a/trestledock/entry/_news.py
+++ b/trestledock/entry/_news.py
@@ -1,12 +1,11 @@
 """
-News from other entries
-=======================
-
-One entry reads the store, the others ask it.  A question is a datagram with
-the time at which it was sent; the answer returns that time with the age of the
-reader's proof, so that a delayed answer, or one that waited while the process
-stood still, proves no more than it should.  What has changed is fetched by
-HTTP.
+Store updates from other entries
+================================
+
+One entry reads the store, and the others ask it. A question is a datagram with
+its time of sending. The answer returns that time with the age of the reader's
+proof, so that an answer that is delayed, or that waits while the process is
+stopped, proves no more than it should. Changes are then fetched over HTTP.
 """
 
 import json
@@ -40,7 +39,7 @@
     Standing,
 )
 
-#: The fields of a target as they are passed on, with what reads them.
+#: Fields of a target in updates between entries, with their decoders.
 TARGET_FIELDS: Mapping[str, Callable[[Any], Any]] = MappingProxyType(
     {
         'target_id': read_text,
@@ -53,21 +52,21 @@
         'born': read_whole,
     }
 )
-#: How long an answer to a question is waited for, in seconds.
+#: Timeout for the answer to a question, in seconds.
 ANSWER_S = 0.1
 NEWS_PATH = '/news'
 VERSION_FIELD = 'version'
-#: Asks for the targets that have left, too.
+#: Query parameter that also requests the removed targets.
 PAST_FIELD = 'past'
-#: Whose list the own one is, and at which revision, where it is nobody's.
+#: Source and revision of the own list while it was copied from no entry.
 NOBODY = ('', -1)
 
 
 class NewsExchange:
-    """Asks the reader for news, and answers those who ask."""
+    """Asks the reader for updates, and answers the questions of others."""
 
     def __init__(self, state: EntryState, gossip: Gossip) -> None:
-        """Take part in the gossip."""
+        """Register the handlers with the gossip."""
         self.state = state
         self.gossip = gossip
         self._reply: Reply | None = None
@@ -77,7 +76,7 @@
         gossip.handlers[Reply] = self._take_reply
 
     async def ask(self, reader: str) -> None:
-        """Ask an entry how fresh it is, and wait a little for its answer."""
+        """Ask an entry how current its copy is, and wait for its answer."""
         peer = self.gossip.peers.known.get(reader)
         if peer is None:
             return
@@ -88,11 +87,11 @@
             await self.gossip.wait_for(self._answered)
 
     def take_proof(self, reader: str) -> bool:
-        """Renew what the reader's last answer proves.
+        """Renew the proof of the configuration by the reader's last answer.
 
-        Return whether it knows something newer that must be fetched first.  A
-        reader that has been cut off from the store knows older things, which
-        are left alone.
+        Return whether the reader has something newer that must be fetched
+        first. Older state, such as that of a reader which lost its connection
+        to the store, is ignored.
         """
         reply = self._reply
         if reply is None or reply.sender != reader:
@@ -119,9 +118,9 @@
         *,
         with_past: bool = False,
     ) -> News | None:
-        """Fetch what the reader knows; None where it can't be had in time.
+        """Fetch the reader's state; return None on failure or timeout.
 
-        With its past it tells of the targets that have left, too.
+        `with_past` also requests the removed targets.
         """
         peer = self.gossip.peers.known.get(reader)
         if peer is None:
@@ -139,21 +138,21 @@
             return None
 
     def note_taken(self, news: News) -> None:
-        """Note that the own list is that of an entry, at its revision."""
+        """Record which entry's list, at which revision, the own one copies."""
         self._taken = (news.source, news.revision)
 
     def forget_taken(self) -> None:
-        """Note that the own list is nobody else's any more."""
+        """Record that the own list no longer copies that of another entry."""
         self._taken = NOBODY
 
     def make_news(
         self, version: int = NO_VERSION, *, with_past: bool = False
     ) -> bytes:
-        """Return what this entry knows, for one that has a version.
+        """Encode this entry's state for an entry that has some version.
 
-        The document is left out where that is the own one: lists change with
-        each target, and tens of kilobytes a second would fill slow links where
-        many ask.
+        The configuration document is left out if the versions are equal: the
+        list changes with each target, and with many requesters tens of
+        kilobytes a second would fill slow links.
         """
         now = anyio.current_time()
         fleet = self.state.fleet
@@ -214,14 +213,14 @@
 
 
 def write_target(listed: Listed) -> dict[str, Any]:
-    """Return a target as it is passed on."""
+    """Encode a target for another entry."""
     return {name: getattr(listed, name) for name in TARGET_FIELDS}
 
 
 def read_target(plain: Mapping[str, Any]) -> Listed:
-    """Return a target that was passed on, or raise where it makes no sense.
+    """Decode a target from another entry, or raise if it is invalid.
 
-    Older versions of the program tell no birth.
+    Older versions of the program send no time of birth.
     """
     told = {'born': UNTOLD, **plain}
     found = {name: check(told[name]) for name, check in TARGET_FIELDS.items()}
@@ -267,9 +266,9 @@
     now: float,
     reader: str,
 ) -> News:
-    """Return what an entry knows, or raise where it makes no sense.
+    """Decode another entry's state, or raise if it is invalid.
 
-    An older one says nothing of held targets, of requests, nor of epochs.
+    Older versions send no retained targets, quarantined requests or epoch.
     """
     listed = map(read_target, read_list(plain['targets']))
     age_s = read_amount(plain['list_age_s'])
--- a/trestledock/entry/_notice_rows.py
+++ b/trestledock/entry/_notice_rows.py
@@ -1,10 +1,11 @@
 """
-Rows of notices
-===============
+Encoding of notices
+===================
 
-How what targets say of themselves is told to other entries: rows of plain
-values, a list for each kind, with instants as the time since, as clocks differ.
-An older version of the program knows the first kind only and skips the others.
+Notices about targets as rows of plain values in messages between entries, a
+list for each kind. Instants are sent as the time since them, because clocks
+differ between machines. Older versions of the program know the first kind only
+and skip the others.
 """
 
 from dataclasses import dataclass
@@ -27,9 +28,9 @@
 
 @dataclass(frozen=True)
 class Form:
-    """How a kind of notice is told: in which list, and as what it is read.
+    """Encoding of a kind of notice: the key of its list, and its decoded type.
 
-    `write` and `read` translate what stands before the ages in a row.
+    `write` and `read` translate the fields before the ages in a row.
     """
 
     name: str
@@ -41,7 +42,7 @@
 def write_notices(
     notices: Iterable[TargetNotice], now: float
 ) -> dict[str, list[Row]]:
-    """Return the rows by kind."""
+    """Encode notices as rows by kind."""
     rows: dict[str, list[Row]] = {form.name: [] for form in FORMS.values()}
     for one in notices:
         form = FORMS[type(one.notice)]
@@ -52,7 +53,7 @@
 def read_notices(
     plain: Mapping[str, Any], now: float
 ) -> tuple[TargetNotice, ...]:
-    """Return what rows say, or raise where it makes no sense."""
+    """Decode rows of notices, or raise if they are invalid."""
     return tuple(
         TargetNotice(read_text(target), _read_notice(form, row, now))
         for form in FORMS.values()
@@ -105,7 +106,8 @@
     return (now + read_count(left_ms) / MS,)
 
 
-#: What one entry is asked for is elsewhere for those that it tells.
+#: Encodings by kind. A back-off requested from one entry is decoded as one
+#: requested elsewhere.
 FORMS: Mapping[type, Form] = MappingProxyType(
     {
         RateLimit: Form('limits', RateLimit, _write_limit, _read_limit),
--- a/trestledock/entry/_notices.py
+++ b/trestledock/entry/_notices.py
@@ -1,10 +1,9 @@
 """
-Notices that targets give
-=========================
+Notices from targets
+====================
 
-Notes what answers, and other entries, say of a target (that it leaves, that it
-wants rest, how many requests a second it takes) and writes down what that
-changes.
+Records what answers, and other entries, say about a target (that it is
+draining, its back-off, its rate limit) and logs the changes.
 """
 
 from functools import singledispatch
@@ -31,9 +30,10 @@
 )
 
 MS = 1000
-#: A limit that falls below this part of the one before is told at once.
+#: A limit below this share of the previous one is sent to other entries at
+#: once.
 URGENT_SHARE = 0.8
-#: Who has heard what this entry heard itself.
+#: Source in log events for a notice that this entry received itself.
 OWN = 'self'
 
 
@@ -45,7 +45,7 @@
     answer: AnswerNote,
     asked_at: float,
 ) -> None:
-    """Note what an answer to a request of the instant `asked_at` says."""
+    """Record the notices in an answer to a request sent at `asked_at`."""
     peer = placement.target.incarnation
     _note_limit(state, peer, status, answer, asked_at)
     speaker = find_speaker(state, job, placement, status, answer)
@@ -70,7 +70,7 @@
     answer: AnswerNote,
     asked_at: float,
 ) -> None:
-    """Note what an answer to an order says of the target that it is from."""
+    """Record the notices in an answer to an order to a target."""
     if status == HTTPStatus.MISDIRECTED_REQUEST:
         return
     peer = holder.incarnation
@@ -83,7 +83,7 @@
 def _note_leave(
     state: EntryState, peer: str, speaker: str, asked_at: float
 ) -> None:
-    """Note that a target leaves, and have all others know at once."""
+    """Record that a target is draining, and tell all other entries at once."""
     if not speaker:
         _note_ignored(state, peer, 'leave', 'not its own answer')
         return
@@ -99,11 +99,11 @@
     answer: AnswerNote,
     asked_at: float,
 ) -> None:
-    """Note how many requests a second a target takes.
+    """Record the rate limit of a target, in requests a second.
 
-    An answer without a word takes a limit back only if it is the target's own
-    and a success: a refusal or a failure may come from a part of it, or from
-    what stands before it, that knows of no limit.
+    An answer without a limit withdraws the previous one only if it is the
+    target's own and a success: a refusal or failure may come from a component
+    of the target, or from a proxy before it, that does not know the limit.
     """
     limit = answer.limit
     _note_ignored(state, peer, 'limit', limit.unreadable)
@@ -120,7 +120,7 @@
 def _note_rest(
     state: EntryState, peer: str, rest_s: float, status: int, asked_at: float
 ) -> None:
-    """Note for how long a target wants nothing more from this entry."""
+    """Record for how long a target refuses requests of this entry."""
     now = anyio.current_time()
     left_ms = _get_left_ms(state.notices.get(Rest, peer))
     until = now + rest_s + get_spread_s(rest_s, state.rng.random())
@@ -134,7 +134,7 @@
 def _note_rested(
     state: EntryState, peer: str, answer: AnswerNote, asked_at: float
 ) -> None:
-    """Note that a target works again: it was asked after its rest."""
+    """Record that a target works again: it was sent to after its back-off."""
     rest = state.notices.get(Rest, peer)
     if rest and answer.sealed and rest.is_over(asked_at):
         state.throttle.resting.forget(peer)
@@ -145,9 +145,9 @@
 def take_notice(
     state: EntryState, peer: str, notice: Notice, source: str
 ) -> Change:
-    """Believe a notice of a target, if it is news; return what it changed.
+    """Apply a notice about a target if it is news; return the change.
 
-    That a target leaves may come before its first record.
+    A draining notice may arrive before the first record of its target.
     """
     if peer not in state.fleet.targets and not isinstance(notice, Leave):
         return Change.nothing
@@ -168,8 +168,8 @@
     change: Change,
     source: str,
 ) -> events.Event:
-    """Return the line on a notice that changed what is believed."""
-    raise TypeError(f'no notice: {notice!r}')
+    """Return the log event for a notice that changed something."""
+    raise TypeError(f'unknown notice type: {notice!r}')
 
 
 @_make_heard.register
@@ -214,7 +214,7 @@
 
 
 def note_sent(state: EntryState, req: str, placement: Placement) -> None:
-    """Write down that a request goes to targets that asked for something."""
+    """Log that a request goes to targets with a notice in force."""
     for one in placement.engaged:
         peer = one.incarnation
         limit = state.notices.get(RateLimit, peer)
@@ -233,7 +233,7 @@
 
 
 def _note_against(state: EntryState, req: str, peer: str) -> None:
-    """Write down that a request goes where nothing should."""
+    """Log that a request goes to a draining or backed-off target."""
     leave = state.notices.get(Leave, peer)
     rest = state.notices.get(Rest, peer)
     if leave:
@@ -245,20 +245,20 @@
 
 
 def _get_left_ms(rest: Rest | None) -> int:
-    """Return what is left of a rest, if there is one."""
+    """Return the remaining time of a back-off, or 0."""
     left_s = rest.until - anyio.current_time() if rest else 0
     return round(max(0, left_s) * MS)
 
 
 def _get_age_ms(notice: Notice) -> int:
-    """Return how long ago a target may have said something."""
+    """Return the maximum age of a notice."""
     return round((anyio.current_time() - notice.asked_at) * MS)
 
 
 def _is_urgent(before: RateLimit | None, notice: RateLimit) -> bool:
-    """Whether others must know at once, not with the next whole word.
+    """Whether other entries must know at once, not with the next full state.
 
-    A number that changes a little with each answer would be told as often.
+    A number that changes slightly with each answer would be sent with each.
     """
     if before is None or before.per_s is None or notice.per_s is None:
         return True
@@ -268,7 +268,7 @@
 def _note_ignored(
     state: EntryState, peer: str, notice: str, detail: str
 ) -> None:
-    """Write down what is not believed, once for each kind and text."""
+    """Log an invalid notice, once for each kind and text."""
     known = state.ignored_notices.setdefault(peer, {})
     if detail and known.get(notice) != detail:
         known[notice] = detail
--- a/trestledock/entry/_notices_exchange.py
+++ b/trestledock/entry/_notices_exchange.py
@@ -1,10 +1,10 @@
 """
-Notices between entries
-=======================
+Exchange of notices between entries
+===================================
 
-Tells the other entries what targets have said of themselves: each change that
-matters at once, what was heard here with every whole word, and all to an entry
-that is met.  It also says which entries share a target's rate limit.
+Sends the other entries the notices of targets: each important change at once,
+those received here with each full state, and all of them to a new entry. Also
+determines which entries share a target's rate limit.
 """
 
 from typing import Sequence
@@ -19,18 +19,18 @@
 
 #: The kinds of notices that concern all entries.
 SHARED = (RateLimit, Leave, Rest)
-#: For how long it is told again that something was taken back, in seconds.
+#: For how long a withdrawn notice is sent again, in seconds.
 LIFTED_S = 30.0
-#: How often is looked which entries there are, in seconds, while their number
-#: stays: that takes half a millisecond among 195.
+#: Interval of refreshing the list of entries while their number is constant, in
+#: seconds: a refresh takes half a millisecond with 195 entries.
 LOOK_S = 5.0
 
 
 class NoticesExchange:
-    """Tells and hears of notices for one entry."""
+    """Sends and receives notices for one entry."""
 
     def __init__(self, gossip: Gossip) -> None:
-        """Take part in the gossip."""
+        """Register the handlers with the gossip and the state."""
         self.gossip = gossip
         self.state = gossip.state
         self._members: Members | None = None
@@ -43,7 +43,7 @@
         gossip.on_told.append(self._tell_again)
 
     def get_members(self) -> Members:
-        """Return the entries that are heard, and how many there are."""
+        """Return the entries that are heard from, and the number of all."""
         now = anyio.current_time()
         counts = (
             len(self.gossip.peers.known),
@@ -69,18 +69,19 @@
         )
 
     def _tell(self, target: str) -> None:
-        """Have all others know what a target has just said."""
+        """Send the notices of a target to all other entries."""
         known = [one for one in self._get_known() if one.target == target]
         self._send(known, self.gossip.neighbours.get_all())
 
     def _tell_known(self, address: Address) -> None:
-        """Have an entry that is new know what is in force, and what is not."""
+        """Send all notices, including withdrawn ones, to a new entry."""
         self._send(self._get_known(), [address])
 
     def _tell_again(self, where: Sequence[Address]) -> None:
-        """Tell what this entry heard itself: what is, or was, in force.
+        """Send again what this entry received itself and what still matters.
 
-        If those that were told told it on, each would hear it from everyone.
+        If receivers forwarded notices, each entry would get them from every
+        other.
         """
         now = anyio.current_time()
         matters = [
@@ -89,7 +90,7 @@
         self._send(matters, where)
 
     def _get_known(self) -> list[TargetNotice]:
-        """Return what targets have said that are still there."""
+        """Return the notices of targets that are still listed."""
         return [
             TargetNotice(target, notice)
             for kind in SHARED
@@ -109,7 +110,10 @@
 
 
 def _is_told_again(notice: Notice, now: float) -> bool:
-    """Whether to make good for lost words; a rest is over soon anyway."""
+    """Whether to repeat a notice in case its message was lost.
+
+    A back-off is not repeated, as it ends soon.
+    """
     if notice.is_told or isinstance(notice, Rest):
         return False
     return notice.asks_for is not None or now - notice.heard_at <= LIFTED_S
--- a/trestledock/entry/_peers.py
+++ b/trestledock/entry/_peers.py
@@ -2,8 +2,8 @@
 Peers of an entry
 =================
 
-The other entries as they were last heard: where they are, how fresh what they
-know of the store is, and how long each may be silent.
+The other entries as of their last messages: their addresses, the age of their
+copies of the store, and how long each may be silent.
 """
 
 from dataclasses import dataclass
@@ -14,16 +14,16 @@
 from trestledock.entry._words import Flights
 from trestledock.relay import Candidate
 
-#: How long a peer may be silent before its flights are forgotten: so many times
-#: what it said until it tells everything again, so that two may be lost, and at
-#: least, in seconds.
+#: Timeout after which the in-flight requests of a silent peer are dropped: a
+#: multiple of its announced period of the full state, so that two messages may
+#: be lost, and a minimum in seconds.
 PATIENCE_TURNS = 2.5
 PATIENCE_S = 1.7
 
 
 @dataclass
 class Peer:
-    """One entry, with the age of its news when it was last heard."""
+    """Another entry, with the age of its copy of the store when last heard."""
 
     address: Address
     heard_at: float
@@ -33,30 +33,30 @@
     leaving: bool = False
 
     def get_news_age_s(self, now: float) -> float:
-        """Return the age of its news if it has heard none since."""
+        """Return the age of its copy if it has not been updated since."""
         return self.news_age_s + now - self.heard_at
 
     def is_silent(self, now: float) -> bool:
-        """Whether it was silent for longer than lost datagrams explain."""
+        """Whether it has been silent for longer than lost datagrams explain."""
         patience_s = max(PATIENCE_S, self.again_s * PATIENCE_TURNS)
         return now - self.heard_at > patience_s
 
 
 class Peers:
-    """The entries that are heard, by the names of their processes."""
+    """The entries that messages come from, by the names of their processes."""
 
     def __init__(self, data_centre: str) -> None:
-        """Begin without any, in a data centre."""
+        """Start without peers, in a data centre."""
         self.data_centre = data_centre
         self.known: dict[str, Peer] = {}
 
     @property
     def are_many(self) -> bool:
-        """Whether other data centres are told more rarely, and read alone."""
+        """Whether data centres exchange less and have readers of their own."""
         return len(self.known) > MOST_TOLD_ALL
 
     def hear(self, word: Flights, sender: Address, now: float) -> bool:
-        """Take what an entry says of itself; return whether it is new."""
+        """Record an entry's message; return whether the entry is new."""
         is_new = word.sender not in self.known
         self.known[word.sender] = Peer(
             sender,
@@ -69,20 +69,20 @@
         return is_new
 
     def note_fresh(self, name: str, news_age_s: float, now: float) -> None:
-        """Note that an entry has read the store."""
+        """Record that an entry has read the store."""
         peer = self.known.get(name)
         if peer:
             peer.heard_at = now
             peer.news_age_s = news_age_s
 
     def is_near(self, name: str) -> bool:
-        """Whether an entry is told everything at once."""
+        """Whether an entry gets the full state at the short period."""
         return not self.are_many or (
             self.known[name].data_centre == self.data_centre
         )
 
     def get_near(self) -> list[str]:
-        """Return the names of those that are told everything at once."""
+        """Return the names of the entries that get the full state often."""
         if not self.are_many:
             return list(self.known)
         own = self.data_centre
@@ -91,21 +91,21 @@
         ]
 
     def get_candidates(self, now: float) -> Iterator[Candidate]:
-        """Yield the near ones, as readers of the store for this entry.
+        """Yield the near entries as possible readers of the store for this one.
 
-        Where there are many, each data centre has a reader of its own.
+        With many entries each data centre has a reader of its own.
         """
         for name in self.get_near():
             yield Candidate(name, self.known[name].get_news_age_s(now))
 
     def get_silent(self, now: float) -> list[str]:
-        """Return the names of those that are heard no more."""
+        """Return the names of the entries that have timed out."""
         return [
             name for name, peer in self.known.items() if peer.is_silent(now)
         ]
 
     def get_others_at(self, name: str) -> list[str]:
-        """Return who else was heard at an entry's address: those before it."""
+        """Return the earlier processes at an entry's address."""
         address = self.known[name].address
         return [
             other
--- a/trestledock/entry/_reading.py
+++ b/trestledock/entry/_reading.py
@@ -1,10 +1,10 @@
 """
-Reading the store
-=================
+Store reader
+============
 
-Reads configuration, targets and peers from the platform's store and puts them
-in force.  While the store is away one call tells whether it is back; each call
-is priced, a refused one too.
+Reads configuration, targets and peers from the platform's store and applies
+them. While the store is unavailable a single call checks whether it is back, as
+each call is charged, including refused ones.
 """
 
 from dataclasses import replace
@@ -21,20 +21,20 @@
 from trestledock.entry._state import EntryState
 from trestledock.entry._wire import WireError
 
-#: How long one read may take, in seconds.
+#: Timeout of one read, in seconds.
 TIMEOUT_S = 0.8
 
 
 class DirectoryError(Exception):
-    """The store did not answer as it should, at a step."""
+    """Raised for an invalid answer of the store."""
 
 
-#: What a read may raise when the store is away.
+#: Exceptions that a read raises while the store is unavailable.
 EXPECTED = (WireError, DirectoryError, TimeoutError)
 
 
 class StoreReading:
-    """Reads the store for one entry; `failed_at` is its last vain read."""
+    """Reads the store for one entry; `failed_at` is the last failed read."""
 
     def __init__(
         self,
@@ -43,7 +43,7 @@
         listing: Listing,
         exchange: NewsExchange,
     ) -> None:
-        """Keep what is read and where it goes."""
+        """Take the store and the state that reads are applied to."""
         self.state = state
         self.directory = directory
         self.listing = listing
@@ -54,9 +54,10 @@
         self._steps = [self._read_targets, self._read_catalog]
 
     async def read(self) -> None:
-        """Read all; while the store is lost, one call tells if it is back.
+        """Read all or, while the store is unavailable, try a single call.
 
-        That call takes turns, since a part of the store may be back first.
+        The kind of that call alternates, since a part of the store may be back
+        first.
         """
         began_at = anyio.current_time()
         if self.is_lost():
@@ -81,11 +82,11 @@
         return await self._try(self._announce)
 
     async def meet_peers(self) -> bool:
-        """Learn of the other entries; return whether the store answered."""
+        """Read the other entries' addresses; return whether that succeeded."""
         return await self._try(self._meet_peers)
 
     def apply(self, news: News) -> None:
-        """Put a version of the configuration in force if it is newer."""
+        """Apply a version of the configuration if it is newer."""
         catalog = news.catalog
         if catalog is None and news.document:
             catalog = self.directory.decode_document(news.document)
@@ -127,7 +128,7 @@
     def _prove(self) -> None:
         """Renew the proof by the last read, unless its copy may lack something.
 
-        A key may have been taken away by a version that the store has lost.
+        The store may have lost a version that revoked a key.
         """
         if self.state.restores.is_settled(anyio.current_time()):
             self.state.proof.renew(self._unproven_at)
--- a/trestledock/entry/_restoring.py
+++ b/trestledock/entry/_restoring.py
@@ -1,11 +1,12 @@
 """
-Writing again what the store has lost
-=====================================
-
-After the store came back from an older copy, the entry that reads it for others
-looks once for what entries had written there, and writes what is missing:
-addresses of entries, quarantined requests with their trials.  Later it records
-that this epoch of the store has been waited in, for entries that start then.
+Repair of a restored store
+==========================
+
+After the store was restored from an older copy, the entry that reads it for
+others checks once which data of the entries it lacks, and writes that again:
+addresses of entries, and quarantined requests with their probes. Later it
+records that entries have waited in this epoch of the store, for entries that
+start then.
 """
 
 from typing import Callable
@@ -22,20 +23,22 @@
 from trestledock.entry._state import EntryState
 from trestledock.relay import Quarantined
 
-#: The readers of several data centres don't look at the same moment: each waits
-#: up to so long, in seconds, of the second in which all is to be there again.
+#: Maximum random delay before a repair, in seconds, so that the readers of
+#: several data centres don't repair at the same moment. It is a part of the
+#: second in which all data must be back.
 SPREAD_S = 0.4
-#: How often is looked whether this entry has become the reader, in seconds.
+#: Interval of checking whether this entry has become the reader, in seconds.
 LOOK_S = 0.5
-#: How long all calls for one thing may take, in seconds.
+#: Timeout of all calls for one repair, in seconds.
 TIMEOUT_S = 1.0
-#: Up to what age of its last read the store counts as there, in seconds: some
-#: three pauses between reads.  Calls are priced, those in vain too.
+#: Maximum age of the last read at which the store counts as available, in
+#: seconds: some three pauses between reads. Calls are charged, including failed
+#: ones.
 THERE_S = 1.8
 
 
 class Restoring:
-    """Writes for one entry what a restored store lacks."""
+    """Writes the data that a restored store lacks, for one entry."""
 
     def __init__(
         self,
@@ -44,7 +47,7 @@
         gossip: Gossip,
         is_reader: Callable[[], bool],
     ) -> None:
-        """Keep the store; `is_reader` says whether others rely on this one."""
+        """Take the store; `is_reader` tells if other entries rely on this."""
         self.state = state
         self.directory = directory
         self.gossip = gossip
@@ -52,7 +55,7 @@
         self._written: int | None = None
 
     async def run(self) -> None:
-        """Look after each restore, and now and then, until cancelled."""
+        """Repair after each restore, and periodically, until cancelled."""
         while True:
             with anyio.move_on_after(LOOK_S):
                 await self.state.restored.wait()
@@ -60,7 +63,7 @@
                 await self.look()
 
     async def look(self) -> None:
-        """Do what is due; what fails is done at the next look."""
+        """Do what is due; a failed step is repeated at the next check."""
         try:
             with anyio.fail_after(SPREAD_S + TIMEOUT_S):
                 await self._write_again()
@@ -73,7 +76,7 @@
         return self.state.proof.get_read_age_s(now) <= THERE_S
 
     async def _write_again(self) -> None:
-        """Write once in each epoch what its copy lacks."""
+        """Write the data that the copy lacks, once in each epoch."""
         restores = self.state.restores
         epoch = restores.epoch
         if not restores.has_lived_through or epoch == self._written:
@@ -97,7 +100,7 @@
             emit(events.WrittenAgain('addresses', sorted(missing)))
 
     def _get_addresses(self) -> dict[str, str]:
-        """Return the entries that are heard, and this one, by their names."""
+        """Return the addresses of the known entries and this one, by name."""
         known = {
             member.partition('#')[0]: join_address(peer.address)
             for member, peer in self.gossip.peers.known.items()
@@ -106,10 +109,10 @@
         return {**known, settings.instance: settings.peers}
 
     async def _write_quarantine(self) -> bool:
-        """Write what the store does not know of requests, in one call.
+        """Write the quarantine records that the store lacks, in one call.
 
-        Return whether it knows all now: others may write at the same moment,
-        and what they know more must not be written over.
+        Return whether it has them all now: other entries may write at the same
+        moment, and their additional knowledge must not be overwritten.
         """
         isolation = self.state.isolation
         if not any(isolation.quarantine.get_records(anyio.current_time())):
@@ -132,7 +135,7 @@
         return is_written
 
     async def _record(self) -> None:
-        """Record that an epoch was waited in, where nobody has yet."""
+        """Record that entries have waited in an epoch, if not recorded yet."""
         restores = self.state.restores
         epoch = restores.epoch
         is_due = restores.needs_record(anyio.current_time())
@@ -142,7 +145,7 @@
 
 
 def _is_missing(one: Quarantined, there: Quarantined | None) -> bool:
-    """Whether a record says more than the one that the store has."""
+    """Whether a record says more than the one in the store."""
     if there is None:
         return True
     known = {*there.incarnations, *there.cleared}
--- a/trestledock/entry/_rows.py
+++ b/trestledock/entry/_rows.py
@@ -1,9 +1,10 @@
 """
-Rows of flights
-===============
+Encoding of in-flight requests
+==============================
 
-How a flight is told to other entries: a row of plain values, with instants as
-the time since or until, since clocks differ.
+An in-flight request as a row of plain values in messages between entries.
+Instants are sent as the time since or until them, because clocks differ between
+machines.
 """
 
 from typing import Any, NamedTuple, Sequence
@@ -18,14 +19,14 @@
 from trestledock.relay import Flight, Phase
 
 MS = 1000
-#: A flight with its id; None where it has ended.
+#: In-flight request with its id, or None once it has ended.
 Change = tuple[str, Flight | None]
 
 
 class Row(NamedTuple):
-    """A flight as it is told; instants are told as the time until or since.
+    """Encoded in-flight request; instants as the time until or since them.
 
-    What an older version of the program does not tell has a default.
+    Fields that older versions of the program don't send have defaults.
     """
 
     flight_id: str
@@ -48,7 +49,7 @@
     flight: Flight | None,
     now: float,
 ) -> Sequence[Any]:
-    """Return a row; a flight that has ended is told by its id alone."""
+    """Encode an in-flight request; one that has ended is its id alone."""
     if flight is None:
         return [flight_id]
     return Row(
@@ -69,14 +70,14 @@
 
 
 def _get_ms(seconds: float) -> int:
-    """Return milliseconds; what has no end is told as very long."""
+    """Return milliseconds, with infinity as a very long time."""
     return round(min(seconds, MOST_AGE_S) * MS)
 
 
 def read_change(told: Any, now: float) -> Change:
-    """Return a flight with its id, or the id alone of one that has ended.
+    """Decode an in-flight request, or the id alone of one that has ended.
 
-    What makes no sense raises a `ValueError` or a `TypeError`.
+    An invalid row raises a `ValueError` or a `TypeError`.
     """
     if len(told) == 1:
         return read_text(told[0]), None
--- a/trestledock/entry/_speakers.py
+++ b/trestledock/entry/_speakers.py
@@ -1,10 +1,10 @@
 """
-Whose word an answer is
-=======================
+Source of an answer
+===================
 
-An answer comes from whoever has the address of the target that was asked, and
-may be about one that helps it.  What it says of a target is believed of the one
-that it speaks for.
+An answer comes from whichever process has the address of the target, and may be
+about a helper of the target. Statements in an answer count for the target that
+it can be attributed to.
 """
 
 from http import HTTPStatus
@@ -22,10 +22,10 @@
     status: int,
     answer: AnswerNote,
 ) -> str:
-    """Return the target that an answer speaks for, empty where none is known.
+    """Return the target an answer can be attributed to, empty if unknown.
 
-    Only who has read the request knows its id, and who is not the one that was
-    asked answers 421, unless that is about a helper.
+    Only a target that read the request knows its id. One that was not the
+    addressee answers 421, unless that status is about a helper.
     """
     is_elsewhere = status == HTTPStatus.MISDIRECTED_REQUEST
     if is_elsewhere and not find_helper(placement, answer.at_fault):
--- a/trestledock/entry/_state.py
+++ b/trestledock/entry/_state.py
@@ -2,8 +2,8 @@
 State of an entry process
 =========================
 
-Everything that the tasks of one entry share.  Only the tasks of one event
-loop touch it, each between two waits.
+The state shared by the tasks of one entry. Only tasks of one event loop use it,
+each without interruption between two awaits.
 """
 
 from contextlib import contextmanager
@@ -38,32 +38,32 @@
     Turns,
 )
 
-#: How long to wait before a duty that failed is begun again, in seconds.
+#: Delay before a failed background task is restarted, in seconds.
 RESTART_S = 0.3
-#: What is told instead of the age of something never known, in seconds.
+#: Age that is sent for something that is not known, in seconds.
 MOST_AGE_S = 1_000_000
-#: What stands for the version where none is in force.
+#: Version while no configuration is in force.
 NO_VERSION = -1
-#: What is shown as the epoch of a store that tells none.
+#: Epoch in the metrics for a store without epochs.
 NO_EPOCH = -1
 MS = 1000
 
 
 def _do_nothing() -> None:
-    """Stand for what takes and tells words where nobody speaks."""
+    """Default for receiving and sending, without other entries."""
 
 
 def _tell_nobody(_: str) -> None:
-    """Stand for what tells the others of a target's notices."""
+    """Default for sending notices, without other entries."""
 
 
 async def _learn_nothing() -> None:
-    """Stand for what asks other data centres where nobody does."""
+    """Default for querying the loads of other data centres."""
 
 
 @dataclass(frozen=True, eq=False)
 class Wait:
-    """A wait for targets that may be left, with the scope that ends it."""
+    """Wait for targets that may become unavailable, with its cancel scope."""
 
     targets: tuple[str, ...]
     scope: anyio.CancelScope
@@ -71,7 +71,7 @@
 
 @dataclass(frozen=True, eq=False)
 class Unanswered:
-    """A request that is being relayed, with the scope that ends that."""
+    """Request that is being relayed, with its cancel scope."""
 
     reply: Reply
     scope: anyio.CancelScope
@@ -79,14 +79,14 @@
 
 @dataclass
 class EntryState:
-    """The state of one entry process.
-
-    It is `leaving` once it was asked to stop, `closing` once idle connections
-    are being closed, and `ending` once nothing may go on any more.  `catch_up`
-    takes the words of the other entries that have come in, `tell_own` tells
-    them at once of what has changed here, `tell_notices` of what a target has
-    said of itself; `learn_loads` asks other data centres what their targets
-    have to do, and `loads` has what they answered.
+    """State of one entry process.
+
+    It is `leaving` (draining) once it was asked to stop, `closing` once idle
+    connections are being closed, and `ending` once the remaining requests are
+    aborted. `catch_up` handles the messages that have arrived from other
+    entries, `tell_own` sends them the own changes at once, and `tell_notices`
+    the notices of a target; `learn_loads` asks other data centres for the loads
+    of their targets, and `loads` has the answers.
     """
 
     settings: EntrySettings
@@ -124,7 +124,7 @@
     budgets: Budgets = field(init=False)
 
     def __post_init__(self) -> None:
-        """Build the parts that share others."""
+        """Create the parts that share others."""
         self.isolation = Isolation(self.health, self.fleet)
         self.proof = Proof(self.settings.revoke_s)
         self.placer = Placer(
@@ -147,46 +147,46 @@
 
     @property
     def revision(self) -> int:
-        """The number of changes in what other entries are told on demand."""
+        """Number of changes in the state that other entries fetch."""
         return self.fleet.revision + self.isolation.revision
 
     @property
     def notices(self) -> Notices:
-        """What targets have said of themselves."""
+        """The notices of targets."""
         return self.fleet.notices
 
     def spawn(self, work: Callable[..., Awaitable[Any]], *args: Any) -> None:
-        """Run something in the background; its failure ends nothing else."""
+        """Run a task in the background; its failure stops nothing else."""
         self.group.start_soon(_run_guarded, work, args)
 
     def keep_running(self, work: Callable[[], Awaitable[Any]]) -> None:
-        """Run a duty for as long as the process lives."""
+        """Run a task, and restart it on failure, while the process lives."""
         self.group.start_soon(_run_again, work)
 
     def notify(self) -> None:
-        """Wake everyone who waits for a change of the board or the fleet."""
+        """Wake all tasks that wait for a change of the loads or the fleet."""
         self.changed.set()
         self.changed = anyio.Event()
 
     def notify_own(self) -> None:
-        """Wake those who wait, and have the change told to the others."""
+        """Wake waiting tasks, and have the change sent to other entries."""
         self.own_changed.set()
         self.notify()
 
     async def wait_for_own_change(self) -> None:
-        """Wait until this entry's own flights have changed."""
+        """Wait until the own in-flight requests have changed."""
         await self.own_changed.wait()
         self.own_changed = anyio.Event()
 
     async def wait_for_change(self, limit_s: float) -> None:
-        """Wait for a change, `limit_s` seconds at most."""
+        """Wait for a change, for at most `limit_s` seconds."""
         with anyio.move_on_after(limit_s):
             await self.changed.wait()
 
     def note_silence(self, target_id: str, now: float) -> None:
-        """Note that a target could not be reached or said nothing.
+        """Record that a target was unreachable or silent.
 
-        Where it ended under a request, that says nothing of its data centre.
+        A crash during a request says nothing about the target's data centre.
         """
         place = self._get_place(target_id)
         if self.isolation.quarantine.was_ended(target_id):
@@ -196,17 +196,17 @@
         self.health.note_silence(target_id, now, place)
 
     def note_success(self, target_id: str, now: float) -> None:
-        """Note that a target answered as it should."""
+        """Record that a target answered as expected."""
         self.health.note_success(target_id, now, self._get_place(target_id))
 
     def note_early(self, target_id: str, now: float) -> None:
-        """Note that a request was given up early at a target."""
+        """Record that a request was given up early at a target."""
         self.budgets.note_early(now)
         emit(events.TargetDoubted(target_id))
         self.health.note_doubt(target_id, now, self._get_place(target_id))
 
     def note_sent(self, target_id: str, now: float) -> None:
-        """Note that a request goes to a target."""
+        """Record that a request goes to a target."""
         self.health.note_sent(self._get_place(target_id), now)
 
     def note_heard(
@@ -217,7 +217,7 @@
         *,
         leaving: bool = False,
     ) -> None:
-        """Note that an entry of another data centre has spoken."""
+        """Record a message from an entry of another data centre."""
         if place == self.settings.data_centre:
             return
         self.health.note_heard(place)
@@ -227,7 +227,7 @@
             self.reach.note_heard(place, name, now)
 
     def check_reach(self, now: float) -> None:
-        """Leave the targets of data centres that have fallen silent."""
+        """Suspect the targets of data centres that have become silent."""
         for place in self.reach.look(now):
             if self.health.note_quiet(place, now):
                 emit(events.DataCentreQuiet(place))
@@ -238,7 +238,7 @@
         return self._get_place(target_id) in self.reach.get_quiet(now)
 
     def get_loads(self, now: float) -> set[str]:
-        """Return the data centres whose loads are known now; forget others."""
+        """Return the data centres with known loads; drop outdated loads."""
         for place, load in tuple(self.loads.items()):
             if not load.is_fresh(now):
                 self.loads.pop(place)
@@ -246,9 +246,9 @@
         return set(self.loads)
 
     def count_entries(self) -> int:
-        """Return how many entries there are, this one included.
+        """Return the number of entries, including this one.
 
-        Those that are not heard share what all share, too: they may only be
+        Silent entries count too in what all entries share, as they may only be
         cut off.
         """
         heard = self.board.count_peers() + 1
@@ -261,9 +261,9 @@
         source: str,
         latest_at: float | None = None,
     ) -> None:
-        """Note a list of what the store held at the instant `as_of`.
+        """Record a list of the targets in the store at the instant `as_of`.
 
-        It is no younger than `latest_at`.
+        It is at most as recent as `latest_at`.
         """
         watch = self.fleet.watch
         gap_s = min(as_of - watch.read_at, MOST_AGE_S)
@@ -272,7 +272,7 @@
             emit(events.ListDisturbed(source, round(gap_s * MS)))
 
     def note_epoch(self, epoch: int | None, now: float) -> None:
-        """Note which copy of the store was read."""
+        """Record the epoch of the copy of the store that was read."""
         before = self.restores.epoch
         if self.restores.note(epoch, now):
             self._note_restore(STORE, before, epoch, now)
@@ -280,35 +280,34 @@
     def note_told_epoch(
         self, epoch: int | None, now: float, source: str
     ) -> None:
-        """Note which copy of the store another entry knows."""
+        """Record the epoch of the store that another entry reported."""
         before = self.restores.epoch
         if self.restores.note_told(epoch):
             self._note_restore(source, before, epoch, now)
 
     def get_news_age_s(self, now: float) -> float:
-        """Return how long ago the older of what is known was read.
+        """Return the age of the older of configuration and target list.
 
-        A reader is only as good as the older of its configuration and its
-        list of targets.
+        A reader is only as current as the older of the two.
         """
         return max(self.proof.get_read_age_s(now), self.get_list_age_s(now))
 
     def get_offered_age_s(self, now: float) -> float:
-        """Return the age of the news for those who might ask for it.
+        """Return the age of the own copy of the store for other entries.
 
-        An entry that ends stops to take connections while it still speaks, so
-        it offers nothing from the beginning of its end on.
+        A draining entry stops accepting connections while it still sends
+        messages, so it offers nothing as soon as it drains.
         """
         if self.leaving:
             return MOST_AGE_S
         return min(self.get_news_age_s(now), MOST_AGE_S)
 
     def get_list_age_s(self, now: float) -> float:
-        """Return the age of what is known of the targets in seconds."""
+        """Return the age of the list of targets, in seconds."""
         return now - self.fleet.watch.read_at
 
     def get_gauges(self, now: float) -> dict[str, float]:
-        """Return the levels that the metrics show."""
+        """Return the values of the gauges in the metrics."""
         epoch = self.restores.epoch
         return {
             'in_progress': self.in_progress,
@@ -334,7 +333,7 @@
         reply: Reply,
         scope: anyio.CancelScope,
     ) -> Iterator[None]:
-        """Have a request given up, should the process end meanwhile."""
+        """Register a request to be aborted if the process stops meanwhile."""
         one = Unanswered(reply, scope)
         self.unanswered.add(one)
         try:
@@ -343,7 +342,7 @@
             self.unanswered.discard(one)
 
     def end_requests(self) -> None:
-        """Have each request that has no whole answer get its last word."""
+        """Abort each request without a complete answer, with a final error."""
         self.ending = True
         for one in tuple(self.unanswered):
             if not one.reply.finished:
@@ -365,7 +364,7 @@
         epoch: int | None,
         now: float,
     ) -> None:
-        """Hold what the copy lacks, and have what was lost written again."""
+        """Retain targets that the copy lacks, and start the repair."""
         self.fleet.watch.note_restore(now)
         self.isolation.note_restore()
         emit(events.StoreRestored(source, before, epoch, self.version))
@@ -377,19 +376,19 @@
         return sum(not one.is_over(now) for one in rests)
 
     def _get_quota_sum(self) -> float:
-        """Return how many requests a second go from here to limited targets."""
+        """Return the sum of this entry's quotas at targets, per second."""
         limited = self.notices.get_in_force(RateLimit)
         listed = [self.fleet.targets.get(name) for name in limited]
         return sum(self.throttle.get_quota(one) for one in listed if one)
 
     def _end_waits(self, place: str) -> None:
-        """End the waits for targets of a data centre."""
+        """Cancel the waits for targets of a data centre."""
         for wait in tuple(self.waits):
             if place in map(self._get_place, wait.targets):
                 wait.scope.cancel()
 
     def _get_place(self, target_id: str) -> str:
-        """Return the data centre of a target, empty for the own one."""
+        """Return the data centre of a target, or '' for the own one."""
         listed = self.fleet.targets.get(target_id)
         place = listed.data_centre if listed else ''
         return '' if place == self.settings.data_centre else place
--- a/trestledock/entry/_word_codec.py
+++ b/trestledock/entry/_word_codec.py
@@ -1,10 +1,10 @@
 """
-The wire form of words
-======================
+Encoding of messages between entries
+====================================
 
-Words between entries as JSON.  What makes no sense is refused whole: other
-versions of the program, and others altogether, may speak here.  Instants are
-told as the time since or until, since clocks differ.
+Messages as JSON. An invalid message is rejected as a whole, since other
+versions of the program and unrelated senders may use the port. Instants are
+sent as the time since or until them, because clocks differ between machines.
 """
 
 import json
@@ -37,23 +37,23 @@
 from trestledock.relay import End
 
 MS = 1000
-#: How often an entry of an older version tells everything, in milliseconds.
+#: Period of the full state in older versions, in milliseconds.
 OLDER_AGAIN_MS = 500
 
-#: What decoding raises where a word makes no sense.
+#: Exceptions that decoding an invalid message raises.
 UNREADABLE = (ValueError, LookupError, TypeError, RecursionError)
 
 Plain = Mapping[str, Any]
 
 
 class BadWord(ValueError):
-    """A datagram that makes no sense."""
+    """Raised for an invalid datagram."""
 
 
 @singledispatch
 def _write(word: Word, now: float) -> dict[str, Any]:
-    """Return the fields of a word beside its sender."""
-    raise TypeError(f'no word: {word!r}')
+    """Return the fields of a message other than its sender."""
+    raise TypeError(f'unknown message type: {word!r}')
 
 
 @_write.register
@@ -127,7 +127,7 @@
 
 
 def write_word(word: Word, now: float) -> bytes:
-    """Return a word as it is sent."""
+    """Return the encoded message."""
     plain = _write(word, now)
     plain['from'] = word.sender
     return json.dumps(plain, separators=(',', ':')).encode()
@@ -164,7 +164,7 @@
 
 
 def _read_reply(plain: Plain, sender: str, now: float) -> Reply:
-    """Read an answer; for older versions each read is a proof."""
+    """Decode a reply; in older versions each read is a proof."""
     proof_age_s = read_amount(plain['proof_age_s'])
     return Reply(
         sender=sender,
@@ -214,7 +214,7 @@
 
 
 def read_word(raw: bytes, now: float) -> Word:
-    """Return a word that came in, or raise `BadWord`.
+    """Decode a message, or raise `BadWord`.
 
     >>> read_word(b'{"kind":"fresh","from":"e","news_age_ms":250}', now=0)
     Fresh(sender='e', news_age_s=0.25)
--- a/trestledock/entry/_words.py
+++ b/trestledock/entry/_words.py
@@ -1,8 +1,8 @@
 """
-Words between entries
-=====================
+Messages between entries
+========================
 
-The datagrams that entries send one another, as types.
+The datagrams that entries exchange, as types.
 """
 
 from dataclasses import dataclass
@@ -13,11 +13,11 @@
 
 @dataclass(frozen=True)
 class Flights:
-    """What an entry has in flight: the changes, or with `whole` everything.
+    """In-flight requests of an entry: changes, or all of them with `whole`.
 
-    `news_age_s` is the age of what it knows of the store, `again_s` when it
-    tells everything again at the latest; an entry that is `leaving` will be
-    silent as planned.
+    `news_age_s` is the age of its copy of the store, `again_s` the longest time
+    until its next full state. An entry that is `leaving` is draining, so that
+    its later silence is expected.
     """
 
     sender: str
@@ -32,7 +32,7 @@
 
 @dataclass(frozen=True)
 class Beat:
-    """An entry lives."""
+    """Heartbeat of an entry."""
 
     sender: str
     data_centre: str
@@ -41,7 +41,7 @@
 
 @dataclass(frozen=True)
 class Fresh:
-    """An entry has just read the store: it can be asked for news."""
+    """Notification that an entry has just read the store and can be asked."""
 
     sender: str
     news_age_s: float
@@ -49,7 +49,10 @@
 
 @dataclass(frozen=True)
 class Question:
-    """How fresh is what you know?  `asked_at` comes back as it is."""
+    """Question how current another entry's copy of the store is.
+
+    The answer returns `asked_at` unchanged.
+    """
 
     sender: str
     asked_at: float
@@ -57,10 +60,12 @@
 
 @dataclass(frozen=True)
 class Reply:
-    """The answer: the age and the version of what its sender knows.
+    """Answer to a question: age and version of the sender's copy of the store.
 
-    `read_age_s` is how long ago it read, whether that proved anything or not;
-    `epoch` is that of the copy of the store that it read, if it tells any.
+    `proof_age_s` is the age of the last proof that its configuration is
+    current, `read_age_s` that of its last read, whether or not that proved
+    anything; `epoch` is that of the copy of the store that it read, None if the
+    store has no epochs.
     """
 
     sender: str
@@ -75,7 +80,7 @@
 
 @dataclass(frozen=True)
 class Ends:
-    """Targets that ended under requests, each with the age of the end."""
+    """Crashes of targets during requests, each with its age in seconds."""
 
     sender: str
     ends: tuple[tuple[End, float], ...]
@@ -83,7 +88,7 @@
 
 @dataclass(frozen=True)
 class Cleared:
-    """A request under which targets had ended was answered by one."""
+    """Notification that a target answered a request that had crashed others."""
 
     sender: str
     fingerprint: str
@@ -92,7 +97,7 @@
 
 @dataclass(frozen=True)
 class TargetNotice:
-    """What a target has said of itself."""
+    """Notice that a target gave about itself."""
 
     target: str
     notice: Notice
@@ -100,7 +105,7 @@
 
 @dataclass(frozen=True)
 class ToldNotices:
-    """What some targets have said of themselves."""
+    """Notices that targets gave about themselves."""
 
     sender: str
     notices: tuple[TargetNotice, ...]
