--- a/trestledock/entry/_following.py
+++ b/trestledock/entry/_following.py
@@ -200,11 +200,15 @@
         """Return who may read for this entry, and can be asked."""
         self._end_unfit(now)
         known = self.gossip.get_candidates(now)
-        return [one for one in known if one.name not in self._unfit]
+        return [
+            candidate
+            for candidate in known
+            if candidate.name not in self._unfit
+        ]
 
     def _end_unfit(self, now: float) -> None:
-        over = [one for one, until in self._unfit.items() if now >= until]
-        for name in over:
+        expired = [name for name, until in self._unfit.items() if now >= until]
+        for name in expired:
             self._unfit.pop(name)
 
     async def _sleep(self, wait_s: float) -> None:
--- a/trestledock/entry/_gossip.py
+++ b/trestledock/entry/_gossip.py
@@ -295,7 +295,9 @@
         own = list(self.state.board.own.items())[:MAX_FLIGHTS]
         far = self.neighbours.get_far(many=self.state.many_entries)
         for place, where in far.items():
-            flights = [one for one in own if place in self._get_places(one[1])]
+            flights = [
+                change for change in own if place in self._get_places(change[1])
+            ]
             self._tell(flights, where, whole=True, again_s=self._get_far_s())
             self._note_told(where)
 
--- a/trestledock/entry/_isolation.py
+++ b/trestledock/entry/_isolation.py
@@ -280,25 +280,30 @@
         found = sorted(self.to_keep & self.quarantine.suspects.keys())
         self.to_keep = set()
         self.wants_keeping = anyio.Event()
-        return [self.quarantine.make_record(one, now) for one in found]
+        return [
+            self.quarantine.make_record(fingerprint, now)
+            for fingerprint in found
+        ]
 
     def keep_again(self, records: Iterable[Quarantined]) -> None:
         """Mark records for saving again after a failure."""
         for record in records:
             self._keep(record.fingerprint)
 
-    def _note_own(self, ends: list[End], sign: Sign) -> None:
+    def _note_own(self, crashes: list[End], sign: Sign) -> None:
         now = anyio.current_time()
-        for one in ends:
-            self._avoid(one.incarnation, now)
-        blamed = [one for one in ends if self.quarantine.blames(one, now)]
-        for end in blamed:
-            self._witnessed.add(end.fingerprint)
-            if self._add(end, now, SELF):
-                count = self.quarantine.count_ends(end.fingerprint)
+        for crash in crashes:
+            self._avoid(crash.incarnation, now)
+        blamed = [
+            crash for crash in crashes if self.quarantine.blames(crash, now)
+        ]
+        for crash in blamed:
+            self._witnessed.add(crash.fingerprint)
+            if self._add(crash, now, SELF):
+                count = self.quarantine.count_ends(crash.fingerprint)
                 emit(
                     events.TargetEnded(
-                        end.incarnation, end.fingerprint, sign.value, count
+                        crash.incarnation, crash.fingerprint, sign.value, count
                     )
                 )
         self.ways.tell_ends(blamed)
--- a/trestledock/entry/_listing.py
+++ b/trestledock/entry/_listing.py
@@ -47,11 +47,11 @@
         if news.whole:
             self._drop_missing(news, now)
         records: dict[str, list[Listed | None]] = defaultdict(list)
-        for one in news.targets:
-            records[one.target_id].append(one.listed)
-        for target_id, of_one in records.items():
+        for record in news.targets:
+            records[record.target_id].append(record.listed)
+        for target_id, target_records in records.items():
             before = self.fleet.get_by_id(target_id)
-            self._take_records(target_id, of_one, news, now)
+            self._take_records(target_id, target_records, news, now)
             if before and self.fleet.is_superseded(before):
                 self.state.isolation.note_replaced(before.incarnation)
                 self._forget([before.incarnation], news.source)
@@ -131,7 +131,7 @@
                 self._note_held(held.listed, news, now)
 
     def _drop_missing(self, news: News, now: float) -> None:
-        present = {one.target_id for one in news.targets if one.listed}
+        present = {record.target_id for record in news.targets if record.listed}
         for target_id in set(self.fleet.newest) - present:
             self._drop(target_id, news, now)
 
--- a/trestledock/entry/_metrics.py
+++ b/trestledock/entry/_metrics.py
@@ -117,7 +117,7 @@
 
 #: Help texts of all histograms by name.
 TIMES: Mapping[str, str] = MappingProxyType(
-    {**{one.name: one.text for one in TIMINGS.values()}, **DIRECT}
+    {**{timing.name: timing.text for timing in TIMINGS.values()}, **DIRECT}
 )
 
 #: Help texts and labels of the counters of messages between entries.
--- a/trestledock/entry/_neighbours.py
+++ b/trestledock/entry/_neighbours.py
@@ -36,12 +36,12 @@
     def meet(self, addresses: Iterable[Address], now: float) -> list[Address]:
         """Add addresses; return those that are new."""
         new = [
-            one
-            for one in addresses
-            if one not in self.places and one != self.own
+            address
+            for address in addresses
+            if address not in self.places and address != self.own
         ]
-        for one in new:
-            self.note(one, UNKNOWN, now)
+        for address in new:
+            self.note(address, UNKNOWN, now)
         return new
 
     def note(self, address: Address, place: str, now: float) -> None:
@@ -76,7 +76,9 @@
         if self._near is None:
             near = (self.data_centre, UNKNOWN)
             self._near = [
-                one for one, place in self.places.items() if place in near
+                address
+                for address, place in self.places.items()
+                if place in near
             ]
         return self._near
 
--- a/trestledock/entry/_news.py
+++ b/trestledock/entry/_news.py
@@ -161,22 +161,22 @@
             for listed, until in fleet.get_held()
         ]
         quarantine = [
-            _write_quarantined(one)
-            for one in self.state.isolation.quarantine.get_records(now)
+            _write_quarantined(record)
+            for record in self.state.isolation.quarantine.get_records(now)
         ]
         plain = {
             'list_age_s': min(self.state.get_list_age_s(now), MOST_AGE_S),
             'revision': self.state.revision,
             'settled': fleet.watch.is_settled(now),
             'document': self._get_document(version),
-            'targets': [write_target(one) for one in fleet.get_listed()],
+            'targets': [write_target(listed) for listed in fleet.get_listed()],
             'held': held,
             'quarantine': quarantine,
             'epoch': self.state.restores.epoch,
         }
         if with_past:
             plain['gone'] = [
-                (one.target_id, *one.order) for one in fleet.get_gone()
+                (target.target_id, *target.order) for target in fleet.get_gone()
             ]
             plain['leaving'] = sorted(fleet.leaving)
         return json.dumps(plain, separators=(',', ':')).encode()
@@ -275,7 +275,9 @@
     quarantined = read_list(plain.get('quarantine', []))
     return News(
         document=read_text(plain['document']),
-        targets=tuple([TargetNews(one.target_id, one) for one in listed]),
+        targets=tuple(
+            [TargetNews(target.target_id, target) for target in listed]
+        ),
         held=tuple(map(_read_held, read_list(plain.get('held', [])))),
         as_of=asked_at - age_s,
         latest_at=now - age_s,
--- a/trestledock/entry/_notice_rows.py
+++ b/trestledock/entry/_notice_rows.py
@@ -44,9 +44,9 @@
 ) -> dict[str, list[Row]]:
     """Encode notices as rows by kind."""
     rows: dict[str, list[Row]] = {form.name: [] for form in FORMS.values()}
-    for one in notices:
-        form = FORMS[type(one.notice)]
-        rows[form.name].append(_write_row(form, one, now))
+    for entry in notices:
+        form = FORMS[type(entry.notice)]
+        rows[form.name].append(_write_row(form, entry, now))
     return rows
 
 
--- a/trestledock/entry/_notices.py
+++ b/trestledock/entry/_notices.py
@@ -215,8 +215,8 @@
 
 def note_sent(state: EntryState, req: str, placement: Placement) -> None:
     """Log that a request goes to targets with a notice in force."""
-    for one in placement.engaged:
-        peer = one.incarnation
+    for target in placement.engaged:
+        peer = target.incarnation
         limit = state.notices.get(RateLimit, peer)
         if limit and limit.per_s is not None:
             age_s = anyio.current_time() - limit.heard_at
@@ -225,7 +225,7 @@
                     req=req,
                     peer=peer,
                     per_s=limit.per_s,
-                    quota_per_s=round(state.throttle.get_quota(one), 3),
+                    quota_per_s=round(state.throttle.get_quota(target), 3),
                     age_ms=round(age_s * MS),
                 )
             )
--- a/trestledock/entry/_notices_exchange.py
+++ b/trestledock/entry/_notices_exchange.py
@@ -64,13 +64,17 @@
         ]
         return Members(
             Member(settings.peers, settings.data_centre),
-            tuple(sorted(others, key=lambda one: one.name)),
+            tuple(sorted(others, key=lambda member: member.name)),
             self.gossip.neighbours.count(now) + 1,
         )
 
     def _tell(self, target: str) -> None:
         """Send the notices of a target to all other entries."""
-        known = [one for one in self._get_known() if one.target == target]
+        known = [
+            known_notice
+            for known_notice in self._get_known()
+            if known_notice.target == target
+        ]
         self._send(known, self.gossip.neighbours.get_all())
 
     def _tell_known(self, address: Address) -> None:
@@ -85,7 +89,9 @@
         """
         now = anyio.current_time()
         matters = [
-            one for one in self._get_known() if _is_told_again(one.notice, now)
+            known
+            for known in self._get_known()
+            if _is_told_again(known.notice, now)
         ]
         self._send(matters, where)
 
@@ -104,8 +110,10 @@
         self.gossip.send_rows(ToldNotices, notices, where)
 
     def _take(self, word: ToldNotices, _: Address) -> bool:
-        for one in word.notices:
-            take_notice(self.state, one.target, one.notice, word.sender)
+        for received in word.notices:
+            take_notice(
+                self.state, received.target, received.notice, word.sender
+            )
         return False
 
 
--- a/trestledock/entry/_restoring.py
+++ b/trestledock/entry/_restoring.py
@@ -89,11 +89,11 @@
     async def _write_addresses(self) -> None:
         announced = await self.directory.read_peers()
         self.gossip.meet(announced.addresses)
-        there = set(announced.addresses.values())
+        stored = set(announced.addresses.values())
         missing = {
             name: address
             for name, address in self._get_addresses().items()
-            if address not in there
+            if address not in stored
         }
         if missing:
             await self.directory.announce(missing)
@@ -119,18 +119,22 @@
             return True
         stored = await self.directory.quarantine.read_whole()
         isolation.take_records(stored.records, STORE)
-        there = {one.fingerprint: one for one in stored.records}
+        stored_by_fingerprint = {
+            record.fingerprint: record for record in stored.records
+        }
         missing = [
-            one
-            for one in isolation.quarantine.get_records(anyio.current_time())
-            if _is_missing(one, there.get(one.fingerprint))
+            record
+            for record in isolation.quarantine.get_records(anyio.current_time())
+            if _is_missing(
+                record, stored_by_fingerprint.get(record.fingerprint)
+            )
         ]
         if not missing:
             return True
         quarantine = self.directory.quarantine
         is_written = await quarantine.write_records(missing, stored.end)
         if is_written:
-            names = [one.fingerprint for one in missing]
+            names = [record.fingerprint for record in missing]
             emit(events.WrittenAgain('quarantine', names))
         return is_written
 
--- a/trestledock/entry/_speakers.py
+++ b/trestledock/entry/_speakers.py
@@ -38,6 +38,6 @@
 
 def find_helper(placement: Placement, named: str) -> str:
     """Return the helper that an answer names by id or address, if any."""
-    found = (one for one in placement.helpers if one.is_named(named))
+    found = (helper for helper in placement.helpers if helper.is_named(named))
     helper = next(found, None)
     return helper.incarnation if helper else ''
--- a/trestledock/entry/_state.py
+++ b/trestledock/entry/_state.py
@@ -334,19 +334,19 @@
         scope: anyio.CancelScope,
     ) -> Iterator[None]:
         """Register a request to be aborted if the process stops meanwhile."""
-        one = Unanswered(reply, scope)
-        self.unanswered.add(one)
+        request = Unanswered(reply, scope)
+        self.unanswered.add(request)
         try:
             yield
         finally:
-            self.unanswered.discard(one)
+            self.unanswered.discard(request)
 
     def end_requests(self) -> None:
         """Abort each request without a complete answer, with a final error."""
         self.ending = True
-        for one in tuple(self.unanswered):
-            if not one.reply.finished:
-                one.scope.cancel()
+        for request in tuple(self.unanswered):
+            if not request.reply.finished:
+                request.scope.cancel()
 
     def is_leaving(self) -> bool:
         """Whether connections should be closed after their answer."""
@@ -373,13 +373,15 @@
 
     def _count_resting(self, now: float) -> int:
         rests = self.notices.get_all(Rest).values()
-        return sum(not one.is_over(now) for one in rests)
+        return sum(not rest.is_over(now) for rest in rests)
 
     def _get_quota_sum(self) -> float:
         """Return the sum of this entry's quotas at targets, per second."""
         limited = self.notices.get_in_force(RateLimit)
         listed = [self.fleet.targets.get(name) for name in limited]
-        return sum(self.throttle.get_quota(one) for one in listed if one)
+        return sum(
+            self.throttle.get_quota(target) for target in listed if target
+        )
 
     def _end_waits(self, place: str) -> None:
         """Cancel the waits for targets of a data centre."""
--- a/trestledock/entry/_word_codec.py
+++ b/trestledock/entry/_word_codec.py
@@ -66,7 +66,7 @@
         'leaving': word.leaving,
         'news_age_ms': round(word.news_age_s * MS),
         'again_ms': round(word.again_s * MS),
-        'flights': [write_change(*one, now) for one in word.changes],
+        'flights': [write_change(*change, now) for change in word.changes],
     }
 
 
