--- a/tests/limiting.py
+++ b/tests/limiting.py
@@ -284,8 +284,8 @@
         self.state.tell_own = self.gossip.tell_own
         with self.scope:
             async with anyio.create_task_group() as group:
-                group.start_soon(self.gossip._tell_all)
-                group.start_soon(self.gossip._tell_changes)
+                group.start_soon(self.gossip._send_periodically)
+                group.start_soon(self.gossip._send_changes)
                 group.start_soon(self._renew)
 
     def connect_slowly(self, wait_s):
--- a/tests/living.py
+++ b/tests/living.py
@@ -37,7 +37,7 @@
         async with anyio.create_task_group() as group:
             group.start_soon(self.follower._follow)
             group.start_soon(self.follower.listing.run)
-            group.start_soon(self.gossip._tell_all)
+            group.start_soon(self.gossip._send_periodically)
 
     async def stand_still_for(self, pause_s):
         """Stand still, as a process that is stopped and goes on."""
--- a/tests/restoring.py
+++ b/tests/restoring.py
@@ -115,7 +115,7 @@
                 group.start_soon(self.follower.run)
                 group.start_soon(self.keeping.run)
                 group.start_soon(self.restoring.run)
-                group.start_soon(self.gossip._tell_all)
+                group.start_soon(self.gossip._send_periodically)
 
     def kill(self):
         """End without a word."""
@@ -151,7 +151,7 @@
         if other is None:
             raise WireError('connect', 'refused')
         news = other.exchange.make_news(
-            self.state.version, with_past=bool(asked)
+            self.state.version, with_removed=bool(asked)
         )
         await anyio.sleep(WAY_S)
         return json.loads(news)
--- a/tests/soak/mutants.py
+++ b/tests/soak/mutants.py
@@ -130,7 +130,7 @@
 
 def words() -> None:
     """Go on using targets that say in answers that they leave."""
-    _notices._note_leave = lambda *args: None
+    _notices._record_drain = lambda *args: None
 
 
 def rests() -> None:
--- a/tests/test_entry_following.py
+++ b/tests/test_entry_following.py
@@ -8,8 +8,8 @@
 from tests.relaying import SETTINGS, make_listed
 from trestledock.entry import DirectoryError, News, TargetNews
 from trestledock.entry._following import (
-    FETCH_LEAST_S,
-    FETCH_S,
+    MIN_FETCH_TIMEOUT_S,
+    FETCH_TIMEOUT_S,
     Follower,
 )
 from trestledock.entry._gossip import Gossip
@@ -156,8 +156,8 @@
         """A reader that takes the connection and says nothing costs little."""
 
         async def scenario(follower):
-            found_s = follower._get_fetch_s(anyio.current_time())
-            self.assertEqual(found_s, FETCH_LEAST_S)
+            found_s = follower._get_fetch_timeout_s(anyio.current_time())
+            self.assertEqual(found_s, MIN_FETCH_TIMEOUT_S)
 
         self.run_stale(scenario, age_s=1.0)
 
@@ -165,8 +165,8 @@
         async def scenario(follower):
             follower.reading.directory.down = {'catalog': True, 'targets': True}
             await follower.reading.read()
-            found_s = follower._get_fetch_s(anyio.current_time())
-            self.assertEqual(found_s, FETCH_S)
+            found_s = follower._get_fetch_timeout_s(anyio.current_time())
+            self.assertEqual(found_s, FETCH_TIMEOUT_S)
 
         self.run_stale(scenario, age_s=1.5)
 
--- a/tests/test_entry_gossip.py
+++ b/tests/test_entry_gossip.py
@@ -9,9 +9,9 @@
 import anyio
 
 from tests.relaying import SETTINGS, make_listed
-from trestledock.entry._gossip import WHOLE_S, Gossip
+from trestledock.entry._gossip import FULL_STATE_INTERVAL_S, Gossip
 from trestledock.entry._neighbours import MOST_TOLD_ALL
-from trestledock.entry._peers import PATIENCE_S, PATIENCE_TURNS, Peer
+from trestledock.entry._peers import MIN_TIMEOUT_S, TIMEOUT_INTERVALS, Peer
 from trestledock.entry._state import EntryState
 from trestledock.entry._word_codec import write_word
 from trestledock.entry._words import Beat
@@ -86,8 +86,8 @@
                 sent.append(([name for name, _ in changes], len(where), whole))
 
             gossip.state.board.own.update(own)
-            gossip._tell = tell
-            gossip._tell_far()
+            gossip._send_flights = tell
+            gossip._send_remote_states()
             self.assertEqual(sent, [(['b'], MOST_TOLD_ALL, True)])
 
         anyio.run(main)
@@ -103,8 +103,8 @@
 
     def test_patience_covers_two_messages(self):
         """One lost datagram, or one that is late, loses no peer."""
-        self.assertGreater(PATIENCE_S, 3 * WHOLE_S)
-        for again_s in (WHOLE_S, 2, 15):
+        self.assertGreater(MIN_TIMEOUT_S, 3 * FULL_STATE_INTERVAL_S)
+        for again_s in (FULL_STATE_INTERVAL_S, 2, 15):
             peer = Peer(('10.0.0.1', 1), 0, 0, again_s=again_s)
             self.assertFalse(peer.is_silent(2 * again_s + 0.1))
 
@@ -114,10 +114,10 @@
         async def main():
             gossip = make_gossip(near=1, far=MOST_TOLD_ALL, far_again_ms=3000)
             now = anyio.current_time()
-            gossip._drop_silent(now + PATIENCE_S + 0.5)
+            gossip._drop_silent(now + MIN_TIMEOUT_S + 0.5)
             self.assertEqual(len(gossip.peers.known), MOST_TOLD_ALL)
             self.assertEqual(gossip.state.board.count_peers(), MOST_TOLD_ALL)
-            gossip._drop_silent(now + 3 * PATIENCE_TURNS + 0.5)
+            gossip._drop_silent(now + 3 * TIMEOUT_INTERVALS + 0.5)
             self.assertEqual(gossip.peers.known, {})
 
         anyio.run(main)
@@ -137,7 +137,7 @@
             gossip = make_gossip(near=2, far=2)
             gossip.send = send
             with anyio.move_on_after(0.5):
-                await gossip._beat()
+                await gossip._exchange_heartbeats()
             far = [
                 address
                 for address, place in gossip.neighbours.places.items()
--- a/tests/test_entry_keeping.py
+++ b/tests/test_entry_keeping.py
@@ -8,7 +8,11 @@
 from tests.relaying import SETTINGS, make_listed
 from tests.virtual_loop import run_virtually
 from trestledock.entry import DirectoryError, Place, StoredQuarantine
-from trestledock.entry._keeping import CLAIM_S, WAIT_S, Keeping
+from trestledock.entry._keeping import (
+    MIN_CLAIM_INTERVAL_S,
+    POLL_TIMEOUT_S,
+    Keeping,
+)
 from trestledock.entry._state import EntryState
 from trestledock.relay import Sign
 
@@ -125,7 +129,7 @@
 
     def test_one_call_in_a_long_while(self):
         async def scenario(topic, one):
-            await anyio.sleep(WAIT_S * 10.5)
+            await anyio.sleep(POLL_TIMEOUT_S * 10.5)
             self.assertLessEqual(topic.calls, 22)
 
         run_entries(scenario, True)
@@ -140,7 +144,7 @@
                 self.assertFalse(await one.isolation.may_try('f'))
             self.assertEqual(topic.calls - calls, 1)
             topic.down = False
-            await anyio.sleep(CLAIM_S)
+            await anyio.sleep(MIN_CLAIM_INTERVAL_S)
             self.assertTrue(await one.isolation.may_try('f'))
 
         run_entries(scenario, False)
--- a/tests/test_entry_lists.py
+++ b/tests/test_entry_lists.py
@@ -143,7 +143,7 @@
                 reader.address, anyio.current_time(), 0
             )
             news = await other.exchange.fetch(reader.name, 1)
-            other.follower._take_list(news)
+            other.follower._apply_list(news)
             return other.get_usable()
 
         self.assertEqual(run_entries(2, store, scenario), {'t1', 't2', 't3'})
--- a/tests/test_entry_loads.py
+++ b/tests/test_entry_loads.py
@@ -149,10 +149,10 @@
             entry.sent.clear()
             board.put(make_flight('a', target))
             changes = list(board.take_changes().items())
-            entry.gossip._tell_changes_far(changes)
+            entry.gossip._send_remote_changes(changes)
             board.remove('a')
             changes = list(board.take_changes().items())
-            entry.gossip._tell_changes_far(changes)
+            entry.gossip._send_remote_changes(changes)
             places = entry.gossip.neighbours.places
             return [
                 (word.changes[0][1] is None, {places[one] for one in where})
--- a/tests/test_entry_logs.py
+++ b/tests/test_entry_logs.py
@@ -11,9 +11,9 @@
 
 from trestledock.entry import EVENTS
 from trestledock.entry._logger import (
-    MOST_FAILURES,
-    MOST_LINES,
-    MOST_WAITING,
+    MAX_FAILURE_LINES_PER_S,
+    MAX_LINES_PER_S,
+    MAX_WAITING,
     PipeHandler,
     LineLimit,
 )
@@ -52,10 +52,10 @@
         """Lines that nobody reads are left out, and their number is told."""
         times = iter(range(10_000_000))
         pipe = Pipe(lambda: next(times))
-        count = MOST_WAITING * 4
+        count = MAX_WAITING * 4
         for _ in range(count):
             pipe.handler.emit(make_record('x' * 200))
-        self.assertLessEqual(len(pipe.handler.waiting), MOST_WAITING + 1)
+        self.assertLessEqual(len(pipe.handler.waiting), MAX_WAITING + 1)
         self.assertGreater(pipe.handler.dropped, 0)
         lines = []
         for _ in range(count):
@@ -74,10 +74,10 @@
         pipe.handler.emit(make_record('started'))
         lines = pipe.read_lines()
         kinds = [one['message'] for one in lines]
-        self.assertEqual(kinds.count('answered'), MOST_LINES)
-        self.assertEqual(kinds.count('refused'), MOST_FAILURES)
+        self.assertEqual(kinds.count('answered'), MAX_LINES_PER_S)
+        self.assertEqual(kinds.count('refused'), MAX_FAILURE_LINES_PER_S)
         told = {one['kind']: one['count'] for one in lines if 'kind' in one}
-        self.assertEqual(told['answered'], 1000 - MOST_LINES)
+        self.assertEqual(told['answered'], 1000 - MAX_LINES_PER_S)
 
 
 class PageTest(unittest.TestCase):
--- a/tests/test_entry_news.py
+++ b/tests/test_entry_news.py
@@ -60,7 +60,7 @@
 
         async def scenario(exchange):
             now = anyio.current_time()
-            exchange._take_reply(make_reply(now - 9, age_s=0.5), None)
+            exchange._handle_reply(make_reply(now - 9, age_s=0.5), None)
             exchange.take_proof(READER)
             age_s = exchange.state.proof.get_age_s(now)
             self.assertAlmostEqual(age_s, 9.5)
@@ -72,7 +72,7 @@
 
         async def scenario(exchange):
             now = anyio.current_time()
-            exchange._take_reply(make_reply(now, version=2), None)
+            exchange._handle_reply(make_reply(now, version=2), None)
             self.assertTrue(exchange.take_proof(READER))
             self.assertFalse(exchange.state.proof.is_fresh(now))
 
@@ -86,7 +86,7 @@
             now = anyio.current_time()
             state.fleet.put(make_listed(1, 80))
             state.fleet.watch.note_read(now - 0.2, now)
-            exchange._take_reply(make_reply(now, age_s=3), None)
+            exchange._handle_reply(make_reply(now, age_s=3), None)
             self.assertFalse(exchange.take_proof(READER))
 
             async def get(address, asked):
@@ -106,7 +106,7 @@
             state = exchange.state
             now = anyio.current_time()
             state.fleet.watch.note_read(now - 2, now - 2)
-            exchange._take_reply(make_reply(now), None)
+            exchange._handle_reply(make_reply(now), None)
             self.assertTrue(exchange.take_proof(READER))
 
             async def get(address, asked):
--- a/tests/test_entry_stale.py
+++ b/tests/test_entry_stale.py
@@ -79,7 +79,7 @@
                 return await get(address, asked)
 
             other.exchange._get = get_slowly
-            other.follower._take_list(await news)
+            other.follower._apply_list(await news)
             other.exchange._get = get
             before = other.get_usable()
             await other.ask(second)
--- a/tests/test_entry_words.py
+++ b/tests/test_entry_words.py
@@ -18,7 +18,7 @@
 from trestledock.entry._news import NewsExchange
 from trestledock.entry._state import EntryState
 from trestledock.entry._word_codec import (
-    READERS,
+    DECODERS,
     BadWord,
     read_word,
     write_word,
@@ -112,7 +112,7 @@
     def test_each_kind_is_written(self):
         """What can be read is what can be written."""
         kinds = {json.loads(write_word(one, now=0))['kind'] for one in WORDS}
-        self.assertEqual(kinds, set(READERS))
+        self.assertEqual(kinds, set(DECODERS))
 
     def test_older_version(self):
         """It does not say when it tells everything again."""
--- a/trestledock/entry/_app.py
+++ b/trestledock/entry/_app.py
@@ -19,7 +19,7 @@
 from trestledock.entry._loads import LOAD_PATH, PLACE_FIELD, LoadExchange
 from trestledock.entry._logger import emit
 from trestledock.entry._metrics import METRICS
-from trestledock.entry._news import PAST_FIELD, VERSION_FIELD, NewsExchange
+from trestledock.entry._news import REMOVED_FIELD, VERSION_FIELD, NewsExchange
 from trestledock.entry._relaying import Relayer
 from trestledock.entry._reply import CutReply, Reply, Send
 from trestledock.entry._state import NO_VERSION, EntryState
@@ -105,7 +105,8 @@
         if scope['path'] == LOAD_PATH:
             return self.loads.make_load(_read_field(query, PLACE_FIELD))
         return self.exchange.make_news(
-            _read_version(query), with_past=bool(_read_field(query, PAST_FIELD))
+            _read_version(query),
+            with_removed=bool(_read_field(query, REMOVED_FIELD)),
         )
 
     async def _serve(
--- a/trestledock/entry/_datagrams.py
+++ b/trestledock/entry/_datagrams.py
@@ -18,7 +18,7 @@
 Address = tuple[str, int]
 
 #: Size of the receive buffer, above that of any datagram sent.
-MOST_BYTES = 65_535
+MAX_BYTES = 65_535
 
 
 class Datagrams:
@@ -42,7 +42,7 @@
         """Yield the datagrams that have arrived, with their senders."""
         while True:
             try:
-                yield self._socket.recvfrom(MOST_BYTES)
+                yield self._socket.recvfrom(MAX_BYTES)
             except BlockingIOError:
                 return
             except OSError as exc:
--- a/trestledock/entry/_ends.py
+++ b/trestledock/entry/_ends.py
@@ -17,10 +17,10 @@
 
 #: Delays between repetitions of an important crash message, in seconds:
 #: messages may be lost, or an entry be cut off for a while.
-AGAIN_S = (0.3, 0.7, 2.0)
+RESEND_DELAYS_S = (0.3, 0.7, 2.0)
 
 #: Crash with its age, in seconds.
-AgedEnd = tuple[End, float]
+AgedCrash = tuple[End, float]
 
 
 class EndsExchange:
@@ -30,13 +30,13 @@
         """Register the handlers with the gossip and the isolation."""
         self.gossip = gossip
         self.isolation = gossip.state.isolation
-        self.isolation.ways.tell_ends = self.tell
-        self.isolation.ways.tell_cleared = self._tell_cleared
-        gossip.handlers[Ends] = self._take
-        gossip.handlers[Cleared] = self._take_cleared
-        gossip.on_met.append(self._tell_known)
+        self.isolation.ways.tell_ends = self.send_crashes
+        self.isolation.ways.tell_cleared = self._send_cleared
+        gossip.handlers[Ends] = self._handle_ends
+        gossip.handlers[Cleared] = self._handle_cleared
+        gossip.on_met.append(self._send_known)
 
-    def tell(self, ends: Sequence[End]) -> None:
+    def send_crashes(self, ends: Sequence[End]) -> None:
         """Send crashes that have just happened to all other entries."""
         if not ends:
             return
@@ -46,29 +46,31 @@
 
     async def _tell_again(self, ends: Iterable[End]) -> None:
         age_s: float = 0
-        for wait_s in AGAIN_S:
+        for wait_s in RESEND_DELAYS_S:
             await anyio.sleep(wait_s)
             age_s += wait_s
             self._send([(end, age_s) for end in ends], self._get_all())
 
-    def _tell_known(self, address: Address) -> None:
+    def _send_known(self, address: Address) -> None:
         """Send the known crashes that matter to a new entry."""
         self._send(list(self.isolation.get_known()), [address])
 
-    def _tell_cleared(self, fingerprint: str, ends: Sequence[str]) -> None:
+    def _send_cleared(self, fingerprint: str, ends: Sequence[str]) -> None:
         word = Cleared(self.gossip.state.member, fingerprint, tuple(ends))
         self.gossip.send(word, self._get_all())
 
-    def _take(self, word: Ends, _: Address) -> bool:
+    def _handle_ends(self, word: Ends, _: Address) -> bool:
         self.isolation.take_ends(word.ends, word.sender)
         return True
 
-    def _take_cleared(self, word: Cleared, _: Address) -> bool:
+    def _handle_cleared(self, word: Cleared, _: Address) -> bool:
         self.isolation.take_cleared(word.fingerprint, word.ends, word.sender)
         return False
 
-    def _send(self, ends: Sequence[AgedEnd], where: Sequence[Address]) -> None:
-        self.gossip.send_rows(Ends, ends, where)
+    def _send(
+        self, crashes: Sequence[AgedCrash], where: Sequence[Address]
+    ) -> None:
+        self.gossip.send_rows(Ends, crashes, where)
 
     def _get_all(self) -> list[Address]:
         return self.gossip.neighbours.get_all()
--- a/trestledock/entry/_events.py
+++ b/trestledock/entry/_events.py
@@ -528,7 +528,7 @@
     reason: str
 
 
-def _make_name(kind: type[Event]) -> str:
+def _make_snake_case(kind: type[Event]) -> str:
     words = [
         f'_{char.lower()}' if char.isupper() else char for char in kind.__name__
     ]
@@ -539,5 +539,5 @@
 EVENTS: tuple[type[Event], ...] = tuple(Event.__subclasses__())
 #: Messages of the log lines by event.
 NAMES: Mapping[type[Event], str] = MappingProxyType(
-    {kind: _make_name(kind) for kind in EVENTS}
+    {kind: _make_snake_case(kind) for kind in EVENTS}
 )
--- a/trestledock/entry/_exposition.py
+++ b/trestledock/entry/_exposition.py
@@ -21,23 +21,23 @@
 
 from trestledock.entry._metrics import (
     BOUNDS_S,
-    COUNTINGS,
+    COUNTERS,
     GAUGES,
-    TIMES,
-    WORDS_LABELS,
-    WORD_BYTES_TEXT,
-    WORDS_TEXT,
+    HISTOGRAMS,
+    MESSAGES_LABELS,
+    MESSAGE_BYTES_TEXT,
+    MESSAGES_TEXT,
     Counts,
     Metrics,
-    Times,
+    HistogramCounts,
 )
 
 PREFIX = 'trestledock'
 #: Upper bound of the last bucket of a histogram.
-ABOVE_ALL = float('inf')
+LAST_BOUND = float('inf')
 
 
-class _Numbers(Collector):
+class _MetricsCollector(Collector):
     """Collector of the current metrics of one process."""
 
     def __init__(self, metrics: Metrics, gauges: Mapping[str, float]) -> None:
@@ -47,25 +47,27 @@
 
     def collect(self) -> Iterator[Metric]:
         """Yield every metric."""
-        for kind, counting in COUNTINGS.items():
+        for kind, counting in COUNTERS.items():
             counts = self.metrics.counts[kind]
-            yield _count(
+            yield _make_counter(
                 kind.get_name(), counting.text, counting.labels, counts
             )
-        yield _count('words', WORDS_TEXT, WORDS_LABELS, self.metrics.words)
-        yield _count(
+        yield _make_counter(
+            'words', MESSAGES_TEXT, MESSAGES_LABELS, self.metrics.messages
+        )
+        yield _make_counter(
             'word_bytes',
-            WORD_BYTES_TEXT,
-            WORDS_LABELS,
-            self.metrics.word_bytes,
+            MESSAGE_BYTES_TEXT,
+            MESSAGES_LABELS,
+            self.metrics.message_bytes,
         )
-        for name, text in TIMES.items():
-            yield _observe(name, text, self.metrics.times[name])
+        for name, text in HISTOGRAMS.items():
+            yield _make_histogram(name, text, self.metrics.histograms[name])
         for name, level in self.gauges.items():
             yield GaugeMetricFamily(f'{PREFIX}_{name}', GAUGES[name], level)
 
 
-def _count(
+def _make_counter(
     name: str,
     text: str,
     labels: tuple[str, ...],
@@ -77,8 +79,8 @@
     return family
 
 
-def _observe(name: str, text: str, times: Times) -> Metric:
-    bounds = [floatToGoString(bound) for bound in (*BOUNDS_S, ABOVE_ALL)]
+def _make_histogram(name: str, text: str, times: HistogramCounts) -> Metric:
+    bounds = [floatToGoString(bound) for bound in (*BOUNDS_S, LAST_BOUND)]
     buckets = list(zip(bounds, accumulate(times.counts), strict=True))
     return HistogramMetricFamily(
         f'{PREFIX}_{name}_seconds', text, buckets, times.total_s
@@ -88,5 +90,5 @@
 def render(metrics: Metrics, gauges: Mapping[str, float]) -> bytes:
     """Return all metrics as text."""
     registry = CollectorRegistry()
-    registry.register(_Numbers(metrics, gauges))
+    registry.register(_MetricsCollector(metrics, gauges))
     return generate_latest(registry)
--- a/trestledock/entry/_following.py
+++ b/trestledock/entry/_following.py
@@ -27,23 +27,23 @@
 
 #: Timeout for fetching an update from the reader, in seconds, and its minimum
 #: if an own read is due soon: some hundred times the network latency.
-FETCH_S = 1.0
-FETCH_LEAST_S = 0.25
+FETCH_TIMEOUT_S = 1.0
+MIN_FETCH_TIMEOUT_S = 0.25
 #: After so many failed fetches in a row an entry is not asked for the given
 #: time, in seconds: a single one may fail while many entries ask at once, and
 #: the others find another reader in less than that time.
-UNFIT_TRIES = 2
-UNFIT_S = 1.5
+MAX_FETCH_FAILURES = 2
+EXCLUSION_S = 1.5
 #: Interval of reading the list of peers, in seconds. Each entry announces
 #: itself before its first read, so that of two the later one sees the other and
 #: contacts it; later reads only cover unexpected cases.
-PEERS_S = 120.0
+PEERS_INTERVAL_S = 120.0
 #: Delay before the first list of peers is read again after a failure, in
 #: seconds.
 PEERS_RETRY_S = 1.0
 #: Maximum number of neighbours asked by an entry that starts after a restore of
 #: the store: some of them may have just started too, and know no more.
-MOST_CONSULTED = 3
+MAX_CONSULTED = 3
 #: How long such an entry first waits for answers to its first messages, in
 #: seconds: some tens of round trips.
 GREETING_S = 0.06
@@ -68,8 +68,8 @@
         self.gossip = exchange.gossip
         self.exchange = exchange
         self._reader = ''
-        self._vain = 0
-        self._unfit: dict[str, float] = {}
+        self._fetch_failures = 0
+        self._excluded_until: dict[str, float] = {}
         self._pace = ReadPace(state.settings.settle_s)
 
     async def run(self) -> None:
@@ -90,15 +90,15 @@
         they proved by the store before the restore also counts for this entry.
         """
         await anyio.sleep(GREETING_S)
-        for name in self.gossip.peers.get_near()[:MOST_CONSULTED]:
+        for name in self.gossip.peers.get_near()[:MAX_CONSULTED]:
             await self.exchange.ask(name)
-            await self._fetch(name, with_past=True)
+            await self._fetch(name, with_removed=True)
 
     async def _follow(self) -> None:
         while True:
             now = anyio.current_time()
             reader = choose_reader(self._get_candidates(now), self._pace)
-            self._note_reader(reader)
+            self._set_reader(reader)
             if reader == self.state.member:
                 await self.reading.read()
                 await self._sleep(self._get_pause_s(now))
@@ -114,23 +114,23 @@
             await self.reading.read()
         await self._sleep(self._get_ask_pause_s(anyio.current_time()))
 
-    async def _fetch(self, reader: str, *, with_past: bool = False) -> None:
+    async def _fetch(self, reader: str, *, with_removed: bool = False) -> None:
         now = anyio.current_time()
         news = await self.exchange.fetch(
-            reader, self._get_fetch_s(now), with_past=with_past
+            reader, self._get_fetch_timeout_s(now), with_removed=with_removed
         )
-        if news and self._apply_passed_on(news):
-            self._vain = 0
-            self._take_list(news)
+        if news and self._apply_configuration(news):
+            self._fetch_failures = 0
+            self._apply_list(news)
             self.state.isolation.take_records(news.quarantine, reader)
             self.exchange.take_proof(reader)
             return
-        self._vain += 1
-        if self._vain >= UNFIT_TRIES:
-            self._vain = 0
-            self._unfit[reader] = now + UNFIT_S
+        self._fetch_failures += 1
+        if self._fetch_failures >= MAX_FETCH_FAILURES:
+            self._fetch_failures = 0
+            self._excluded_until[reader] = now + EXCLUSION_S
 
-    def _apply_passed_on(self, news: News) -> bool:
+    def _apply_configuration(self, news: News) -> bool:
         """Apply another entry's configuration; return whether it was valid."""
         try:
             self.reading.apply(news)
@@ -139,7 +139,7 @@
             return False
         return True
 
-    def _get_fetch_s(self, now: float) -> float:
+    def _get_fetch_timeout_s(self, now: float) -> float:
         """Return the timeout of a fetch, so that it does not delay an own read.
 
         A reader whose process is stopped accepts the connection without ever
@@ -147,8 +147,11 @@
         source.
         """
         if self.reading.is_lost():
-            return FETCH_S
-        return min(FETCH_S, max(FETCH_LEAST_S, self._get_own_read_in_s(now)))
+            return FETCH_TIMEOUT_S
+        return min(
+            FETCH_TIMEOUT_S,
+            max(MIN_FETCH_TIMEOUT_S, self._get_own_read_in_s(now)),
+        )
 
     def _get_ask_pause_s(self, now: float) -> float:
         """Return the time until the next question or, if sooner, own read."""
@@ -156,7 +159,7 @@
         pause_s = self._pace.ask_s
         return min(pause_s, due_in_s) if due_in_s > 0 else pause_s
 
-    def _take_list(self, news: News) -> None:
+    def _apply_list(self, news: News) -> None:
         """Apply another entry's list if it is certainly newer than the own one.
 
         Its knowledge of removed targets applies in any case.
@@ -178,7 +181,7 @@
         names = self._get_names(now)
         return get_own_read_in_s(self.state.member, names, age_s, self._pace)
 
-    def _note_reader(self, reader: str) -> None:
+    def _set_reader(self, reader: str) -> None:
         if reader != self._reader:
             self._reader = reader
             emit(events.ReaderChosen(reader))
@@ -192,24 +195,26 @@
         return get_retry_s(self.state.member, self._get_names(now))
 
     def _get_names(self, now: float) -> list[str]:
-        self._end_unfit(now)
+        self._end_exclusions(now)
         known = [self.state.member, *self.gossip.peers.get_near()]
-        return [name for name in known if name not in self._unfit]
+        return [name for name in known if name not in self._excluded_until]
 
     def _get_candidates(self, now: float) -> list[Candidate]:
         """Return who may read for this entry, and can be asked."""
-        self._end_unfit(now)
+        self._end_exclusions(now)
         known = self.gossip.get_candidates(now)
         return [
             candidate
             for candidate in known
-            if candidate.name not in self._unfit
+            if candidate.name not in self._excluded_until
         ]
 
-    def _end_unfit(self, now: float) -> None:
-        expired = [name for name, until in self._unfit.items() if now >= until]
+    def _end_exclusions(self, now: float) -> None:
+        expired = [
+            name for name, until in self._excluded_until.items() if now >= until
+        ]
         for name in expired:
-            self._unfit.pop(name)
+            self._excluded_until.pop(name)
 
     async def _sleep(self, wait_s: float) -> None:
         await anyio.sleep(wait_s * self.state.rng.uniform(*JITTER))
@@ -221,5 +226,5 @@
         if not self.state.restores.is_settled(anyio.current_time()):
             await self.consult()
         while True:
-            await self._sleep(PEERS_S)
+            await self._sleep(PEERS_INTERVAL_S)
             await self.reading.meet_peers()
--- a/trestledock/entry/_gossip.py
+++ b/trestledock/entry/_gossip.py
@@ -25,22 +25,22 @@
 from trestledock.relay import BEAT_S, Candidate, Flight
 
 #: How long changes are collected before they are sent, in seconds.
-GATHER_S = 0.004
+BATCH_S = 0.004
 #: Minimum period of the full state, in seconds: within the near group, and to
 #: other data centres.
-WHOLE_S = 0.5
-FAR_S = 3.0
+FULL_STATE_INTERVAL_S = 0.5
+REMOTE_INTERVAL_S = 3.0
 #: Maximum number of full-state messages that an entry receives in a second,
 #: from the near group and from other data centres: the period grows with the
 #: number of entries.
-MOST_WHOLE = 20
-MOST_FAR = 13
+MAX_FULL_STATES_PER_S = 20
+MAX_REMOTE_STATES_PER_S = 13
 #: Polling interval for datagrams, in seconds: where heartbeats count or an
 #: answer is awaited, and otherwise. Choosing a target polls as well.
-LOOK_S = 0.02
-LOOK_MANY_S = 0.1
+POLL_INTERVAL_S = 0.02
+SLOW_POLL_INTERVAL_S = 0.1
 #: For how long after a question more are expected, in seconds.
-ATTENTIVE_S = 1.0
+FAST_POLL_S = 1.0
 #: Maximum number of in-flight requests, or of other rows, in one datagram.
 MAX_FLIGHTS = 100
 MAX_ROWS = 100
@@ -63,23 +63,23 @@
         self.neighbours = Neighbours(own, state.settings.data_centre)
         self.peers = Peers(state.settings.data_centre)
         self.handlers: dict[type[Word], Handler] = {
-            Flights: self._take_flights,
-            Beat: self._take_beat,
-            Fresh: self._take_fresh,
+            Flights: self._handle_flights,
+            Beat: self._handle_beat,
+            Fresh: self._handle_fresh,
         }
         self.on_met: list[Callable[[Address], None]] = []
         self.on_told: list[Callable[[Sequence[Address]], None]] = []
         self.sequence = 0
         self._datagrams: Datagrams | None = None
-        self._attentive_until = float('-inf')
-        self._is_end_told = False
-        self._told_far: dict[str, set[str]] = {}
+        self._fast_poll_until = float('-inf')
+        self._is_drain_announced = False
+        self._remote_by_flight: dict[str, set[str]] = {}
 
     def meet(self, addresses: Mapping[str, str]) -> None:
         """Add the addresses of other entries by name, and contact new ones."""
         found = map(split_address, addresses.values())
         new = self.neighbours.meet(found, anyio.current_time())
-        self._tell_whole(new, self._get_far_s())
+        self._send_full_state(new, self._get_remote_interval_s())
 
     def get_candidates(self, now: float) -> list[Candidate]:
         """Return the entries that may read the store, including this one."""
@@ -93,10 +93,10 @@
         self.state.tell_own = self.tell_own
         try:
             async with anyio.create_task_group() as group:
-                group.start_soon(self._listen)
-                group.start_soon(self._tell_changes)
-                group.start_soon(self._tell_all)
-                group.start_soon(self._beat)
+                group.start_soon(self._poll)
+                group.start_soon(self._send_changes)
+                group.start_soon(self._send_periodically)
+                group.start_soon(self._exchange_heartbeats)
         finally:
             self._datagrams.close()
             self._datagrams = None
@@ -134,7 +134,7 @@
     async def wait_for(self, event: anyio.Event) -> None:
         """Wait for an event that a message sets."""
         while not event.is_set():
-            with anyio.move_on_after(LOOK_S):
+            with anyio.move_on_after(POLL_INTERVAL_S):
                 await event.wait()
             self.catch_up()
 
@@ -162,41 +162,43 @@
         """Send the own in-flight requests that changed since the last time."""
         changes = list(self.state.board.take_changes().items())
         if changes:
-            again_s = self._get_whole_s()
-            self._tell(changes, self._get_near(), whole=False, again_s=again_s)
-            self._tell_changes_far(changes)
+            again_s = self._get_full_state_interval_s()
+            self._send_flights(
+                changes, self._get_near(), whole=False, again_s=again_s
+            )
+            self._send_remote_changes(changes)
 
     def be_attentive(self) -> None:
         """Poll more often for a while, as other entries wait for answers."""
-        self._attentive_until = anyio.current_time() + ATTENTIVE_S
+        self._fast_poll_until = anyio.current_time() + FAST_POLL_S
 
-    def _take_flights(self, word: Flights, sender: Address) -> bool:
+    def _handle_flights(self, word: Flights, sender: Address) -> bool:
         now = anyio.current_time()
         self.neighbours.note(sender, word.data_centre, now)
         is_new = self.peers.hear(word, sender, now)
         self.state.many_entries = self.peers.are_many
-        self._note_heard(word, now)
+        self._record_sender(word, now)
         if is_new:
-            self._welcome(word.sender, sender)
+            self._add_peer(word.sender, sender)
         return self.state.board.hear(
             word.sender, word.sequence, word.changes, whole=word.whole
         )
 
-    def _take_beat(self, word: Beat, _: Address) -> bool:
-        self._note_heard(word, anyio.current_time())
+    def _handle_beat(self, word: Beat, _: Address) -> bool:
+        self._record_sender(word, anyio.current_time())
         return False
 
-    def _take_fresh(self, word: Fresh, _: Address) -> bool:
+    def _handle_fresh(self, word: Fresh, _: Address) -> bool:
         now = anyio.current_time()
         self.peers.note_fresh(word.sender, word.news_age_s, now)
         return False
 
-    def _note_heard(self, word: Flights | Beat, now: float) -> None:
+    def _record_sender(self, word: Flights | Beat, now: float) -> None:
         self.state.note_heard(
             word.data_centre, word.sender, now, leaving=word.leaving
         )
 
-    def _welcome(self, name: str, address: Address) -> None:
+    def _add_peer(self, name: str, address: Address) -> None:
         """Register a new peer, replacing an earlier process at its address.
 
         It gets the full state at once: otherwise it would know nothing of this
@@ -206,27 +208,33 @@
         for before in self.peers.get_others_at(name):
             self._drop(before)
         is_near = self.peers.is_near(name)
-        again_s = self._get_whole_s() if is_near else self._get_far_s()
-        self._tell_whole([address], again_s)
+        again_s = (
+            self._get_full_state_interval_s()
+            if is_near
+            else self._get_remote_interval_s()
+        )
+        self._send_full_state([address], again_s)
         for tell in self.on_met:
             tell(address)
 
-    def _tell_whole(self, where: Sequence[Address], again_s: float) -> None:
+    def _send_full_state(
+        self, where: Sequence[Address], again_s: float
+    ) -> None:
         own = list(self.state.board.own.items())[:MAX_FLIGHTS]
-        self._tell(own, where, whole=True, again_s=again_s)
+        self._send_flights(own, where, whole=True, again_s=again_s)
 
-    async def _listen(self) -> None:
+    async def _poll(self) -> None:
         while True:
             self.catch_up()
-            await anyio.sleep(self._get_look_s())
+            await anyio.sleep(self._get_poll_interval_s())
 
-    def _get_look_s(self) -> float:
-        hurried = anyio.current_time() < self._attentive_until
+    def _get_poll_interval_s(self) -> float:
+        hurried = anyio.current_time() < self._fast_poll_until
         if hurried or not self.state.many_entries:
-            return LOOK_S
-        return LOOK_MANY_S
+            return POLL_INTERVAL_S
+        return SLOW_POLL_INTERVAL_S
 
-    async def _beat(self) -> None:
+    async def _exchange_heartbeats(self) -> None:
         """Send heartbeats to other data centres, and check for theirs.
 
         With many entries messages between data centres are too rare to detect
@@ -242,14 +250,14 @@
             self.catch_up()
             self.state.check_reach(anyio.current_time())
 
-    async def _tell_changes(self) -> None:
+    async def _send_changes(self) -> None:
         while True:
             await self.state.wait_for_own_change()
-            await anyio.sleep(GATHER_S)
+            await anyio.sleep(BATCH_S)
             self.tell_own()
-            self._tell_end()
+            self._announce_drain()
 
-    def _tell_changes_far(self, changes: Sequence[Change]) -> None:
+    def _send_remote_changes(self, changes: Sequence[Change]) -> None:
         """Send changes to the data centres of the targets that they concern.
 
         With many entries that is rare: only long prompts go to other data
@@ -258,58 +266,74 @@
         """
         far = self.neighbours.get_far(many=self.state.many_entries)
         for flight_id, flight in changes:
-            before = self._told_far.pop(flight_id, set())
-            places = self._get_places(flight) if flight else set()
+            before = self._remote_by_flight.pop(flight_id, set())
+            places = self._get_data_centres(flight) if flight else set()
             there = places & far.keys()
             if there:
-                self._told_far[flight_id] = there
+                self._remote_by_flight[flight_id] = there
             for place in before | there:
-                self._tell(
+                self._send_flights(
                     [(flight_id, flight)],
                     far[place],
                     whole=False,
-                    again_s=self._get_far_s(),
+                    again_s=self._get_remote_interval_s(),
                 )
 
-    def _tell_end(self) -> None:
+    def _announce_drain(self) -> None:
         """Announce at once that this entry is draining."""
-        if self.state.leaving and not self._is_end_told:
-            self._is_end_told = True
-            self._tell_whole(self.neighbours.get_all(), self._get_far_s())
+        if self.state.leaving and not self._is_drain_announced:
+            self._is_drain_announced = True
+            self._send_full_state(
+                self.neighbours.get_all(), self._get_remote_interval_s()
+            )
 
-    async def _tell_all(self) -> None:
+    async def _send_periodically(self) -> None:
         far_at = float('-inf')
         while True:
             now = anyio.current_time()
-            self._tell_whole(self._get_near(), self._get_whole_s())
-            self._note_told(self._get_near())
+            self._send_full_state(
+                self._get_near(), self._get_full_state_interval_s()
+            )
+            self._notify_full_state_sent(self._get_near())
             if now >= far_at:
-                self._tell_far()
-                far_at = now + self._get_far_s()
-            await anyio.sleep(self._get_whole_s())
+                self._send_remote_states()
+                far_at = now + self._get_remote_interval_s()
+            await anyio.sleep(self._get_full_state_interval_s())
             self.catch_up()
             self._drop_silent(anyio.current_time())
 
-    def _tell_far(self) -> None:
+    def _send_remote_states(self) -> None:
         """Send other data centres the in-flight requests at their targets."""
         own = list(self.state.board.own.items())[:MAX_FLIGHTS]
         far = self.neighbours.get_far(many=self.state.many_entries)
         for place, where in far.items():
             flights = [
-                change for change in own if place in self._get_places(change[1])
+                change
+                for change in own
+                if place in self._get_data_centres(change[1])
             ]
-            self._tell(flights, where, whole=True, again_s=self._get_far_s())
-            self._note_told(where)
-
-    def _note_told(self, where: Sequence[Address]) -> None:
+            self._send_flights(
+                flights,
+                where,
+                whole=True,
+                again_s=self._get_remote_interval_s(),
+            )
+            self._notify_full_state_sent(where)
+
+    def _notify_full_state_sent(self, where: Sequence[Address]) -> None:
         for tell in self.on_told:
             tell(where)
 
-    def _get_whole_s(self) -> float:
-        return max(WHOLE_S, len(self._get_near()) / MOST_WHOLE)
+    def _get_full_state_interval_s(self) -> float:
+        return max(
+            FULL_STATE_INTERVAL_S, len(self._get_near()) / MAX_FULL_STATES_PER_S
+        )
 
-    def _get_far_s(self) -> float:
-        return max(FAR_S, len(self.neighbours.places) / MOST_FAR)
+    def _get_remote_interval_s(self) -> float:
+        return max(
+            REMOTE_INTERVAL_S,
+            len(self.neighbours.places) / MAX_REMOTE_STATES_PER_S,
+        )
 
     def _drop_silent(self, now: float) -> None:
         for name in self.peers.get_silent(now):
@@ -325,7 +349,7 @@
     def _get_near(self) -> list[Address]:
         return self.neighbours.get_near(many=self.state.many_entries)
 
-    def _get_places(self, flight: Flight) -> set[str]:
+    def _get_data_centres(self, flight: Flight) -> set[str]:
         """Return the data centres of the targets that a request occupies."""
         listed = self.state.fleet.targets
         return {
@@ -334,7 +358,7 @@
             if name in listed
         }
 
-    def _tell(
+    def _send_flights(
         self,
         changes: Iterable[Change],
         where: Sequence[Address],
--- a/trestledock/entry/_isolation.py
+++ b/trestledock/entry/_isolation.py
@@ -41,13 +41,13 @@
 class Inquiry(Enum):
     """How to find out whether a target crashed during a request.
 
-    `look` connects to it again, `listing` waits until another incarnation of it
+    `reconnect` connects to it again, `listing` waits until another incarnation of it
     is listed.
     """
 
     none = 'none'
     listing = 'listing'
-    look = 'look'
+    reconnect = 'reconnect'
 
 
 #: Inquiry by failure evidence. A crashing process closes its connections, and
@@ -57,7 +57,7 @@
 INQUIRIES: Mapping[Sign, Inquiry] = MappingProxyType(
     {
         Sign.none: Inquiry.none,
-        Sign.closed: Inquiry.look,
+        Sign.closed: Inquiry.reconnect,
         Sign.silent: Inquiry.none,
         Sign.refused: Inquiry.none,
         Sign.unreachable: Inquiry.none,
@@ -67,10 +67,10 @@
 #: Evidence at a new connection that the process is gone. Anything else waits
 #: for a listing: a process that listens may be the next incarnation, and an
 #: unreachable address may be that of a live one.
-ENDED = Sign.refused
+GONE = Sign.refused
 #: Maximum age of a crash reported by another entry, in seconds, at which this
 #: entry stops using the target: the next incarnation has another name.
-FRESH_S = 1.0
+RECENT_S = 1.0
 #: Minimum number of crashes of a request for which crash messages are repeated
 #: and its answer is announced: one crash says little, and each message goes to
 #: every entry.
@@ -79,23 +79,23 @@
 #: Source in log events for what the platform's store said.
 STORE = 'store'
 
-Look = Callable[[Listed], Awaitable[Sign]]
+Reconnect = Callable[[Listed], Awaitable[Sign]]
 Claim = Callable[[Quarantined], Awaitable[bool]]
-TellEnds = Callable[[Sequence[End]], None]
-TellCleared = Callable[[str, Sequence[str]], None]
+SendCrashes = Callable[[Sequence[End]], None]
+SendCleared = Callable[[str, Sequence[str]], None]
 
 
-async def _see_nothing(_: Listed) -> Sign:
+async def _find_unreachable(_: Listed) -> Sign:
     """Default for `look`, without connections."""
     return Sign.unreachable
 
 
-async def _grant_nothing(_: Quarantined) -> bool:
+async def _refuse_claim(_: Quarantined) -> bool:
     """Default for `claim`, without a store."""
     return False
 
 
-def _tell_nobody(*_: Any) -> None:
+def _send_nothing(*_: Any) -> None:
     """Default for sending, without other entries."""
 
 
@@ -108,10 +108,10 @@
     once.
     """
 
-    look: Look = _see_nothing
-    claim: Claim = _grant_nothing
-    tell_ends: TellEnds = _tell_nobody
-    tell_cleared: TellCleared = _tell_nobody
+    look: Reconnect = _find_unreachable
+    claim: Claim = _refuse_claim
+    tell_ends: SendCrashes = _send_nothing
+    tell_cleared: SendCleared = _send_nothing
 
 
 class Isolation:
@@ -130,10 +130,10 @@
         self.to_keep: set[str] = set()
         self.wants_keeping = anyio.Event()
         self.revision = 0
-        self._open = OpenEnds()
+        self._suspected = OpenEnds()
         self._witnessed: set[str] = set()
         self._claiming: set[str] = set()
-        self._tried: set[str] = set()
+        self._probed: set[str] = set()
 
     def is_quarantined(self, fingerprint: str) -> bool:
         """Whether a request must not go to any target."""
@@ -168,7 +168,7 @@
         if not granted or not self.is_quarantined(fingerprint):
             return False
         self.quarantine.note_trial(fingerprint, now)
-        self._tried.add(fingerprint)
+        self._probed.add(fingerprint)
         self.revision += 1
         emit(events.TrialGranted(fingerprint))
         return True
@@ -188,33 +188,35 @@
         if inquiry is Inquiry.none:
             return
         for target in targets:
-            looks = inquiry is Inquiry.look
-            if looks and await self.ways.look(target) is ENDED:
+            looks = inquiry is Inquiry.reconnect
+            if looks and await self.ways.look(target) is GONE:
                 end = End(fingerprint, target.incarnation)
-                self._note_own([end], ENDED)
+                self._record_own([end], GONE)
                 return
-            self._open.keep(fingerprint, target, anyio.current_time())
+            self._suspected.keep(fingerprint, target, anyio.current_time())
 
     def note_replaced(self, incarnation: str) -> None:
         """Record another incarnation of a target: the given one crashed."""
         now = anyio.current_time()
-        self._note_own(self._open.take(incarnation, now), Sign.none)
+        self._record_own(self._suspected.take(incarnation, now), Sign.none)
 
     def note_listed(self, listed: Listed) -> None:
         """Record a listed target: its predecessor at the address crashed."""
         now = anyio.current_time()
-        self._note_own(self._open.take_replaced_by(listed, now), Sign.none)
+        self._record_own(
+            self._suspected.take_replaced_by(listed, now), Sign.none
+        )
 
     def note_answered(self, fingerprint: str) -> None:
         """Record that a target has answered a request without a crash."""
         was_quarantined = self.is_quarantined(fingerprint)
         now = anyio.current_time()
         ends = self.quarantine.note_answered(fingerprint, now)
-        self._note_cleared(fingerprint, len(ends), SELF)
+        self._log_cleared(fingerprint, len(ends), SELF)
         if len(ends) >= LEAST_TOLD:
             self.ways.tell_cleared(fingerprint, ends)
         if was_quarantined:
-            self._keep(fingerprint)
+            self._mark_unsaved(fingerprint)
 
     def take_ends(
         self,
@@ -225,7 +227,7 @@
         now = anyio.current_time()
         for end, age_s in ends:
             self._add(end, now - age_s, source)
-            if age_s < FRESH_S:
+            if age_s < RECENT_S:
                 self._avoid(end.incarnation, now)
 
     def take_cleared(
@@ -236,7 +238,7 @@
     ) -> None:
         """Remove crashes of a request that was answered at another entry."""
         count = self.quarantine.clear_ends(fingerprint, ends)
-        self._note_cleared(fingerprint, count, source)
+        self._log_cleared(fingerprint, count, source)
 
     def take_records(
         self,
@@ -250,7 +252,9 @@
             self.take_cleared(fingerprint, record.cleared, source)
             was_quarantined = self.is_quarantined(fingerprint)
             self.quarantine.take(record, now)
-            self._look_at(fingerprint, source, was_quarantined=was_quarantined)
+            self._check_quarantined(
+                fingerprint, source, was_quarantined=was_quarantined
+            )
 
     def get_known(self) -> Iterator[tuple[End, float]]:
         """Yield the crashes that a new entry is sent, with their ages."""
@@ -271,8 +275,8 @@
 
         Other entries may not know of them yet, and would probe once more.
         """
-        for fingerprint in filter(self.is_quarantined, self._tried):
-            self._keep(fingerprint)
+        for fingerprint in filter(self.is_quarantined, self._probed):
+            self._mark_unsaved(fingerprint)
 
     def take_to_keep(self) -> list[Quarantined]:
         """Return and clear the records that are to be saved."""
@@ -288,9 +292,9 @@
     def keep_again(self, records: Iterable[Quarantined]) -> None:
         """Mark records for saving again after a failure."""
         for record in records:
-            self._keep(record.fingerprint)
+            self._mark_unsaved(record.fingerprint)
 
-    def _note_own(self, crashes: list[End], sign: Sign) -> None:
+    def _record_own(self, crashes: list[End], sign: Sign) -> None:
         now = anyio.current_time()
         for crash in crashes:
             self._avoid(crash.incarnation, now)
@@ -317,12 +321,12 @@
         was_quarantined = self.is_quarantined(end.fingerprint)
         is_new = self.quarantine.note_end(end, ended_at)
         if is_new:
-            self._look_at(
+            self._check_quarantined(
                 end.fingerprint, source, was_quarantined=was_quarantined
             )
         return is_new
 
-    def _look_at(
+    def _check_quarantined(
         self, fingerprint: str, source: str, *, was_quarantined: bool
     ) -> None:
         """Log and save a request that has become quarantined.
@@ -336,18 +340,18 @@
             self.revision += 1
             emit(events.RequestQuarantined(fingerprint, count, source))
             if source != STORE and fingerprint in self._witnessed:
-                self._keep(fingerprint)
+                self._mark_unsaved(fingerprint)
         for forgotten in self.quarantine.trim():
             self._witnessed.discard(forgotten)
             emit(events.SuspectForgotten(forgotten))
 
-    def _note_cleared(self, fingerprint: str, count: int, source: str) -> None:
+    def _log_cleared(self, fingerprint: str, count: int, source: str) -> None:
         if not count:
             return
         self.revision += 1
         self._witnessed.discard(fingerprint)
         emit(events.RequestCleared(fingerprint, count, source))
 
-    def _keep(self, fingerprint: str) -> None:
+    def _mark_unsaved(self, fingerprint: str) -> None:
         self.to_keep.add(fingerprint)
         self.wants_keeping.set()
--- a/trestledock/entry/_keeping.py
+++ b/trestledock/entry/_keeping.py
@@ -24,18 +24,18 @@
 
 #: Duration of one long poll, in seconds: an open connection may go silent for
 #: good, and its timeout ends two seconds later.
-WAIT_S = 5.0
+POLL_TIMEOUT_S = 5.0
 #: Time allowed for a call in addition to its wait, in seconds.
 TIMEOUT_S = 1.0
 #: Delay after a failed call, in seconds: the initial one, which doubles with
 #: each failure, and the maximum. Each call is charged, including refused ones.
-RETRY_S = 1.0
-RETRY_MOST_S = 8.0
+MIN_RETRY_S = 1.0
+MAX_RETRY_S = 8.0
 #: Minimum interval between claims of the right to probe, in seconds: a
 #: quarantined request may arrive many times a second, and each call is charged.
-CLAIM_S = 2.0
+MIN_CLAIM_INTERVAL_S = 2.0
 #: Interval of checking whether this entry has become the reader, in seconds.
-LOOK_S = 0.5
+CHECK_INTERVAL_S = 0.5
 
 
 class Keeping:
@@ -52,8 +52,8 @@
         self.isolation = state.isolation
         self.store = store
         self.is_reader = is_reader
-        self._vain = 0
-        self._claim_at = float('-inf')
+        self._failures = 0
+        self._next_claim_at = float('-inf')
         self.isolation.ways.claim = self.claim
 
     async def run(self) -> None:
@@ -65,9 +65,9 @@
     async def claim(self, record: Quarantined) -> bool:
         """Claim the right to probe a request; refused without the store."""
         now = anyio.current_time()
-        if now < self._claim_at:
+        if now < self._next_claim_at:
             return False
-        self._claim_at = now + CLAIM_S
+        self._next_claim_at = now + MIN_CLAIM_INTERVAL_S
         try:
             with anyio.fail_after(TIMEOUT_S):
                 return await self._claim(record)
@@ -99,16 +99,16 @@
             if self.is_reader():
                 await self._read()
             else:
-                await anyio.sleep(LOOK_S)
+                await anyio.sleep(CHECK_INTERVAL_S)
 
     async def _read(self) -> None:
         try:
-            with anyio.fail_after(WAIT_S + TIMEOUT_S):
-                records = await self.store.read_records(WAIT_S)
+            with anyio.fail_after(POLL_TIMEOUT_S + TIMEOUT_S):
+                records = await self.store.read_records(POLL_TIMEOUT_S)
         except EXPECTED as exc:
             await self._pause('read_records', exc)
             return
-        self._vain = 0
+        self._failures = 0
         self.isolation.take_records(records, STORE)
 
     async def _write(self) -> None:
@@ -123,8 +123,8 @@
                 await self._pause('write_records', exc)
 
     async def _pause(self, step: str, exc: Exception) -> None:
-        if not self._vain:
+        if not self._failures:
             emit(events.StoreLost(step, repr(exc)))
-        wait_s = min(RETRY_MOST_S, RETRY_S * 2**self._vain)
-        self._vain = min(self._vain + 1, 10)
+        wait_s = min(MAX_RETRY_S, MIN_RETRY_S * 2**self._failures)
+        self._failures = min(self._failures + 1, 10)
         await anyio.sleep(wait_s)
--- a/trestledock/entry/_listing.py
+++ b/trestledock/entry/_listing.py
@@ -22,10 +22,10 @@
 from trestledock.relay import BEFORE_ALL, Listed, Order
 
 #: Interval of the check for expired retained targets, in seconds.
-LOOK_S = 0.2
+EXPIRY_INTERVAL_S = 0.2
 #: A check that is later than this, in seconds, means that the process was
 #: stopped: the store may have failed and recovered unnoticed in that time.
-STOOD_STILL_S = 1.0
+MAX_LATENESS_S = 1.0
 #: Source in the log event for a retained target whose retention expired.
 LAPSED = 'lapsed'
 MS = 1000
@@ -51,12 +51,12 @@
             records[record.target_id].append(record.listed)
         for target_id, target_records in records.items():
             before = self.fleet.get_by_id(target_id)
-            self._take_records(target_id, target_records, news, now)
+            self._apply_records(target_id, target_records, news, now)
             if before and self.fleet.is_superseded(before):
                 self.state.isolation.note_replaced(before.incarnation)
-                self._forget([before.incarnation], news.source)
+                self._discard([before.incarnation], news.source)
         if not self.fleet.watch.is_settled(now):
-            self._hold(news, now)
+            self._retain(news, now)
 
     def take_past(self, news: News) -> None:
         """Apply another entry's knowledge of removed and draining targets."""
@@ -64,24 +64,24 @@
         for incarnation in news.leaving:
             self.fleet.note_leaving(incarnation, now)
         dropped = self.fleet.take_gone(news.gone)
-        self._forget(dropped, news.source)
+        self._discard(dropped, news.source)
 
     async def run(self) -> None:
         """Remove retained targets as their time runs out, until cancelled."""
         looked_at = anyio.current_time()
         pauses = PauseWatch()
         while True:
-            await anyio.sleep(LOOK_S)
+            await anyio.sleep(EXPIRY_INTERVAL_S)
             now = anyio.current_time()
             pause_s = pauses.look()
             if pause_s:
                 emit(events.Suspended(round(pause_s * MS)))
-            if now - looked_at > LOOK_S + STOOD_STILL_S:
+            if now - looked_at > EXPIRY_INTERVAL_S + MAX_LATENESS_S:
                 self.fleet.watch.note_trouble(now)
             looked_at = now
-            self._forget(self.fleet.expire(now), LAPSED)
+            self._discard(self.fleet.expire(now), LAPSED)
 
-    def _take_records(
+    def _apply_records(
         self,
         target_id: str,
         records: list[Listed | None],
@@ -94,7 +94,7 @@
         record after it may be an old one that was written late.
         """
         past, present = _split_at_removal(records)
-        if len(present) == len(records) or self._is_back(
+        if len(present) == len(records) or self._is_listed_again(
             target_id, past, present
         ):
             for listed in present:
@@ -104,7 +104,7 @@
             self.fleet.note_past(old)
         self._drop(target_id, news, now)
 
-    def _is_back(
+    def _is_listed_again(
         self,
         target_id: str,
         past: list[Listed],
@@ -120,7 +120,7 @@
         newest = _get_newest(present, BEFORE_ALL)
         return newest >= known and newest > _get_newest(past, known)
 
-    def _hold(self, news: News, now: float) -> None:
+    def _retain(self, news: News, now: float) -> None:
         """Retain the targets that the source retains and that are unknown here.
 
         An entry that has followed the store for long enough relies on its own
@@ -128,7 +128,7 @@
         """
         for held in news.held:
             if self.fleet.hold(held.listed, now + held.left_s):
-                self._note_held(held.listed, news, now)
+                self._log_retained(held.listed, news, now)
 
     def _drop_missing(self, news: News, now: float) -> None:
         present = {record.target_id for record in news.targets if record.listed}
@@ -158,13 +158,15 @@
         if known is None:
             return
         was_held = known.incarnation in self.fleet.held
-        until = self._get_grace_end(target_id, news, now)
+        until = self._get_retention_end(target_id, news, now)
         if self.fleet.drop(target_id, until, now):
-            self._forget([known.incarnation], news.source)
+            self._discard([known.incarnation], news.source)
         elif not was_held:
-            self._note_held(known, news, now)
+            self._log_retained(known, news, now)
 
-    def _get_grace_end(self, target_id: str, news: News, now: float) -> float:
+    def _get_retention_end(
+        self, target_id: str, news: News, now: float
+    ) -> float:
         """Return until when a missing target's record may only have lapsed.
 
         The time comes from local evidence alone, unless the source knows when
@@ -180,12 +182,12 @@
         )
         return next(ends, watch.grace_end)
 
-    def _note_held(self, listed: Listed, news: News, now: float) -> None:
+    def _log_retained(self, listed: Listed, news: News, now: float) -> None:
         name = listed.incarnation
         left_s = self.fleet.held[name] - now
         emit(events.TargetHeld(name, news.source, round(left_s * MS)))
 
-    def _forget(self, gone: list[str], source: str) -> None:
+    def _discard(self, gone: list[str], source: str) -> None:
         for incarnation in gone:
             emit(events.TargetGone(incarnation, source))
             self.pool.drop(incarnation)
--- a/trestledock/entry/_logger.py
+++ b/trestledock/entry/_logger.py
@@ -22,10 +22,10 @@
 from trestledock.entry._metrics import METRICS
 
 #: Maximum number of lines of a kind in a second, and the same for failures.
-MOST_LINES = 60
-MOST_FAILURES = 240
+MAX_LINES_PER_S = 60
+MAX_FAILURE_LINES_PER_S = 240
 #: Maximum number of lines that wait for standard output.
-MOST_WAITING = 2_000
+MAX_WAITING = 2_000
 
 #: Kinds with the higher limit, as they tell why a request failed.
 FAILURES = frozenset(
@@ -56,7 +56,7 @@
     """Counts the lines of each kind in the current second.
 
     >>> limit = LineLimit(clock=lambda: 0.0)
-    >>> sum(limit.allows('answered') for _ in range(1000)) == MOST_LINES
+    >>> sum(limit.allows('answered') for _ in range(1000)) == MAX_LINES_PER_S
     True
     """
 
@@ -67,23 +67,24 @@
     def allows(self, kind: str) -> bool:
         """Whether another line of this kind may be written."""
         self.counts[kind] = self.counts.get(kind, 0) + 1
-        return self.counts[kind] <= _get_most(kind)
+        return self.counts[kind] <= _get_max_lines(kind)
 
-    def turn(self) -> dict[str, int]:
+    def start_new_second(self) -> dict[str, int]:
         """Return the dropped lines by kind, once a second has passed."""
         second = int(self.clock())
         if second == self.second:
             return {}
         left_out = {
-            kind: count - _get_most(kind) for kind, count in self.counts.items()
+            kind: count - _get_max_lines(kind)
+            for kind, count in self.counts.items()
         }
         self.second = second
         self.counts = {}
         return {kind: count for kind, count in left_out.items() if count > 0}
 
 
-def _get_most(kind: str) -> int:
-    return MOST_FAILURES if kind in FAILURES else MOST_LINES
+def _get_max_lines(kind: str) -> int:
+    return MAX_FAILURE_LINES_PER_S if kind in FAILURES else MAX_LINES_PER_S
 
 
 class PipeHandler(logging.Handler):
@@ -100,23 +101,23 @@
 
     def emit(self, record: logging.LogRecord) -> None:
         """Write a record, or drop it."""
-        for kind, count in self.limit.turn().items():
-            self._put_left_out(kind, count, 'rate')
+        for kind, count in self.limit.start_new_second().items():
+            self._put_dropped_count(kind, count, 'rate')
         if self.limit.allows(record.getMessage()):
             self._put(record)
         self._flush()
 
     def _put(self, record: logging.LogRecord) -> None:
-        if len(self.waiting) >= MOST_WAITING:
+        if len(self.waiting) >= MAX_WAITING:
             self.dropped += 1
             return
         if self.dropped:
             dropped, self.dropped = self.dropped, 0
-            self._put_left_out('any', dropped, 'pipe')
+            self._put_dropped_count('any', dropped, 'pipe')
         line = self.format(record)
         self.waiting.append(f'{line}\n'.encode())
 
-    def _put_left_out(self, kind: str, count: int, reason: str) -> None:
+    def _put_dropped_count(self, kind: str, count: int, reason: str) -> None:
         event = events.LinesLeftOut(kind, count, reason)
         METRICS.take(event)
         record = logger.makeRecord(
--- a/trestledock/entry/_metrics.py
+++ b/trestledock/entry/_metrics.py
@@ -20,7 +20,7 @@
 
 
 @dataclass(frozen=True)
-class Counting:
+class Counter:
     """Counter of an event: its help text and the fields used as labels."""
 
     text: str
@@ -28,7 +28,7 @@
 
 
 @dataclass(frozen=True)
-class Timing:
+class TimeHistogram:
     """Histogram of an event: its name, help text and field in milliseconds."""
 
     name: str
@@ -36,79 +36,77 @@
     field: str
 
 
-COUNTINGS: Mapping[type[events.Event], Counting] = MappingProxyType(
+COUNTERS: Mapping[type[events.Event], Counter] = MappingProxyType(
     {
-        events.Admitted: Counting('Requests with a route and a team'),
-        events.Refused: Counting('Requests given up', ('reason',)),
-        events.SendingEnded: Counting(
+        events.Admitted: Counter('Requests with a route and a team'),
+        events.Refused: Counter('Requests given up', ('reason',)),
+        events.SendingEnded: Counter(
             'Sendings without an answer', ('ending', 'step', 'sign')
         ),
-        events.Repeated: Counting('Requests that went to another target'),
-        events.Answered: Counting('Answers passed on whole'),
-        events.FailurePassedOn: Counting("Targets' failures passed on"),
-        events.Cut: Counting(
-            'Replies that could not be completed', ('reason',)
-        ),
-        events.CallerLeft: Counting('Callers that left before their answer'),
-        events.MemoryRefused: Counting('Prompts whose memory was not granted'),
-        events.OrderLost: Counting('Orders to engines without an answer'),
-        events.TargetSuspected: Counting('Targets that fell silent'),
-        events.LimitHeard: Counting(
+        events.Repeated: Counter('Requests that went to another target'),
+        events.Answered: Counter('Answers passed on whole'),
+        events.FailurePassedOn: Counter("Targets' failures passed on"),
+        events.Cut: Counter('Replies that could not be completed', ('reason',)),
+        events.CallerLeft: Counter('Callers that left before their answer'),
+        events.MemoryRefused: Counter('Prompts whose memory was not granted'),
+        events.OrderLost: Counter('Orders to engines without an answer'),
+        events.TargetSuspected: Counter('Targets that fell silent'),
+        events.LimitHeard: Counter(
             'Changes of what targets take a second', ('change',)
         ),
-        events.NoticeIgnored: Counting(
+        events.NoticeIgnored: Counter(
             'Notices of targets without sense', ('notice',)
         ),
-        events.LeaveHeard: Counting('Targets that said that they leave'),
-        events.RestEnded: Counting('Rests of targets that are over'),
-        events.RestHeard: Counting('Times that a target asked for rest'),
-        events.SentAgainstNotice: Counting(
+        events.LeaveHeard: Counter('Targets that said that they leave'),
+        events.RestEnded: Counter('Rests of targets that are over'),
+        events.RestHeard: Counter('Times that a target asked for rest'),
+        events.SentAgainstNotice: Counter(
             'Requests sent to a target that leaves or rests', ('notice',)
         ),
-        events.SentUnderLimit: Counting('Requests sent under a rate limit'),
-        events.TargetEnded: Counting(
+        events.SentUnderLimit: Counter('Requests sent under a rate limit'),
+        events.TargetEnded: Counter(
             'Ends of targets while they ran a request', ('sign',)
         ),
-        events.RequestQuarantined: Counting('Requests put in quarantine'),
-        events.RequestCleared: Counting(
+        events.RequestQuarantined: Counter('Requests put in quarantine'),
+        events.RequestCleared: Counter(
             'Requests under which targets had ended, and that were answered'
         ),
-        events.TrialGranted: Counting('Trials of requests in quarantine'),
-        events.SuspectForgotten: Counting('Requests whose ends were forgotten'),
-        events.StoreLost: Counting('Losses of the store', ('step',)),
-        events.StoreRestored: Counting('Restores of the store from a copy'),
-        events.EpochDoubted: Counting('Answers of the store without sense'),
-        events.WrittenAgain: Counting(
+        events.TrialGranted: Counter('Trials of requests in quarantine'),
+        events.SuspectForgotten: Counter('Requests whose ends were forgotten'),
+        events.StoreLost: Counter('Losses of the store', ('step',)),
+        events.StoreRestored: Counter('Restores of the store from a copy'),
+        events.EpochDoubted: Counter('Answers of the store without sense'),
+        events.WrittenAgain: Counter(
             'Writes of what the store had lost', ('what',)
         ),
-        events.Suspended: Counting('Pauses of the machine'),
-        events.TargetHeld: Counting('Missing targets that may have lapsed'),
-        events.ListDisturbed: Counting('Lists of targets after a disturbance'),
-        events.OldRecord: Counting('Records of targets after newer ones'),
-        events.RecordIgnored: Counting('Records of targets without sense'),
-        events.PeerLost: Counting('Losses of other entries'),
-        events.DatagramDropped: Counting('Datagrams that were lost here'),
-        events.Failed: Counting('Unforeseen failures'),
-        events.LinesLeftOut: Counting('Log lines left out', ('reason',)),
+        events.Suspended: Counter('Pauses of the machine'),
+        events.TargetHeld: Counter('Missing targets that may have lapsed'),
+        events.ListDisturbed: Counter('Lists of targets after a disturbance'),
+        events.OldRecord: Counter('Records of targets after newer ones'),
+        events.RecordIgnored: Counter('Records of targets without sense'),
+        events.PeerLost: Counter('Losses of other entries'),
+        events.DatagramDropped: Counter('Datagrams that were lost here'),
+        events.Failed: Counter('Unforeseen failures'),
+        events.LinesLeftOut: Counter('Log lines left out', ('reason',)),
     }
 )
 
-TIMINGS: Mapping[type[events.Event], Timing] = MappingProxyType(
+EVENT_HISTOGRAMS: Mapping[type[events.Event], TimeHistogram] = MappingProxyType(
     {
-        events.Placed: Timing(
+        events.Placed: TimeHistogram(
             'placed_waited', 'From arrival to the choice', 'waited_ms'
         ),
-        events.FirstEvent: Timing(
+        events.FirstEvent: TimeHistogram(
             'first_event_took', 'From sending to first event', 'took_ms'
         ),
-        events.Answered: Timing(
+        events.Answered: TimeHistogram(
             'answered_took', 'From sending to the whole answer', 'took_ms'
         ),
     }
 )
 
 #: Histograms without an event, in seconds.
-DIRECT: Mapping[str, str] = MappingProxyType(
+OTHER_HISTOGRAMS: Mapping[str, str] = MappingProxyType(
     {
         'pause': 'Pauses between the events of streams',
         'store_read': 'Reads of the store',
@@ -116,14 +114,17 @@
 )
 
 #: Help texts of all histograms by name.
-TIMES: Mapping[str, str] = MappingProxyType(
-    {**{timing.name: timing.text for timing in TIMINGS.values()}, **DIRECT}
+HISTOGRAMS: Mapping[str, str] = MappingProxyType(
+    {
+        **{timing.name: timing.text for timing in EVENT_HISTOGRAMS.values()},
+        **OTHER_HISTOGRAMS,
+    }
 )
 
 #: Help texts and labels of the counters of messages between entries.
-WORDS_TEXT = 'Words between entries'
-WORD_BYTES_TEXT = 'Bytes of words between entries'
-WORDS_LABELS = ('way', 'kind')
+MESSAGES_TEXT = 'Words between entries'
+MESSAGE_BYTES_TEXT = 'Bytes of words between entries'
+MESSAGES_LABELS = ('way', 'kind')
 
 #: Help texts of the gauges, whose values are set on each request.
 GAUGES: Mapping[str, str] = MappingProxyType(
@@ -151,21 +152,21 @@
 Counts = dict[tuple[str, ...], int]
 
 
-def _make_first(counting: Counting) -> Counts:
+def _make_initial_counts(counting: Counter) -> Counts:
     """Return the counts before the first event."""
     return {} if counting.labels else {(): 0}
 
 
-def _make_counts() -> list[int]:
+def _make_buckets() -> list[int]:
     """Return a count for each bound, and one for larger values."""
     return [0 for _ in (*BOUNDS_S, None)]
 
 
 @dataclass
-class Times:
+class HistogramCounts:
     """Histogram of times: counts by bucket, and the sum."""
 
-    counts: list[int] = field(default_factory=_make_counts)
+    counts: list[int] = field(default_factory=_make_buckets)
     total_s: float = 0
 
     def add(self, seconds: float) -> None:
@@ -180,35 +181,38 @@
     def __init__(self) -> None:
         """Start with empty counts."""
         self.counts: dict[type[events.Event], Counts] = {
-            kind: _make_first(counting) for kind, counting in COUNTINGS.items()
+            kind: _make_initial_counts(counting)
+            for kind, counting in COUNTERS.items()
+        }
+        self.messages: Counts = {}
+        self.message_bytes: Counts = {}
+        self.histograms: dict[str, HistogramCounts] = {
+            name: HistogramCounts() for name in HISTOGRAMS
         }
-        self.words: Counts = {}
-        self.word_bytes: Counts = {}
-        self.times: dict[str, Times] = {name: Times() for name in TIMES}
 
     def take(self, event: events.Event) -> None:
         """Count and observe an event, if it is in the tables."""
         kind = type(event)
-        counting = COUNTINGS.get(kind)
+        counting = COUNTERS.get(kind)
         if counting:
             labels = tuple([getattr(event, name) for name in counting.labels])
             counts = self.counts[kind]
             counts[labels] = counts.get(labels, 0) + 1
-        timing = TIMINGS.get(kind)
+        timing = EVENT_HISTOGRAMS.get(kind)
         if timing:
             taken_ms = getattr(event, timing.field)
-            self.times[timing.name].add(taken_ms / MS)
+            self.histograms[timing.name].add(taken_ms / MS)
 
     def observe(self, name: str, seconds: float) -> None:
         """Observe a time in a histogram without an event."""
-        self.times[name].add(seconds)
+        self.histograms[name].add(seconds)
 
     def count_words(self, way: str, kind: str, size: int, count: int) -> None:
         """Count messages between entries, of `size` bytes each."""
         labels = (way, kind)
-        self.words[labels] = self.words.get(labels, 0) + count
-        known = self.word_bytes.get(labels, 0)
-        self.word_bytes[labels] = known + size * count
+        self.messages[labels] = self.messages.get(labels, 0) + count
+        known = self.message_bytes.get(labels, 0)
+        self.message_bytes[labels] = known + size * count
 
     def render(self, gauges: Mapping[str, float]) -> bytes:
         """Return all metrics as text, with the current gauges."""
--- a/trestledock/entry/_neighbours.py
+++ b/trestledock/entry/_neighbours.py
@@ -19,7 +19,7 @@
 UNKNOWN = ''
 #: How long a silent entry still counts, in seconds: it may be cut off or
 #: restarting.
-FORGET_S = 600
+FORGET_AFTER_S = 600
 
 
 class Neighbours:
@@ -58,7 +58,8 @@
     def count(self, now: float) -> int:
         """Return the number of other entries, including silent ones."""
         return sum(
-            now - seen_at <= FORGET_S for seen_at in self._seen_at.values()
+            now - seen_at <= FORGET_AFTER_S
+            for seen_at in self._seen_at.values()
         )
 
     def get_all(self) -> list[Address]:
--- a/trestledock/entry/_news.py
+++ b/trestledock/entry/_news.py
@@ -53,13 +53,13 @@
     }
 )
 #: Timeout for the answer to a question, in seconds.
-ANSWER_S = 0.1
+ANSWER_TIMEOUT_S = 0.1
 NEWS_PATH = '/news'
 VERSION_FIELD = 'version'
 #: Query parameter that also requests the removed targets.
-PAST_FIELD = 'past'
+REMOVED_FIELD = 'past'
 #: Source and revision of the own list while it was copied from no entry.
-NOBODY = ('', -1)
+NO_SOURCE = ('', -1)
 
 
 class NewsExchange:
@@ -70,10 +70,10 @@
         self.state = state
         self.gossip = gossip
         self._reply: Reply | None = None
-        self._taken = NOBODY
+        self._list_source = NO_SOURCE
         self._answered = anyio.Event()
-        gossip.handlers[Question] = self._answer
-        gossip.handlers[Reply] = self._take_reply
+        gossip.handlers[Question] = self._handle_question
+        gossip.handlers[Reply] = self._handle_reply
 
     async def ask(self, reader: str) -> None:
         """Ask an entry how current its copy is, and wait for its answer."""
@@ -83,7 +83,7 @@
         self._answered = anyio.Event()
         question = Question(self.state.member, anyio.current_time())
         self.gossip.send(question, [peer.address])
-        with anyio.move_on_after(ANSWER_S):
+        with anyio.move_on_after(ANSWER_TIMEOUT_S):
             await self.gossip.wait_for(self._answered)
 
     def take_proof(self, reader: str) -> bool:
@@ -105,7 +105,7 @@
         listed_at = reply.asked_at - reply.list_age_s
         if listed_at <= self.state.fleet.watch.read_at:
             return is_behind
-        if self._taken != (reader, reply.revision):
+        if self._list_source != (reader, reply.revision):
             return True
         latest_at = now - reply.list_age_s
         self.state.note_list(listed_at, now, reader, latest_at)
@@ -116,11 +116,11 @@
         reader: str,
         limit_s: float,
         *,
-        with_past: bool = False,
+        with_removed: bool = False,
     ) -> News | None:
         """Fetch the reader's state; return None on failure or timeout.
 
-        `with_past` also requests the removed targets.
+        `with_removed` also requests the removed targets.
         """
         peer = self.gossip.peers.known.get(reader)
         if peer is None:
@@ -129,24 +129,24 @@
         try:
             with anyio.fail_after(limit_s):
                 plain = await self._get(
-                    peer.address, {PAST_FIELD: 1} if with_past else {}
+                    peer.address, {REMOVED_FIELD: 1} if with_removed else {}
                 )
             now = anyio.current_time()
-            return _read_news(plain, asked_at, now, reader)
+            return _decode_update(plain, asked_at, now, reader)
         except BAD_ANSWER as exc:
             emit(events.NewsLost(reader, repr(exc)))
             return None
 
     def note_taken(self, news: News) -> None:
         """Record which entry's list, at which revision, the own one copies."""
-        self._taken = (news.source, news.revision)
+        self._list_source = (news.source, news.revision)
 
     def forget_taken(self) -> None:
         """Record that the own list no longer copies that of another entry."""
-        self._taken = NOBODY
+        self._list_source = NO_SOURCE
 
     def make_news(
-        self, version: int = NO_VERSION, *, with_past: bool = False
+        self, version: int = NO_VERSION, *, with_removed: bool = False
     ) -> bytes:
         """Encode this entry's state for an entry that has some version.
 
@@ -161,7 +161,7 @@
             for listed, until in fleet.get_held()
         ]
         quarantine = [
-            _write_quarantined(record)
+            _encode_quarantined(record)
             for record in self.state.isolation.quarantine.get_records(now)
         ]
         plain = {
@@ -174,7 +174,7 @@
             'quarantine': quarantine,
             'epoch': self.state.restores.epoch,
         }
-        if with_past:
+        if with_removed:
             plain['gone'] = [
                 (target.target_id, *target.order) for target in fleet.get_gone()
             ]
@@ -184,7 +184,7 @@
     def _get_document(self, version: int) -> str:
         return '' if version == self.state.version else self.state.document
 
-    def _answer(self, question: Question, sender: Address) -> bool:
+    def _handle_question(self, question: Question, sender: Address) -> bool:
         self.gossip.be_attentive()
         now = anyio.current_time()
         reply = Reply(
@@ -200,7 +200,7 @@
         self.gossip.send(reply, [sender])
         return False
 
-    def _take_reply(self, reply: Reply, _: Address) -> bool:
+    def _handle_reply(self, reply: Reply, _: Address) -> bool:
         self._reply = reply
         self._answered.set()
         return False
@@ -227,20 +227,20 @@
     return Listed(**found)
 
 
-def _read_held(plain: Mapping[str, Any]) -> HeldTarget:
+def _decode_retained(plain: Mapping[str, Any]) -> HeldTarget:
     return HeldTarget(
         read_target(plain['listed']), read_amount(plain['left_s'])
     )
 
 
-def _read_gone(plain: Any) -> GoneTarget:
+def _decode_removed(plain: Any) -> GoneTarget:
     target_id, born, sequence = read_list(plain)
     return GoneTarget(
         read_text(target_id), (read_whole(born), read_whole(sequence))
     )
 
 
-def _write_quarantined(one: Quarantined) -> dict[str, Any]:
+def _encode_quarantined(one: Quarantined) -> dict[str, Any]:
     return {
         'fingerprint': one.fingerprint,
         'ends': one.incarnations,
@@ -250,7 +250,7 @@
     }
 
 
-def _read_quarantined(plain: Mapping[str, Any]) -> Quarantined:
+def _decode_quarantined(plain: Mapping[str, Any]) -> Quarantined:
     return Quarantined(
         read_text(plain['fingerprint']),
         tuple(map(read_text, read_list(plain['ends']))),
@@ -260,7 +260,7 @@
     )
 
 
-def _read_news(
+def _decode_update(
     plain: dict[str, Any],
     asked_at: float,
     now: float,
@@ -278,15 +278,15 @@
         targets=tuple(
             [TargetNews(target.target_id, target) for target in listed]
         ),
-        held=tuple(map(_read_held, read_list(plain.get('held', [])))),
+        held=tuple(map(_decode_retained, read_list(plain.get('held', [])))),
         as_of=asked_at - age_s,
         latest_at=now - age_s,
         whole=True,
         settled=read_flag(plain.get('settled', False)),
         source=reader,
         revision=read_whole(plain['revision']),
-        quarantine=tuple(map(_read_quarantined, quarantined)),
+        quarantine=tuple(map(_decode_quarantined, quarantined)),
         epoch=read_optional_count(plain.get('epoch')),
-        gone=tuple(map(_read_gone, read_list(plain.get('gone', [])))),
+        gone=tuple(map(_decode_removed, read_list(plain.get('gone', [])))),
         leaving=tuple(map(read_text, read_list(plain.get('leaving', [])))),
     )
--- a/trestledock/entry/_notice_rows.py
+++ b/trestledock/entry/_notice_rows.py
@@ -27,26 +27,26 @@
 
 
 @dataclass(frozen=True)
-class Form:
+class Encoding:
     """Encoding of a kind of notice: the key of its list, and its decoded type.
 
     `write` and `read` translate the fields before the ages in a row.
     """
 
-    name: str
-    told_as: type
-    write: Callable[[Any, float], Row]
-    read: Callable[..., Row]
+    key: str
+    decoded_type: type
+    encode: Callable[[Any, float], Row]
+    decode: Callable[..., Row]
 
 
 def write_notices(
     notices: Iterable[TargetNotice], now: float
 ) -> dict[str, list[Row]]:
     """Encode notices as rows by kind."""
-    rows: dict[str, list[Row]] = {form.name: [] for form in FORMS.values()}
+    rows: dict[str, list[Row]] = {form.key: [] for form in ENCODINGS.values()}
     for entry in notices:
-        form = FORMS[type(entry.notice)]
-        rows[form.name].append(_write_row(form, entry, now))
+        form = ENCODINGS[type(entry.notice)]
+        rows[form.key].append(_encode_row(form, entry, now))
     return rows
 
 
@@ -55,26 +55,26 @@
 ) -> tuple[TargetNotice, ...]:
     """Decode rows of notices, or raise if they are invalid."""
     return tuple(
-        TargetNotice(read_text(target), _read_notice(form, row, now))
-        for form in FORMS.values()
-        for target, *row in map(read_list, read_list(plain.get(form.name, [])))
+        TargetNotice(read_text(target), _decode_notice(form, row, now))
+        for form in ENCODINGS.values()
+        for target, *row in map(read_list, read_list(plain.get(form.key, [])))
     )
 
 
-def _write_row(form: Form, one: TargetNotice, now: float) -> Row:
+def _encode_row(form: Encoding, one: TargetNotice, now: float) -> Row:
     notice = one.notice
     return (
         one.target,
-        *form.write(notice, now),
+        *form.encode(notice, now),
         round((now - notice.asked_at) * MS),
         round((now - notice.heard_at) * MS),
     )
 
 
-def _read_notice(form: Form, row: Row, now: float) -> Notice:
+def _decode_notice(form: Encoding, row: Row, now: float) -> Notice:
     *asks_for, asked_ms, heard_ms = row
-    notice: Notice = form.told_as(
-        *form.read(now, *asks_for),
+    notice: Notice = form.decoded_type(
+        *form.decode(now, *asks_for),
         asked_at=now - read_count(asked_ms) / MS,
         heard_at=now - read_count(heard_ms) / MS,
         is_told=True,
@@ -82,36 +82,38 @@
     return notice
 
 
-def _write_limit(limit: RateLimit, now: float) -> Row:
+def _encode_limit(limit: RateLimit, now: float) -> Row:
     return (limit.per_s,)
 
 
-def _read_limit(now: float, per_s: Any) -> Row:
+def _decode_limit(now: float, per_s: Any) -> Row:
     return (None if per_s is None else max(0, read_amount(per_s)),)
 
 
-def _write_leave(leave: Leave, now: float) -> Row:
+def _encode_drain(leave: Leave, now: float) -> Row:
     return ()
 
 
-def _read_leave(now: float) -> Row:
+def _decode_drain(now: float) -> Row:
     return ()
 
 
-def _write_rest(rest: Rest, now: float) -> Row:
+def _encode_backoff(rest: Rest, now: float) -> Row:
     return (max(0, round((rest.until - now) * MS)),)
 
 
-def _read_rest(now: float, left_ms: Any) -> Row:
+def _decode_backoff(now: float, left_ms: Any) -> Row:
     return (now + read_count(left_ms) / MS,)
 
 
 #: Encodings by kind. A back-off requested from one entry is decoded as one
 #: requested elsewhere.
-FORMS: Mapping[type, Form] = MappingProxyType(
+ENCODINGS: Mapping[type, Encoding] = MappingProxyType(
     {
-        RateLimit: Form('limits', RateLimit, _write_limit, _read_limit),
-        Leave: Form('leaves', Leave, _write_leave, _read_leave),
-        Rest: Form('rests', RestElsewhere, _write_rest, _read_rest),
+        RateLimit: Encoding('limits', RateLimit, _encode_limit, _decode_limit),
+        Leave: Encoding('leaves', Leave, _encode_drain, _decode_drain),
+        Rest: Encoding(
+            'rests', RestElsewhere, _encode_backoff, _decode_backoff
+        ),
     }
 )
--- a/trestledock/entry/_notices.py
+++ b/trestledock/entry/_notices.py
@@ -47,20 +47,20 @@
 ) -> None:
     """Record the notices in an answer to a request sent at `asked_at`."""
     peer = placement.target.incarnation
-    _note_limit(state, peer, status, answer, asked_at)
+    _record_limit(state, peer, status, answer, asked_at)
     speaker = find_speaker(state, job, placement, status, answer)
     if answer.leaves:
-        _note_leave(state, peer, speaker, asked_at)
-    _note_ignored(state, peer, 'rest', answer.rest.unreadable)
+        _record_drain(state, peer, speaker, asked_at)
+    _log_ignored(state, peer, 'rest', answer.rest.unreadable)
     if not answer.rest.rest_s:
-        _note_rested(state, speaker, answer, asked_at)
+        _record_backoff_end(state, speaker, answer, asked_at)
     elif speaker:
-        _note_rest(state, speaker, answer.rest.rest_s, status, asked_at)
+        _record_backoff(state, speaker, answer.rest.rest_s, status, asked_at)
         helper = find_helper(placement, answer.at_fault)
         if helper:
-            _note_rest(state, helper, answer.rest.rest_s, status, asked_at)
+            _record_backoff(state, helper, answer.rest.rest_s, status, asked_at)
     else:
-        _note_ignored(state, peer, 'rest', 'not its own answer')
+        _log_ignored(state, peer, 'rest', 'not its own answer')
 
 
 def note_order(
@@ -75,24 +75,24 @@
         return
     peer = holder.incarnation
     if answer.leaves:
-        _note_leave(state, peer, peer, asked_at)
+        _record_drain(state, peer, peer, asked_at)
     if answer.rest.rest_s:
-        _note_rest(state, peer, answer.rest.rest_s, status, asked_at)
+        _record_backoff(state, peer, answer.rest.rest_s, status, asked_at)
 
 
-def _note_leave(
+def _record_drain(
     state: EntryState, peer: str, speaker: str, asked_at: float
 ) -> None:
     """Record that a target is draining, and tell all other entries at once."""
     if not speaker:
-        _note_ignored(state, peer, 'leave', 'not its own answer')
+        _log_ignored(state, peer, 'leave', 'not its own answer')
         return
     notice = Leave(asked_at, anyio.current_time())
     if take_notice(state, speaker, notice, OWN) is Change.learnt:
         state.tell_notices(speaker)
 
 
-def _note_limit(
+def _record_limit(
     state: EntryState,
     peer: str,
     status: int,
@@ -106,7 +106,7 @@
     of the target, or from a proxy before it, that does not know the limit.
     """
     limit = answer.limit
-    _note_ignored(state, peer, 'limit', limit.unreadable)
+    _log_ignored(state, peer, 'limit', limit.unreadable)
     speaks = answer.sealed and status < HTTPStatus.BAD_REQUEST
     if limit.per_s is None and (limit.is_named or not speaks):
         return
@@ -117,7 +117,7 @@
         state.tell_notices(peer)
 
 
-def _note_rest(
+def _record_backoff(
     state: EntryState, peer: str, rest_s: float, status: int, asked_at: float
 ) -> None:
     """Record for how long a target refuses requests of this entry."""
@@ -131,7 +131,7 @@
         state.tell_notices(peer)
 
 
-def _note_rested(
+def _record_backoff_end(
     state: EntryState, peer: str, answer: AnswerNote, asked_at: float
 ) -> None:
     """Record that a target works again: it was sent to after its back-off."""
@@ -155,13 +155,13 @@
     change = state.notices.note(peer, notice)
     if change is Change.nothing:
         return change
-    emit(_make_heard(notice, before, peer, change, source))
+    emit(_make_event(notice, before, peer, change, source))
     state.notify()
     return change
 
 
 @singledispatch
-def _make_heard(
+def _make_event(
     notice: Notice,
     before: Notice | None,
     peer: str,
@@ -172,7 +172,7 @@
     raise TypeError(f'unknown notice type: {notice!r}')
 
 
-@_make_heard.register
+@_make_event.register
 def _(
     notice: RateLimit,
     before: RateLimit | None,
@@ -190,7 +190,7 @@
     )
 
 
-@_make_heard.register
+@_make_event.register
 def _(
     notice: Leave,
     before: Leave | None,
@@ -201,7 +201,7 @@
     return events.LeaveHeard(peer, source, _get_age_ms(notice))
 
 
-@_make_heard.register
+@_make_event.register
 def _(
     notice: RestElsewhere,
     before: RestElsewhere | None,
@@ -229,10 +229,10 @@
                     age_ms=round(age_s * MS),
                 )
             )
-        _note_against(state, req, peer)
+        _log_against(state, req, peer)
 
 
-def _note_against(state: EntryState, req: str, peer: str) -> None:
+def _log_against(state: EntryState, req: str, peer: str) -> None:
     """Log that a request goes to a draining or backed-off target."""
     leave = state.notices.get(Leave, peer)
     rest = state.notices.get(Rest, peer)
@@ -265,7 +265,7 @@
     return notice.per_s < before.per_s * URGENT_SHARE
 
 
-def _note_ignored(
+def _log_ignored(
     state: EntryState, peer: str, notice: str, detail: str
 ) -> None:
     """Log an invalid notice, once for each kind and text."""
--- a/trestledock/entry/_notices_exchange.py
+++ b/trestledock/entry/_notices_exchange.py
@@ -20,10 +20,10 @@
 #: The kinds of notices that concern all entries.
 SHARED = (RateLimit, Leave, Rest)
 #: For how long a withdrawn notice is sent again, in seconds.
-LIFTED_S = 30.0
+RESEND_WITHDRAWN_S = 30.0
 #: Interval of refreshing the list of entries while their number is constant, in
 #: seconds: a refresh takes half a millisecond with 195 entries.
-LOOK_S = 5.0
+REFRESH_INTERVAL_S = 5.0
 
 
 class NoticesExchange:
@@ -35,12 +35,12 @@
         self.state = gossip.state
         self._members: Members | None = None
         self._counts = (0, 0)
-        self._looked_at = float('-inf')
+        self._refreshed_at = float('-inf')
         self.state.throttle.get_members = self.get_members
-        self.state.tell_notices = self._tell
-        gossip.handlers[ToldNotices] = self._take
-        gossip.on_met.append(self._tell_known)
-        gossip.on_told.append(self._tell_again)
+        self.state.tell_notices = self._send_of_target
+        gossip.handlers[ToldNotices] = self._handle_notices
+        gossip.on_met.append(self._send_known)
+        gossip.on_told.append(self._resend_own)
 
     def get_members(self) -> Members:
         """Return the entries that are heard from, and the number of all."""
@@ -49,11 +49,14 @@
             len(self.gossip.peers.known),
             len(self.gossip.neighbours.places),
         )
-        is_old = counts != self._counts or now - self._looked_at > LOOK_S
+        is_old = (
+            counts != self._counts
+            or now - self._refreshed_at > REFRESH_INTERVAL_S
+        )
         if self._members is None or is_old:
             self._members = self._find_members(now)
             self._counts = counts
-            self._looked_at = now
+            self._refreshed_at = now
         return self._members
 
     def _find_members(self, now: float) -> Members:
@@ -68,7 +71,7 @@
             self.gossip.neighbours.count(now) + 1,
         )
 
-    def _tell(self, target: str) -> None:
+    def _send_of_target(self, target: str) -> None:
         """Send the notices of a target to all other entries."""
         known = [
             known_notice
@@ -77,11 +80,11 @@
         ]
         self._send(known, self.gossip.neighbours.get_all())
 
-    def _tell_known(self, address: Address) -> None:
+    def _send_known(self, address: Address) -> None:
         """Send all notices, including withdrawn ones, to a new entry."""
         self._send(self._get_known(), [address])
 
-    def _tell_again(self, where: Sequence[Address]) -> None:
+    def _resend_own(self, where: Sequence[Address]) -> None:
         """Send again what this entry received itself and what still matters.
 
         If receivers forwarded notices, each entry would get them from every
@@ -91,7 +94,7 @@
         matters = [
             known
             for known in self._get_known()
-            if _is_told_again(known.notice, now)
+            if _needs_resending(known.notice, now)
         ]
         self._send(matters, where)
 
@@ -109,7 +112,7 @@
     ) -> None:
         self.gossip.send_rows(ToldNotices, notices, where)
 
-    def _take(self, word: ToldNotices, _: Address) -> bool:
+    def _handle_notices(self, word: ToldNotices, _: Address) -> bool:
         for received in word.notices:
             take_notice(
                 self.state, received.target, received.notice, word.sender
@@ -117,11 +120,14 @@
         return False
 
 
-def _is_told_again(notice: Notice, now: float) -> bool:
+def _needs_resending(notice: Notice, now: float) -> bool:
     """Whether to repeat a notice in case its message was lost.
 
     A back-off is not repeated, as it ends soon.
     """
     if notice.is_told or isinstance(notice, Rest):
         return False
-    return notice.asks_for is not None or now - notice.heard_at <= LIFTED_S
+    return (
+        notice.asks_for is not None
+        or now - notice.heard_at <= RESEND_WITHDRAWN_S
+    )
--- a/trestledock/entry/_peers.py
+++ b/trestledock/entry/_peers.py
@@ -17,8 +17,8 @@
 #: Timeout after which the in-flight requests of a silent peer are dropped: a
 #: multiple of its announced period of the full state, so that two messages may
 #: be lost, and a minimum in seconds.
-PATIENCE_TURNS = 2.5
-PATIENCE_S = 1.7
+TIMEOUT_INTERVALS = 2.5
+MIN_TIMEOUT_S = 1.7
 
 
 @dataclass
@@ -38,7 +38,7 @@
 
     def is_silent(self, now: float) -> bool:
         """Whether it has been silent for longer than lost datagrams explain."""
-        patience_s = max(PATIENCE_S, self.again_s * PATIENCE_TURNS)
+        patience_s = max(MIN_TIMEOUT_S, self.again_s * TIMEOUT_INTERVALS)
         return now - self.heard_at > patience_s
 
 
--- a/trestledock/entry/_reading.py
+++ b/trestledock/entry/_reading.py
@@ -49,8 +49,8 @@
         self.listing = listing
         self.exchange = exchange
         self.failed_at = float('-inf')
-        self._lost: set[str] = set()
-        self._unproven_at = float('-inf')
+        self._failed_steps: set[str] = set()
+        self._last_read_at = float('-inf')
         self._steps = [self._read_targets, self._read_catalog]
 
     async def read(self) -> None:
@@ -75,7 +75,7 @@
 
     def is_lost(self) -> bool:
         """Whether the last read of configuration or targets failed."""
-        return any(step.__name__ in self._lost for step in self._steps)
+        return any(step.__name__ in self._failed_steps for step in self._steps)
 
     async def announce(self) -> bool:
         """Publish the own address; return whether the store answered."""
@@ -106,40 +106,40 @@
                 await read()
         except EXPECTED as exc:
             self.state.fleet.watch.note_trouble(began_at)
-            self._note_lost(step, exc)
+            self._log_failure(step, exc)
             return False
         except Exception:
             emit(events.Failed(step), failed=True)
             return False
         METRICS.observe('store_read', anyio.current_time() - began_at)
-        self._note_regained(step)
+        self._log_recovery(step)
         return True
 
     async def _read_catalog(self) -> None:
         asked_at = anyio.current_time()
         news = await self.directory.read_catalog()
-        self._note_epoch()
+        self._record_epoch()
         self.apply(news)
         self.state.proof.note_read(asked_at)
         if news.epoch == self.state.restores.epoch:
-            self._unproven_at = asked_at
-            self._prove()
+            self._last_read_at = asked_at
+            self._renew_proof()
 
-    def _prove(self) -> None:
+    def _renew_proof(self) -> None:
         """Renew the proof by the last read, unless its copy may lack something.
 
         The store may have lost a version that revoked a key.
         """
         if self.state.restores.is_settled(anyio.current_time()):
-            self.state.proof.renew(self._unproven_at)
+            self.state.proof.renew(self._last_read_at)
 
-    def _note_epoch(self) -> None:
+    def _record_epoch(self) -> None:
         self.state.note_epoch(self.directory.epoch, anyio.current_time())
 
     async def _read_targets(self) -> None:
         asked_at = anyio.current_time()
         news = await self.directory.read_targets()
-        self._note_epoch()
+        self._record_epoch()
         known = self.state.fleet.revision
         self.listing.take(replace(news, as_of=asked_at))
         if self.state.fleet.revision != known:
@@ -152,17 +152,17 @@
     async def _meet_peers(self) -> None:
         announced = await self.directory.read_peers()
         self.exchange.gossip.meet(announced.addresses)
-        self._note_epoch()
+        self._record_epoch()
         if announced.epoch == self.state.restores.epoch:
             self.state.restores.note_recorded(announced.settled_epoch)
-            self._prove()
+            self._renew_proof()
 
-    def _note_lost(self, step: str, exc: Exception) -> None:
-        if step not in self._lost:
-            self._lost.add(step)
+    def _log_failure(self, step: str, exc: Exception) -> None:
+        if step not in self._failed_steps:
+            self._failed_steps.add(step)
             emit(events.StoreLost(step, repr(exc)))
 
-    def _note_regained(self, step: str) -> None:
-        if step in self._lost:
-            self._lost.discard(step)
+    def _log_recovery(self, step: str) -> None:
+        if step in self._failed_steps:
+            self._failed_steps.discard(step)
             emit(events.StoreRegained(step))
--- a/trestledock/entry/_restoring.py
+++ b/trestledock/entry/_restoring.py
@@ -26,15 +26,15 @@
 #: Maximum random delay before a repair, in seconds, so that the readers of
 #: several data centres don't repair at the same moment. It is a part of the
 #: second in which all data must be back.
-SPREAD_S = 0.4
+MAX_DELAY_S = 0.4
 #: Interval of checking whether this entry has become the reader, in seconds.
-LOOK_S = 0.5
+CHECK_INTERVAL_S = 0.5
 #: Timeout of all calls for one repair, in seconds.
 TIMEOUT_S = 1.0
 #: Maximum age of the last read at which the store counts as available, in
 #: seconds: some three pauses between reads. Calls are charged, including failed
 #: ones.
-THERE_S = 1.8
+MAX_READ_AGE_S = 1.8
 
 
 class Restoring:
@@ -52,39 +52,39 @@
         self.directory = directory
         self.gossip = gossip
         self.is_reader = is_reader
-        self._written: int | None = None
+        self._repaired_epoch: int | None = None
 
     async def run(self) -> None:
         """Repair after each restore, and periodically, until cancelled."""
         while True:
-            with anyio.move_on_after(LOOK_S):
+            with anyio.move_on_after(CHECK_INTERVAL_S):
                 await self.state.restored.wait()
-            if self.is_reader() and self._is_store_there():
+            if self.is_reader() and self._is_store_available():
                 await self.look()
 
     async def look(self) -> None:
         """Do what is due; a failed step is repeated at the next check."""
         try:
-            with anyio.fail_after(SPREAD_S + TIMEOUT_S):
-                await self._write_again()
-                await self._record()
+            with anyio.fail_after(MAX_DELAY_S + TIMEOUT_S):
+                await self._repair_store()
+                await self._record_settled()
         except EXPECTED as exc:
             emit(events.StoreLost('write_again', repr(exc)))
 
-    def _is_store_there(self) -> bool:
+    def _is_store_available(self) -> bool:
         now = anyio.current_time()
-        return self.state.proof.get_read_age_s(now) <= THERE_S
+        return self.state.proof.get_read_age_s(now) <= MAX_READ_AGE_S
 
-    async def _write_again(self) -> None:
+    async def _repair_store(self) -> None:
         """Write the data that the copy lacks, once in each epoch."""
         restores = self.state.restores
         epoch = restores.epoch
-        if not restores.has_lived_through or epoch == self._written:
+        if not restores.has_lived_through or epoch == self._repaired_epoch:
             return
-        await anyio.sleep(self.state.rng.uniform(0, SPREAD_S))
+        await anyio.sleep(self.state.rng.uniform(0, MAX_DELAY_S))
         await self._write_addresses()
         if await self._write_quarantine():
-            self._written = epoch
+            self._repaired_epoch = epoch
 
     async def _write_addresses(self) -> None:
         announced = await self.directory.read_peers()
@@ -138,7 +138,7 @@
             emit(events.WrittenAgain('quarantine', names))
         return is_written
 
-    async def _record(self) -> None:
+    async def _record_settled(self) -> None:
         """Record that entries have waited in an epoch, if not recorded yet."""
         restores = self.state.restores
         epoch = restores.epoch
--- a/trestledock/entry/_state.py
+++ b/trestledock/entry/_state.py
@@ -53,11 +53,11 @@
     """Default for receiving and sending, without other entries."""
 
 
-def _tell_nobody(_: str) -> None:
+def _send_nothing(_: str) -> None:
     """Default for sending notices, without other entries."""
 
 
-async def _learn_nothing() -> None:
+async def _query_nothing() -> None:
     """Default for querying the loads of other data centres."""
 
 
@@ -114,8 +114,8 @@
     restored: anyio.Event = field(default_factory=anyio.Event)
     catch_up: Callable[[], None] = _do_nothing
     tell_own: Callable[[], None] = _do_nothing
-    tell_notices: Callable[[str], None] = _tell_nobody
-    learn_loads: Callable[[], Awaitable[None]] = _learn_nothing
+    tell_notices: Callable[[str], None] = _send_nothing
+    learn_loads: Callable[[], Awaitable[None]] = _query_nothing
     loads: dict[str, Load] = field(default_factory=dict)
     isolation: Isolation = field(init=False)
     proof: Proof = field(init=False)
@@ -188,7 +188,7 @@
 
         A crash during a request says nothing about the target's data centre.
         """
-        place = self._get_place(target_id)
+        place = self._get_remote_data_centre(target_id)
         if self.isolation.quarantine.was_ended(target_id):
             place = ''
         if not self.health.is_suspect(target_id, now, place):
@@ -197,17 +197,21 @@
 
     def note_success(self, target_id: str, now: float) -> None:
         """Record that a target answered as expected."""
-        self.health.note_success(target_id, now, self._get_place(target_id))
+        self.health.note_success(
+            target_id, now, self._get_remote_data_centre(target_id)
+        )
 
     def note_early(self, target_id: str, now: float) -> None:
         """Record that a request was given up early at a target."""
         self.budgets.note_early(now)
         emit(events.TargetDoubted(target_id))
-        self.health.note_doubt(target_id, now, self._get_place(target_id))
+        self.health.note_doubt(
+            target_id, now, self._get_remote_data_centre(target_id)
+        )
 
     def note_sent(self, target_id: str, now: float) -> None:
         """Record that a request goes to a target."""
-        self.health.note_sent(self._get_place(target_id), now)
+        self.health.note_sent(self._get_remote_data_centre(target_id), now)
 
     def note_heard(
         self,
@@ -231,11 +235,13 @@
         for place in self.reach.look(now):
             if self.health.note_quiet(place, now):
                 emit(events.DataCentreQuiet(place))
-                self._end_waits(place)
+                self._cancel_waits(place)
 
     def is_cut_off(self, target_id: str, now: float) -> bool:
         """Whether all entries of a target's data centre are silent."""
-        return self._get_place(target_id) in self.reach.get_quiet(now)
+        return self._get_remote_data_centre(target_id) in self.reach.get_quiet(
+            now
+        )
 
     def get_loads(self, now: float) -> set[str]:
         """Return the data centres with known loads; drop outdated loads."""
@@ -275,7 +281,7 @@
         """Record the epoch of the copy of the store that was read."""
         before = self.restores.epoch
         if self.restores.note(epoch, now):
-            self._note_restore(STORE, before, epoch, now)
+            self._record_restore(STORE, before, epoch, now)
 
     def note_told_epoch(
         self, epoch: int | None, now: float, source: str
@@ -283,7 +289,7 @@
         """Record the epoch of the store that another entry reported."""
         before = self.restores.epoch
         if self.restores.note_told(epoch):
-            self._note_restore(source, before, epoch, now)
+            self._record_restore(source, before, epoch, now)
 
     def get_news_age_s(self, now: float) -> float:
         """Return the age of the older of configuration and target list.
@@ -320,7 +326,7 @@
             'targets_leaving': self.fleet.count_leaving(),
             'list_age_seconds': self.get_list_age_s(now),
             'peers': self.board.count_peers(),
-            'targets_resting': self._count_resting(now),
+            'targets_resting': self._count_backed_off(now),
             'rate_limits': len(self.notices.get_in_force(RateLimit)),
             'rate_quota_per_second': self._get_quota_sum(),
             'requests_quarantined': self.isolation.count_quarantined(),
@@ -357,7 +363,7 @@
         known = self.catalog is not None and bool(self.fleet.targets)
         return known and not self.leaving and self.proof.is_ready(now)
 
-    def _note_restore(
+    def _record_restore(
         self,
         source: str,
         before: int | None,
@@ -371,7 +377,7 @@
         self.restored.set()
         self.restored = anyio.Event()
 
-    def _count_resting(self, now: float) -> int:
+    def _count_backed_off(self, now: float) -> int:
         rests = self.notices.get_all(Rest).values()
         return sum(not rest.is_over(now) for rest in rests)
 
@@ -383,13 +389,13 @@
             self.throttle.get_quota(target) for target in listed if target
         )
 
-    def _end_waits(self, place: str) -> None:
+    def _cancel_waits(self, place: str) -> None:
         """Cancel the waits for targets of a data centre."""
         for wait in tuple(self.waits):
-            if place in map(self._get_place, wait.targets):
+            if place in map(self._get_remote_data_centre, wait.targets):
                 wait.scope.cancel()
 
-    def _get_place(self, target_id: str) -> str:
+    def _get_remote_data_centre(self, target_id: str) -> str:
         """Return the data centre of a target, or '' for the own one."""
         listed = self.fleet.targets.get(target_id)
         place = listed.data_centre if listed else ''
--- a/trestledock/entry/_word_codec.py
+++ b/trestledock/entry/_word_codec.py
@@ -38,10 +38,10 @@
 
 MS = 1000
 #: Period of the full state in older versions, in milliseconds.
-OLDER_AGAIN_MS = 500
+OLD_VERSION_AGAIN_MS = 500
 
 #: Exceptions that decoding an invalid message raises.
-UNREADABLE = (ValueError, LookupError, TypeError, RecursionError)
+DECODE_ERRORS = (ValueError, LookupError, TypeError, RecursionError)
 
 Plain = Mapping[str, Any]
 
@@ -51,12 +51,12 @@
 
 
 @singledispatch
-def _write(word: Word, now: float) -> dict[str, Any]:
+def _get_fields(word: Word, now: float) -> dict[str, Any]:
     """Return the fields of a message other than its sender."""
     raise TypeError(f'unknown message type: {word!r}')
 
 
-@_write.register
+@_get_fields.register
 def _(word: Flights, now: float) -> dict[str, Any]:
     return {
         'kind': 'flights',
@@ -70,7 +70,7 @@
     }
 
 
-@_write.register
+@_get_fields.register
 def _(word: Beat, now: float) -> dict[str, Any]:
     return {
         'kind': 'beat',
@@ -79,17 +79,17 @@
     }
 
 
-@_write.register
+@_get_fields.register
 def _(word: Fresh, now: float) -> dict[str, Any]:
     return {'kind': 'fresh', 'news_age_ms': round(word.news_age_s * MS)}
 
 
-@_write.register
+@_get_fields.register
 def _(word: Question, now: float) -> dict[str, Any]:
     return {'kind': 'ask', 'asked_at': word.asked_at}
 
 
-@_write.register
+@_get_fields.register
 def _(word: Reply, now: float) -> dict[str, Any]:
     return {
         'kind': 'reply',
@@ -103,7 +103,7 @@
     }
 
 
-@_write.register
+@_get_fields.register
 def _(word: Ends, now: float) -> dict[str, Any]:
     rows = [
         (end.fingerprint, end.incarnation, round(age_s * MS))
@@ -112,7 +112,7 @@
     return {'kind': 'ends', 'ends': rows}
 
 
-@_write.register
+@_get_fields.register
 def _(word: Cleared, now: float) -> dict[str, Any]:
     return {
         'kind': 'cleared',
@@ -121,19 +121,19 @@
     }
 
 
-@_write.register
+@_get_fields.register
 def _(word: ToldNotices, now: float) -> dict[str, Any]:
     return {'kind': 'limits', **write_notices(word.notices, now)}
 
 
 def write_word(word: Word, now: float) -> bytes:
     """Return the encoded message."""
-    plain = _write(word, now)
+    plain = _get_fields(word, now)
     plain['from'] = word.sender
     return json.dumps(plain, separators=(',', ':')).encode()
 
 
-def _read_flights(plain: Plain, sender: str, now: float) -> Flights:
+def _decode_flights(plain: Plain, sender: str, now: float) -> Flights:
     rows = read_list(plain['flights'])
     return Flights(
         sender=sender,
@@ -142,12 +142,12 @@
         data_centre=read_text(plain['data_centre']),
         leaving=read_flag(plain.get('leaving', False)),
         news_age_s=read_amount(plain['news_age_ms']) / MS,
-        again_s=read_amount(plain.get('again_ms', OLDER_AGAIN_MS)) / MS,
+        again_s=read_amount(plain.get('again_ms', OLD_VERSION_AGAIN_MS)) / MS,
         changes=tuple([read_change(row, now) for row in rows]),
     )
 
 
-def _read_beat(plain: Plain, sender: str, now: float) -> Beat:
+def _decode_beat(plain: Plain, sender: str, now: float) -> Beat:
     return Beat(
         sender,
         read_text(plain['data_centre']),
@@ -155,15 +155,15 @@
     )
 
 
-def _read_fresh(plain: Plain, sender: str, now: float) -> Fresh:
+def _decode_fresh(plain: Plain, sender: str, now: float) -> Fresh:
     return Fresh(sender, read_amount(plain['news_age_ms']) / MS)
 
 
-def _read_question(plain: Plain, sender: str, now: float) -> Question:
+def _decode_question(plain: Plain, sender: str, now: float) -> Question:
     return Question(sender, read_amount(plain['asked_at']))
 
 
-def _read_reply(plain: Plain, sender: str, now: float) -> Reply:
+def _decode_reply(plain: Plain, sender: str, now: float) -> Reply:
     """Decode a reply; in older versions each read is a proof."""
     proof_age_s = read_amount(plain['proof_age_s'])
     return Reply(
@@ -178,37 +178,37 @@
     )
 
 
-def _read_ends(plain: Plain, sender: str, now: float) -> Ends:
+def _decode_ends(plain: Plain, sender: str, now: float) -> Ends:
     rows = map(read_list, read_list(plain['ends']))
-    return Ends(sender, tuple([_read_end(*row) for row in rows]))
+    return Ends(sender, tuple([_decode_crash(*row) for row in rows]))
 
 
-def _read_end(
+def _decode_crash(
     fingerprint: Any, incarnation: Any, age_ms: Any
 ) -> tuple[End, float]:
     end = End(read_text(fingerprint), read_text(incarnation))
     return end, read_count(age_ms) / MS
 
 
-def _read_cleared(plain: Plain, sender: str, now: float) -> Cleared:
+def _decode_cleared(plain: Plain, sender: str, now: float) -> Cleared:
     ends = map(read_text, read_list(plain['ends']))
     return Cleared(sender, read_text(plain['fingerprint']), tuple(ends))
 
 
-def _read_notices(plain: Plain, sender: str, now: float) -> ToldNotices:
+def _decode_notices(plain: Plain, sender: str, now: float) -> ToldNotices:
     return ToldNotices(sender, read_notices(plain, now))
 
 
-READERS: Mapping[str, Callable[[Plain, str, float], Word]] = MappingProxyType(
+DECODERS: Mapping[str, Callable[[Plain, str, float], Word]] = MappingProxyType(
     {
-        'flights': _read_flights,
-        'beat': _read_beat,
-        'fresh': _read_fresh,
-        'ask': _read_question,
-        'reply': _read_reply,
-        'ends': _read_ends,
-        'cleared': _read_cleared,
-        'limits': _read_notices,
+        'flights': _decode_flights,
+        'beat': _decode_beat,
+        'fresh': _decode_fresh,
+        'ask': _decode_question,
+        'reply': _decode_reply,
+        'ends': _decode_ends,
+        'cleared': _decode_cleared,
+        'limits': _decode_notices,
     }
 )
 
@@ -221,6 +221,6 @@
     """
     try:
         plain = json.loads(raw)
-        return READERS[plain['kind']](plain, read_text(plain['from']), now)
-    except UNREADABLE as exc:
+        return DECODERS[plain['kind']](plain, read_text(plain['from']), now)
+    except DECODE_ERRORS as exc:
         raise BadWord(repr(exc)) from exc
