--- a/trestledock/entry/_datagrams.py
+++ b/trestledock/entry/_datagrams.py
@@ -30,9 +30,9 @@
         self._socket.setblocking(False)
         self._socket.bind(address)
 
-    def send(self, raw: bytes, where: Iterable[Address]) -> None:
+    def send(self, raw: bytes, addresses: Iterable[Address]) -> None:
         """Send to some addresses, without any guarantee of delivery."""
-        for address in where:
+        for address in addresses:
             try:
                 self._socket.sendto(raw, address)
             except OSError as exc:
--- a/trestledock/entry/_ends.py
+++ b/trestledock/entry/_ends.py
@@ -2,8 +2,8 @@
 Exchange of crashes between entries
 ===================================
 
-Sends the other entries each crash of a target during a request at once, and
-each answer to a request that had crashed targets.
+Sends the other entries each crash of a target during a request at once
+(`Ends`), and each answer to a request that had crashed targets (`Cleared`).
 """
 
 from typing import Iterable, Sequence
@@ -36,41 +36,47 @@
         gossip.handlers[Cleared] = self._handle_cleared
         gossip.on_met.append(self._send_known)
 
-    def send_crashes(self, ends: Sequence[End]) -> None:
+    def send_crashes(self, crashes: Sequence[End]) -> None:
         """Send crashes that have just happened to all other entries."""
-        if not ends:
+        if not crashes:
             return
-        self._send([(end, 0) for end in ends], self._get_all())
-        if any(map(self.isolation.is_told_again, ends)):
-            self.gossip.state.spawn(self._tell_again, ends)
+        self._send([(crash, 0) for crash in crashes], self._get_all())
+        if any(map(self.isolation.is_told_again, crashes)):
+            self.gossip.state.spawn(self._tell_again, crashes)
 
-    async def _tell_again(self, ends: Iterable[End]) -> None:
+    async def _tell_again(self, crashes: Iterable[End]) -> None:
         age_s: float = 0
         for wait_s in RESEND_DELAYS_S:
             await anyio.sleep(wait_s)
             age_s += wait_s
-            self._send([(end, age_s) for end in ends], self._get_all())
+            self._send([(crash, age_s) for crash in crashes], self._get_all())
 
     def _send_known(self, address: Address) -> None:
         """Send the known crashes that matter to a new entry."""
         self._send(list(self.isolation.get_known()), [address])
 
-    def _send_cleared(self, fingerprint: str, ends: Sequence[str]) -> None:
-        word = Cleared(self.gossip.state.member, fingerprint, tuple(ends))
-        self.gossip.send(word, self._get_all())
+    def _send_cleared(
+        self, fingerprint: str, incarnations: Sequence[str]
+    ) -> None:
+        message = Cleared(
+            self.gossip.state.member, fingerprint, tuple(incarnations)
+        )
+        self.gossip.send(message, self._get_all())
 
-    def _handle_ends(self, word: Ends, _: Address) -> bool:
-        self.isolation.take_ends(word.ends, word.sender)
+    def _handle_ends(self, message: Ends, _: Address) -> bool:
+        self.isolation.take_ends(message.ends, message.sender)
         return True
 
-    def _handle_cleared(self, word: Cleared, _: Address) -> bool:
-        self.isolation.take_cleared(word.fingerprint, word.ends, word.sender)
+    def _handle_cleared(self, message: Cleared, _: Address) -> bool:
+        self.isolation.take_cleared(
+            message.fingerprint, message.ends, message.sender
+        )
         return False
 
     def _send(
-        self, crashes: Sequence[AgedCrash], where: Sequence[Address]
+        self, crashes: Sequence[AgedCrash], addresses: Sequence[Address]
     ) -> None:
-        self.gossip.send_rows(Ends, crashes, where)
+        self.gossip.send_rows(Ends, crashes, addresses)
 
     def _get_all(self) -> list[Address]:
         return self.gossip.neighbours.get_all()
--- a/trestledock/entry/_events.py
+++ b/trestledock/entry/_events.py
@@ -31,13 +31,13 @@
 
     def __init__(self, *fields: Any, **named: Any) -> None:
         """Set the fields, each given exactly once."""
-        found = dict(zip(self.names, fields, strict=False), **named)
-        is_once = len(found) == len(fields) + len(named)
-        if not is_once or found.keys() != set(self.names):
+        values = dict(zip(self.names, fields, strict=False), **named)
+        is_once = len(values) == len(fields) + len(named)
+        if not is_once or values.keys() != set(self.names):
             raise TypeError(f'{type(self).__name__} needs {self.names}')
-        self.__dict__.update(found)
+        self.__dict__.update(values)
 
-    def __setattr__(self, name: str, setting: Any) -> None:
+    def __setattr__(self, name: str, value: Any) -> None:
         """Refuse changes, as events are immutable."""
         raise AttributeError(f'{name} is read-only in {type(self).__name__}')
 
@@ -529,10 +529,10 @@
 
 
 def _make_snake_case(kind: type[Event]) -> str:
-    words = [
+    parts = [
         f'_{char.lower()}' if char.isupper() else char for char in kind.__name__
     ]
-    return ''.join(words).lstrip('_')
+    return ''.join(parts).lstrip('_')
 
 
 #: All events, for the table in docs/OPERATIONS.md.
--- a/trestledock/entry/_exposition.py
+++ b/trestledock/entry/_exposition.py
@@ -47,10 +47,10 @@
 
     def collect(self) -> Iterator[Metric]:
         """Yield every metric."""
-        for kind, counting in COUNTERS.items():
+        for kind, counter in COUNTERS.items():
             counts = self.metrics.counts[kind]
             yield _make_counter(
-                kind.get_name(), counting.text, counting.labels, counts
+                kind.get_name(), counter.help_text, counter.labels, counts
             )
         yield _make_counter(
             'words', MESSAGES_TEXT, MESSAGES_LABELS, self.metrics.messages
@@ -61,29 +61,33 @@
             MESSAGES_LABELS,
             self.metrics.message_bytes,
         )
-        for name, text in HISTOGRAMS.items():
-            yield _make_histogram(name, text, self.metrics.histograms[name])
-        for name, level in self.gauges.items():
-            yield GaugeMetricFamily(f'{PREFIX}_{name}', GAUGES[name], level)
+        for name, help_text in HISTOGRAMS.items():
+            yield _make_histogram(
+                name, help_text, self.metrics.histograms[name]
+            )
+        for name, value in self.gauges.items():
+            yield GaugeMetricFamily(f'{PREFIX}_{name}', GAUGES[name], value)
 
 
 def _make_counter(
     name: str,
-    text: str,
+    help_text: str,
     labels: tuple[str, ...],
     counts: Counts,
 ) -> Metric:
-    family = CounterMetricFamily(f'{PREFIX}_{name}', text, labels=labels)
-    for settings, count in counts.items():
-        family.add_metric(settings, count)
+    family = CounterMetricFamily(f'{PREFIX}_{name}', help_text, labels=labels)
+    for label_values, count in counts.items():
+        family.add_metric(label_values, count)
     return family
 
 
-def _make_histogram(name: str, text: str, times: HistogramCounts) -> Metric:
+def _make_histogram(
+    name: str, help_text: str, histogram: HistogramCounts
+) -> Metric:
     bounds = [floatToGoString(bound) for bound in (*BOUNDS_S, LAST_BOUND)]
-    buckets = list(zip(bounds, accumulate(times.counts), strict=True))
+    buckets = list(zip(bounds, accumulate(histogram.counts), strict=True))
     return HistogramMetricFamily(
-        f'{PREFIX}_{name}_seconds', text, buckets, times.total_s
+        f'{PREFIX}_{name}_seconds', help_text, buckets, histogram.total_s
     )
 
 
--- a/trestledock/entry/_gossip.py
+++ b/trestledock/entry/_gossip.py
@@ -77,8 +77,8 @@
 
     def meet(self, addresses: Mapping[str, str]) -> None:
         """Add the addresses of other entries by name, and contact new ones."""
-        found = map(split_address, addresses.values())
-        new = self.neighbours.meet(found, anyio.current_time())
+        parsed = map(split_address, addresses.values())
+        new = self.neighbours.meet(parsed, anyio.current_time())
         self._send_full_state(new, self._get_remote_interval_s())
 
     def get_candidates(self, now: float) -> list[Candidate]:
@@ -101,34 +101,34 @@
             self._datagrams.close()
             self._datagrams = None
 
-    def send(self, word: Word, where: Sequence[Address]) -> None:
+    def send(self, message: Word, addresses: Sequence[Address]) -> None:
         """Send a message to some addresses, without guaranteed delivery."""
-        if self._datagrams is None or not where:
+        if self._datagrams is None or not addresses:
             return
-        raw = write_word(word, anyio.current_time())
-        name = type(word).__name__
-        METRICS.count_words('sent', name, len(raw), len(where))
-        self._datagrams.send(raw, where)
+        raw = write_word(message, anyio.current_time())
+        name = type(message).__name__
+        METRICS.count_words('sent', name, len(raw), len(addresses))
+        self._datagrams.send(raw, addresses)
 
     def send_rows(
         self,
-        make_word: Callable[[str, tuple[Any, ...]], Word],
+        make_message: Callable[[str, tuple[Any, ...]], Word],
         rows: Sequence[Any],
-        where: Sequence[Address],
+        addresses: Sequence[Address],
     ) -> None:
         """Send rows in as many messages as they need."""
         for start in range(0, len(rows), MAX_ROWS):
             part = tuple(rows[start : start + MAX_ROWS])
-            self.send(make_word(self.state.member, part), where)
+            self.send(make_message(self.state.member, part), addresses)
 
     def catch_up(self) -> None:
         """Handle all datagrams that have arrived."""
         if self._datagrams is None:
             return
-        is_news = False
+        is_changed = False
         for raw, sender in self._datagrams.receive():
-            is_news = self.take(raw, sender) or is_news
-        if is_news:
+            is_changed = self.take(raw, sender) or is_changed
+        if is_changed:
             self.state.notify()
 
     async def wait_for(self, event: anyio.Event) -> None:
@@ -145,12 +145,12 @@
         """
         now = anyio.current_time()
         try:
-            word = read_word(raw, now)
+            message = read_word(raw, now)
         except BadWord as exc:
             emit(events.DatagramDropped(repr(exc)))
             return False
-        METRICS.count_words('heard', type(word).__name__, len(raw), 1)
-        return bool(self.handlers[type(word)](word, sender))
+        METRICS.count_words('heard', type(message).__name__, len(raw), 1)
+        return bool(self.handlers[type(message)](message, sender))
 
     def tell_fresh(self) -> None:
         """Announce that this entry has just read the store."""
@@ -172,30 +172,33 @@
         """Poll more often for a while, as other entries wait for answers."""
         self._fast_poll_until = anyio.current_time() + FAST_POLL_S
 
-    def _handle_flights(self, word: Flights, sender: Address) -> bool:
+    def _handle_flights(self, message: Flights, sender: Address) -> bool:
         now = anyio.current_time()
-        self.neighbours.note(sender, word.data_centre, now)
-        is_new = self.peers.hear(word, sender, now)
+        self.neighbours.note(sender, message.data_centre, now)
+        is_new = self.peers.hear(message, sender, now)
         self.state.many_entries = self.peers.are_many
-        self._record_sender(word, now)
+        self._record_sender(message, now)
         if is_new:
-            self._add_peer(word.sender, sender)
+            self._add_peer(message.sender, sender)
         return self.state.board.hear(
-            word.sender, word.sequence, word.changes, whole=word.whole
+            message.sender,
+            message.sequence,
+            message.changes,
+            whole=message.whole,
         )
 
-    def _handle_beat(self, word: Beat, _: Address) -> bool:
-        self._record_sender(word, anyio.current_time())
+    def _handle_beat(self, message: Beat, _: Address) -> bool:
+        self._record_sender(message, anyio.current_time())
         return False
 
-    def _handle_fresh(self, word: Fresh, _: Address) -> bool:
+    def _handle_fresh(self, message: Fresh, _: Address) -> bool:
         now = anyio.current_time()
-        self.peers.note_fresh(word.sender, word.news_age_s, now)
+        self.peers.note_fresh(message.sender, message.news_age_s, now)
         return False
 
-    def _record_sender(self, word: Flights | Beat, now: float) -> None:
+    def _record_sender(self, message: Flights | Beat, now: float) -> None:
         self.state.note_heard(
-            word.data_centre, word.sender, now, leaving=word.leaving
+            message.data_centre, message.sender, now, leaving=message.leaving
         )
 
     def _add_peer(self, name: str, address: Address) -> None:
@@ -205,8 +208,8 @@
         entry until the next period.
         """
         emit(events.PeerMet(name))
-        for before in self.peers.get_others_at(name):
-            self._drop(before)
+        for predecessor in self.peers.get_others_at(name):
+            self._drop(predecessor)
         is_near = self.peers.is_near(name)
         again_s = (
             self._get_full_state_interval_s()
@@ -214,14 +217,14 @@
             else self._get_remote_interval_s()
         )
         self._send_full_state([address], again_s)
-        for tell in self.on_met:
-            tell(address)
+        for callback in self.on_met:
+            callback(address)
 
     def _send_full_state(
-        self, where: Sequence[Address], again_s: float
+        self, addresses: Sequence[Address], again_s: float
     ) -> None:
         own = list(self.state.board.own.items())[:MAX_FLIGHTS]
-        self._send_flights(own, where, whole=True, again_s=again_s)
+        self._send_flights(own, addresses, whole=True, again_s=again_s)
 
     async def _poll(self) -> None:
         while True:
@@ -229,8 +232,8 @@
             await anyio.sleep(self._get_poll_interval_s())
 
     def _get_poll_interval_s(self) -> float:
-        hurried = anyio.current_time() < self._fast_poll_until
-        if hurried or not self.state.many_entries:
+        is_fast = anyio.current_time() < self._fast_poll_until
+        if is_fast or not self.state.many_entries:
             return POLL_INTERVAL_S
         return SLOW_POLL_INTERVAL_S
 
@@ -240,12 +243,12 @@
         With many entries messages between data centres are too rare to detect
         silence by.
         """
-        place = self.state.settings.data_centre
+        data_centre = self.state.settings.data_centre
         while True:
             await anyio.sleep(BEAT_S)
             if self.state.many_entries:
                 continue
-            beat = Beat(self.state.member, place, self.state.leaving)
+            beat = Beat(self.state.member, data_centre, self.state.leaving)
             self.send(beat, self.neighbours.get_elsewhere())
             self.catch_up()
             self.state.check_reach(anyio.current_time())
@@ -264,17 +267,17 @@
         centres. An ended request names no target, so its end goes where its
         start was sent.
         """
-        far = self.neighbours.get_far(many=self.state.many_entries)
+        remote = self.neighbours.get_far(many=self.state.many_entries)
         for flight_id, flight in changes:
-            before = self._remote_by_flight.pop(flight_id, set())
-            places = self._get_data_centres(flight) if flight else set()
-            there = places & far.keys()
-            if there:
-                self._remote_by_flight[flight_id] = there
-            for place in before | there:
+            previous = self._remote_by_flight.pop(flight_id, set())
+            data_centres = self._get_data_centres(flight) if flight else set()
+            current = data_centres & remote.keys()
+            if current:
+                self._remote_by_flight[flight_id] = current
+            for data_centre in previous | current:
                 self._send_flights(
                     [(flight_id, flight)],
-                    far[place],
+                    remote[data_centre],
                     whole=False,
                     again_s=self._get_remote_interval_s(),
                 )
@@ -288,16 +291,16 @@
             )
 
     async def _send_periodically(self) -> None:
-        far_at = float('-inf')
+        next_remote_at = float('-inf')
         while True:
             now = anyio.current_time()
             self._send_full_state(
                 self._get_near(), self._get_full_state_interval_s()
             )
             self._notify_full_state_sent(self._get_near())
-            if now >= far_at:
+            if now >= next_remote_at:
                 self._send_remote_states()
-                far_at = now + self._get_remote_interval_s()
+                next_remote_at = now + self._get_remote_interval_s()
             await anyio.sleep(self._get_full_state_interval_s())
             self.catch_up()
             self._drop_silent(anyio.current_time())
@@ -305,24 +308,24 @@
     def _send_remote_states(self) -> None:
         """Send other data centres the in-flight requests at their targets."""
         own = list(self.state.board.own.items())[:MAX_FLIGHTS]
-        far = self.neighbours.get_far(many=self.state.many_entries)
-        for place, where in far.items():
-            flights = [
+        remote = self.neighbours.get_far(many=self.state.many_entries)
+        for data_centre, addresses in remote.items():
+            changes = [
                 change
                 for change in own
-                if place in self._get_data_centres(change[1])
+                if data_centre in self._get_data_centres(change[1])
             ]
             self._send_flights(
-                flights,
-                where,
+                changes,
+                addresses,
                 whole=True,
                 again_s=self._get_remote_interval_s(),
             )
-            self._notify_full_state_sent(where)
+            self._notify_full_state_sent(addresses)
 
-    def _notify_full_state_sent(self, where: Sequence[Address]) -> None:
-        for tell in self.on_told:
-            tell(where)
+    def _notify_full_state_sent(self, addresses: Sequence[Address]) -> None:
+        for callback in self.on_told:
+            callback(addresses)
 
     def _get_full_state_interval_s(self) -> float:
         return max(
@@ -351,24 +354,24 @@
 
     def _get_data_centres(self, flight: Flight) -> set[str]:
         """Return the data centres of the targets that a request occupies."""
-        listed = self.state.fleet.targets
+        targets = self.state.fleet.targets
         return {
-            listed[name].data_centre
+            targets[name].data_centre
             for name in (flight.target, *flight.helpers)
-            if name in listed
+            if name in targets
         }
 
     def _send_flights(
         self,
         changes: Iterable[Change],
-        where: Sequence[Address],
+        addresses: Sequence[Address],
         *,
         whole: bool,
         again_s: float,
     ) -> None:
         self.sequence += 1
         age_s = self.state.get_offered_age_s(anyio.current_time())
-        word = Flights(
+        message = Flights(
             sender=self.state.member,
             sequence=self.sequence,
             whole=whole,
@@ -378,4 +381,4 @@
             again_s=again_s,
             changes=tuple(changes),
         )
-        self.send(word, where)
+        self.send(message, addresses)
--- a/trestledock/entry/_isolation.py
+++ b/trestledock/entry/_isolation.py
@@ -41,8 +41,8 @@
 class Inquiry(Enum):
     """How to find out whether a target crashed during a request.
 
-    `reconnect` connects to it again, `listing` waits until another incarnation of it
-    is listed.
+    `reconnect` connects to it again, `listing` waits until another incarnation of
+    it is listed.
     """
 
     none = 'none'
@@ -159,13 +159,13 @@
             return False
         self._claiming.add(fingerprint)
         try:
-            granted = await self.ways.claim(
+            is_granted = await self.ways.claim(
                 self.quarantine.make_record(fingerprint, now)
             )
         finally:
             self._claiming.discard(fingerprint)
         # Another entry may have got an answer to it during the claim.
-        if not granted or not self.is_quarantined(fingerprint):
+        if not is_granted or not self.is_quarantined(fingerprint):
             return False
         self.quarantine.note_trial(fingerprint, now)
         self._probed.add(fingerprint)
@@ -176,7 +176,7 @@
     async def note_lost(
         self,
         fingerprint: str,
-        sign: Sign,
+        evidence: Sign,
         targets: Iterable[Listed],
     ) -> None:
         """Find out whether a target has crashed during a request.
@@ -184,14 +184,14 @@
         Only one crash counts among all targets that work on a request: its
         engine and the helpers may have crashed together.
         """
-        inquiry = INQUIRIES[sign]
+        inquiry = INQUIRIES[evidence]
         if inquiry is Inquiry.none:
             return
         for target in targets:
-            looks = inquiry is Inquiry.reconnect
-            if looks and await self.ways.look(target) is GONE:
-                end = End(fingerprint, target.incarnation)
-                self._record_own([end], GONE)
+            reconnects = inquiry is Inquiry.reconnect
+            if reconnects and await self.ways.look(target) is GONE:
+                crash = End(fingerprint, target.incarnation)
+                self._record_own([crash], GONE)
                 return
             self._suspected.keep(fingerprint, target, anyio.current_time())
 
@@ -211,33 +211,33 @@
         """Record that a target has answered a request without a crash."""
         was_quarantined = self.is_quarantined(fingerprint)
         now = anyio.current_time()
-        ends = self.quarantine.note_answered(fingerprint, now)
-        self._log_cleared(fingerprint, len(ends), SELF)
-        if len(ends) >= LEAST_TOLD:
-            self.ways.tell_cleared(fingerprint, ends)
+        incarnations = self.quarantine.note_answered(fingerprint, now)
+        self._log_cleared(fingerprint, len(incarnations), SELF)
+        if len(incarnations) >= LEAST_TOLD:
+            self.ways.tell_cleared(fingerprint, incarnations)
         if was_quarantined:
             self._mark_unsaved(fingerprint)
 
     def take_ends(
         self,
-        ends: Iterable[tuple[End, float]],
+        crashes: Iterable[tuple[End, float]],
         source: str,
     ) -> None:
         """Add crashes reported by another entry, with ages in seconds."""
         now = anyio.current_time()
-        for end, age_s in ends:
-            self._add(end, now - age_s, source)
+        for crash, age_s in crashes:
+            self._add(crash, now - age_s, source)
             if age_s < RECENT_S:
-                self._avoid(end.incarnation, now)
+                self._avoid(crash.incarnation, now)
 
     def take_cleared(
         self,
         fingerprint: str,
-        ends: Iterable[str],
+        incarnations: Iterable[str],
         source: str,
     ) -> None:
         """Remove crashes of a request that was answered at another entry."""
-        count = self.quarantine.clear_ends(fingerprint, ends)
+        count = self.quarantine.clear_ends(fingerprint, incarnations)
         self._log_cleared(fingerprint, count, source)
 
     def take_records(
@@ -266,9 +266,9 @@
             for incarnation in suspect.incarnations:
                 yield End(fingerprint, incarnation), age_s
 
-    def is_told_again(self, end: End) -> bool:
+    def is_told_again(self, crash: End) -> bool:
         """Whether the loss of a message about a crash would matter."""
-        return self.quarantine.count_ends(end.fingerprint) >= LEAST_TOLD
+        return self.quarantine.count_ends(crash.fingerprint) >= LEAST_TOLD
 
     def note_restore(self) -> None:
         """Save the probes again that a restored store may have lost.
@@ -281,12 +281,12 @@
     def take_to_keep(self) -> list[Quarantined]:
         """Return and clear the records that are to be saved."""
         now = anyio.current_time()
-        found = sorted(self.to_keep & self.quarantine.suspects.keys())
+        fingerprints = sorted(self.to_keep & self.quarantine.suspects.keys())
         self.to_keep = set()
         self.wants_keeping = anyio.Event()
         return [
             self.quarantine.make_record(fingerprint, now)
-            for fingerprint in found
+            for fingerprint in fingerprints
         ]
 
     def keep_again(self, records: Iterable[Quarantined]) -> None:
@@ -294,35 +294,38 @@
         for record in records:
             self._mark_unsaved(record.fingerprint)
 
-    def _record_own(self, crashes: list[End], sign: Sign) -> None:
+    def _record_own(self, crashes: list[End], evidence: Sign) -> None:
         now = anyio.current_time()
         for crash in crashes:
             self._avoid(crash.incarnation, now)
-        blamed = [
+        attributed = [
             crash for crash in crashes if self.quarantine.blames(crash, now)
         ]
-        for crash in blamed:
+        for crash in attributed:
             self._witnessed.add(crash.fingerprint)
             if self._add(crash, now, SELF):
                 count = self.quarantine.count_ends(crash.fingerprint)
                 emit(
                     events.TargetEnded(
-                        crash.incarnation, crash.fingerprint, sign.value, count
+                        crash.incarnation,
+                        crash.fingerprint,
+                        evidence.value,
+                        count,
                     )
                 )
-        self.ways.tell_ends(blamed)
+        self.ways.tell_ends(attributed)
 
     def _avoid(self, incarnation: str, now: float) -> None:
         """Stop using a crashed target until its record is removed."""
         if incarnation in self.fleet.targets:
             self.health.note_silence(incarnation, now)
 
-    def _add(self, end: End, ended_at: float, source: str) -> bool:
-        was_quarantined = self.is_quarantined(end.fingerprint)
-        is_new = self.quarantine.note_end(end, ended_at)
+    def _add(self, crash: End, crashed_at: float, source: str) -> bool:
+        was_quarantined = self.is_quarantined(crash.fingerprint)
+        is_new = self.quarantine.note_end(crash, crashed_at)
         if is_new:
             self._check_quarantined(
-                end.fingerprint, source, was_quarantined=was_quarantined
+                crash.fingerprint, source, was_quarantined=was_quarantined
             )
         return is_new
 
--- a/trestledock/entry/_keeping.py
+++ b/trestledock/entry/_keeping.py
@@ -88,11 +88,14 @@
         self.state.note_epoch(stored.end.epoch, now)
         if not self.state.restores.is_settled(now):
             return False
-        for known in stored.records:
-            if known.fingerprint == record.fingerprint and not known.is_due:
+        for stored_record in stored.records:
+            if (
+                stored_record.fingerprint == record.fingerprint
+                and not stored_record.is_due
+            ):
                 return False
-        tried = replace(record, age_s=0, trials=record.trials + 1)
-        return await self.store.write_records([tried], stored.end)
+        probed = replace(record, age_s=0, trials=record.trials + 1)
+        return await self.store.write_records([probed], stored.end)
 
     async def _follow(self) -> None:
         while True:
--- a/trestledock/entry/_listing.py
+++ b/trestledock/entry/_listing.py
@@ -63,12 +63,12 @@
         now = anyio.current_time()
         for incarnation in news.leaving:
             self.fleet.note_leaving(incarnation, now)
-        dropped = self.fleet.take_gone(news.gone)
-        self._discard(dropped, news.source)
+        removed = self.fleet.take_gone(news.gone)
+        self._discard(removed, news.source)
 
     async def run(self) -> None:
         """Remove retained targets as their time runs out, until cancelled."""
-        looked_at = anyio.current_time()
+        checked_at = anyio.current_time()
         pauses = PauseWatch()
         while True:
             await anyio.sleep(EXPIRY_INTERVAL_S)
@@ -76,9 +76,9 @@
             pause_s = pauses.look()
             if pause_s:
                 emit(events.Suspended(round(pause_s * MS)))
-            if now - looked_at > EXPIRY_INTERVAL_S + MAX_LATENESS_S:
+            if now - checked_at > EXPIRY_INTERVAL_S + MAX_LATENESS_S:
                 self.fleet.watch.note_trouble(now)
-            looked_at = now
+            checked_at = now
             self._discard(self.fleet.expire(now), LAPSED)
 
     def _apply_records(
@@ -93,22 +93,22 @@
         A removal may be long past if this entry has not read for a while, and a
         record after it may be an old one that was written late.
         """
-        past, present = _split_at_removal(records)
-        if len(present) == len(records) or self._is_listed_again(
-            target_id, past, present
+        before_removal, after_removal = _split_at_removal(records)
+        if len(after_removal) == len(records) or self._is_listed_again(
+            target_id, before_removal, after_removal
         ):
-            for listed in present:
+            for listed in after_removal:
                 self._put(listed, news)
             return
-        for old in (*past, *present):
+        for old in (*before_removal, *after_removal):
             self.fleet.note_past(old)
         self._drop(target_id, news, now)
 
     def _is_listed_again(
         self,
         target_id: str,
-        past: list[Listed],
-        present: list[Listed],
+        before_removal: list[Listed],
+        after_removal: list[Listed],
     ) -> bool:
         """Whether a target was listed again after its removal.
 
@@ -117,8 +117,8 @@
         from other entries, must not be newer than all of them.
         """
         known = self.fleet.get_last_order(target_id)
-        newest = _get_newest(present, BEFORE_ALL)
-        return newest >= known and newest > _get_newest(past, known)
+        newest = _get_newest(after_removal, BEFORE_ALL)
+        return newest >= known and newest > _get_newest(before_removal, known)
 
     def _retain(self, news: News, now: float) -> None:
         """Retain the targets that the source retains and that are unknown here.
@@ -157,11 +157,11 @@
         known = self.fleet.get_by_id(target_id)
         if known is None:
             return
-        was_held = known.incarnation in self.fleet.held
-        until = self._get_retention_end(target_id, news, now)
-        if self.fleet.drop(target_id, until, now):
+        was_retained = known.incarnation in self.fleet.held
+        retained_until = self._get_retention_end(target_id, news, now)
+        if self.fleet.drop(target_id, retained_until, now):
             self._discard([known.incarnation], news.source)
-        elif not was_held:
+        elif not was_retained:
             self._log_retained(known, news, now)
 
     def _get_retention_end(
@@ -187,14 +187,14 @@
         left_s = self.fleet.held[name] - now
         emit(events.TargetHeld(name, news.source, round(left_s * MS)))
 
-    def _discard(self, gone: list[str], source: str) -> None:
-        for incarnation in gone:
+    def _discard(self, incarnations: list[str], source: str) -> None:
+        for incarnation in incarnations:
             emit(events.TargetGone(incarnation, source))
             self.pool.drop(incarnation)
             self.state.health.targets.pop(incarnation, None)
             self.state.throttle.forget(incarnation)
             self.state.ignored_notices.pop(incarnation, None)
-        if gone:
+        if incarnations:
             self.state.notify()
 
 
@@ -203,17 +203,19 @@
 ) -> tuple[list[Listed], list[Listed]]:
     """Return the records before and after the last removal, if any.
 
-    >>> one, two = Listed('t', 's', 'a'), Listed('t', 's', 'b')
-    >>> _split_at_removal([one, None, two]) == ([one], [two])
+    >>> first, second = Listed('t', 's', 'a'), Listed('t', 's', 'b')
+    >>> _split_at_removal([first, None, second]) == ([first], [second])
     True
     """
-    removals = [at for at, listed in enumerate(records) if listed is None]
-    split_at = removals[-1] + 1 if removals else 0
+    removal_indices = [
+        index for index, listed in enumerate(records) if listed is None
+    ]
+    split_at = removal_indices[-1] + 1 if removal_indices else 0
     return _drop_none(records[:split_at]), _drop_none(records[split_at:])
 
 
-def _get_newest(records: list[Listed], least: Order) -> Order:
-    return max((listed.order for listed in records), default=least)
+def _get_newest(records: list[Listed], default: Order) -> Order:
+    return max((listed.order for listed in records), default=default)
 
 
 def _drop_none(records: Iterable[Listed | None]) -> list[Listed]:
--- a/trestledock/entry/_logger.py
+++ b/trestledock/entry/_logger.py
@@ -74,13 +74,13 @@
         second = int(self.clock())
         if second == self.second:
             return {}
-        left_out = {
+        dropped = {
             kind: count - _get_max_lines(kind)
             for kind, count in self.counts.items()
         }
         self.second = second
         self.counts = {}
-        return {kind: count for kind, count in left_out.items() if count > 0}
+        return {kind: count for kind, count in dropped.items() if count > 0}
 
 
 def _get_max_lines(kind: str) -> int:
--- a/trestledock/entry/_metrics.py
+++ b/trestledock/entry/_metrics.py
@@ -23,7 +23,7 @@
 class Counter:
     """Counter of an event: its help text and the fields used as labels."""
 
-    text: str
+    help_text: str
     labels: tuple[str, ...] = ()
 
 
@@ -32,8 +32,8 @@
     """Histogram of an event: its name, help text and field in milliseconds."""
 
     name: str
-    text: str
-    field: str
+    help_text: str
+    event_field: str
 
 
 COUNTERS: Mapping[type[events.Event], Counter] = MappingProxyType(
@@ -116,7 +116,10 @@
 #: Help texts of all histograms by name.
 HISTOGRAMS: Mapping[str, str] = MappingProxyType(
     {
-        **{timing.name: timing.text for timing in EVENT_HISTOGRAMS.values()},
+        **{
+            timing.name: timing.help_text
+            for timing in EVENT_HISTOGRAMS.values()
+        },
         **OTHER_HISTOGRAMS,
     }
 )
@@ -152,9 +155,9 @@
 Counts = dict[tuple[str, ...], int]
 
 
-def _make_initial_counts(counting: Counter) -> Counts:
+def _make_initial_counts(counter: Counter) -> Counts:
     """Return the counts before the first event."""
-    return {} if counting.labels else {(): 0}
+    return {} if counter.labels else {(): 0}
 
 
 def _make_buckets() -> list[int]:
@@ -181,8 +184,8 @@
     def __init__(self) -> None:
         """Start with empty counts."""
         self.counts: dict[type[events.Event], Counts] = {
-            kind: _make_initial_counts(counting)
-            for kind, counting in COUNTERS.items()
+            kind: _make_initial_counts(counter)
+            for kind, counter in COUNTERS.items()
         }
         self.messages: Counts = {}
         self.message_bytes: Counts = {}
@@ -193,23 +196,25 @@
     def take(self, event: events.Event) -> None:
         """Count and observe an event, if it is in the tables."""
         kind = type(event)
-        counting = COUNTERS.get(kind)
-        if counting:
-            labels = tuple([getattr(event, name) for name in counting.labels])
+        counter = COUNTERS.get(kind)
+        if counter:
+            labels = tuple([getattr(event, name) for name in counter.labels])
             counts = self.counts[kind]
             counts[labels] = counts.get(labels, 0) + 1
-        timing = EVENT_HISTOGRAMS.get(kind)
-        if timing:
-            taken_ms = getattr(event, timing.field)
-            self.histograms[timing.name].add(taken_ms / MS)
+        histogram = EVENT_HISTOGRAMS.get(kind)
+        if histogram:
+            time_ms = getattr(event, histogram.event_field)
+            self.histograms[histogram.name].add(time_ms / MS)
 
     def observe(self, name: str, seconds: float) -> None:
         """Observe a time in a histogram without an event."""
         self.histograms[name].add(seconds)
 
-    def count_words(self, way: str, kind: str, size: int, count: int) -> None:
+    def count_words(
+        self, direction: str, kind: str, size: int, count: int
+    ) -> None:
         """Count messages between entries, of `size` bytes each."""
-        labels = (way, kind)
+        labels = (direction, kind)
         self.messages[labels] = self.messages.get(labels, 0) + count
         known = self.message_bytes.get(labels, 0)
         self.message_bytes[labels] = known + size * count
--- a/trestledock/entry/_neighbours.py
+++ b/trestledock/entry/_neighbours.py
@@ -44,11 +44,11 @@
             self.note(address, UNKNOWN, now)
         return new
 
-    def note(self, address: Address, place: str, now: float) -> None:
+    def note(self, address: Address, data_centre: str, now: float) -> None:
         """Record the data centre of an entry."""
         self._seen_at[address] = now
-        if self.places.get(address) != place:
-            self.places[address] = place
+        if self.places.get(address) != data_centre:
+            self.places[address] = data_centre
             self._near = None
 
     def note_left(self, address: Address) -> None:
@@ -78,24 +78,24 @@
             near = (self.data_centre, UNKNOWN)
             self._near = [
                 address
-                for address, place in self.places.items()
-                if place in near
+                for address, data_centre in self.places.items()
+                if data_centre in near
             ]
         return self._near
 
     def get_far(self, *, many: bool) -> Mapping[str, list[Address]]:
         """Return the entries elsewhere by data centre, if there are `many`."""
-        far: dict[str, list[Address]] = defaultdict(list)
+        by_data_centre: dict[str, list[Address]] = defaultdict(list)
         if many:
-            for address, place in self.places.items():
-                if place not in (self.data_centre, UNKNOWN):
-                    far[place].append(address)
-        return far
+            for address, data_centre in self.places.items():
+                if data_centre not in (self.data_centre, UNKNOWN):
+                    by_data_centre[data_centre].append(address)
+        return by_data_centre
 
     def get_elsewhere(self) -> list[Address]:
         """Return the addresses that are not known to be in this data centre."""
         return [
             address
-            for address, place in self.places.items()
-            if place != self.data_centre
+            for address, data_centre in self.places.items()
+            if data_centre != self.data_centre
         ]
--- a/trestledock/entry/_news.py
+++ b/trestledock/entry/_news.py
@@ -114,7 +114,7 @@
     async def fetch(
         self,
         reader: str,
-        limit_s: float,
+        timeout_s: float,
         *,
         with_removed: bool = False,
     ) -> News | None:
@@ -127,12 +127,12 @@
             return None
         asked_at = anyio.current_time()
         try:
-            with anyio.fail_after(limit_s):
-                plain = await self._get(
+            with anyio.fail_after(timeout_s):
+                fields = await self._get(
                     peer.address, {REMOVED_FIELD: 1} if with_removed else {}
                 )
             now = anyio.current_time()
-            return _decode_update(plain, asked_at, now, reader)
+            return _decode_update(fields, asked_at, now, reader)
         except BAD_ANSWER as exc:
             emit(events.NewsLost(reader, repr(exc)))
             return None
@@ -156,7 +156,7 @@
         """
         now = anyio.current_time()
         fleet = self.state.fleet
-        held = [
+        retained = [
             {'listed': write_target(listed), 'left_s': until - now}
             for listed, until in fleet.get_held()
         ]
@@ -164,22 +164,22 @@
             _encode_quarantined(record)
             for record in self.state.isolation.quarantine.get_records(now)
         ]
-        plain = {
+        fields = {
             'list_age_s': min(self.state.get_list_age_s(now), MOST_AGE_S),
             'revision': self.state.revision,
             'settled': fleet.watch.is_settled(now),
             'document': self._get_document(version),
             'targets': [write_target(listed) for listed in fleet.get_listed()],
-            'held': held,
+            'held': retained,
             'quarantine': quarantine,
             'epoch': self.state.restores.epoch,
         }
         if with_removed:
-            plain['gone'] = [
+            fields['gone'] = [
                 (target.target_id, *target.order) for target in fleet.get_gone()
             ]
-            plain['leaving'] = sorted(fleet.leaving)
-        return json.dumps(plain, separators=(',', ':')).encode()
+            fields['leaving'] = sorted(fleet.leaving)
+        return json.dumps(fields, separators=(',', ':')).encode()
 
     def _get_document(self, version: int) -> str:
         return '' if version == self.state.version else self.state.document
@@ -206,9 +206,9 @@
         return False
 
     async def _get(
-        self, address: Address, asked: Mapping[str, int]
+        self, address: Address, params: Mapping[str, int]
     ) -> dict[str, Any]:
-        query = urlencode({VERSION_FIELD: self.state.version, **asked})
+        query = urlencode({VERSION_FIELD: self.state.version, **params})
         return await call_peer(address, f'{NEWS_PATH}?{query}')
 
 
@@ -217,51 +217,53 @@
     return {name: getattr(listed, name) for name in TARGET_FIELDS}
 
 
-def read_target(plain: Mapping[str, Any]) -> Listed:
+def read_target(encoded: Mapping[str, Any]) -> Listed:
     """Decode a target from another entry, or raise if it is invalid.
 
     Older versions of the program send no time of birth.
     """
-    told = {'born': UNTOLD, **plain}
-    found = {name: check(told[name]) for name, check in TARGET_FIELDS.items()}
-    return Listed(**found)
+    fields = {'born': UNTOLD, **encoded}
+    decoded = {
+        name: decode(fields[name]) for name, decode in TARGET_FIELDS.items()
+    }
+    return Listed(**decoded)
 
 
-def _decode_retained(plain: Mapping[str, Any]) -> HeldTarget:
+def _decode_retained(fields: Mapping[str, Any]) -> HeldTarget:
     return HeldTarget(
-        read_target(plain['listed']), read_amount(plain['left_s'])
+        read_target(fields['listed']), read_amount(fields['left_s'])
     )
 
 
-def _decode_removed(plain: Any) -> GoneTarget:
-    target_id, born, sequence = read_list(plain)
+def _decode_removed(row: Any) -> GoneTarget:
+    target_id, born, sequence = read_list(row)
     return GoneTarget(
         read_text(target_id), (read_whole(born), read_whole(sequence))
     )
 
 
-def _encode_quarantined(one: Quarantined) -> dict[str, Any]:
+def _encode_quarantined(record: Quarantined) -> dict[str, Any]:
     return {
-        'fingerprint': one.fingerprint,
-        'ends': one.incarnations,
-        'age_s': one.age_s,
-        'trials': one.trials,
-        'cleared': one.cleared,
+        'fingerprint': record.fingerprint,
+        'ends': record.incarnations,
+        'age_s': record.age_s,
+        'trials': record.trials,
+        'cleared': record.cleared,
     }
 
 
-def _decode_quarantined(plain: Mapping[str, Any]) -> Quarantined:
+def _decode_quarantined(fields: Mapping[str, Any]) -> Quarantined:
     return Quarantined(
-        read_text(plain['fingerprint']),
-        tuple(map(read_text, read_list(plain['ends']))),
-        read_amount(plain['age_s']),
-        read_count(plain['trials']),
-        tuple(map(read_text, read_list(plain['cleared']))),
+        read_text(fields['fingerprint']),
+        tuple(map(read_text, read_list(fields['ends']))),
+        read_amount(fields['age_s']),
+        read_count(fields['trials']),
+        tuple(map(read_text, read_list(fields['cleared']))),
     )
 
 
 def _decode_update(
-    plain: dict[str, Any],
+    fields: dict[str, Any],
     asked_at: float,
     now: float,
     reader: str,
@@ -270,23 +272,23 @@
 
     Older versions send no retained targets, quarantined requests or epoch.
     """
-    listed = map(read_target, read_list(plain['targets']))
-    age_s = read_amount(plain['list_age_s'])
-    quarantined = read_list(plain.get('quarantine', []))
+    listed = map(read_target, read_list(fields['targets']))
+    age_s = read_amount(fields['list_age_s'])
+    quarantined = read_list(fields.get('quarantine', []))
     return News(
-        document=read_text(plain['document']),
+        document=read_text(fields['document']),
         targets=tuple(
             [TargetNews(target.target_id, target) for target in listed]
         ),
-        held=tuple(map(_decode_retained, read_list(plain.get('held', [])))),
+        held=tuple(map(_decode_retained, read_list(fields.get('held', [])))),
         as_of=asked_at - age_s,
         latest_at=now - age_s,
         whole=True,
-        settled=read_flag(plain.get('settled', False)),
+        settled=read_flag(fields.get('settled', False)),
         source=reader,
-        revision=read_whole(plain['revision']),
+        revision=read_whole(fields['revision']),
         quarantine=tuple(map(_decode_quarantined, quarantined)),
-        epoch=read_optional_count(plain.get('epoch')),
-        gone=tuple(map(_decode_removed, read_list(plain.get('gone', [])))),
-        leaving=tuple(map(read_text, read_list(plain.get('leaving', [])))),
+        epoch=read_optional_count(fields.get('epoch')),
+        gone=tuple(map(_decode_removed, read_list(fields.get('gone', [])))),
+        leaving=tuple(map(read_text, read_list(fields.get('leaving', [])))),
     )
--- a/trestledock/entry/_notice_rows.py
+++ b/trestledock/entry/_notice_rows.py
@@ -30,7 +30,7 @@
 class Encoding:
     """Encoding of a kind of notice: the key of its list, and its decoded type.
 
-    `write` and `read` translate the fields before the ages in a row.
+    `encode` and `decode` translate the fields before the ages in a row.
     """
 
     key: str
@@ -43,38 +43,44 @@
     notices: Iterable[TargetNotice], now: float
 ) -> dict[str, list[Row]]:
     """Encode notices as rows by kind."""
-    rows: dict[str, list[Row]] = {form.key: [] for form in ENCODINGS.values()}
-    for entry in notices:
-        form = ENCODINGS[type(entry.notice)]
-        rows[form.key].append(_encode_row(form, entry, now))
+    rows: dict[str, list[Row]] = {
+        encoding.key: [] for encoding in ENCODINGS.values()
+    }
+    for target_notice in notices:
+        encoding = ENCODINGS[type(target_notice.notice)]
+        rows[encoding.key].append(_encode_row(encoding, target_notice, now))
     return rows
 
 
 def read_notices(
-    plain: Mapping[str, Any], now: float
+    fields: Mapping[str, Any], now: float
 ) -> tuple[TargetNotice, ...]:
     """Decode rows of notices, or raise if they are invalid."""
     return tuple(
-        TargetNotice(read_text(target), _decode_notice(form, row, now))
-        for form in ENCODINGS.values()
-        for target, *row in map(read_list, read_list(plain.get(form.key, [])))
+        TargetNotice(read_text(target), _decode_notice(encoding, row, now))
+        for encoding in ENCODINGS.values()
+        for target, *row in map(
+            read_list, read_list(fields.get(encoding.key, []))
+        )
     )
 
 
-def _encode_row(form: Encoding, one: TargetNotice, now: float) -> Row:
-    notice = one.notice
+def _encode_row(
+    encoding: Encoding, target_notice: TargetNotice, now: float
+) -> Row:
+    notice = target_notice.notice
     return (
-        one.target,
-        *form.encode(notice, now),
+        target_notice.target,
+        *encoding.encode(notice, now),
         round((now - notice.asked_at) * MS),
         round((now - notice.heard_at) * MS),
     )
 
 
-def _decode_notice(form: Encoding, row: Row, now: float) -> Notice:
-    *asks_for, asked_ms, heard_ms = row
-    notice: Notice = form.decoded_type(
-        *form.decode(now, *asks_for),
+def _decode_notice(encoding: Encoding, row: Row, now: float) -> Notice:
+    *fields, asked_ms, heard_ms = row
+    notice: Notice = encoding.decoded_type(
+        *encoding.decode(now, *fields),
         asked_at=now - read_count(asked_ms) / MS,
         heard_at=now - read_count(heard_ms) / MS,
         is_told=True,
@@ -90,7 +96,7 @@
     return (None if per_s is None else max(0, read_amount(per_s)),)
 
 
-def _encode_drain(leave: Leave, now: float) -> Row:
+def _encode_drain(drain: Leave, now: float) -> Row:
     return ()
 
 
@@ -98,8 +104,8 @@
     return ()
 
 
-def _encode_backoff(rest: Rest, now: float) -> Row:
-    return (max(0, round((rest.until - now) * MS)),)
+def _encode_backoff(backoff: Rest, now: float) -> Row:
+    return (max(0, round((backoff.until - now) * MS)),)
 
 
 def _decode_backoff(now: float, left_ms: Any) -> Row:
--- a/trestledock/entry/_notices.py
+++ b/trestledock/entry/_notices.py
@@ -15,7 +15,7 @@
 from trestledock.entry._dialect import AnswerNote
 from trestledock.entry._job import Job
 from trestledock.entry._logger import emit
-from trestledock.entry._speakers import find_helper, find_speaker
+from trestledock.entry._speakers import find_helper, find_attributed_target
 from trestledock.entry._state import EntryState
 from trestledock.relay import (
     Change,
@@ -48,14 +48,14 @@
     """Record the notices in an answer to a request sent at `asked_at`."""
     peer = placement.target.incarnation
     _record_limit(state, peer, status, answer, asked_at)
-    speaker = find_speaker(state, job, placement, status, answer)
+    target = find_attributed_target(state, job, placement, status, answer)
     if answer.leaves:
-        _record_drain(state, peer, speaker, asked_at)
+        _record_drain(state, peer, target, asked_at)
     _log_ignored(state, peer, 'rest', answer.rest.unreadable)
     if not answer.rest.rest_s:
-        _record_backoff_end(state, speaker, answer, asked_at)
-    elif speaker:
-        _record_backoff(state, speaker, answer.rest.rest_s, status, asked_at)
+        _record_backoff_end(state, target, answer, asked_at)
+    elif target:
+        _record_backoff(state, target, answer.rest.rest_s, status, asked_at)
         helper = find_helper(placement, answer.at_fault)
         if helper:
             _record_backoff(state, helper, answer.rest.rest_s, status, asked_at)
@@ -81,15 +81,15 @@
 
 
 def _record_drain(
-    state: EntryState, peer: str, speaker: str, asked_at: float
+    state: EntryState, peer: str, target: str, asked_at: float
 ) -> None:
     """Record that a target is draining, and tell all other entries at once."""
-    if not speaker:
+    if not target:
         _log_ignored(state, peer, 'leave', 'not its own answer')
         return
     notice = Leave(asked_at, anyio.current_time())
-    if take_notice(state, speaker, notice, OWN) is Change.learnt:
-        state.tell_notices(speaker)
+    if take_notice(state, target, notice, OWN) is Change.learnt:
+        state.tell_notices(target)
 
 
 def _record_limit(
@@ -107,8 +107,8 @@
     """
     limit = answer.limit
     _log_ignored(state, peer, 'limit', limit.unreadable)
-    speaks = answer.sealed and status < HTTPStatus.BAD_REQUEST
-    if limit.per_s is None and (limit.is_named or not speaks):
+    may_withdraw = answer.sealed and status < HTTPStatus.BAD_REQUEST
+    if limit.per_s is None and (limit.is_named or not may_withdraw):
         return
     before = state.notices.get(RateLimit, peer)
     notice = RateLimit(limit.per_s, asked_at, anyio.current_time())
@@ -135,10 +135,10 @@
     state: EntryState, peer: str, answer: AnswerNote, asked_at: float
 ) -> None:
     """Record that a target works again: it was sent to after its back-off."""
-    rest = state.notices.get(Rest, peer)
-    if rest and answer.sealed and rest.is_over(asked_at):
+    backoff = state.notices.get(Rest, peer)
+    if backoff and answer.sealed and backoff.is_over(asked_at):
         state.throttle.resting.forget(peer)
-        emit(events.RestEnded(peer, round((asked_at - rest.until) * MS)))
+        emit(events.RestEnded(peer, round((asked_at - backoff.until) * MS)))
         state.notify()
 
 
@@ -234,19 +234,19 @@
 
 def _log_against(state: EntryState, req: str, peer: str) -> None:
     """Log that a request goes to a draining or backed-off target."""
-    leave = state.notices.get(Leave, peer)
-    rest = state.notices.get(Rest, peer)
-    if leave:
-        age_ms = _get_age_ms(leave)
+    drain = state.notices.get(Leave, peer)
+    backoff = state.notices.get(Rest, peer)
+    if drain:
+        age_ms = _get_age_ms(drain)
         emit(events.SentAgainstNotice(req, peer, 'leave', age_ms))
-    if rest and not rest.is_over(anyio.current_time()):
-        age_ms = _get_age_ms(rest)
+    if backoff and not backoff.is_over(anyio.current_time()):
+        age_ms = _get_age_ms(backoff)
         emit(events.SentAgainstNotice(req, peer, 'rest', age_ms))
 
 
-def _get_left_ms(rest: Rest | None) -> int:
+def _get_left_ms(backoff: Rest | None) -> int:
     """Return the remaining time of a back-off, or 0."""
-    left_s = rest.until - anyio.current_time() if rest else 0
+    left_s = backoff.until - anyio.current_time() if backoff else 0
     return round(max(0, left_s) * MS)
 
 
@@ -269,7 +269,7 @@
     state: EntryState, peer: str, notice: str, detail: str
 ) -> None:
     """Log an invalid notice, once for each kind and text."""
-    known = state.ignored_notices.setdefault(peer, {})
-    if detail and known.get(notice) != detail:
-        known[notice] = detail
+    logged = state.ignored_notices.setdefault(peer, {})
+    if detail and logged.get(notice) != detail:
+        logged[notice] = detail
         emit(events.NoticeIgnored(peer, notice, detail))
--- a/trestledock/entry/_notices_exchange.py
+++ b/trestledock/entry/_notices_exchange.py
@@ -73,30 +73,28 @@
 
     def _send_of_target(self, target: str) -> None:
         """Send the notices of a target to all other entries."""
-        known = [
-            known_notice
-            for known_notice in self._get_known()
-            if known_notice.target == target
+        notices = [
+            notice for notice in self._get_known() if notice.target == target
         ]
-        self._send(known, self.gossip.neighbours.get_all())
+        self._send(notices, self.gossip.neighbours.get_all())
 
     def _send_known(self, address: Address) -> None:
         """Send all notices, including withdrawn ones, to a new entry."""
         self._send(self._get_known(), [address])
 
-    def _resend_own(self, where: Sequence[Address]) -> None:
+    def _resend_own(self, addresses: Sequence[Address]) -> None:
         """Send again what this entry received itself and what still matters.
 
         If receivers forwarded notices, each entry would get them from every
         other.
         """
         now = anyio.current_time()
-        matters = [
+        notices = [
             known
             for known in self._get_known()
             if _needs_resending(known.notice, now)
         ]
-        self._send(matters, where)
+        self._send(notices, addresses)
 
     def _get_known(self) -> list[TargetNotice]:
         """Return the notices of targets that are still listed."""
@@ -108,14 +106,14 @@
         ]
 
     def _send(
-        self, notices: Sequence[TargetNotice], where: Sequence[Address]
+        self, notices: Sequence[TargetNotice], addresses: Sequence[Address]
     ) -> None:
-        self.gossip.send_rows(ToldNotices, notices, where)
+        self.gossip.send_rows(ToldNotices, notices, addresses)
 
-    def _handle_notices(self, word: ToldNotices, _: Address) -> bool:
-        for received in word.notices:
+    def _handle_notices(self, message: ToldNotices, _: Address) -> bool:
+        for received in message.notices:
             take_notice(
-                self.state, received.target, received.notice, word.sender
+                self.state, received.target, received.notice, message.sender
             )
         return False
 
--- a/trestledock/entry/_peers.py
+++ b/trestledock/entry/_peers.py
@@ -38,8 +38,8 @@
 
     def is_silent(self, now: float) -> bool:
         """Whether it has been silent for longer than lost datagrams explain."""
-        patience_s = max(MIN_TIMEOUT_S, self.again_s * TIMEOUT_INTERVALS)
-        return now - self.heard_at > patience_s
+        timeout_s = max(MIN_TIMEOUT_S, self.again_s * TIMEOUT_INTERVALS)
+        return now - self.heard_at > timeout_s
 
 
 class Peers:
@@ -55,16 +55,16 @@
         """Whether data centres exchange less and have readers of their own."""
         return len(self.known) > MOST_TOLD_ALL
 
-    def hear(self, word: Flights, sender: Address, now: float) -> bool:
+    def hear(self, message: Flights, sender: Address, now: float) -> bool:
         """Record an entry's message; return whether the entry is new."""
-        is_new = word.sender not in self.known
-        self.known[word.sender] = Peer(
+        is_new = message.sender not in self.known
+        self.known[message.sender] = Peer(
             sender,
             now,
-            word.news_age_s,
-            word.data_centre,
-            word.again_s,
-            word.leaving,
+            message.news_age_s,
+            message.data_centre,
+            message.again_s,
+            message.leaving,
         )
         return is_new
 
--- a/trestledock/entry/_reading.py
+++ b/trestledock/entry/_reading.py
@@ -140,9 +140,9 @@
         asked_at = anyio.current_time()
         news = await self.directory.read_targets()
         self._record_epoch()
-        known = self.state.fleet.revision
+        previous_revision = self.state.fleet.revision
         self.listing.take(replace(news, as_of=asked_at))
-        if self.state.fleet.revision != known:
+        if self.state.fleet.revision != previous_revision:
             self.exchange.forget_taken()
 
     async def _announce(self) -> None:
--- a/trestledock/entry/_restoring.py
+++ b/trestledock/entry/_restoring.py
@@ -119,15 +119,13 @@
             return True
         stored = await self.directory.quarantine.read_whole()
         isolation.take_records(stored.records, STORE)
-        stored_by_fingerprint = {
+        by_fingerprint = {
             record.fingerprint: record for record in stored.records
         }
         missing = [
             record
             for record in isolation.quarantine.get_records(anyio.current_time())
-            if _is_missing(
-                record, stored_by_fingerprint.get(record.fingerprint)
-            )
+            if _is_missing(record, by_fingerprint.get(record.fingerprint))
         ]
         if not missing:
             return True
@@ -148,11 +146,11 @@
             restores.note_recorded(epoch)
 
 
-def _is_missing(one: Quarantined, there: Quarantined | None) -> bool:
+def _is_missing(record: Quarantined, stored: Quarantined | None) -> bool:
     """Whether a record says more than the one in the store."""
-    if there is None:
+    if stored is None:
         return True
-    known = {*there.incarnations, *there.cleared}
-    is_known = known.issuperset(one.incarnations)
-    are_cleared = set(there.cleared).issuperset(one.cleared)
-    return not is_known or not are_cleared or one.trials > there.trials
+    known = {*stored.incarnations, *stored.cleared}
+    is_known = known.issuperset(record.incarnations)
+    are_cleared = set(stored.cleared).issuperset(record.cleared)
+    return not is_known or not are_cleared or record.trials > stored.trials
--- a/trestledock/entry/_rows.py
+++ b/trestledock/entry/_rows.py
@@ -74,14 +74,14 @@
     return round(min(seconds, MOST_AGE_S) * MS)
 
 
-def read_change(told: Any, now: float) -> Change:
+def read_change(values: Any, now: float) -> Change:
     """Decode an in-flight request, or the id alone of one that has ended.
 
     An invalid row raises a `ValueError` or a `TypeError`.
     """
-    if len(told) == 1:
-        return read_text(told[0]), None
-    row = Row(*told)
+    if len(values) == 1:
+        return read_text(values[0]), None
+    row = Row(*values)
     return row.flight_id, Flight(
         flight_id=read_text(row.flight_id),
         target=read_text(row.target),
--- a/trestledock/entry/_speakers.py
+++ b/trestledock/entry/_speakers.py
@@ -15,7 +15,7 @@
 from trestledock.relay import Placement
 
 
-def find_speaker(
+def find_attributed_target(
     state: EntryState,
     job: Job,
     placement: Placement,
@@ -30,8 +30,8 @@
     is_elsewhere = status == HTTPStatus.MISDIRECTED_REQUEST
     if is_elsewhere and not find_helper(placement, answer.at_fault):
         return state.fleet.newest.get(answer.instance, '')
-    echoes = bool(answer.req_id) and answer.req_id == job.call.req_id
-    if answer.sealed or answer.not_run or echoes:
+    echoes_id = bool(answer.req_id) and answer.req_id == job.call.req_id
+    if answer.sealed or answer.not_run or echoes_id:
         return placement.target.incarnation
     return ''
 
--- a/trestledock/entry/_state.py
+++ b/trestledock/entry/_state.py
@@ -188,12 +188,12 @@
 
         A crash during a request says nothing about the target's data centre.
         """
-        place = self._get_remote_data_centre(target_id)
+        data_centre = self._get_remote_data_centre(target_id)
         if self.isolation.quarantine.was_ended(target_id):
-            place = ''
-        if not self.health.is_suspect(target_id, now, place):
-            emit(events.TargetSuspected(target_id, place))
-        self.health.note_silence(target_id, now, place)
+            data_centre = ''
+        if not self.health.is_suspect(target_id, now, data_centre):
+            emit(events.TargetSuspected(target_id, data_centre))
+        self.health.note_silence(target_id, now, data_centre)
 
     def note_success(self, target_id: str, now: float) -> None:
         """Record that a target answered as expected."""
@@ -215,27 +215,27 @@
 
     def note_heard(
         self,
-        place: str,
+        data_centre: str,
         name: str,
         now: float,
         *,
         leaving: bool = False,
     ) -> None:
         """Record a message from an entry of another data centre."""
-        if place == self.settings.data_centre:
+        if data_centre == self.settings.data_centre:
             return
-        self.health.note_heard(place)
+        self.health.note_heard(data_centre)
         if leaving:
-            self.reach.note_left(place, name)
+            self.reach.note_left(data_centre, name)
         else:
-            self.reach.note_heard(place, name, now)
+            self.reach.note_heard(data_centre, name, now)
 
     def check_reach(self, now: float) -> None:
         """Suspect the targets of data centres that have become silent."""
-        for place in self.reach.look(now):
-            if self.health.note_quiet(place, now):
-                emit(events.DataCentreQuiet(place))
-                self._cancel_waits(place)
+        for data_centre in self.reach.look(now):
+            if self.health.note_quiet(data_centre, now):
+                emit(events.DataCentreQuiet(data_centre))
+                self._cancel_waits(data_centre)
 
     def is_cut_off(self, target_id: str, now: float) -> bool:
         """Whether all entries of a target's data centre are silent."""
@@ -245,10 +245,10 @@
 
     def get_loads(self, now: float) -> set[str]:
         """Return the data centres with known loads; drop outdated loads."""
-        for place, load in tuple(self.loads.items()):
+        for data_centre, load in tuple(self.loads.items()):
             if not load.is_fresh(now):
-                self.loads.pop(place)
-                self.board.set_elsewhere(place, ())
+                self.loads.pop(data_centre)
+                self.board.set_elsewhere(data_centre, ())
         return set(self.loads)
 
     def count_entries(self) -> int:
@@ -257,8 +257,8 @@
         Silent entries count too in what all entries share, as they may only be
         cut off.
         """
-        heard = self.board.count_peers() + 1
-        return max(heard, self.throttle.get_members().known)
+        active = self.board.count_peers() + 1
+        return max(active, self.throttle.get_members().known)
 
     def note_list(
         self,
@@ -389,17 +389,17 @@
             self.throttle.get_quota(target) for target in listed if target
         )
 
-    def _cancel_waits(self, place: str) -> None:
+    def _cancel_waits(self, data_centre: str) -> None:
         """Cancel the waits for targets of a data centre."""
         for wait in tuple(self.waits):
-            if place in map(self._get_remote_data_centre, wait.targets):
+            if data_centre in map(self._get_remote_data_centre, wait.targets):
                 wait.scope.cancel()
 
     def _get_remote_data_centre(self, target_id: str) -> str:
         """Return the data centre of a target, or '' for the own one."""
         listed = self.fleet.targets.get(target_id)
-        place = listed.data_centre if listed else ''
-        return '' if place == self.settings.data_centre else place
+        data_centre = listed.data_centre if listed else ''
+        return '' if data_centre == self.settings.data_centre else data_centre
 
 
 async def _run_again(work: Callable[[], Awaitable[Any]]) -> None:
--- a/trestledock/entry/_word_codec.py
+++ b/trestledock/entry/_word_codec.py
@@ -43,7 +43,7 @@
 #: Exceptions that decoding an invalid message raises.
 DECODE_ERRORS = (ValueError, LookupError, TypeError, RecursionError)
 
-Plain = Mapping[str, Any]
+Fields = Mapping[str, Any]
 
 
 class BadWord(ValueError):
@@ -51,155 +51,157 @@
 
 
 @singledispatch
-def _get_fields(word: Word, now: float) -> dict[str, Any]:
+def _get_fields(message: Word, now: float) -> dict[str, Any]:
     """Return the fields of a message other than its sender."""
-    raise TypeError(f'unknown message type: {word!r}')
+    raise TypeError(f'unknown message type: {message!r}')
 
 
 @_get_fields.register
-def _(word: Flights, now: float) -> dict[str, Any]:
+def _(message: Flights, now: float) -> dict[str, Any]:
     return {
         'kind': 'flights',
-        'sequence': word.sequence,
-        'whole': word.whole,
-        'data_centre': word.data_centre,
-        'leaving': word.leaving,
-        'news_age_ms': round(word.news_age_s * MS),
-        'again_ms': round(word.again_s * MS),
-        'flights': [write_change(*change, now) for change in word.changes],
+        'sequence': message.sequence,
+        'whole': message.whole,
+        'data_centre': message.data_centre,
+        'leaving': message.leaving,
+        'news_age_ms': round(message.news_age_s * MS),
+        'again_ms': round(message.again_s * MS),
+        'flights': [write_change(*change, now) for change in message.changes],
     }
 
 
 @_get_fields.register
-def _(word: Beat, now: float) -> dict[str, Any]:
+def _(message: Beat, now: float) -> dict[str, Any]:
     return {
         'kind': 'beat',
-        'data_centre': word.data_centre,
-        'leaving': word.leaving,
+        'data_centre': message.data_centre,
+        'leaving': message.leaving,
     }
 
 
 @_get_fields.register
-def _(word: Fresh, now: float) -> dict[str, Any]:
-    return {'kind': 'fresh', 'news_age_ms': round(word.news_age_s * MS)}
+def _(message: Fresh, now: float) -> dict[str, Any]:
+    return {'kind': 'fresh', 'news_age_ms': round(message.news_age_s * MS)}
 
 
 @_get_fields.register
-def _(word: Question, now: float) -> dict[str, Any]:
-    return {'kind': 'ask', 'asked_at': word.asked_at}
+def _(message: Question, now: float) -> dict[str, Any]:
+    return {'kind': 'ask', 'asked_at': message.asked_at}
 
 
 @_get_fields.register
-def _(word: Reply, now: float) -> dict[str, Any]:
+def _(message: Reply, now: float) -> dict[str, Any]:
     return {
         'kind': 'reply',
-        'asked_at': word.asked_at,
-        'proof_age_s': word.proof_age_s,
-        'read_age_s': word.read_age_s,
-        'list_age_s': word.list_age_s,
-        'version': word.version,
-        'revision': word.revision,
-        'epoch': word.epoch,
+        'asked_at': message.asked_at,
+        'proof_age_s': message.proof_age_s,
+        'read_age_s': message.read_age_s,
+        'list_age_s': message.list_age_s,
+        'version': message.version,
+        'revision': message.revision,
+        'epoch': message.epoch,
     }
 
 
 @_get_fields.register
-def _(word: Ends, now: float) -> dict[str, Any]:
+def _(message: Ends, now: float) -> dict[str, Any]:
     rows = [
         (end.fingerprint, end.incarnation, round(age_s * MS))
-        for end, age_s in word.ends
+        for end, age_s in message.ends
     ]
     return {'kind': 'ends', 'ends': rows}
 
 
 @_get_fields.register
-def _(word: Cleared, now: float) -> dict[str, Any]:
+def _(message: Cleared, now: float) -> dict[str, Any]:
     return {
         'kind': 'cleared',
-        'fingerprint': word.fingerprint,
-        'ends': word.ends,
+        'fingerprint': message.fingerprint,
+        'ends': message.ends,
     }
 
 
 @_get_fields.register
-def _(word: ToldNotices, now: float) -> dict[str, Any]:
-    return {'kind': 'limits', **write_notices(word.notices, now)}
+def _(message: ToldNotices, now: float) -> dict[str, Any]:
+    return {'kind': 'limits', **write_notices(message.notices, now)}
 
 
-def write_word(word: Word, now: float) -> bytes:
+def write_word(message: Word, now: float) -> bytes:
     """Return the encoded message."""
-    plain = _get_fields(word, now)
-    plain['from'] = word.sender
-    return json.dumps(plain, separators=(',', ':')).encode()
+    fields = _get_fields(message, now)
+    fields['from'] = message.sender
+    return json.dumps(fields, separators=(',', ':')).encode()
 
 
-def _decode_flights(plain: Plain, sender: str, now: float) -> Flights:
-    rows = read_list(plain['flights'])
+def _decode_flights(fields: Fields, sender: str, now: float) -> Flights:
+    rows = read_list(fields['flights'])
     return Flights(
         sender=sender,
-        sequence=read_whole(plain['sequence']),
-        whole=read_flag(plain['whole']),
-        data_centre=read_text(plain['data_centre']),
-        leaving=read_flag(plain.get('leaving', False)),
-        news_age_s=read_amount(plain['news_age_ms']) / MS,
-        again_s=read_amount(plain.get('again_ms', OLD_VERSION_AGAIN_MS)) / MS,
+        sequence=read_whole(fields['sequence']),
+        whole=read_flag(fields['whole']),
+        data_centre=read_text(fields['data_centre']),
+        leaving=read_flag(fields.get('leaving', False)),
+        news_age_s=read_amount(fields['news_age_ms']) / MS,
+        again_s=read_amount(fields.get('again_ms', OLD_VERSION_AGAIN_MS)) / MS,
         changes=tuple([read_change(row, now) for row in rows]),
     )
 
 
-def _decode_beat(plain: Plain, sender: str, now: float) -> Beat:
+def _decode_beat(fields: Fields, sender: str, now: float) -> Beat:
     return Beat(
         sender,
-        read_text(plain['data_centre']),
-        read_flag(plain.get('leaving', False)),
+        read_text(fields['data_centre']),
+        read_flag(fields.get('leaving', False)),
     )
 
 
-def _decode_fresh(plain: Plain, sender: str, now: float) -> Fresh:
-    return Fresh(sender, read_amount(plain['news_age_ms']) / MS)
+def _decode_fresh(fields: Fields, sender: str, now: float) -> Fresh:
+    return Fresh(sender, read_amount(fields['news_age_ms']) / MS)
 
 
-def _decode_question(plain: Plain, sender: str, now: float) -> Question:
-    return Question(sender, read_amount(plain['asked_at']))
+def _decode_question(fields: Fields, sender: str, now: float) -> Question:
+    return Question(sender, read_amount(fields['asked_at']))
 
 
-def _decode_reply(plain: Plain, sender: str, now: float) -> Reply:
+def _decode_reply(fields: Fields, sender: str, now: float) -> Reply:
     """Decode a reply; in older versions each read is a proof."""
-    proof_age_s = read_amount(plain['proof_age_s'])
+    proof_age_s = read_amount(fields['proof_age_s'])
     return Reply(
         sender=sender,
-        asked_at=read_amount(plain['asked_at']),
+        asked_at=read_amount(fields['asked_at']),
         proof_age_s=proof_age_s,
-        read_age_s=read_amount(plain.get('read_age_s', proof_age_s)),
-        list_age_s=read_amount(plain['list_age_s']),
-        version=read_whole(plain['version']),
-        revision=read_whole(plain['revision']),
-        epoch=read_optional_count(plain.get('epoch')),
+        read_age_s=read_amount(fields.get('read_age_s', proof_age_s)),
+        list_age_s=read_amount(fields['list_age_s']),
+        version=read_whole(fields['version']),
+        revision=read_whole(fields['revision']),
+        epoch=read_optional_count(fields.get('epoch')),
     )
 
 
-def _decode_ends(plain: Plain, sender: str, now: float) -> Ends:
-    rows = map(read_list, read_list(plain['ends']))
+def _decode_ends(fields: Fields, sender: str, now: float) -> Ends:
+    rows = map(read_list, read_list(fields['ends']))
     return Ends(sender, tuple([_decode_crash(*row) for row in rows]))
 
 
 def _decode_crash(
     fingerprint: Any, incarnation: Any, age_ms: Any
 ) -> tuple[End, float]:
-    end = End(read_text(fingerprint), read_text(incarnation))
-    return end, read_count(age_ms) / MS
+    crash = End(read_text(fingerprint), read_text(incarnation))
+    return crash, read_count(age_ms) / MS
 
 
-def _decode_cleared(plain: Plain, sender: str, now: float) -> Cleared:
-    ends = map(read_text, read_list(plain['ends']))
-    return Cleared(sender, read_text(plain['fingerprint']), tuple(ends))
+def _decode_cleared(fields: Fields, sender: str, now: float) -> Cleared:
+    incarnations = map(read_text, read_list(fields['ends']))
+    return Cleared(
+        sender, read_text(fields['fingerprint']), tuple(incarnations)
+    )
 
 
-def _decode_notices(plain: Plain, sender: str, now: float) -> ToldNotices:
-    return ToldNotices(sender, read_notices(plain, now))
+def _decode_notices(fields: Fields, sender: str, now: float) -> ToldNotices:
+    return ToldNotices(sender, read_notices(fields, now))
 
 
-DECODERS: Mapping[str, Callable[[Plain, str, float], Word]] = MappingProxyType(
+DECODERS: Mapping[str, Callable[[Fields, str, float], Word]] = MappingProxyType(
     {
         'flights': _decode_flights,
         'beat': _decode_beat,
@@ -220,7 +222,7 @@
     Fresh(sender='e', news_age_s=0.25)
     """
     try:
-        plain = json.loads(raw)
-        return DECODERS[plain['kind']](plain, read_text(plain['from']), now)
+        fields = json.loads(raw)
+        return DECODERS[fields['kind']](fields, read_text(fields['from']), now)
     except DECODE_ERRORS as exc:
         raise BadWord(repr(exc)) from exc
