--- a/tests/following.py
+++ b/tests/following.py
@@ -1,4 +1,4 @@
-"""Entries that follow a store and ask one another, without sockets."""
+"""Entries without sockets that follow a store and ask one another."""
 
 import json
 from dataclasses import replace
@@ -19,12 +19,12 @@
 from trestledock.relay import Catalog
 
 CATALOG = Catalog(1, {}, {}, None)
-#: Between one step of a scenario and the next, on a virtual clock.
+#: Time between two steps of a scenario, on a virtual clock, in seconds.
 STEP_S = 0.01
 
 
 class Store:
-    """The list of targets that all entries read, and whether it answers."""
+    """List of targets that all entries read; may be unavailable."""
 
     def __init__(self, *numbers):
         self.records = [
@@ -33,20 +33,20 @@
         self.down = False
 
     async def wait(self):
-        """Take no time."""
+        """Return at once."""
 
     def remove(self, number):
-        """Remove a target that never said that it leaves."""
+        """Remove a target that was never marked as draining."""
         self.records.append(TargetNews(f't{number}', None))
 
     def put(self, number, sequence):
-        """Write a heartbeat."""
+        """Write a heartbeat of a target."""
         listed = replace(make_listed(number, 80), sequence=sequence)
         self.records.append(TargetNews(f't{number}', listed))
 
 
 class Reading:
-    """One entry's reads of the store, each from where the last one ended."""
+    """Reads of one entry, each from the end of the previous one."""
 
     epoch = None
 
@@ -76,7 +76,7 @@
 
 
 class FollowingEntry:
-    """One entry; `network` has all of them by address."""
+    """Entry without sockets; `network` has all entries by address."""
 
     def __init__(self, number, store, network, group):
         self.address = ('127.0.0.1', number)
@@ -95,25 +95,25 @@
         self.follower._sleep = _sleep
 
     async def read(self):
-        """Read the store, a moment later."""
+        """Read the store after a step."""
         await anyio.sleep(STEP_S)
         await self.follower.reading.read()
 
     async def ask(self, reader):
-        """Ask another entry a moment later, as is done again and again."""
+        """Ask another entry after a step, as the follower does periodically."""
         await anyio.sleep(STEP_S)
         peer = Peer(reader.address, anyio.current_time(), 0)
         self.gossip.peers.known[reader.name] = peer
         await self.follower._ask(reader.name)
 
     def stand_still(self, pause_s):
-        """Have the past lie further back, as after a pause of the process."""
+        """Move the last reads into the past, as if the process had paused."""
         self.state.fleet.watch.read_at -= pause_s
         self.state.proof.proven_at -= pause_s
         self.state.fleet.watch.note_trouble(anyio.current_time())
 
     def get_usable(self):
-        """Return the names of the targets that may get new work."""
+        """Return the ids of the targets that accept new requests."""
         return {one.target_id for one in self.state.fleet.get_usable('svc')}
 
     def _send(self, word, where):
@@ -122,7 +122,7 @@
             self.network[address].take(raw, self.address)
 
     def take(self, raw, sender):
-        """Take a datagram."""
+        """Handle a datagram."""
         self.gossip.take(raw, sender)
 
     async def _get(self, address, asked):
--- a/tests/living.py
+++ b/tests/living.py
@@ -1,7 +1,7 @@
-"""Entries that follow a store for a while, on a virtual clock.
+"""Entries that run their own loops on a virtual clock.
 
-Each runs the product's own loops against an in-memory store and network; any of
-them may stand still, and the store may be away.
+The store and the network are in memory. Entries may be paused, and the store
+may be unavailable.
 """
 
 from dataclasses import dataclass, field
@@ -14,13 +14,13 @@
 from trestledock.entry import WireError
 from trestledock.entry._word_codec import write_word
 
-#: One way between two entries, and a call of the store, in seconds.
+#: Latency between two entries, and of a call to the store, in seconds.
 WAY_S = 0.001
 CALL_S = 0.008
 
 
 class LivingEntry(FollowingEntry):
-    """An entry that runs by itself until it is told to stand still."""
+    """Entry that runs by itself until it is paused."""
 
     def __init__(self, number, store, network, group):
         super().__init__(number, store, network, group)
@@ -33,14 +33,14 @@
         self.follower._sleep = self._pause
 
     async def live(self):
-        """Follow the store, and tell the others now and then."""
+        """Follow the store and send the full state periodically."""
         async with anyio.create_task_group() as group:
             group.start_soon(self.follower._follow)
             group.start_soon(self.follower.listing.run)
             group.start_soon(self.gossip._send_periodically)
 
     async def stand_still_for(self, pause_s):
-        """Stand still, as a process that is stopped and goes on."""
+        """Pause, like a process that is stopped and continued."""
         self.running = anyio.Event()
         self.disturbed_until = float('inf')
         await anyio.sleep(pause_s)
@@ -50,11 +50,11 @@
         self.running.set()
 
     def end(self):
-        """Be asked to stop."""
+        """Start draining."""
         self.state.leaving = True
 
     def close(self):
-        """Take no connections any more, as in the last part of the end."""
+        """Refuse connections, as in the last part of the shutdown."""
         self.closed = True
 
     async def _pause(self, wait_s):
@@ -85,29 +85,29 @@
 
 
 class SlowStore(Store):
-    """A store whose calls take a moment."""
+    """Store with a latency for each call."""
 
     async def wait(self):
-        """Take the time of a call."""
+        """Wait for the latency of a call."""
         await anyio.sleep(CALL_S)
 
 
 @dataclass
 class Life:
-    """A run of some entries; `entries` are in the order of their names."""
+    """Run of several entries, ordered by name."""
 
     store: SlowStore
     entries: list = field(default_factory=list)
 
     def get_readers(self):
-        """Return the running entries by whom others are told, or soon are."""
+        """Return the running entries that are readers, or will be."""
         running = [one for one in self.entries if one.running.is_set()]
         names = {one.follower._reader for one in running}
         return [one for one in running if one.name in names] or running[:1]
 
 
 def run_life(count, numbers, scenario):
-    """Run `scenario(life)` beside living entries; return its result."""
+    """Run `scenario(life)` beside running entries; return its result."""
 
     async def main():
         async with anyio.create_task_group() as group:
--- a/tests/restoring.py
+++ b/tests/restoring.py
@@ -1,7 +1,7 @@
-"""Entries with the platform's adapter on a store that goes back in time.
+"""Entries with the platform's adapter on a store restored from copies.
 
-Everything runs on a virtual clock: the store is the soak's, its wire and the
-network between entries are calls within the process.
+Everything runs on a virtual clock. The store is that of the soak test; its
+connections and the network between entries are calls within the process.
 """
 
 import json
@@ -28,15 +28,15 @@
 from trestledock.platform import _log
 from trestledock.platform._store import StoreDirectory
 
-#: One way between two entries, in seconds.
+#: Latency between two entries, in seconds.
 WAY_S = 0.0005
-#: Between two heartbeats of a target, in seconds.
+#: Interval between two heartbeats of a target, in seconds.
 HEARTBEAT_S = 1.2
 KEY = 'key-1'
 
 
 class StoreWire:
-    """A connection to the store that is a call within the process."""
+    """Connection to the store as a call within the process."""
 
     store = None
     requests = []
@@ -74,11 +74,11 @@
         return True
 
     async def close(self):
-        """Nothing is open."""
+        """Do nothing, as nothing is open."""
 
 
 class RestoringEntry:
-    """One entry with all that follows the store."""
+    """Entry with all parts that follow the store."""
 
     def __init__(self, number, network, group, life=1):
         self.number = number
@@ -118,7 +118,7 @@
                 group.start_soon(self.gossip._send_periodically)
 
     def kill(self):
-        """End without a word."""
+        """Stop without sending anything."""
         self.network.pop(self.address, None)
         self.scope.cancel()
 
@@ -126,12 +126,12 @@
         return self.state.is_ready(anyio.current_time())
 
     def is_key_served(self):
-        """Whether requests with the key go to targets now."""
+        """Whether requests with the key are sent to targets now."""
         fresh = self.state.proof.is_fresh(anyio.current_time())
         return fresh and KEY in self.state.catalog.keys
 
     def get_usable(self):
-        """Return the targets that may get new work."""
+        """Return the ids of the targets that accept new requests."""
         return {one.target_id for one in self.state.fleet.get_usable('svc')}
 
     def _send(self, word, where):
@@ -158,7 +158,7 @@
 
 
 class World:
-    """A store with its operator and targets, and entries that come and go."""
+    """Store with its operator and targets, and entries that start and stop."""
 
     def __init__(self, group):
         self.group = group
@@ -179,7 +179,7 @@
         self.store.put_json(*CONFIG, plain)
 
     def beat(self, target_id, state='ready', *, counts=True):
-        """Write a word of a target."""
+        """Write a heartbeat of a target."""
         self.targets[target_id] = self.targets.get(target_id, 0) + counts
         plain = {
             'service': 'svc',
@@ -193,12 +193,12 @@
         self.store.put_json(TARGETS, target_id, plain)
 
     def leave(self, target_id):
-        """Remove a target's entry; it writes no more."""
+        """Remove a target's record; it writes no more."""
         self.targets.pop(target_id)
         self.store.put_json(TARGETS, target_id, None)
 
     async def run_targets(self):
-        """Let all targets write as they do."""
+        """Write heartbeats of all targets periodically."""
         while True:
             await anyio.sleep(HEARTBEAT_S)
             for target_id in list(self.targets):
@@ -220,7 +220,7 @@
 
 
 def run_world(count, scenario):
-    """Run `scenario(world, *entries)` with entries that have run a while."""
+    """Run `scenario(world, *entries)` after a while of normal operation."""
 
     async def main():
         async with anyio.create_task_group() as group:
--- a/tests/test_clock.py
+++ b/tests/test_clock.py
@@ -1,4 +1,4 @@
-"""A clock that counts the time for which the machine was suspended."""
+"""The clock counts the time for which the machine was suspended."""
 
 import re
 import time
@@ -17,26 +17,26 @@
 from trestledock.relay import Catalog
 
 PRODUCT = Path(__file__).parent.parent / 'trestledock'
-#: Packages that run at the users', and the calls of clocks that they leave to
-#: the one module.
+#: Packages that run at users' machines, and the clock calls that only one
+#: module makes.
 PACKAGES = ('connection', 'entry', 'platform', 'process', 'relay', 'request')
 CLOCKS = re.compile(r'\btime\.(monotonic|time|perf_counter|clock_gettime)\b')
-#: Longer than any bound of the settings, in seconds.
+#: Longer than any bound in the settings, in seconds.
 PAUSE_S = 30.0
 
 
 class Machine:
-    """A machine that can be suspended: its steady clock stands still then."""
+    """Machine whose monotonic clock stops while it is suspended."""
 
     def __init__(self):
         self.asleep_s = 0.0
 
     def read(self):
-        """Return the time that counts suspension."""
+        """Return the time including suspension."""
         return time.monotonic() + self.asleep_s
 
     def run(self, main):
-        """Run a program on an event loop that has this machine's clock."""
+        """Run a program on an event loop with this machine's clock."""
         return anyio.run(
             main,
             backend_options={'loop_factory': lambda: SuspensionLoop(self.read)},
@@ -44,7 +44,7 @@
 
 
 class PauseTest(unittest.TestCase):
-    """What has run out at the first step after a pause of the machine."""
+    """What has expired at the first step after a suspension."""
 
     def setUp(self):
         self.machine = Machine()
@@ -53,9 +53,9 @@
         self.machine.asleep_s += PAUSE_S
 
     def test_proof(self):
-        """A key may have been taken away meanwhile: none is served.
+        """A key may have been revoked meanwhile, so none is served.
 
-        On the steady clock the proof was as fresh as before.
+        By the monotonic clock the proof would be as recent as before.
         """
 
         async def main():
@@ -71,7 +71,7 @@
         self.assertEqual(self.machine.run(main), (True, False, False))
 
     def test_deadline(self):
-        """Whoever waits past its deadline is told at once."""
+        """A task that waits past its deadline times out at once."""
 
         async def main():
             with anyio.move_on_after(PAUSE_S / 2) as scope:
@@ -82,7 +82,7 @@
         self.assertTrue(self.machine.run(main))
 
     def test_list_of_targets(self):
-        """It is as old as it is: whoever asks for it hears so."""
+        """The reported age of the list includes the suspension."""
 
         async def main():
             state = EntryState(SETTINGS, 'entry-1#a', Random(1), None)
@@ -96,10 +96,10 @@
 
 
 class LoopTest(unittest.TestCase):
-    """The time of the loop."""
+    """The time of the event loop."""
 
     def test_clock_that_goes_back(self):
-        """Time goes on from where it was, and timers with it."""
+        """Time and timers continue from the last value."""
         times = iter([10.0, 11.0, 5.0, 6.0, 6.5])
         loop = SuspensionLoop(times.__next__)
         found = [loop.time() for _ in range(4)]
@@ -111,7 +111,7 @@
 
 
 class WatchTest(unittest.TestCase):
-    """Pauses that are told."""
+    """Detection of pauses."""
 
     def test_pause_is_found_once(self):
         machine = Machine()
@@ -122,7 +122,7 @@
 
 
 class OneClockTest(unittest.TestCase):
-    """No other module reads a clock of its own."""
+    """No other module reads a clock directly."""
 
     def test_product(self):
         found = [
--- a/tests/test_entry_anew.py
+++ b/tests/test_entry_anew.py
@@ -1,6 +1,7 @@
-"""An entry that starts anew while the reader of the list stands still.
+"""An entry that starts while the reader of the list is paused.
 
-It reads the newest record of each target, so it never knew those that had left.
+It reads only the newest record of each target, so it never knew the removed
+ones.
 """
 
 import unittest
@@ -12,16 +13,16 @@
 from tests.test_entry_pace import BOUND_S, EXCUSED_S, STEP_S
 from trestledock.entry import News
 
-#: For how long the reader stands still, and from when on a new entry runs after
-#: a target has left, in seconds.
+#: Length of the reader's pause, and delay of the new entry's start after the
+#: removal of a target, in seconds.
 PAUSE_S = 4.0
 NEW_S = 0.05
-#: When the reader stands still, in seconds.
+#: Time at which the reader is paused, in seconds.
 BEGIN_S = 8.3
 
 
 class NewestReading(Reading):
-    """Reads of an entry that begin with the newest record of each target."""
+    """Reads that begin with the newest record of each target."""
 
     async def read_targets(self):
         begins = not self.position
@@ -34,7 +35,7 @@
 
 
 async def start_anew(life):
-    """Have one more entry live; the others meet it."""
+    """Run one more entry, and exchange addresses with the others."""
     first = life.entries[0]
     number = len(life.entries)
     entry = LivingEntry(number, life.store, first.network, first.state.group)
@@ -50,13 +51,14 @@
 
 
 class AnewTest(unittest.TestCase):
-    """A target leaves while the reader stands still, and an entry starts."""
+    """A target is removed while the reader is paused, and an entry starts."""
 
     def test_new_entry_in_touch_sends_nothing(self):
-        """It takes no target from an entry that was just disturbed itself.
+        """A new entry accepts no target from a reader that was just paused.
 
-        The reader holds what left in its pause, and is excused for that.  The
-        new entry, which runs for longer than it is excused, takes it over.
+        The reader retains the target that was removed during its pause, and is
+        excused for that. The new entry must not copy it, as its own excuse is
+        over sooner.
         """
         self.assertEqual(run_life(6, (1, 2), self.play), [])
 
--- a/tests/test_entry_following.py
+++ b/tests/test_entry_following.py
@@ -1,4 +1,4 @@
-"""How an entry reads the store, and how rarely while that is away."""
+"""How an entry reads the store, and how rarely while it is unavailable."""
 
 import unittest
 from random import Random
@@ -22,7 +22,7 @@
 
 
 class StubDirectory:
-    """A store whose parts answer or fail, and that counts its calls."""
+    """Store whose parts answer or fail, with a record of the calls."""
 
     epoch = None
 
@@ -45,7 +45,7 @@
 
 
 class ReadingTest(unittest.TestCase):
-    """The calls of one entry."""
+    """Calls of one entry."""
 
     def run_follower(self, scenario):
         async def main():
@@ -59,7 +59,7 @@
         anyio.run(main)
 
     def test_one_call_while_the_store_is_away(self):
-        """Calls are priced, refused ones too."""
+        """Calls are charged, including refused ones."""
 
         async def scenario(follower, directory):
             directory.down = {'catalog': True, 'targets': True}
@@ -72,7 +72,7 @@
         self.run_follower(scenario)
 
     def test_part_of_the_store_is_back(self):
-        """What can be read is read, whichever part it is."""
+        """Each part is read as soon as it is back."""
         for part in ('catalog', 'targets'):
 
             async def scenario(follower, directory, part=part):
@@ -87,7 +87,7 @@
             self.run_follower(scenario)
 
     def test_all_back(self):
-        """The first call that is answered is followed by the other."""
+        """After the first successful call the other one follows."""
 
         async def scenario(follower, directory):
             directory.down = {'catalog': True, 'targets': True}
@@ -104,7 +104,7 @@
     """When an entry reads for itself, and what must not delay that."""
 
     def run_stale(self, scenario, age_s):
-        """Run `scenario` with an entry whose news has reached an age.
+        """Run `scenario` with an entry whose state has reached an age.
 
         Many entries come before it in the order of names.
         """
@@ -128,11 +128,11 @@
         anyio.run(main)
 
     def test_success_delays_nothing(self):
-        """An entry that has just read must read again where its news is old.
+        """An entry that has just read reads again if its state is outdated.
 
-        Two readers that stand still one after the other were answered by a
-        pause that is meant for a store that is away: seconds, for the last in
-        the order.
+        After two readers had been paused one after the other, entries waited
+        for a retry delay that is meant for an unavailable store: seconds, for
+        the last in order.
         """
 
         async def scenario(follower):
@@ -142,7 +142,7 @@
         self.run_stale(scenario, age_s=1.5)
 
     def test_failure_delays(self):
-        """While the store is away, those that come later wait for longer."""
+        """While the store is unavailable, later entries wait longer."""
 
         async def scenario(follower):
             follower.reading.directory.down = {'catalog': True, 'targets': True}
@@ -153,7 +153,7 @@
         self.run_stale(scenario, age_s=1.5)
 
     def test_fetch_ends_when_an_own_read_is_due(self):
-        """A reader that takes the connection and says nothing costs little."""
+        """A reader that accepts a connection but never answers costs little."""
 
         async def scenario(follower):
             found_s = follower._get_fetch_timeout_s(anyio.current_time())
@@ -171,7 +171,7 @@
         self.run_stale(scenario, age_s=1.5)
 
     def test_next_question_comes_before_an_own_read(self):
-        """The pause between two questions is cut where a read is due sooner."""
+        """The pause between two questions ends when an own read is due."""
 
         async def scenario(follower):
             pause_s = follower._get_ask_pause_s(anyio.current_time())
@@ -181,10 +181,10 @@
 
 
 class PaceTest(unittest.TestCase):
-    """How often the store is read follows from the settings."""
+    """The reading interval follows from the settings."""
 
     def test_bound_by_the_stricter_of_both(self):
-        """The least of the bounds on versions and on drains counts."""
+        """The smaller of the bounds on versions and on draining applies."""
         plain = {
             'nodeName': 'a',
             'zone': 'dc',
--- a/tests/test_entry_gossip.py
+++ b/tests/test_entry_gossip.py
@@ -1,4 +1,4 @@
-"""Who is told what, with few entries and with many."""
+"""Which entries receive what, with few entries and with many."""
 
 import json
 import unittest
@@ -32,7 +32,7 @@
 
 
 def make_gossip(near, far, far_again_ms=500):
-    """Return a gossip that has heard some entries near and far."""
+    """Return a gossip that has received messages from near and far entries."""
     gossip = Gossip(EntryState(SETTINGS, 'e#a', Random(1), None))
     places = [*repeat('dc', near), *repeat('other', far)]
     for number, place in enumerate(places):
@@ -44,7 +44,7 @@
 
 
 class ReachTest(unittest.TestCase):
-    """The own data centre is told at once, the others more rarely."""
+    """The own data centre gets the full state often, the others rarely."""
 
     def check(self, near, far, told, readers):
         async def main():
@@ -56,20 +56,20 @@
         anyio.run(main)
 
     def test_few(self):
-        """Few entries are all told, and share one reader."""
+        """A few entries all exchange everything, and share one reader."""
         self.check(near=4, far=4, told=8, readers=9)
 
     def test_many(self):
-        """Of many only the own data centre is; it has its own reader."""
+        """With many entries each data centre is separate, with its reader."""
         far = MOST_TOLD_ALL
         self.check(near=5, far=far, told=5, readers=6)
 
 
 class FarTest(unittest.TestCase):
-    """What entries of other data centres hear of this one."""
+    """What entries of other data centres receive from this one."""
 
     def test_only_flights_at_their_targets(self):
-        """A flight is told where its target or a helper of it is."""
+        """A request is sent where its target or one of its helpers is."""
 
         async def main():
             gossip = make_gossip(near=2, far=MOST_TOLD_ALL)
@@ -93,7 +93,7 @@
         anyio.run(main)
 
     def test_nobody_is_far_among_few(self):
-        """Few entries are all told everything."""
+        """A few entries all exchange everything."""
 
         async def main():
             gossip = make_gossip(near=3, far=3)
@@ -102,14 +102,14 @@
         anyio.run(main)
 
     def test_patience_covers_two_messages(self):
-        """One lost datagram, or one that is late, loses no peer."""
+        """A single lost or late datagram does not time out a peer."""
         self.assertGreater(MIN_TIMEOUT_S, 3 * FULL_STATE_INTERVAL_S)
         for again_s in (FULL_STATE_INTERVAL_S, 2, 15):
             peer = Peer(('10.0.0.1', 1), 0, 0, again_s=again_s)
             self.assertFalse(peer.is_silent(2 * again_s + 0.1))
 
     def test_silent_peers(self):
-        """Near ones are forgotten sooner than far ones."""
+        """Near peers time out sooner than far ones."""
 
         async def main():
             gossip = make_gossip(near=1, far=MOST_TOLD_ALL, far_again_ms=3000)
@@ -124,10 +124,10 @@
 
 
 class BeatTest(unittest.TestCase):
-    """How entries of other data centres hear this one, and are heard."""
+    """Heartbeats to and from other data centres."""
 
     def test_told_elsewhere_only(self):
-        """Few entries let other data centres hear them."""
+        """With few entries heartbeats go to other data centres only."""
         told = []
 
         def send(word, where):
@@ -148,7 +148,7 @@
         anyio.run(main)
 
     def test_silence_is_noted(self):
-        """A data centre that was heard and falls silent is left alone."""
+        """A data centre that becomes silent after its messages is suspected."""
 
         async def main():
             gossip = make_gossip(near=1, far=2)
--- a/tests/test_entry_incarnations.py
+++ b/tests/test_entry_incarnations.py
@@ -1,8 +1,8 @@
-"""A target starts again under its id: the whole path of an entry.
+"""A target restarts under its id, along the whole path of an entry.
 
-Nothing that was believed of the one before may be believed of the next: where
-it is, whether it leaves, how well it answers, what it holds, and what has
-become of requests that went to it.
+Nothing known about the old incarnation applies to the new one: its address,
+whether it drains, its health, the memory reserved there, and the outcome of
+requests sent to it.
 """
 
 import unittest
@@ -24,24 +24,24 @@
 from trestledock.entry._tickets import RENEW_S, Tickets
 from trestledock.relay import RouteKind, Standing
 
-#: When the incarnations were born, Unix time in milliseconds.
+#: Start times of the incarnations, in milliseconds of Unix time.
 OLD = 1_775_000_000_000
 NEW = OLD + 5_000
 
 
 def make_born(born, sequence=1, port=80, **fields):
-    """Return the entry of target 1 as one incarnation of it writes it."""
+    """Return a record of target 1 as written by one of its incarnations."""
     listed = make_listed(1, port)
     return replace(listed, born=born, sequence=sequence, **fields)
 
 
 def write(store, *words):
-    """Append words of target 1 to the store; None removes its entry."""
+    """Append records of target 1 to the store; None is its removal."""
     store.records.extend(TargetNews('t1', word) for word in words)
 
 
 def get_births(entry):
-    """Return the births of the usable incarnations of target 1."""
+    """Return the start times of the usable incarnations of target 1."""
     usable = entry.state.fleet.get_usable('svc')
     return [one.born for one in usable if one.target_id == 't1']
 
@@ -50,7 +50,7 @@
     """Lists from the store and from another entry."""
 
     def play(self, scenario, *words):
-        """Run two entries that have read some words of target 1."""
+        """Run two entries that have read some records of target 1."""
         store = Store()
         write(store, *words)
         store.records.append(
@@ -59,7 +59,7 @@
         return run_entries(2, store, lambda *some: scenario(store, *some))
 
     def test_through_another_entry(self):
-        """Who asks learns of the next one, also where the old one left."""
+        """The new incarnation is learnt from a reader, even after a drain."""
 
         async def scenario(store, reader, other):
             write(store, make_born(OLD, 91, standing=Standing.leaving))
@@ -74,7 +74,7 @@
         self.assertEqual(self.play(scenario, make_born(OLD, 90)), ([], [NEW]))
 
     def test_entry_that_is_behind(self):
-        """Its older list does not bring the old one back."""
+        """The older list of another entry does not bring the old one back."""
 
         async def scenario(store, behind, other):
             write(store, None, make_born(NEW))
@@ -85,7 +85,7 @@
         self.assertEqual(self.play(scenario, make_born(OLD, 90)), [NEW])
 
     def test_both_within_one_read(self):
-        """The order in the log does not matter, births do."""
+        """Start times decide, not the order in the log."""
         words = [make_born(OLD, 90), None, make_born(NEW)]
         late = make_born(OLD, 91, standing=Standing.leaving)
 
@@ -97,7 +97,7 @@
         self.assertEqual(self.play(scenario, *words), [NEW])
 
     def test_while_held_as_lapsed(self):
-        """The old one's time is up; the new one is not held."""
+        """The old incarnation's retention ends; the new one is not retained."""
 
         async def scenario(store, reader, _):
             reader.stand_still(3)
@@ -113,7 +113,7 @@
         self.assertEqual(found, ({f't1@{OLD}'}, [], [NEW]))
 
     def test_held_elsewhere(self):
-        """Another entry that holds the old one brings nothing back."""
+        """An entry that retains the old incarnation does not bring it back."""
 
         async def scenario(store, holds, other):
             holds.stand_still(3)
@@ -128,7 +128,10 @@
         self.assertEqual(self.play(scenario, make_born(OLD, 90)), [])
 
     def test_what_was_believed_is_forgotten(self):
-        """Silence and failures of the old one say nothing of the next."""
+        """Failures of the old incarnation don't affect the new one.
+
+        Neither does its silence.
+        """
 
         async def scenario(store, reader, _):
             health = reader.state.health
@@ -144,10 +147,10 @@
 
 
 class FlightTest(unittest.TestCase):
-    """Requests that are at a target while it starts again."""
+    """Requests in flight at a target while it restarts."""
 
     def play(self, kind, old, new):
-        """Ask once; the target starts again while the request is there."""
+        """Send a request; the target restarts while that is in flight."""
         outcomes = []
 
         async def scenario(world):
@@ -171,7 +174,7 @@
         return outcomes[0]
 
     def test_repeat_at_the_next_one(self):
-        """It is no target that was tried, and gets what may be repeated."""
+        """The new incarnation is untried, and gets repeatable requests."""
         old = StubTarget(Torn(b''))
         new = StubTarget(make_answer())
         found = self.play(RouteKind.idempotent, old, new)
@@ -179,7 +182,7 @@
         self.assertEqual(len(new.requests), 1)
 
     def test_unknown_outcome_stays_unknown(self):
-        """The next one has not refused what the one before may have run."""
+        """The old incarnation may have run the request: no repetition."""
         old = StubTarget(Torn(b''))
         new = StubTarget(make_answer())
         found = self.play(RouteKind.non_idempotent, old, new)
@@ -187,7 +190,7 @@
         self.assertEqual(new.requests, [])
 
     def test_connections_are_not_shared(self):
-        """An idle connection to the one before is not used for the next."""
+        """An idle connection to the old incarnation is not reused."""
         old = StubTarget(make_answer(), make_answer())
         new = StubTarget(make_answer())
 
@@ -205,10 +208,10 @@
 
 
 class TicketTest(unittest.TestCase):
-    """Memory that was set aside at the one before."""
+    """Memory reserved at the old incarnation."""
 
     def test_not_renewed_at_the_next_one(self):
-        """A renewal would set memory aside there for nobody."""
+        """A renewal would reserve memory there that nobody uses."""
         target = StubTarget(Hang)
         orders = []
 
--- a/tests/test_entry_isolation.py
+++ b/tests/test_entry_isolation.py
@@ -1,4 +1,4 @@
-"""What is put down to a request where a sending ends without its answer."""
+"""Which requests crashes are attributed to when an attempt fails."""
 
 import unittest
 from random import Random
@@ -16,7 +16,7 @@
 
 
 def run_isolation(scenario, seen=Sign.refused):
-    """Run `scenario(isolation)`, where each look at a target sees the same."""
+    """Run `scenario(isolation)`; each new connection yields `seen`."""
 
     async def look(target):
         isolation.looks.append(target.incarnation)
@@ -35,10 +35,10 @@
 
 
 class SignTest(unittest.TestCase):
-    """Which ends of a sending are ends of targets."""
+    """Which failed attempts count as crashes of targets."""
 
     def count(self, sign, seen):
-        """Return how many ends three sendings make, and looks."""
+        """Return the numbers of crashes and connections of three attempts."""
 
         async def scenario(isolation):
             for target in TARGETS[:3]:
@@ -51,20 +51,20 @@
         self.assertEqual(self.count(Sign.closed, Sign.refused), (3, 3))
 
     def test_closed_by_one_that_lives(self):
-        """Connections that are reset say nothing of the request."""
+        """Reset connections say nothing about the request."""
         self.assertEqual(self.count(Sign.closed, Sign.none), (0, 3))
 
     def test_closed_by_one_that_is_not_reached(self):
-        """It may be cut off."""
+        """The target may be cut off."""
         self.assertEqual(self.count(Sign.closed, Sign.unreachable), (0, 3))
 
     def test_silence_and_wrong_bytes(self):
-        """Nobody is connected to for them."""
+        """Neither leads to a new connection."""
         self.assertEqual(self.count(Sign.silent, Sign.refused), (0, 0))
         self.assertEqual(self.count(Sign.garbled, Sign.refused), (0, 0))
 
     def test_one_end_a_sending(self):
-        """Whoever reads a prompt and those that help may end together."""
+        """The engine of a prompt and its helpers may crash together."""
 
         async def scenario(isolation):
             await isolation.note_lost('f', Sign.closed, TARGETS)
@@ -73,7 +73,7 @@
         self.assertEqual(isolation.quarantine.count_ends('f'), 1)
 
     def test_helper_that_ended(self):
-        """A target may close since one that helped it has ended."""
+        """A target may close its connection because its helper has crashed."""
 
         async def scenario(isolation):
             async def look(target):
@@ -88,7 +88,7 @@
 
 
 class ProvenTest(unittest.TestCase):
-    """What many callers ask for is at each target that ends."""
+    """A request that many callers send is in flight at each crash."""
 
     def test_what_was_answered_is_not_blamed(self):
         async def scenario(isolation):
@@ -101,7 +101,7 @@
         self.assertEqual(isolation.told, [])
 
     def test_what_has_become_deadly_is_known_soon(self):
-        """Its targets may have another version since it was answered."""
+        """The targets may have been updated since it was answered."""
 
         async def scenario(isolation):
             isolation.note_answered('f')
@@ -121,10 +121,10 @@
 
 
 class LaterTest(unittest.TestCase):
-    """Ends that are known only as another start is listed."""
+    """Crashes that are found when another incarnation is listed."""
 
     def check(self, count, step, sign=Sign.closed, after_s=1.0):
-        """One sending ends, and something is learnt after a while."""
+        """One attempt fails, and a list is read after a while."""
 
         async def scenario(isolation):
             await isolation.note_lost('f', sign, [TARGETS[0]])
@@ -154,7 +154,7 @@
 
 
 class TellingTest(unittest.TestCase):
-    """What the others and the store are to know."""
+    """What the other entries and the store are to know."""
 
     def test_store_is_told_by_whoever_has_seen_an_end(self):
         async def scenario(isolation):
@@ -200,7 +200,7 @@
         self.assertEqual(records[0].cleared, ('a', 'b', 'c'))
 
     def test_target_that_others_saw_ending_is_left_alone(self):
-        """One that is not listed any more leaves nothing behind."""
+        """A target that is no longer listed leaves no state behind."""
 
         async def scenario(isolation):
             for number in range(2):
@@ -217,7 +217,7 @@
         self.assertEqual(list(isolation.health.targets), ['t0'])
 
     def test_cut_off_target_says_nothing_of_its_data_centre(self):
-        """Ends under requests don't make others there suspect."""
+        """Crashes during requests don't make other targets there suspect."""
         found = []
 
         async def main():
@@ -234,10 +234,10 @@
 
 
 class TrialTest(unittest.TestCase):
-    """Who may give a held request to one target."""
+    """Which entry may send a quarantined request to one target."""
 
     def run_trials(self, granted):
-        """Return who may, of two that ask at once, and again after that."""
+        """Return the results of two concurrent attempts, and of a later one."""
         found = []
 
         async def claim(_):
@@ -264,7 +264,7 @@
         self.assertEqual(self.run_trials(True), [False, False, True, False])
 
     def test_answered_elsewhere_while_it_is_claimed(self):
-        """A trial of another entry had its answer meanwhile."""
+        """A probe of another entry was answered during the claim."""
         found = []
 
         async def scenario(isolation):
--- a/tests/test_entry_keeping.py
+++ b/tests/test_entry_keeping.py
@@ -1,4 +1,4 @@
-"""What is quarantined outlives the entries that have seen it."""
+"""The quarantine outlives the entries that observed the crashes."""
 
 import unittest
 from random import Random
@@ -20,7 +20,7 @@
 
 
 class Topic:
-    """The store's part that holds requests, in memory."""
+    """The store's quarantine topic, in memory."""
 
     def __init__(self):
         self.records = {}
@@ -54,7 +54,7 @@
 
 
 class Entry:
-    """The part of an entry that keeps requests from targets."""
+    """The part of an entry that isolates requests."""
 
     def __init__(self, topic, *, reads):
         state = EntryState(SETTINGS, 'entry-1#a', Random(1), None)
@@ -63,7 +63,7 @@
         self.keeping = Keeping(state, topic, lambda: reads)
 
     async def see_ends(self, count):
-        """See so many targets end under a request."""
+        """Observe crashes of several targets during a request."""
         for target in TARGETS[:count]:
             await self.isolation.note_lost('f', Sign.closed, [target])
 
@@ -87,7 +87,7 @@
 
 
 class KeepingTest(unittest.TestCase):
-    """Writing once, reading by who reads, and a store that is away."""
+    """Single writes, reads by the reader, and an unavailable store."""
 
     def test_who_starts_later_knows(self):
         async def scenario(topic, one, other):
@@ -114,7 +114,7 @@
         run_entries(scenario, False)
 
     def test_reader_that_finds_the_store_away(self):
-        """It asks ever more rarely, and reads as the store is back."""
+        """It backs off exponentially, and reads once the store is back."""
 
         async def scenario(topic, one, other):
             topic.down = True
--- a/tests/test_entry_listing.py
+++ b/tests/test_entry_listing.py
@@ -13,7 +13,7 @@
 from trestledock.entry._state import EntryState
 from trestledock.relay import UNTOLD
 
-#: What stands for a removal among sequences.
+#: A removal among sequence numbers.
 REMOVED = None
 
 
@@ -21,7 +21,7 @@
     """Whether a target is listed after a read."""
 
     def read(self, known, *sequences):
-        """Take one read; `known` is the target's last sequence before it."""
+        """Apply one read; `known` is the target's last sequence before it."""
 
         async def main():
             state = EntryState(SETTINGS, 'entry-1#a', Random(1), None)
@@ -46,27 +46,27 @@
         self.check(3, (4, REMOVED), listed=False)
 
     def test_late_record_after_the_removal(self):
-        """It was written before what is known, so it says nothing new."""
+        """It was written before the last known record, so it is outdated."""
         self.check(6, (REMOVED, 5), listed=False)
         self.check(3, (6, REMOVED, 5), listed=False)
 
     def test_doubled_record_after_the_removal(self):
-        """The last record once more is no return."""
+        """A duplicate of the last record does not list the target again."""
         self.check(3, (6, REMOVED, 6), listed=False)
         self.check(6, (REMOVED, 6), listed=False)
 
     def test_return(self):
-        """An entry that had lapsed, and a newer record."""
+        """A record had lapsed, and a newer one follows."""
         self.check(3, (4, REMOVED, 5), listed=True)
         self.check(None, (4, REMOVED, 5), listed=True)
 
     def test_removal_that_is_long_past(self):
-        """Others have told of the return since; nothing is lost by reading."""
+        """Other entries reported the return since; reading loses nothing."""
         fleet = self.check(9, (4, REMOVED, 7, 8, 9), listed=True)
         self.assertEqual(fleet.gone, {})
 
     def test_removal_keeps_the_newest_sequence(self):
-        """So that what was read is not taken for new later."""
+        """Otherwise a known record would later count as new."""
         fleet = self.check(3, (7, REMOVED, 5), listed=False)
         self.assertEqual(fleet.gone, {'t1': (UNTOLD, 7)})
 
--- a/tests/test_entry_lists.py
+++ b/tests/test_entry_lists.py
@@ -1,17 +1,13 @@
-"""Lists of targets on their way from the store through other entries.
-
-Seen: a request reached a target 3.3 s after its entry had vanished from the
-store, sent by an entry that had dropped it long before.
-
-How it came about: the entry that reads the store for the others stood still for
-three seconds, while the target left.  When it went on it found that it had not
-read for a while, and held the missing target for 2.2 s as one whose entry may
-only have lapsed.  Its list was the newest of all and didn't say so: the others
-took the target back from it.
-
-Proof: the order of events below, and the log of the day (the reader falls
-silent, the target is gone at the others, the reader is chosen again, and 0.8 s
-later the request is sent).
+"""Lists of targets that pass from the store through other entries.
+
+Guards against requests to removed targets: one was sent 3.3 s after the
+target's record had been removed, by an entry that had dropped the target long
+before. The reader had been paused for three seconds while the target was
+removed. It then noticed that it had not read for a while, and retained the
+missing target for 2.2 s because its record might only have lapsed. Its list was
+the newest and did not mark the target as retained, so that the others added it
+again. The log shows the silent reader, the removal at the other entries, the
+choice of the reader, and the request 0.8 s later.
 """
 
 import unittest
@@ -21,16 +17,16 @@
 from tests.following import Store, run_entries
 from trestledock.entry._peers import Peer
 
-#: How long the reader stands still, in seconds: long enough for a gap between
-#: its reads to count.
+#: Length of the reader's pause, in seconds: enough for its reads to count as
+#: interrupted.
 PAUSE_S = 3.3
 
 
 class ReaderStoodStillTest(unittest.TestCase):
-    """A target leaves while the reader of the list stands still."""
+    """A target is removed while the reader of the list is paused."""
 
     def test_gone_target_stays_gone(self):
-        """Who has dropped the target does not take it back."""
+        """An entry that has dropped the target does not add it again."""
         store = Store(1, 2)
 
         async def scenario(reader, other):
@@ -45,7 +41,7 @@
         self.assertEqual(run_entries(2, store, scenario), ({'t2'}, {'t2'}))
 
     def test_others_learn_of_it_at_once(self):
-        """Who relies on the reader drops the target with its next answer."""
+        """An entry drops the target with the reader's next answer."""
         store = Store(1, 2)
 
         async def scenario(reader, other):
@@ -60,7 +56,7 @@
         self.assertEqual(run_entries(2, store, scenario), {'t2'})
 
     def test_new_entry_learns_of_what_is_held(self):
-        """Who never knew the target holds it for as long as the reader does."""
+        """An entry new to the target retains it as long as the reader."""
         store = Store(1, 2)
 
         async def scenario(reader, other):
@@ -77,7 +73,7 @@
 
 
 class OutageTest(unittest.TestCase):
-    """The store is away for all, and a target's entry lapses meanwhile."""
+    """The store is unavailable for all, and a target's record lapses."""
 
     def play(self, scenario):
         """Return what an entry uses after `scenario(reader, other)`."""
@@ -96,7 +92,7 @@
         return run_entries(2, store, outage)
 
     def test_lapsed_target_is_held_by_all(self):
-        """Who saw the outage holds what the reader doesn't list."""
+        """An entry that noticed the outage retains unlisted targets."""
 
         async def scenario(reader, other):
             await reader.read()
@@ -105,7 +101,7 @@
         self.assertEqual(self.play(scenario), {'t1', 't2'})
 
     def test_entry_that_has_just_begun_drops_nothing(self):
-        """Its list has no lapsed targets, but it can't vouch for that."""
+        """Its list lacks lapsed targets, which proves no removal."""
 
         async def scenario(reader, other):
             reader.state.fleet.targets.clear()
@@ -116,7 +112,7 @@
         self.assertEqual(self.play(scenario), {'t1', 't2'})
 
     def test_settled_reader_is_believed(self):
-        """Who followed the store all the while says that it has gone."""
+        """A reader that followed the store throughout reports the removal."""
 
         async def scenario(reader, other):
             await other.read()
@@ -129,10 +125,10 @@
 
 
 class OlderListTest(unittest.TestCase):
-    """Lists that come late."""
+    """Lists that arrive late."""
 
     def test_older_list_changes_nothing(self):
-        """An entry that has read since then leaves an older list alone."""
+        """An entry that has read since then ignores an older list."""
         store = Store(1, 2)
 
         async def scenario(reader, other):
--- a/tests/test_entry_logs.py
+++ b/tests/test_entry_logs.py
@@ -1,4 +1,4 @@
-"""The log of an entry: bounded, never blocking, and as the pages say."""
+"""The log of an entry: bounded, non-blocking, and as documented."""
 
 import json
 import logging
@@ -19,7 +19,7 @@
 )
 
 PAGE = Path(__file__).parent.parent / 'docs' / 'OPERATIONS.md'
-#: A row of the table of events: name and fields.
+#: Row of the table of events: name and fields.
 ROW = re.compile(r'^\| `([a-z_]+)` \| ([^|]*) \|', re.MULTILINE)
 
 
@@ -28,7 +28,7 @@
 
 
 class Pipe:
-    """A pipe with a handler at its writing end."""
+    """Pipe with a log handler at its write end."""
 
     def __init__(self, clock):
         self.read_end, write_end = os.pipe()
@@ -46,10 +46,10 @@
 
 
 class LoggerTest(unittest.TestCase):
-    """What happens when there is much to write, or nobody reads."""
+    """Many lines, and a reader that does not read."""
 
     def test_full_pipe_never_blocks(self):
-        """Lines that nobody reads are left out, and their number is told."""
+        """Lines that nobody reads are dropped, and their number is logged."""
         times = iter(range(10_000_000))
         pipe = Pipe(lambda: next(times))
         count = MAX_WAITING * 4
@@ -64,7 +64,7 @@
         self.assertTrue(any(one.get('reason') == 'pipe' for one in lines))
 
     def test_rate_is_bounded(self):
-        """Beyond its bound a kind is counted, and failures have more room."""
+        """Lines over the limit are counted; failures have a higher limit."""
         now = [0.0]
         pipe = Pipe(lambda: now[0])
         for _ in range(1000):
@@ -84,7 +84,7 @@
     """docs/OPERATIONS.md lists the events as they are."""
 
     def test_table(self):
-        """Each event stands in the table with its fields, and no other."""
+        """The table has each event with its fields, and no others."""
         found = dict(ROW.findall(PAGE.read_text(encoding='utf-8')))
         for event in EVENTS:
             with self.subTest(event=event.get_name()):
--- a/tests/test_entry_metrics.py
+++ b/tests/test_entry_metrics.py
@@ -1,4 +1,4 @@
-"""Metrics are made from events as the tables say."""
+"""Metrics are derived from events by the tables."""
 
 import tomllib
 import unittest
@@ -15,7 +15,7 @@
     """Counters, histograms and gauges."""
 
     def test_events_count(self):
-        """A refusal counts under its reason, an answer with its time."""
+        """A refusal counts by its reason, an answer with its time."""
         metrics = Metrics()
         metrics.take(events.Refused('r', 'no_target', 503, 1, 1, 0))
         metrics.take(events.Answered('r', 't', '200', 250, 200, 40))
@@ -26,7 +26,7 @@
         self.assertNotIn('peer_met', text)
 
     def test_words_count_by_kind(self):
-        """What entries tell one another counts in words and in bytes."""
+        """Messages between entries count by number and by bytes."""
         metrics = Metrics()
         metrics.count_words('sent', 'Beat', 60, 3)
         text = metrics.render(dict.fromkeys(GAUGES, 1)).decode()
@@ -35,7 +35,7 @@
         self.assertIn(f'trestledock_word_bytes_total{labels} 180.0', text)
 
     def test_port_of_the_deploy_file(self):
-        """The platform asks at the port on which the process listens."""
+        """The platform scrapes the port on which the process listens."""
         roles = tomllib.loads(DEPLOY.read_text(encoding='utf-8'))['roles']
         port = roles['entry']['metrics'].partition('/')[0]
         self.assertEqual(int(port), METRICS_PORT)
--- a/tests/test_entry_news.py
+++ b/tests/test_entry_news.py
@@ -1,4 +1,4 @@
-"""News between entries: what a peer's answer proves, and what it does not."""
+"""Updates between entries: what a reader's answer proves."""
 
 import json
 import unittest
@@ -18,7 +18,7 @@
 
 
 def make_exchange():
-    """Return an exchange without sockets, with one peer that is heard."""
+    """Return an exchange without sockets, with one known peer."""
     state = EntryState(SETTINGS, 'entry-1#a', Random(1), None)
     gossip = Gossip(state)
     gossip.peers.known[READER] = Peer(('127.0.0.1', 9), 0, 0)
@@ -30,10 +30,10 @@
 
 
 class AgeTest(unittest.TestCase):
-    """What counts as the age of an entry's news."""
+    """The age of an entry's copy of the store."""
 
     def test_older_of_both_counts(self):
-        """A fresh configuration does not hide an old list of targets."""
+        """A recent configuration does not hide an outdated list of targets."""
 
         async def main():
             state = make_exchange().state
@@ -45,7 +45,7 @@
 
 
 class ProofTest(unittest.TestCase):
-    """Answers of a reader, fresh and stale."""
+    """Recent and outdated answers of a reader."""
 
     def run_async(self, scenario):
         async def main():
@@ -56,7 +56,7 @@
         anyio.run(main)
 
     def test_late_answer_proves_its_question(self):
-        """An answer that waited counts from when it was asked for."""
+        """A delayed answer counts as of the time of its question."""
 
         async def scenario(exchange):
             now = anyio.current_time()
@@ -68,7 +68,7 @@
         self.run_async(scenario)
 
     def test_newer_version_is_fetched_before_it_counts(self):
-        """A reader with a newer version proves nothing of the older one."""
+        """A reader with a newer version proves nothing about the older one."""
 
         async def scenario(exchange):
             now = anyio.current_time()
@@ -79,7 +79,7 @@
         self.run_async(scenario)
 
     def test_stale_list_brings_nothing_back(self):
-        """A reader cut off from the store does not undo what is known."""
+        """A reader that is cut off from the store does not undo newer state."""
 
         async def scenario(exchange):
             state = exchange.state
@@ -100,7 +100,7 @@
         self.run_async(scenario)
 
     def test_newer_list_is_taken(self):
-        """A reader that has read since then is believed."""
+        """The list of a reader that has read since then is applied."""
 
         async def scenario(exchange):
             state = exchange.state
@@ -120,7 +120,7 @@
         self.run_async(scenario)
 
     def test_document_that_is_known_is_left_out(self):
-        """Who has the version is spared its text."""
+        """The document is not sent to an entry that has the version."""
 
         async def scenario(exchange):
             exchange.state.document = 'text'
@@ -131,19 +131,19 @@
         self.run_async(scenario)
 
     def test_news_of_an_older_version(self):
-        """It says nothing of held targets, so it vouches for nothing."""
+        """Without retained targets an update is no evidence of removals."""
         news = self.fetch(held=None, settled=None)
         self.assertTrue(news.whole)
         self.assertFalse(news.settled)
         self.assertEqual(news.held, ())
 
     def test_news_that_makes_no_sense(self):
-        """It is as if nothing had come."""
+        """An invalid update counts as none."""
         self.assertIsNone(self.fetch(targets=[{'service': 1}]))
         self.assertIsNone(self.fetch(revision=None))
 
     def fetch(self, **changes):
-        """Fetch news with some fields changed, or left out where None."""
+        """Fetch an update with some fields changed, or omitted if None."""
         found = []
 
         async def scenario(exchange):
--- a/tests/test_entry_notices.py
+++ b/tests/test_entry_notices.py
@@ -1,4 +1,4 @@
-"""What an entry notes of limits that targets name in their answers."""
+"""What an entry records of the notices in targets' answers."""
 
 import unittest
 from unittest.mock import patch
@@ -25,7 +25,7 @@
 
 
 def ask_in_turn(*answers, pause_s=0):
-    """Ask one target once for each answer; return the lines on limits."""
+    """Send a target a request for each answer; return the notice events."""
     lines = []
 
     async def scenario(world):
@@ -43,7 +43,7 @@
 
 
 def get_leaving(answer, route=None):
-    """Return who leaves after an answer of the first of two targets."""
+    """Return the draining targets after an answer of the first of two."""
     found = set()
 
     async def scenario(world):
@@ -57,9 +57,9 @@
 
 
 class LeaveTest(unittest.TestCase):
-    """Which answers are believed that say that their target leaves."""
+    """Which answers can mark their target as draining."""
 
-    # Guards against a word that is overheard in any answer but a success.
+    # Guards against draining notices that count only in successes.
     def test_any_answer_of_the_target_is_believed(self):
         for name, answer in {
             'success': make_answer(more=LEAVING),
@@ -77,14 +77,14 @@
         head = whole.replace(b'\r\n', b'\r\nServer-Leaving: 1\r\n', 1)
         self.assertEqual(get_leaving(head, RESUMABLE), {'t0'})
 
-    # Guards against sound targets that are left for a word of somebody else.
+    # Guards against targets that are drained by another process's answer.
     def test_answer_of_whoever_is_not_believed(self):
         for req_id in ('', 'r2'):
             answer = make_answer(req_id=req_id, seal=False, more=LEAVING)
             self.assertEqual(get_leaving(answer), set(), req_id)
 
     def test_word_of_the_one_that_has_the_address_is_its_own(self):
-        """The one that was asked has ended; that is another matter."""
+        """The notice counts for the answering target; the old one has ended."""
         answer = make_answer(
             status=421, seal=False, more=(*LEAVING, *MISDIRECTED)
         )
@@ -97,15 +97,15 @@
 
 
 REST = 'Retry-After: 3'
-#: A prompt that engines read in parts.
+#: Prompt that engines prefill in chunks.
 LONG = {'trestledock-token-counts': '100000,400'}
 
 
 class RestTest(unittest.TestCase):
-    """Whom a refusal has rest, and what comes of it."""
+    """Which target backs off after a refusal, and how that ends."""
 
     def play(self, answer, *later, **fields):
-        """Return who rests after some answers, and who is thought ill."""
+        """Return the back-offs after answers, and the suspected targets."""
         found = []
 
         async def scenario(world):
@@ -134,7 +134,7 @@
         run_world(make_route(), targets, scenario)
         return found
 
-    # Guards against a target that wants rest and is thought to be ill.
+    # Guards against counting a request to back off as a failure.
     def test_refusal_is_believed_and_no_illness(self):
         for status in (429, 503):
             answer = make_answer(
@@ -152,7 +152,7 @@
         self.assertEqual(self.play(answer)[0], {})
 
     def test_rest_is_over_once_it_answers(self):
-        """A success that was asked for after the rest ends it."""
+        """A successful request that was sent after the back-off ends it."""
         short = make_answer(
             status=503, seal=False, more=('Retry-After: 0.1', *NOT_RUN)
         )
@@ -160,7 +160,7 @@
         later = make_answer(req_id='r2')
         self.assertEqual(self.play(short, later)[0], {})
 
-    # Guards against a success that overtakes a refusal and ends the rest.
+    # Guards against a success that overtakes a refusal and ends the back-off.
     def test_success_that_was_asked_for_before_ends_nothing(self):
         refusal = make_answer(
             status=503, req_id='r2', seal=False, more=(REST, *NOT_RUN)
@@ -178,7 +178,8 @@
         run_world(make_route(), [StubTarget(late, refusal)], scenario)
         self.assertEqual(found, ['t0'])
 
-    # Guards against a helper that is asked on: its word came by another.
+    # Guards against more requests to a helper whose refusal another engine
+    # passed on.
     def test_helper_named_by_the_engine_that_answers(self):
         found = set()
 
@@ -199,10 +200,10 @@
 
 
 class OrderTest(unittest.TestCase):
-    """What the answer to an order says of its target."""
+    """Notices in the answers to orders."""
 
     def give_back(self, *answers):
-        """Give memory back; return who leaves or rests, and what was sent."""
+        """Release memory; return the targets with notices, and the requests."""
         found = []
         target = StubTarget(*answers)
 
@@ -216,15 +217,15 @@
         run_world(make_route(), [target], scenario)
         return found[0], target.requests
 
-    # Guards against engines that hold memory, or read parts, and are heard by
-    # nobody, as they answer orders alone.
+    # Guards against missing the notices of engines that only hold memory or
+    # prefill chunks, as these answer nothing but orders.
     def test_leave_and_rest_are_heard(self):
         for status, more in ((200, LEAVING), (503, (REST,))):
             answer = make_answer(status=status, seal=False, more=more)
             heard, _ = self.give_back(answer, make_answer(seal=False))
             self.assertEqual(heard, {'t0'}, status)
 
-    # Guards against an order that somebody else takes who has the address.
+    # Guards against an order that another process at the address executes.
     def test_order_is_for_one_target_only(self):
         other = make_answer(status=421, seal=False, more=LEAVING)
         heard, requests = self.give_back(other)
@@ -234,7 +235,7 @@
 
 
 class Refusing(StubTarget):
-    """Turns prompts away for the first of their helpers' sake."""
+    """Target that refuses prompts on behalf of their first helpers."""
 
     def __init__(self):
         super().__init__()
@@ -259,7 +260,7 @@
 
 
 class NotedTest(unittest.TestCase):
-    """Lines on what is learnt, changed, lifted and ignored."""
+    """Events for learnt, changed, withdrawn and ignored limits."""
 
     def test_learnt_and_lifted(self):
         lines = ask_in_turn(
@@ -292,7 +293,8 @@
         ]
         self.assertEqual([one.detail for one in ignored], ["'-3'"])
 
-    # Guards against a line for each answer of a target with two headers.
+    # Guards against a line for each answer of a target with two invalid
+    # headers.
     def test_two_kinds_of_nonsense_have_one_line_each(self):
         more = ('Server-Limit: x', 'Retry-After: soon')
         lines = ask_in_turn(
@@ -306,7 +308,7 @@
         self.assertEqual([one.notice for one in ignored], ['limit', 'rest'])
 
     def test_refusal_or_failure_lifts_nothing(self):
-        """Whatever refuses may know of no limit."""
+        """The component that refuses may not know the limit."""
         for status, more in ((503, NOT_RUN), (500, ())):
             lines = ask_in_turn(
                 make_answer(req_id='r0', more=LIMITED),
--- a/tests/test_entry_notices_exchange.py
+++ b/tests/test_entry_notices_exchange.py
@@ -1,4 +1,4 @@
-"""Entries that share what targets take, as they come, go and are cut off."""
+"""Entries share targets' limits while they start, stop and are cut off."""
 
 import unittest
 from math import inf
@@ -16,26 +16,27 @@
 from trestledock.relay import RateLimit
 
 ROUTE = make_route()
-#: How soon an entry that is heard must know what is in force, in seconds.
+#: Time within which a reachable entry must know the notices in force, in
+#: seconds.
 SOON_S = 0.3
 
 
 def get_limits(fleet, number=0):
-    """Return what each entry believes of a target."""
+    """Return the limit of a target as each entry knows it."""
     name = fleet.targets[number].get_listed().incarnation
     found = [one.state.notices.get(RateLimit, name) for one in fleet.entries]
     return [limit and limit.per_s for limit in found]
 
 
 async def count_bytes(fleet, for_s=4):
-    """Return how many bytes entries tell one another while nobody asks."""
+    """Return the bytes of messages between entries without any requests."""
     before = fleet.word_bytes
     await anyio.sleep(for_s)
     return fleet.word_bytes - before
 
 
 class ToldTest(unittest.TestCase):
-    """How a limit comes to all entries."""
+    """How a limit reaches all entries."""
 
     def test_learnt_raised_and_lifted_everywhere(self):
         async def scenario(fleet):
@@ -43,7 +44,7 @@
             found = []
             for per_s in (2, 9, None):
                 target.name(per_s)
-                # One entry sends; what it hears comes to the others.
+                # One entry sends requests and shares the limits it receives.
                 await fleet.ask_for(3, 8, entries=[0])
                 await anyio.sleep(SOON_S)
                 found.append(get_limits(fleet))
@@ -77,7 +78,7 @@
         self.assertEqual(run_fleet(scenario, [ROUTE], targets=1), (None, 1))
 
     def test_number_that_jitters_is_told_with_whole_words(self):
-        """Else each answer of a target would be a word to every entry."""
+        """Otherwise each answer would cause a message to every entry."""
 
         async def scenario(fleet):
             target = fleet.targets[0]
@@ -94,11 +95,11 @@
             return busy, idle, fleet.asked
 
         busy, idle, asked = run_fleet(scenario, [ROUTE], targets=1)
-        # Each request is two words of its own to the five others.
+        # Each request causes two messages to each of the five others.
         self.assertLess(busy, idle + asked * 2 * 5 + 5)
 
     def test_who_was_told_does_not_tell_it_on(self):
-        """Else each entry would hear of each limit from every other one."""
+        """Otherwise each entry would get each limit from every other one."""
 
         async def scenario(fleet):
             without = await count_bytes(fleet)
@@ -108,12 +109,12 @@
             return await count_bytes(fleet), without
 
         with_limits, without = run_fleet(scenario, [ROUTE], targets=20)
-        # Whole words of six entries, and the limits of the one that heard them.
+        # Full states of six entries, and the limits known to one of them.
         self.assertLess(with_limits, without * 2)
 
 
 class LimitHeldTest(unittest.TestCase):
-    """What a target gets while entries are cut off, die and start."""
+    """What a target receives while entries are cut off, die and start."""
 
     def check(self, disturb, per_s=1, targets=2, rate=8, for_s=20):
         async def scenario(fleet):
@@ -139,7 +140,7 @@
 
     def test_undisturbed(self):
         async def disturb(fleet):
-            """Leave all as it is."""
+            """Change nothing."""
 
         self.assertGreater(self.check(disturb), 0.5)
 
@@ -168,7 +169,7 @@
         self.check(disturb)
 
     def test_dead_entries_leave_most_to_the_others(self):
-        """What two of six entries held is not used, the rest is."""
+        """The shares of two of six entries are unused, the rest is used."""
 
         async def disturb(fleet):
             for entry in fleet.entries[:2]:
@@ -196,7 +197,7 @@
         self.assertGreater(after, before * 3)
 
     def test_changed_mind_before_the_write(self):
-        """A request that was chosen for a target is looked at once more."""
+        """The limit is checked again after the choice of a target."""
 
         async def scenario(fleet):
             entry = fleet.entries[0]
@@ -217,7 +218,7 @@
         self.assertLessEqual(sent, 2)
 
     def test_refused_at_once_with_when_to_come_back(self):
-        """What the only target takes decides both."""
+        """The limit of the only target determines both."""
 
         async def scenario(fleet):
             fleet.targets[0].name(0.5)
--- a/tests/test_entry_outage.py
+++ b/tests/test_entry_outage.py
@@ -1,7 +1,7 @@
-"""A target leaves, and just after that the store is away for everybody.
+"""The store becomes unavailable to all just after a target is removed.
 
-Its removal was acknowledged by a store that was well, so nobody in touch sends
-to it once the store has been well again for long enough.
+The store acknowledged the removal while it worked, so that no connected entry
+sends to the target once the store has been back for long enough.
 """
 
 import unittest
@@ -12,33 +12,33 @@
 from tests.living import CALL_S, Life, SlowStore, run_life
 from tests.test_entry_pace import EXCUSED_S, STEP_S
 
-#: How long a call without an answer takes if nobody gives up, in seconds.
+#: Duration of a call without an answer or a timeout, in seconds.
 SILENCE_S = 9.0
-#: For how long is looked, in seconds.
+#: Time of observation, in seconds.
 WATCH_S = 5.0
 COUNT = 6
 SEEDS = range(20)
 
 
 class SilentStore(SlowStore):
-    """A store that says nothing while it is away."""
+    """Store that does not answer while it is unavailable."""
 
     async def wait(self):
-        """Take the time of a call."""
+        """Wait for the duration of a call."""
         await anyio.sleep(SILENCE_S if self.down else CALL_S)
 
 
 class OutageTest(unittest.TestCase):
-    """The outage begins before the removal has been read by all."""
+    """The outage begins before all entries have read the removal."""
 
     def test_target_that_left_before(self):
-        """It gets nothing once the store has been back for long enough."""
+        """The target gets nothing once the store has been back long enough."""
         for seed in SEEDS:
             with self.subTest(seed=seed):
                 self.assertEqual(self.play(seed), set())
 
     def play(self, seed):
-        """Return who uses the target, with how long after the outage."""
+        """Return the entries that use the target after the outage."""
         rng = Random(seed)
         store = SilentStore(1, 2)
 
--- a/tests/test_entry_pace.py
+++ b/tests/test_entry_pace.py
@@ -1,8 +1,8 @@
-"""How long an entry may believe in a target that has left: the sum of delays.
+"""How long an entry may use a removed target: the sum of the delays.
 
-An entry that stands still is excused, and for a while after; all others must
-leave a target alone within the bound, whoever reads the list for them and
-whatever becomes of that entry.
+A paused entry is excused, and for a while after. All others must stop using a
+target within the bound, whichever entry reads the list for them and whatever
+happens to that one.
 """
 
 import unittest
@@ -12,14 +12,15 @@
 
 from tests.living import run_life
 
-#: The time within which a leaving target gets nothing new, and for how long an
-#: entry that was disturbed is excused, in seconds.
+#: Time within which a draining target gets no more requests, and the excuse of
+#: a disturbed entry, in seconds.
 BOUND_S = 2.0
 EXCUSED_S = 3.0
-#: How often is looked, and for how long after a target has left, in seconds.
+#: Interval of checks, and their duration after the removal of a target, in
+#: seconds.
 STEP_S = 0.05
 WATCH_S = 7.0
-#: Seven of them failed with one reader, all with two.
+#: Seven of these failed with one paused reader, all of them with two.
 SEEDS = (6, 10, 11, 13, 19, 21, 35, 36)
 
 
@@ -42,14 +43,14 @@
 
 
 class LeavingTest(unittest.TestCase):
-    """A target's entry vanishes while entries stand still.
+    """A target's record is removed while entries are paused.
 
-    Of forty seeds each, nine with one reader and ten with two failed on the
-    code before lists told what they only hold; none does now.
+    Of forty seeds each, nine with one paused reader and ten with two failed
+    before lists marked retained targets; none does now.
     """
 
     def play(self, seed, count, still):
-        """Have `still` readers stand still one after the other."""
+        """Pause `still` readers one after the other."""
         rng = Random(seed)
 
         async def scenario(life):
@@ -83,17 +84,18 @@
 
 
 class LeavingReaderTest(unittest.TestCase):
-    """The reader of the list ends, or can't be asked.
-
-    Seen: beside restarts one by one, an entry was behind by a version for more
-    than two seconds.  An entry that ends still told how fresh its news was, and
-    came first in the order of names, but took no connections any more: for four
-    seconds nobody could fetch what it had read, and each entry read by itself,
-    with pauses that are meant for a store that is away.
+    """The reader of the list shuts down, or can't be asked.
+
+    Guards against outdated versions during rolling restarts: an entry was
+    behind by a version for more than two seconds. A draining entry still
+    announced the age of its state and came first in the order of names, but
+    accepted no connections. For four seconds its state could not be fetched,
+    and each entry read the store itself, with delays that are meant for an
+    unavailable store.
     """
 
     def play(self, scenario, count=12):
-        """Run `scenario(life, reader)` once all rely on the reader."""
+        """Run `scenario(life, reader)` once all follow the reader."""
 
         async def begin(life):
             await anyio.sleep(8)
@@ -113,7 +115,7 @@
         self.assertEqual(self.play(scenario), {'entry-1'})
 
     def test_reader_that_can_not_be_asked(self):
-        """Who can't fetch a reader's news relies on another one."""
+        """An entry that can't fetch from a reader chooses another one."""
 
         async def scenario(life, reader):
             reader.close()
@@ -134,7 +136,7 @@
         self.assertEqual(self.play(scenario), ([], 1))
 
     def test_target_leaves_while_readers_end(self):
-        """Entries end one by one, the reader first; a target leaves."""
+        """Entries shut down in turn, the reader first; a target is removed."""
 
         async def scenario(life, reader):
             async with anyio.create_task_group() as group:
--- a/tests/test_entry_peers.py
+++ b/tests/test_entry_peers.py
@@ -1,4 +1,4 @@
-"""Who of the other entries is heard, and what is known of them."""
+"""Which entries are known as peers, and their recorded state."""
 
 import unittest
 
@@ -8,16 +8,16 @@
 
 
 def hear(peers, name, *, place='dc', now=0.0, port=1):
-    """Have an entry be heard."""
+    """Record a message of an entry."""
     word = Flights(name, 1, True, place, False, 0.1, 0.5, ())
     return peers.hear(word, ('10.0.0.1', port), now)
 
 
 class PeersTest(unittest.TestCase):
-    """The entries that are heard."""
+    """Entries that messages have come from."""
 
     def test_near_among_many(self):
-        """Of many only those of the own data centre are near."""
+        """Among many only the entries of the own data centre are near."""
         peers = Peers('dc')
         for number in range(MOST_TOLD_ALL + 1):
             hear(peers, f'p{number}', place='other', port=number)
@@ -27,7 +27,7 @@
         self.assertFalse(peers.is_near('p0'))
 
     def test_news_grow_old(self):
-        """What was told is as old as it was, and older since."""
+        """The age of a peer's state grows until its next message."""
         peers = Peers('dc')
         hear(peers, 'a')
         found = next(peers.get_candidates(now=2))
@@ -36,7 +36,7 @@
         self.assertEqual(next(peers.get_candidates(now=3)).age_s, 0)
 
     def test_next_process_at_an_address(self):
-        """It takes the place of the one before it."""
+        """A new process replaces the earlier one at its address."""
         peers = Peers('dc')
         hear(peers, 'a#1')
         hear(peers, 'b#1', port=2)
--- a/tests/test_entry_restoring.py
+++ b/tests/test_entry_restoring.py
@@ -1,7 +1,7 @@
-"""Entries on a store that comes back without what it has acknowledged.
+"""Entries on a store that was restored without data it had acknowledged.
 
-What they know stays in force; the copy's word that nothing newer exists counts
-once its writers have had time to write again.
+What the entries know stays in force. That the copy has nothing newer counts
+only after its writers have had time to write again.
 """
 
 import unittest
@@ -12,19 +12,19 @@
 from tests.soak.store import TARGETS
 from trestledock.relay import REWRITE_S, Quarantined
 
-#: By when what entries wrote is there again, in seconds.
+#: Time until the data of entries is back, in seconds.
 AGAIN_S = 1.0
-#: The pause between two reads, with what jitter adds, in seconds.
+#: Interval between two reads including jitter, in seconds.
 READ_S = 0.5
-#: When the store has a version, and no record of an epoch yet, in seconds.
+#: Time at which the store has a version but no record of an epoch, in seconds.
 BEFORE_RECORD_S = 0.15
 RECORD = Quarantined('f', ('t1@1', 't2@1', 't3@2'), age_s=70)
-#: Where entries write their addresses.
+#: Topic of the addresses of entries.
 PEERS = 'keyed.status'
 
 
 async def watch(entries, for_s, look):
-    """Return what a look shows at the entries every so often."""
+    """Return the values of `look` at the entries at regular intervals."""
     found = []
     until = anyio.current_time() + for_s
     while anyio.current_time() < until:
@@ -34,13 +34,13 @@
 
 
 def get_wrong_proofs(entries, revoked_at):
-    """Return proofs from after a change of those that don't know it."""
+    """Return later proofs of entries that don't know a change."""
     proofs = [one.state.proof for one in entries if one.state.version < 2]
     return [one.proven_at for one in proofs if one.proven_at > revoked_at]
 
 
 class ConfigurationTest(unittest.TestCase):
-    """A newer configuration than the copy's, and proofs."""
+    """A configuration newer than the copy's, and proofs."""
 
     def test_version_never_goes_back(self):
         async def scenario(world, *entries):
@@ -53,9 +53,9 @@
         self.assertEqual(set(run_world(3, scenario)), {2})
 
     def test_key_taken_away_in_a_version_that_nobody_has_read(self):
-        """The copy's word is no proof until the operator has written again.
+        """The copy proves nothing until the operator has written again.
 
-        Read from the copy, the key was proven good for ever.
+        By reads of the copy the revoked key would stay valid for ever.
         """
 
         async def scenario(world, *entries):
@@ -75,7 +75,7 @@
         self.assertEqual(run_world(3, scenario), ([], [2, 2, 2]))
 
     def test_nobody_is_refused_meanwhile(self):
-        """A proof from before the restore lasts until the copy is whole."""
+        """A proof from before the restore lasts until the copy is complete."""
 
         async def scenario(world, *entries):
             world.store.go_back(5)
@@ -90,7 +90,7 @@
     """Entries that start just after a restore."""
 
     def test_beside_neighbours(self):
-        """It takes the newer version, and no target that has left."""
+        """It gets the newer version, and no removed target."""
 
         async def scenario(world, *entries):
             world.keys = []
@@ -122,7 +122,7 @@
         self.assertEqual(run_world(2, scenario), {'t1', 't2'})
 
     def test_all_killed_just_before(self):
-        """Nobody knows better: they wait for the operator."""
+        """No entry knows the newer state, so they wait for the operator."""
 
         async def scenario(world, *entries):
             world.keys = []
@@ -146,13 +146,14 @@
         self.assertEqual(run_world(3, scenario), (False, {True}, {2}))
 
     def test_all_killed_beside_a_copy_without_any_record(self):
-        """That nobody is known to have waited is no first start.
-
-        Seen: keys were served 8 to 12 s after they had been taken away.  How:
-        restores within seconds took the store back to before its first record
-        of an epoch, and all entries were killed.  Cause: those that started
-        took the missing record for the first start of all, and the copy for
-        whole.  An epoch above the first proves that something was lost.
+        """A missing record of an epoch does not prove a first start.
+
+        Guards against serving revoked keys: they were served for 8 to 12 s
+        after their revocation. Restores within seconds had taken the store back
+        to before its first record of an epoch, and all entries were killed. The
+        new entries took the missing record for the first start of all, and the
+        copy for complete. An epoch above the first proves that something was
+        lost.
         """
 
         async def scenario(world, *entries):
@@ -177,7 +178,7 @@
         self.assertEqual(run_world(3, scenario), ({1}, False, {True}))
 
     def test_all_killed_while_the_restored_store_is_young(self):
-        """That somebody lived then does not say that all is there again."""
+        """An entry that ran then does not prove that everything is back."""
 
         async def scenario(world, *entries):
             world.store.go_back(2)
@@ -189,7 +190,7 @@
         self.assertFalse(run_world(3, scenario))
 
     def test_start_in_calm(self):
-        """Where somebody has waited in this epoch nobody does it again."""
+        """No entry waits again in an epoch in which one has waited."""
 
         async def scenario(world, *entries):
             world.store.go_back(2)
@@ -201,7 +202,7 @@
         self.assertTrue(run_world(3, scenario))
 
     def test_first_start_of_all(self):
-        """Nothing was ever there to be lost."""
+        """There was never anything to be lost."""
 
         async def scenario(world):
             first = await world.start(0)
@@ -238,7 +239,7 @@
         return run_world(3, scenario)
 
     def test_target_of_the_lost_seconds(self):
-        """It is held by all, and there again when it writes."""
+        """All entries retain it, and it is listed when it writes again."""
         whole = [{'t0', 't1', 't2', 'new'} for _ in range(3)]
         self.assertEqual(self.play(comes_back=True), (whole, whole))
 
@@ -248,7 +249,7 @@
         self.assertEqual(self.play(comes_back=False), (whole, less))
 
     def test_target_that_has_left(self):
-        """Its record is there again, and older than its last word."""
+        """Its record is back, but older than its last one."""
 
         async def scenario(world, *entries):
             world.leave('t0')
@@ -263,10 +264,10 @@
 
 
 class WrittenTest(unittest.TestCase):
-    """What entries have written in the lost seconds."""
+    """Data that entries wrote in the lost seconds."""
 
     def test_addresses_are_there_again(self):
-        """A copy from before the entries started: one writes for all."""
+        """One entry writes all that a copy from before their start lacks."""
 
         async def scenario(world, *entries):
             world.store.go_back(11)
@@ -306,7 +307,7 @@
         self.assertEqual(run_world(3, scenario), (True, [('f', 1)]))
 
     def test_no_trial_before_others_could_write_again(self):
-        """The record of another's trial may be lost."""
+        """The record of another entry's probe may be lost."""
 
         async def scenario(world, *entries):
             for one in entries:
@@ -317,7 +318,7 @@
         self.assertFalse(run_world(3, scenario))
 
     def test_store_that_is_away_again(self):
-        """It is not asked in vain again and again for what is missing."""
+        """It is not asked repeatedly for missing data."""
 
         async def scenario(world, *entries):
             world.store.go_back(2)
@@ -332,7 +333,7 @@
         self.assertEqual(run_world(1, scenario), 0)
 
     def test_calls_after_a_restore(self):
-        """Two reads of each topic at most, however many entries there are."""
+        """At most two reads of each topic, for any number of entries."""
 
         async def scenario(world, *entries):
             await anyio.sleep(READ_S)
--- a/tests/test_entry_signs.py
+++ b/tests/test_entry_signs.py
@@ -1,4 +1,4 @@
-"""What is seen of a target where a sending ends without its answer."""
+"""Evidence of how an attempt without an answer failed."""
 
 import unittest
 
@@ -24,10 +24,10 @@
 
 
 class SignTest(unittest.TestCase):
-    """Each way in which a sending ends has a sign of its own."""
+    """Each kind of failure has its own evidence."""
 
     def check(self, answer, sign):
-        """The first sending to a target ends with a sign."""
+        """Check the evidence of the first attempt at a target."""
         found = []
 
         async def scenario(world):
@@ -67,7 +67,7 @@
 
 
 class ConnectTest(unittest.TestCase):
-    """Where no connection comes about."""
+    """Failures to connect."""
 
     def test_nobody_listens(self):
         async def main():
--- a/tests/test_entry_stale.py
+++ b/tests/test_entry_stale.py
@@ -1,6 +1,7 @@
-"""What an entry keeps under a fresh stamp, or holds without own evidence.
+"""Outdated state with a recent time, or targets retained without evidence.
 
-Found by reading, cold; each of these orders of events was then played.
+Both faults were found by reading the code, and then reproduced by these orders
+of events.
 """
 
 import unittest
@@ -10,29 +11,29 @@
 from tests.following import Store, run_entries
 from trestledock.entry._peers import Peer
 
-#: How long the reader stands still, in seconds.
+#: Length of the reader's pause, in seconds.
 PAUSE_S = 3.3
-#: How long a fetch waits for a busy reader, in seconds.
+#: Delay of a fetch from a busy reader, in seconds.
 BUSY_S = 0.2
-#: Between one read and the next, in seconds.
+#: Time between two reads, in seconds.
 STEP_S = 0.05
 
 
 def meet(other, entry):
-    """Have an entry know where another one is."""
+    """Make the address of an entry known to another one."""
     other.gossip.peers.known[entry.name] = Peer(
         entry.address, anyio.current_time(), 0
     )
 
 
 class SequenceTest(unittest.TestCase):
-    """Heartbeats change nothing for others, so these know old sequences."""
+    """Heartbeats aren't passed on, so other entries know older sequences."""
 
     def test_own_read_brings_nothing_back(self):
-        """A target that is known to be gone is not held after a disturbance.
+        """A removed target is not retained after a disturbance.
 
         The own read begins where the last one ended, long before, so that it
-        brings the target's heartbeats once more, and then its removal.
+        returns the target's heartbeats again, and then its removal.
         """
         store = Store(1, 2)
 
@@ -52,9 +53,9 @@
 class CrossingTest(unittest.TestCase):
     """Lists of two readers that cross, the first one fetched slowly.
 
-    A fetched list counts as of the question's instant less its age, so it is
-    newer than its stamp by as long as the fetch took.  The second reader has
-    read before the change, but after that stamp.
+    A fetched list counts as of the time of the question minus its age, so it is
+    newer than its time by the duration of the fetch. The second reader has read
+    before the change, but after that time.
     """
 
     def play(self, change):
@@ -91,9 +92,9 @@
         self.assertEqual(before, after)
 
     def test_gone_target_stays_gone(self):
-        """It came back, and stayed: the first reader's revision is known."""
+        """It returned for good, as the first reader's revision was known."""
         self.play(lambda store: store.remove(1))
 
     def test_new_target_is_not_lost(self):
-        """It is dropped for good: the first reader's revision is known."""
+        """It was dropped for good, as the first reader's revision was known."""
         self.play(lambda store: store.put(3, 1))
--- a/tests/test_entry_words.py
+++ b/tests/test_entry_words.py
@@ -1,8 +1,9 @@
-"""Words between entries: what is told comes through, and nothing else.
+"""Messages between entries: valid ones arrive, and others are rejected.
 
-Anything may come to the port.  One reply without its fields ended the loop that
-asks for news; a flight with a text in the place of a number got onto the board
-and failed every choice of a target after that.
+Anything may arrive at the port. Guards against two faults: a reply without its
+fields ended the loop that follows the reader, and a request with a text in
+place of a number was added to the load table and made each choice of a target
+fail.
 """
 
 import json
@@ -88,16 +89,16 @@
 
 
 def spoil(word, name, plain):
-    """Return a word with another value in the place of a field."""
+    """Return an encoded message with another value for a field."""
     told = json.loads(write_word(word, now=2))
     return json.dumps({**told, name: plain}).encode()
 
 
 class WordsTest(unittest.TestCase):
-    """From one entry to another."""
+    """Encoding and decoding."""
 
     def test_there_and_back(self):
-        """Instants move with the clock of whoever reads."""
+        """Instants are relative to the clock of the receiver."""
         for word in WORDS:
             self.assertEqual(read_word(write_word(word, now=2), now=2), word)
 
@@ -110,26 +111,26 @@
         )
 
     def test_each_kind_is_written(self):
-        """What can be read is what can be written."""
+        """Every decodable kind can be encoded."""
         kinds = {json.loads(write_word(one, now=0))['kind'] for one in WORDS}
         self.assertEqual(kinds, set(DECODERS))
 
     def test_older_version(self):
-        """It does not say when it tells everything again."""
+        """Older versions don't send the time until the next full state."""
         told = json.loads(write_word(WORDS[0], now=2))
         told.pop('again_ms')
         self.assertEqual(read_word(json.dumps(told).encode(), 2).again_s, 0.5)
 
     @given(st.binary(max_size=80) | ANY_JSON.map(json.dumps))
     def test_anything(self, text):
-        """What makes no sense raises one error."""
+        """Invalid data raises one type of error."""
         raw = text if isinstance(text, bytes) else text.encode()
         with self.assertRaises(BadWord):
             read_word(raw, now=0)
 
     @given(st.sampled_from(WORDS), st.data())
     def test_any_field(self, word, draw):
-        """A field of another kind spoils the word, or makes sense."""
+        """A field of another type makes the message invalid, or is valid."""
         name = draw.draw(
             st.sampled_from(sorted(json.loads(write_word(word, 2))))
         )
@@ -141,7 +142,7 @@
         self.assertIsInstance(write_word(found, now=2), bytes)
 
     def test_rows_of_other_kinds(self):
-        """No part of a flight is taken as it comes."""
+        """Each field of an in-flight request is checked."""
         row = json.loads(write_word(WORDS[0], now=2))['flights'][0]
         for at, _ in enumerate(row):
             for plain in ({}, True, [[1]]):
@@ -150,16 +151,16 @@
                     read_word(spoil(WORDS[0], 'flights', rows), now=2)
 
     def test_too_deep(self):
-        """Nesting that the decoder gives up is no sense either."""
+        """Nesting too deep for the JSON decoder is invalid as well."""
         with self.assertRaises(BadWord):
             read_word(b'[' * 60_000, now=0)
 
 
 class TakeTest(unittest.TestCase):
-    """What strange words do to an entry."""
+    """Effects of invalid messages on an entry."""
 
     def test_nothing_changes(self):
-        """The words beside them count."""
+        """Invalid messages are ignored, and valid ones still count."""
 
         async def main():
             state = EntryState(SETTINGS, 'entry-1#a', Random(1), None)
--- a/tests/test_notice_property.py
+++ b/tests/test_notice_property.py
@@ -1,10 +1,9 @@
-"""
-Whatever happens to entries, targets have what they said of themselves kept.
+"""Targets' notices are respected whatever happens to entries.
 
-Entries are cut off, killed, started again and made deaf for a while; targets
-say that they leave, start again under their ids, turn all away and ask for rest
-or name limits, while the list says throughout that they are ready.  Counted is
-what a target gets from each entry that it has told.
+Entries are cut off, killed, restarted and paused; targets drain, restart under
+their ids, refuse all requests and ask for back-off, or report rate limits, while
+the list always shows them as ready. Checked is what a target receives from each
+entry that it has told.
 """
 
 import unittest
@@ -18,7 +17,7 @@
 from tests.relaying import make_route
 
 ROUTE = make_route()
-#: Requests a second at all entries together, and for how long a word holds, in
+#: Requests a second at all entries together, and the duration of a notice, in
 #: seconds.
 RATE = 24
 HOLDS_S = 5
@@ -28,7 +27,7 @@
 
 @dataclass(frozen=True)
 class Slot:
-    """What happens within some seconds: to targets, then to entries."""
+    """Events within some seconds: those of targets, then those of entries."""
 
     leaving: tuple
     resting: tuple
@@ -50,7 +49,7 @@
 
 
 def start_again(fleet, number):
-    """Have a target start anew under its id, as the list tells at once."""
+    """Restart a target under its id, as the list shows at once."""
     target = fleet.targets[number]
     target.born += 1
     target.leaves = ''
@@ -60,7 +59,7 @@
 
 
 async def play(fleet, slots):
-    """Live through some slots; return the latest request and the most."""
+    """Run some slots; return the maximum lateness and requests in back-off."""
     latest = [0]
     count = len(fleet.entries)
     for slot in slots:
@@ -90,9 +89,9 @@
 
 
 class NoticePropertyTest(unittest.TestCase):
-    """Small fleets, disturbed."""
+    """Small fleets with disturbances."""
 
-    # Guards against any row of events after which a word is forgotten.
+    # Guards against any sequence of events after which a notice is forgotten.
     @given(st.integers(2, 9), st.integers(1, 4), draw_slots(), st.integers(0))
     @settings(max_examples=25)
     def test_what_targets_said_is_kept(self, entries, targets, slots, seed):
--- a/trestledock/entry/_isolation.py
+++ b/trestledock/entry/_isolation.py
@@ -41,8 +41,8 @@
 class Inquiry(Enum):
     """How to find out whether a target crashed during a request.
 
-    `reconnect` connects to it again, `listing` waits until another incarnation of
-    it is listed.
+    `reconnect` connects to it again, `listing` waits until another
+    incarnation of it is listed.
     """
 
     none = 'none'
