--- a/tests/test_clock.py
+++ b/tests/test_clock.py
@@ -98,7 +98,7 @@
 class LoopTest(unittest.TestCase):
     """The time of the event loop."""
 
-    def test_clock_that_goes_back(self):
+    def test_clock_goes_back(self):
         """Time and timers continue from the last value."""
         times = iter([10.0, 11.0, 5.0, 6.0, 6.5])
         loop = SuspensionLoop(times.__next__)
@@ -106,7 +106,7 @@
         loop.close()
         self.assertEqual(found, [11.0, 11.0, 12.0, 12.5])
 
-    def test_the_clock_of_this_system(self):
+    def test_system_clock(self):
         self.assertGreaterEqual(read_clock(), time.monotonic() - 1)
 
 
--- a/tests/test_entry_anew.py
+++ b/tests/test_entry_anew.py
@@ -53,7 +53,7 @@
 class AnewTest(unittest.TestCase):
     """A target is removed while the reader is paused, and an entry starts."""
 
-    def test_new_entry_in_touch_sends_nothing(self):
+    def test_new_entry_does_not_use_removed_target(self):
         """A new entry accepts no target from a reader that was just paused.
 
         The reader retains the target that was removed during its pause, and is
--- a/tests/test_entry_following.py
+++ b/tests/test_entry_following.py
@@ -58,7 +58,7 @@
 
         anyio.run(main)
 
-    def test_one_call_while_the_store_is_away(self):
+    def test_single_call_while_store_is_unavailable(self):
         """Calls are charged, including refused ones."""
 
         async def scenario(follower, directory):
@@ -71,7 +71,7 @@
 
         self.run_follower(scenario)
 
-    def test_part_of_the_store_is_back(self):
+    def test_part_of_the_store_recovers(self):
         """Each part is read as soon as it is back."""
         for part in ('catalog', 'targets'):
 
@@ -86,7 +86,7 @@
 
             self.run_follower(scenario)
 
-    def test_all_back(self):
+    def test_whole_store_recovers(self):
         """After the first successful call the other one follows."""
 
         async def scenario(follower, directory):
@@ -127,7 +127,7 @@
 
         anyio.run(main)
 
-    def test_success_delays_nothing(self):
+    def test_successful_read_does_not_delay_the_next(self):
         """An entry that has just read reads again if its state is outdated.
 
         After two readers had been paused one after the other, entries waited
@@ -141,7 +141,7 @@
 
         self.run_stale(scenario, age_s=1.5)
 
-    def test_failure_delays(self):
+    def test_failed_read_delays_the_next(self):
         """While the store is unavailable, later entries wait longer."""
 
         async def scenario(follower):
@@ -152,7 +152,7 @@
 
         self.run_stale(scenario, age_s=1.5)
 
-    def test_fetch_ends_when_an_own_read_is_due(self):
+    def test_fetch_times_out_when_own_read_is_due(self):
         """A reader that accepts a connection but never answers costs little."""
 
         async def scenario(follower):
@@ -161,7 +161,7 @@
 
         self.run_stale(scenario, age_s=1.0)
 
-    def test_fetch_may_last_while_the_store_is_away(self):
+    def test_long_fetch_while_store_is_unavailable(self):
         async def scenario(follower):
             follower.reading.directory.down = {'catalog': True, 'targets': True}
             await follower.reading.read()
@@ -170,7 +170,7 @@
 
         self.run_stale(scenario, age_s=1.5)
 
-    def test_next_question_comes_before_an_own_read(self):
+    def test_next_question_is_not_after_own_read(self):
         """The pause between two questions ends when an own read is due."""
 
         async def scenario(follower):
@@ -183,7 +183,7 @@
 class PaceTest(unittest.TestCase):
     """The reading interval follows from the settings."""
 
-    def test_bound_by_the_stricter_of_both(self):
+    def test_smaller_bound_applies(self):
         """The smaller of the bounds on versions and on draining applies."""
         plain = {
             'nodeName': 'a',
--- a/tests/test_entry_gossip.py
+++ b/tests/test_entry_gossip.py
@@ -43,7 +43,7 @@
     return gossip
 
 
-class ReachTest(unittest.TestCase):
+class GroupTest(unittest.TestCase):
     """The own data centre gets the full state often, the others rarely."""
 
     def check(self, near, far, told, readers):
@@ -55,20 +55,20 @@
 
         anyio.run(main)
 
-    def test_few(self):
+    def test_few_entries(self):
         """A few entries all exchange everything, and share one reader."""
         self.check(near=4, far=4, told=8, readers=9)
 
-    def test_many(self):
+    def test_many_entries(self):
         """With many entries each data centre is separate, with its reader."""
         far = MOST_TOLD_ALL
         self.check(near=5, far=far, told=5, readers=6)
 
 
-class FarTest(unittest.TestCase):
+class RemoteTest(unittest.TestCase):
     """What entries of other data centres receive from this one."""
 
-    def test_only_flights_at_their_targets(self):
+    def test_remote_entries_get_requests_at_their_targets(self):
         """A request is sent where its target or one of its helpers is."""
 
         async def main():
@@ -92,7 +92,7 @@
 
         anyio.run(main)
 
-    def test_nobody_is_far_among_few(self):
+    def test_few_entries_are_all_near(self):
         """A few entries all exchange everything."""
 
         async def main():
@@ -101,7 +101,7 @@
 
         anyio.run(main)
 
-    def test_patience_covers_two_messages(self):
+    def test_timeout_covers_two_messages(self):
         """A single lost or late datagram does not time out a peer."""
         self.assertGreater(MIN_TIMEOUT_S, 3 * FULL_STATE_INTERVAL_S)
         for again_s in (FULL_STATE_INTERVAL_S, 2, 15):
@@ -123,10 +123,10 @@
         anyio.run(main)
 
 
-class BeatTest(unittest.TestCase):
+class HeartbeatTest(unittest.TestCase):
     """Heartbeats to and from other data centres."""
 
-    def test_told_elsewhere_only(self):
+    def test_heartbeats_go_to_other_data_centres_only(self):
         """With few entries heartbeats go to other data centres only."""
         told = []
 
@@ -147,7 +147,7 @@
 
         anyio.run(main)
 
-    def test_silence_is_noted(self):
+    def test_silent_data_centre_is_suspected(self):
         """A data centre that becomes silent after its messages is suspected."""
 
         async def main():
--- a/tests/test_entry_incarnations.py
+++ b/tests/test_entry_incarnations.py
@@ -73,7 +73,7 @@
 
         self.assertEqual(self.play(scenario, make_born(OLD, 90)), ([], [NEW]))
 
-    def test_entry_that_is_behind(self):
+    def test_outdated_entry(self):
         """The older list of another entry does not bring the old one back."""
 
         async def scenario(store, behind, other):
@@ -96,7 +96,7 @@
 
         self.assertEqual(self.play(scenario, *words), [NEW])
 
-    def test_while_held_as_lapsed(self):
+    def test_old_incarnation_is_retained(self):
         """The old incarnation's retention ends; the new one is not retained."""
 
         async def scenario(store, reader, _):
@@ -112,7 +112,7 @@
         found = self.play(scenario, make_born(OLD, 90))
         self.assertEqual(found, ({f't1@{OLD}'}, [], [NEW]))
 
-    def test_held_elsewhere(self):
+    def test_old_incarnation_is_retained_elsewhere(self):
         """An entry that retains the old incarnation does not bring it back."""
 
         async def scenario(store, holds, other):
@@ -127,7 +127,7 @@
 
         self.assertEqual(self.play(scenario, make_born(OLD, 90)), [])
 
-    def test_what_was_believed_is_forgotten(self):
+    def test_health_is_reset(self):
         """Failures of the old incarnation don't affect the new one.
 
         Neither does its silence.
@@ -146,7 +146,7 @@
         self.assertEqual(found, (False, False))
 
 
-class FlightTest(unittest.TestCase):
+class InFlightTest(unittest.TestCase):
     """Requests in flight at a target while it restarts."""
 
     def play(self, kind, old, new):
@@ -173,7 +173,7 @@
         run_world(route, [old, new], scenario)
         return outcomes[0]
 
-    def test_repeat_at_the_next_one(self):
+    def test_repeat_at_new_incarnation(self):
         """The new incarnation is untried, and gets repeatable requests."""
         old = StubTarget(Torn(b''))
         new = StubTarget(make_answer())
@@ -181,7 +181,7 @@
         self.assertEqual(found.status, 200)
         self.assertEqual(len(new.requests), 1)
 
-    def test_unknown_outcome_stays_unknown(self):
+    def test_no_repeat_after_unknown_outcome(self):
         """The old incarnation may have run the request: no repetition."""
         old = StubTarget(Torn(b''))
         new = StubTarget(make_answer())
@@ -207,10 +207,10 @@
         self.assertEqual((len(old.requests), len(new.requests)), (1, 1))
 
 
-class TicketTest(unittest.TestCase):
+class ReservationTest(unittest.TestCase):
     """Memory reserved at the old incarnation."""
 
-    def test_not_renewed_at_the_next_one(self):
+    def test_not_renewed_at_new_incarnation(self):
         """A renewal would reserve memory there that nobody uses."""
         target = StubTarget(Hang)
         orders = []
--- a/tests/test_entry_isolation.py
+++ b/tests/test_entry_isolation.py
@@ -34,7 +34,7 @@
     return isolation
 
 
-class SignTest(unittest.TestCase):
+class EvidenceTest(unittest.TestCase):
     """Which failed attempts count as crashes of targets."""
 
     def count(self, sign, seen):
@@ -47,23 +47,23 @@
         isolation = run_isolation(scenario, seen)
         return isolation.quarantine.count_ends('f'), len(isolation.looks)
 
-    def test_closed_and_nobody_listens(self):
+    def test_closed_and_connection_refused(self):
         self.assertEqual(self.count(Sign.closed, Sign.refused), (3, 3))
 
-    def test_closed_by_one_that_lives(self):
+    def test_closed_by_live_target(self):
         """Reset connections say nothing about the request."""
         self.assertEqual(self.count(Sign.closed, Sign.none), (0, 3))
 
-    def test_closed_by_one_that_is_not_reached(self):
+    def test_closed_by_unreachable_target(self):
         """The target may be cut off."""
         self.assertEqual(self.count(Sign.closed, Sign.unreachable), (0, 3))
 
-    def test_silence_and_wrong_bytes(self):
+    def test_silence_and_invalid_bytes(self):
         """Neither leads to a new connection."""
         self.assertEqual(self.count(Sign.silent, Sign.refused), (0, 0))
         self.assertEqual(self.count(Sign.garbled, Sign.refused), (0, 0))
 
-    def test_one_end_a_sending(self):
+    def test_one_crash_per_attempt(self):
         """The engine of a prompt and its helpers may crash together."""
 
         async def scenario(isolation):
@@ -72,7 +72,7 @@
         isolation = run_isolation(scenario)
         self.assertEqual(isolation.quarantine.count_ends('f'), 1)
 
-    def test_helper_that_ended(self):
+    def test_crashed_helper(self):
         """A target may close its connection because its helper has crashed."""
 
         async def scenario(isolation):
@@ -87,10 +87,10 @@
         self.assertEqual(isolation.told, [End('f', TARGETS[1].incarnation)])
 
 
-class ProvenTest(unittest.TestCase):
+class AnsweredTest(unittest.TestCase):
     """A request that many callers send is in flight at each crash."""
 
-    def test_what_was_answered_is_not_blamed(self):
+    def test_answered_request_is_not_quarantined(self):
         async def scenario(isolation):
             isolation.note_answered('f')
             for target in TARGETS[:3]:
@@ -100,7 +100,7 @@
         self.assertFalse(isolation.is_quarantined('f'))
         self.assertEqual(isolation.told, [])
 
-    def test_what_has_become_deadly_is_known_soon(self):
+    def test_answered_request_that_now_crashes_targets(self):
         """The targets may have been updated since it was answered."""
 
         async def scenario(isolation):
@@ -110,7 +110,7 @@
 
         self.assertTrue(run_isolation(scenario).is_quarantined('f'))
 
-    def test_an_answer_does_not_speak_for_ever(self):
+    def test_answer_expires_as_evidence(self):
         async def scenario(isolation):
             isolation.note_answered('f')
             await anyio.sleep(PROVEN_S + 1)
@@ -120,7 +120,7 @@
         self.assertTrue(run_isolation(scenario).is_quarantined('f'))
 
 
-class LaterTest(unittest.TestCase):
+class ListedTest(unittest.TestCase):
     """Crashes that are found when another incarnation is listed."""
 
     def check(self, count, step, sign=Sign.closed, after_s=1.0):
@@ -134,7 +134,7 @@
         isolation = run_isolation(scenario, Sign.none)
         self.assertEqual(isolation.quarantine.count_ends('f'), count)
 
-    def test_started_again_under_its_id(self):
+    def test_restart_under_same_id(self):
         def step(isolation):
             isolation.note_replaced(TARGETS[0].incarnation)
 
@@ -143,20 +143,20 @@
         self.check(0, step, Sign.silent)
         self.check(0, step, after_s=OPEN_S)
 
-    def test_another_has_its_address(self):
+    def test_other_target_at_same_address(self):
         listed = Listed(
             'new', 'svc', TARGETS[0].address, 'dc', Standing.ready, 8
         )
         self.check(1, lambda isolation: isolation.note_listed(listed))
 
-    def test_its_own_entry_changes(self):
+    def test_own_record_changes(self):
         self.check(0, lambda isolation: isolation.note_listed(TARGETS[0]))
 
 
-class TellingTest(unittest.TestCase):
+class SharingTest(unittest.TestCase):
     """What the other entries and the store are to know."""
 
-    def test_store_is_told_by_whoever_has_seen_an_end(self):
+    def test_witness_of_a_crash_saves_quarantine(self):
         async def scenario(isolation):
             await isolation.note_lost('f', Sign.closed, [TARGETS[0]])
             others = [
@@ -169,7 +169,7 @@
         self.assertTrue(isolation.is_quarantined('g'))
         self.assertEqual(isolation.to_keep, {'f'})
 
-    def test_store_is_not_told_what_it_told(self):
+    def test_records_from_store_are_not_saved(self):
         async def scenario(isolation):
             isolation.take_records([Quarantined('f', ('a', 'b', 'c'))], 'store')
 
@@ -177,7 +177,7 @@
         self.assertTrue(isolation.is_quarantined('f'))
         self.assertFalse(isolation.to_keep)
 
-    def test_answer_is_told_where_others_may_count(self):
+    def test_answer_is_sent_to_entries_with_crashes(self):
         told = []
 
         async def scenario(isolation):
@@ -199,7 +199,7 @@
         self.assertEqual(records[0].incarnations, ())
         self.assertEqual(records[0].cleared, ('a', 'b', 'c'))
 
-    def test_target_that_others_saw_ending_is_left_alone(self):
+    def test_crash_reported_by_others_makes_target_suspect(self):
         """A target that is no longer listed leaves no state behind."""
 
         async def scenario(isolation):
@@ -216,7 +216,7 @@
         self.assertEqual(isolation.found, [True, False])
         self.assertEqual(list(isolation.health.targets), ['t0'])
 
-    def test_cut_off_target_says_nothing_of_its_data_centre(self):
+    def test_crashes_do_not_make_data_centre_suspect(self):
         """Crashes during requests don't make other targets there suspect."""
         found = []
 
@@ -233,10 +233,10 @@
         self.assertEqual(found, [])
 
 
-class TrialTest(unittest.TestCase):
+class ProbeTest(unittest.TestCase):
     """Which entry may send a quarantined request to one target."""
 
-    def run_trials(self, granted):
+    def run_probes(self, granted):
         """Return the results of two concurrent attempts, and of a later one."""
         found = []
 
@@ -260,10 +260,10 @@
         run_isolation(scenario)
         return found
 
-    def test_one_after_a_while(self):
-        self.assertEqual(self.run_trials(True), [False, False, True, False])
+    def test_one_probe_after_a_while(self):
+        self.assertEqual(self.run_probes(True), [False, False, True, False])
 
-    def test_answered_elsewhere_while_it_is_claimed(self):
+    def test_answered_elsewhere_during_claim(self):
         """A probe of another entry was answered during the claim."""
         found = []
 
@@ -281,5 +281,5 @@
         run_isolation(scenario)
         self.assertEqual(found, [False, False])
 
-    def test_nobody_without_the_store(self):
-        self.assertEqual(self.run_trials(False), [False, False, False, False])
+    def test_no_probe_without_store(self):
+        self.assertEqual(self.run_probes(False), [False, False, False, False])
--- a/tests/test_entry_keeping.py
+++ b/tests/test_entry_keeping.py
@@ -62,7 +62,7 @@
         self.isolation.ways.look = self._look
         self.keeping = Keeping(state, topic, lambda: reads)
 
-    async def see_ends(self, count):
+    async def observe_crashes(self, count):
         """Observe crashes of several targets during a request."""
         for target in TARGETS[:count]:
             await self.isolation.note_lost('f', Sign.closed, [target])
@@ -89,21 +89,21 @@
 class KeepingTest(unittest.TestCase):
     """Single writes, reads by the reader, and an unavailable store."""
 
-    def test_who_starts_later_knows(self):
+    def test_quarantine_reaches_later_entry(self):
         async def scenario(topic, one, other):
-            await one.see_ends(2)
+            await one.observe_crashes(2)
             await anyio.sleep(1)
             self.assertEqual(topic.records, {})
-            await one.see_ends(3)
+            await one.observe_crashes(3)
             await anyio.sleep(1)
             self.assertTrue(other.isolation.is_quarantined('f'))
 
         run_entries(scenario, False, True)
 
-    def test_store_that_is_away_is_told_later(self):
+    def test_records_are_saved_when_store_is_back(self):
         async def scenario(topic, one):
             topic.down = True
-            await one.see_ends(3)
+            await one.observe_crashes(3)
             await anyio.sleep(20)
             calls = topic.calls
             self.assertLess(calls, 10)
@@ -113,7 +113,7 @@
 
         run_entries(scenario, False)
 
-    def test_reader_that_finds_the_store_away(self):
+    def test_reader_while_store_is_unavailable(self):
         """It backs off exponentially, and reads once the store is back."""
 
         async def scenario(topic, one, other):
@@ -121,22 +121,22 @@
             await anyio.sleep(60)
             self.assertLess(topic.calls, 20)
             topic.down = False
-            await other.see_ends(3)
+            await other.observe_crashes(3)
             await anyio.sleep(10)
             self.assertTrue(one.isolation.is_quarantined('f'))
 
         run_entries(scenario, True, False)
 
-    def test_one_call_in_a_long_while(self):
+    def test_long_polls_are_few(self):
         async def scenario(topic, one):
             await anyio.sleep(POLL_TIMEOUT_S * 10.5)
             self.assertLessEqual(topic.calls, 22)
 
         run_entries(scenario, True)
 
-    def test_no_trial_while_the_store_is_away(self):
+    def test_no_probe_while_store_is_unavailable(self):
         async def scenario(topic, one):
-            await one.see_ends(3)
+            await one.observe_crashes(3)
             await anyio.sleep(one.isolation.get_come_back_s('f'))
             topic.down = True
             calls = topic.calls
--- a/tests/test_entry_listing.py
+++ b/tests/test_entry_listing.py
@@ -50,12 +50,12 @@
         self.check(6, (REMOVED, 5), listed=False)
         self.check(3, (6, REMOVED, 5), listed=False)
 
-    def test_doubled_record_after_the_removal(self):
+    def test_duplicate_record_after_the_removal(self):
         """A duplicate of the last record does not list the target again."""
         self.check(3, (6, REMOVED, 6), listed=False)
         self.check(6, (REMOVED, 6), listed=False)
 
-    def test_return(self):
+    def test_listed_again(self):
         """A record had lapsed, and a newer one follows."""
         self.check(3, (4, REMOVED, 5), listed=True)
         self.check(None, (4, REMOVED, 5), listed=True)
--- a/tests/test_entry_lists.py
+++ b/tests/test_entry_lists.py
@@ -22,10 +22,10 @@
 PAUSE_S = 3.3
 
 
-class ReaderStoodStillTest(unittest.TestCase):
+class PausedReaderTest(unittest.TestCase):
     """A target is removed while the reader of the list is paused."""
 
-    def test_gone_target_stays_gone(self):
+    def test_removed_target_stays_removed(self):
         """An entry that has dropped the target does not add it again."""
         store = Store(1, 2)
 
@@ -40,7 +40,7 @@
 
         self.assertEqual(run_entries(2, store, scenario), ({'t2'}, {'t2'}))
 
-    def test_others_learn_of_it_at_once(self):
+    def test_removal_reaches_other_entries_at_once(self):
         """An entry drops the target with the reader's next answer."""
         store = Store(1, 2)
 
@@ -55,7 +55,7 @@
 
         self.assertEqual(run_entries(2, store, scenario), {'t2'})
 
-    def test_new_entry_learns_of_what_is_held(self):
+    def test_new_entry_retains_target(self):
         """An entry new to the target retains it as long as the reader."""
         store = Store(1, 2)
 
@@ -91,7 +91,7 @@
 
         return run_entries(2, store, outage)
 
-    def test_lapsed_target_is_held_by_all(self):
+    def test_lapsed_target_is_retained_by_all(self):
         """An entry that noticed the outage retains unlisted targets."""
 
         async def scenario(reader, other):
@@ -100,7 +100,7 @@
 
         self.assertEqual(self.play(scenario), {'t1', 't2'})
 
-    def test_entry_that_has_just_begun_drops_nothing(self):
+    def test_list_of_new_entry_removes_nothing(self):
         """Its list lacks lapsed targets, which proves no removal."""
 
         async def scenario(reader, other):
@@ -111,7 +111,7 @@
 
         self.assertEqual(self.play(scenario), {'t1', 't2'})
 
-    def test_settled_reader_is_believed(self):
+    def test_settled_reader_removes_target(self):
         """A reader that followed the store throughout reports the removal."""
 
         async def scenario(reader, other):
--- a/tests/test_entry_news.py
+++ b/tests/test_entry_news.py
@@ -55,7 +55,7 @@
 
         anyio.run(main)
 
-    def test_late_answer_proves_its_question(self):
+    def test_late_answer_counts_from_its_question(self):
         """A delayed answer counts as of the time of its question."""
 
         async def scenario(exchange):
@@ -67,7 +67,7 @@
 
         self.run_async(scenario)
 
-    def test_newer_version_is_fetched_before_it_counts(self):
+    def test_newer_version_is_fetched_first(self):
         """A reader with a newer version proves nothing about the older one."""
 
         async def scenario(exchange):
@@ -78,7 +78,7 @@
 
         self.run_async(scenario)
 
-    def test_stale_list_brings_nothing_back(self):
+    def test_outdated_list_is_ignored(self):
         """A reader that is cut off from the store does not undo newer state."""
 
         async def scenario(exchange):
@@ -99,7 +99,7 @@
 
         self.run_async(scenario)
 
-    def test_newer_list_is_taken(self):
+    def test_newer_list_is_applied(self):
         """The list of a reader that has read since then is applied."""
 
         async def scenario(exchange):
@@ -119,7 +119,7 @@
 
         self.run_async(scenario)
 
-    def test_document_that_is_known_is_left_out(self):
+    def test_known_document_is_omitted(self):
         """The document is not sent to an entry that has the version."""
 
         async def scenario(exchange):
@@ -130,14 +130,14 @@
 
         self.run_async(scenario)
 
-    def test_news_of_an_older_version(self):
+    def test_update_of_older_program_version(self):
         """Without retained targets an update is no evidence of removals."""
         news = self.fetch(held=None, settled=None)
         self.assertTrue(news.whole)
         self.assertFalse(news.settled)
         self.assertEqual(news.held, ())
 
-    def test_news_that_makes_no_sense(self):
+    def test_invalid_update(self):
         """An invalid update counts as none."""
         self.assertIsNone(self.fetch(targets=[{'service': 1}]))
         self.assertIsNone(self.fetch(revision=None))
--- a/tests/test_entry_notices.py
+++ b/tests/test_entry_notices.py
@@ -42,7 +42,7 @@
 MISDIRECTED = ('Trestledock-Instance-Id: t1',)
 
 
-def get_leaving(answer, route=None):
+def get_draining(answer, route=None):
     """Return the draining targets after an answer of the first of two."""
     found = set()
 
@@ -56,11 +56,11 @@
     return found
 
 
-class LeaveTest(unittest.TestCase):
+class DrainTest(unittest.TestCase):
     """Which answers can mark their target as draining."""
 
     # Guards against draining notices that count only in successes.
-    def test_any_answer_of_the_target_is_believed(self):
+    def test_drain_notice_in_any_own_answer(self):
         for name, answer in {
             'success': make_answer(more=LEAVING),
             'failure': make_answer(status=500, more=LEAVING),
@@ -70,30 +70,30 @@
             ),
             'without a seal': make_answer(seal=False, more=LEAVING),
         }.items():
-            self.assertEqual(get_leaving(answer), {'t0'}, name)
+            self.assertEqual(get_draining(answer), {'t0'}, name)
 
-    def test_head_of_a_stream_is_believed(self):
+    def test_drain_notice_in_stream_head(self):
         whole = make_stream(1, 2)
         head = whole.replace(b'\r\n', b'\r\nServer-Leaving: 1\r\n', 1)
-        self.assertEqual(get_leaving(head, RESUMABLE), {'t0'})
+        self.assertEqual(get_draining(head, RESUMABLE), {'t0'})
 
     # Guards against targets that are drained by another process's answer.
-    def test_answer_of_whoever_is_not_believed(self):
+    def test_foreign_answer_is_ignored(self):
         for req_id in ('', 'r2'):
             answer = make_answer(req_id=req_id, seal=False, more=LEAVING)
-            self.assertEqual(get_leaving(answer), set(), req_id)
+            self.assertEqual(get_draining(answer), set(), req_id)
 
-    def test_word_of_the_one_that_has_the_address_is_its_own(self):
+    def test_drain_notice_of_new_target_at_address(self):
         """The notice counts for the answering target; the old one has ended."""
         answer = make_answer(
             status=421, seal=False, more=(*LEAVING, *MISDIRECTED)
         )
-        self.assertEqual(get_leaving(answer), {'t0', 't1'})
+        self.assertEqual(get_draining(answer), {'t0', 't1'})
 
-    def test_other_texts_say_nothing(self):
+    def test_invalid_drain_notices_are_ignored(self):
         for text in ('0', '', 'no', '1.0', '11'):
             answer = make_answer(more=(f'Server-Leaving: {text}',))
-            self.assertEqual(get_leaving(answer), set(), text)
+            self.assertEqual(get_draining(answer), set(), text)
 
 
 REST = 'Retry-After: 3'
@@ -101,7 +101,7 @@
 LONG = {'trestledock-token-counts': '100000,400'}
 
 
-class RestTest(unittest.TestCase):
+class BackoffTest(unittest.TestCase):
     """Which target backs off after a refusal, and how that ends."""
 
     def play(self, answer, *later, **fields):
@@ -135,7 +135,7 @@
         return found
 
     # Guards against counting a request to back off as a failure.
-    def test_refusal_is_believed_and_no_illness(self):
+    def test_backoff_is_no_failure(self):
         for status in (429, 503):
             answer = make_answer(
                 status=status,
@@ -147,11 +147,11 @@
             self.assertEqual((rests, ill), ({'t0': False}, set()), status)
 
     # Guards against a sound target that rests for a word of somebody else.
-    def test_answer_of_whoever_is_not_believed(self):
+    def test_foreign_answer_is_ignored(self):
         answer = make_answer(status=503, req_id='', seal=False, more=(REST,))
         self.assertEqual(self.play(answer)[0], {})
 
-    def test_rest_is_over_once_it_answers(self):
+    def test_success_ends_backoff(self):
         """A successful request that was sent after the back-off ends it."""
         short = make_answer(
             status=503, seal=False, more=('Retry-After: 0.1', *NOT_RUN)
@@ -161,7 +161,7 @@
         self.assertEqual(self.play(short, later)[0], {})
 
     # Guards against a success that overtakes a refusal and ends the back-off.
-    def test_success_that_was_asked_for_before_ends_nothing(self):
+    def test_earlier_success_does_not_end_backoff(self):
         refusal = make_answer(
             status=503, req_id='r2', seal=False, more=(REST, *NOT_RUN)
         )
@@ -180,7 +180,7 @@
 
     # Guards against more requests to a helper whose refusal another engine
     # passed on.
-    def test_helper_named_by_the_engine_that_answers(self):
+    def test_backoff_of_named_helper(self):
         found = set()
 
         async def scenario(world):
@@ -202,7 +202,7 @@
 class OrderTest(unittest.TestCase):
     """Notices in the answers to orders."""
 
-    def give_back(self, *answers):
+    def release_memory(self, *answers):
         """Release memory; return the targets with notices, and the requests."""
         found = []
         target = StubTarget(*answers)
@@ -219,16 +219,16 @@
 
     # Guards against missing the notices of engines that only hold memory or
     # prefill chunks, as these answer nothing but orders.
-    def test_leave_and_rest_are_heard(self):
+    def test_drain_and_backoff_in_order_answers(self):
         for status, more in ((200, LEAVING), (503, (REST,))):
             answer = make_answer(status=status, seal=False, more=more)
-            heard, _ = self.give_back(answer, make_answer(seal=False))
+            heard, _ = self.release_memory(answer, make_answer(seal=False))
             self.assertEqual(heard, {'t0'}, status)
 
     # Guards against an order that another process at the address executes.
-    def test_order_is_for_one_target_only(self):
+    def test_misdirected_order_is_ignored(self):
         other = make_answer(status=421, seal=False, more=LEAVING)
-        heard, requests = self.give_back(other)
+        heard, requests = self.release_memory(other)
         self.assertEqual(heard, set())
         self.assertEqual(len(requests), 1)
         self.assertIn('trestledock-expect-instance: t0', requests[0].lower())
@@ -259,10 +259,10 @@
     ]
 
 
-class NotedTest(unittest.TestCase):
+class LimitTest(unittest.TestCase):
     """Events for learnt, changed, withdrawn and ignored limits."""
 
-    def test_learnt_and_lifted(self):
+    def test_learnt_and_withdrawn(self):
         lines = ask_in_turn(
             make_answer(req_id='r0', more=LIMITED),
             make_answer(req_id='r1'),
@@ -272,14 +272,14 @@
         sent = [one for one in lines if isinstance(one, events.SentUnderLimit)]
         self.assertEqual([one.req for one in sent], ['r1'])
 
-    def test_refusal_and_failure_name_it_too(self):
+    def test_limit_in_refusal_and_failure(self):
         for status, more in ((503, NOT_RUN), (500, ()), (421, ())):
             lines = ask_in_turn(
                 make_answer(status=status, req_id='r0', more=(*LIMITED, *more))
             )
             self.assertEqual(get_changes(lines), [('learnt', 2)], status)
 
-    def test_nonsense_has_one_line_and_lifts_nothing(self):
+    def test_invalid_limit_is_logged_once(self):
         more = ('Server-Limit: -3',)
         lines = ask_in_turn(
             make_answer(req_id='r0', more=LIMITED),
@@ -295,7 +295,7 @@
 
     # Guards against a line for each answer of a target with two invalid
     # headers.
-    def test_two_kinds_of_nonsense_have_one_line_each(self):
+    def test_invalid_notices_are_logged_once_per_kind(self):
         more = ('Server-Limit: x', 'Retry-After: soon')
         lines = ask_in_turn(
             make_answer(status=503, req_id='r0', more=more),
@@ -307,7 +307,7 @@
         ]
         self.assertEqual([one.notice for one in ignored], ['limit', 'rest'])
 
-    def test_refusal_or_failure_lifts_nothing(self):
+    def test_refusal_or_failure_does_not_withdraw_limit(self):
         """The component that refuses may not know the limit."""
         for status, more in ((503, NOT_RUN), (500, ())):
             lines = ask_in_turn(
@@ -317,7 +317,7 @@
             )
             self.assertEqual(get_changes(lines), [('learnt', 2)], status)
 
-    def test_what_is_not_its_own_lifts_nothing(self):
+    def test_foreign_answer_does_not_withdraw_limit(self):
         lines = ask_in_turn(
             make_answer(req_id='r0', more=LIMITED),
             make_answer(req_id='r1', seal=False),
--- a/tests/test_entry_notices_exchange.py
+++ b/tests/test_entry_notices_exchange.py
@@ -35,10 +35,10 @@
     return fleet.word_bytes - before
 
 
-class ToldTest(unittest.TestCase):
+class LimitSharingTest(unittest.TestCase):
     """How a limit reaches all entries."""
 
-    def test_learnt_raised_and_lifted_everywhere(self):
+    def test_limit_reaches_all_entries(self):
         async def scenario(fleet):
             target = fleet.targets[0]
             found = []
@@ -53,7 +53,7 @@
         found = run_fleet(scenario, [ROUTE], targets=1)
         self.assertEqual([set(one) for one in found], [{2}, {9}, {None}])
 
-    def test_started_entry_knows_before_it_sends(self):
+    def test_new_entry_knows_limit_before_it_sends(self):
         async def scenario(fleet):
             fleet.targets[0].name(1)
             await fleet.ask_for(1, 8, entries=[0])
@@ -65,7 +65,7 @@
 
         self.assertEqual(run_fleet(scenario, [ROUTE], targets=1), 1)
 
-    def test_lost_words_are_made_good(self):
+    def test_lost_messages_are_repeated(self):
         async def scenario(fleet):
             fleet.targets[0].name(1)
             fleet.cut = {5}
@@ -77,7 +77,7 @@
 
         self.assertEqual(run_fleet(scenario, [ROUTE], targets=1), (None, 1))
 
-    def test_number_that_jitters_is_told_with_whole_words(self):
+    def test_small_changes_wait_for_full_state(self):
         """Otherwise each answer would cause a message to every entry."""
 
         async def scenario(fleet):
@@ -98,7 +98,7 @@
         # Each request causes two messages to each of the five others.
         self.assertLess(busy, idle + asked * 2 * 5 + 5)
 
-    def test_who_was_told_does_not_tell_it_on(self):
+    def test_received_limits_are_not_forwarded(self):
         """Otherwise each entry would get each limit from every other one."""
 
         async def scenario(fleet):
@@ -113,7 +113,7 @@
         self.assertLess(with_limits, without * 2)
 
 
-class LimitHeldTest(unittest.TestCase):
+class LimitRespectedTest(unittest.TestCase):
     """What a target receives while entries are cut off, die and start."""
 
     def check(self, disturb, per_s=1, targets=2, rate=8, for_s=20):
@@ -144,7 +144,7 @@
 
         self.assertGreater(self.check(disturb), 0.5)
 
-    def test_two_sides_of_a_cut(self):
+    def test_network_partition(self):
         async def disturb(fleet):
             fleet.cut = {0, 1, 2}
             await anyio.sleep(8)
@@ -154,21 +154,21 @@
             used = self.check(disturb, per_s, targets=1, rate=16)
             self.assertGreater(used, 0.5)
 
-    def test_holders_die_and_start_again(self):
+    def test_entries_restart(self):
         async def disturb(fleet):
             for number in (0, 3):
                 await fleet.restart(number, 2)
 
         self.check(disturb)
 
-    def test_entry_that_hears_nobody_for_a_while(self):
+    def test_paused_entries(self):
         async def disturb(fleet):
             for entry in fleet.entries[:3]:
                 await entry.stand_still_for(2.5)
 
         self.check(disturb)
 
-    def test_dead_entries_leave_most_to_the_others(self):
+    def test_dead_entries_leave_most_of_the_limit(self):
         """The shares of two of six entries are unused, the rest is used."""
 
         async def disturb(fleet):
@@ -178,10 +178,10 @@
         self.assertGreater(self.check(disturb, per_s=2), 0.4)
 
 
-class ComeBackTest(unittest.TestCase):
+class CallerTest(unittest.TestCase):
     """What callers get under a limit, and after it."""
 
-    def test_lifted_limit_is_over_within_seconds(self):
+    def test_withdrawn_limit_ends_within_seconds(self):
         async def scenario(fleet):
             target = fleet.targets[0]
             target.name(1)
@@ -196,7 +196,7 @@
         after = sum(3 < one < 6 for one in at)
         self.assertGreater(after, before * 3)
 
-    def test_changed_mind_before_the_write(self):
+    def test_limit_is_checked_before_sending(self):
         """The limit is checked again after the choice of a target."""
 
         async def scenario(fleet):
@@ -217,7 +217,7 @@
         sent = run_fleet(scenario, [ROUTE], targets=2, entries=2)
         self.assertLessEqual(sent, 2)
 
-    def test_refused_at_once_with_when_to_come_back(self):
+    def test_immediate_refusal_with_retry_after(self):
         """The limit of the only target determines both."""
 
         async def scenario(fleet):
--- a/tests/test_entry_outage.py
+++ b/tests/test_entry_outage.py
@@ -31,7 +31,7 @@
 class OutageTest(unittest.TestCase):
     """The outage begins before all entries have read the removal."""
 
-    def test_target_that_left_before(self):
+    def test_target_removed_before_outage(self):
         """The target gets nothing once the store has been back long enough."""
         for seed in SEEDS:
             with self.subTest(seed=seed):
--- a/tests/test_entry_pace.py
+++ b/tests/test_entry_pace.py
@@ -42,7 +42,7 @@
     return wrong
 
 
-class LeavingTest(unittest.TestCase):
+class RemovalTest(unittest.TestCase):
     """A target's record is removed while entries are paused.
 
     Of forty seeds each, nine with one paused reader and ten with two failed
@@ -76,14 +76,14 @@
             with self.subTest(seed=seed):
                 self.assertEqual(self.play(seed, count, still), set())
 
-    def test_reader_stands_still(self):
+    def test_paused_reader(self):
         self.check(count=6, still=1)
 
-    def test_two_readers_stand_still(self):
+    def test_two_paused_readers(self):
         self.check(count=6, still=2)
 
 
-class LeavingReaderTest(unittest.TestCase):
+class DrainingReaderTest(unittest.TestCase):
     """The reader of the list shuts down, or can't be asked.
 
     Guards against outdated versions during rolling restarts: an entry was
@@ -104,7 +104,7 @@
 
         return run_life(count, (1, 2), begin)
 
-    def test_ending_reader_hands_over(self):
+    def test_draining_reader_is_replaced(self):
         """All others have another reader within a second."""
 
         async def scenario(life, reader):
@@ -114,7 +114,7 @@
 
         self.assertEqual(self.play(scenario), {'entry-1'})
 
-    def test_reader_that_can_not_be_asked(self):
+    def test_unreachable_reader_is_replaced(self):
         """An entry that can't fetch from a reader chooses another one."""
 
         async def scenario(life, reader):
@@ -135,7 +135,7 @@
 
         self.assertEqual(self.play(scenario), ([], 1))
 
-    def test_target_leaves_while_readers_end(self):
+    def test_target_is_removed_while_readers_shut_down(self):
         """Entries shut down in turn, the reader first; a target is removed."""
 
         async def scenario(life, reader):
--- a/tests/test_entry_peers.py
+++ b/tests/test_entry_peers.py
@@ -26,7 +26,7 @@
         self.assertTrue(peers.is_near('near'))
         self.assertFalse(peers.is_near('p0'))
 
-    def test_news_grow_old(self):
+    def test_age_of_peer_state(self):
         """The age of a peer's state grows until its next message."""
         peers = Peers('dc')
         hear(peers, 'a')
@@ -35,7 +35,7 @@
         peers.note_fresh('a', 0, now=3)
         self.assertEqual(next(peers.get_candidates(now=3)).age_s, 0)
 
-    def test_next_process_at_an_address(self):
+    def test_new_process_at_known_address(self):
         """A new process replaces the earlier one at its address."""
         peers = Peers('dc')
         hear(peers, 'a#1')
--- a/tests/test_entry_restoring.py
+++ b/tests/test_entry_restoring.py
@@ -52,7 +52,7 @@
 
         self.assertEqual(set(run_world(3, scenario)), {2})
 
-    def test_key_taken_away_in_a_version_that_nobody_has_read(self):
+    def test_key_revoked_in_an_unread_version(self):
         """The copy proves nothing until the operator has written again.
 
         By reads of the copy the revoked key would stay valid for ever.
@@ -74,7 +74,7 @@
 
         self.assertEqual(run_world(3, scenario), ([], [2, 2, 2]))
 
-    def test_nobody_is_refused_meanwhile(self):
+    def test_no_refusals_after_restore(self):
         """A proof from before the restore lasts until the copy is complete."""
 
         async def scenario(world, *entries):
@@ -89,7 +89,7 @@
 class StartTest(unittest.TestCase):
     """Entries that start just after a restore."""
 
-    def test_beside_neighbours(self):
+    def test_start_beside_other_entries(self):
         """It gets the newer version, and no removed target."""
 
         async def scenario(world, *entries):
@@ -108,7 +108,7 @@
 
         self.assertEqual(run_world(3, scenario), {(2, False)})
 
-    def test_target_that_said_it_leaves(self):
+    def test_draining_target(self):
         """Its old record in the copy says that it is ready."""
 
         async def scenario(world, *entries):
@@ -121,7 +121,7 @@
 
         self.assertEqual(run_world(2, scenario), {'t1', 't2'})
 
-    def test_all_killed_just_before(self):
+    def test_all_killed_before_restore(self):
         """No entry knows the newer state, so they wait for the operator."""
 
         async def scenario(world, *entries):
@@ -145,7 +145,7 @@
 
         self.assertEqual(run_world(3, scenario), (False, {True}, {2}))
 
-    def test_all_killed_beside_a_copy_without_any_record(self):
+    def test_all_killed_and_copy_without_epoch_record(self):
         """A missing record of an epoch does not prove a first start.
 
         Guards against serving revoked keys: they were served for 8 to 12 s
@@ -177,7 +177,7 @@
 
         self.assertEqual(run_world(3, scenario), ({1}, False, {True}))
 
-    def test_all_killed_while_the_restored_store_is_young(self):
+    def test_all_killed_soon_after_restore(self):
         """An entry that ran then does not prove that everything is back."""
 
         async def scenario(world, *entries):
@@ -189,7 +189,7 @@
 
         self.assertFalse(run_world(3, scenario))
 
-    def test_start_in_calm(self):
+    def test_start_in_settled_epoch(self):
         """No entry waits again in an epoch in which one has waited."""
 
         async def scenario(world, *entries):
@@ -248,7 +248,7 @@
         less = [{'t0', 't1', 't2'} for _ in range(3)]
         self.assertEqual(self.play(comes_back=False), (whole, less))
 
-    def test_target_that_has_left(self):
+    def test_removed_target(self):
         """Its record is back, but older than its last one."""
 
         async def scenario(world, *entries):
@@ -266,7 +266,7 @@
 class WrittenTest(unittest.TestCase):
     """Data that entries wrote in the lost seconds."""
 
-    def test_addresses_are_there_again(self):
+    def test_addresses_are_written_again(self):
         """One entry writes all that a copy from before their start lacks."""
 
         async def scenario(world, *entries):
@@ -281,7 +281,7 @@
 
         self.assertEqual(run_world(3, scenario), (1, 3))
 
-    def test_quarantine_is_there_again(self):
+    def test_quarantine_is_written_again(self):
         async def scenario(world, *entries):
             for one in entries:
                 one.state.isolation.take_records([RECORD], 'test')
@@ -292,7 +292,7 @@
 
         self.assertEqual(run_world(3, scenario), ['f'])
 
-    def test_quarantine_and_trials_are_there_again(self):
+    def test_probes_are_written_again(self):
         async def scenario(world, *entries):
             for one in entries:
                 one.state.isolation.take_records([RECORD], 'test')
@@ -306,7 +306,7 @@
 
         self.assertEqual(run_world(3, scenario), (True, [('f', 1)]))
 
-    def test_no_trial_before_others_could_write_again(self):
+    def test_no_probe_before_repair(self):
         """The record of another entry's probe may be lost."""
 
         async def scenario(world, *entries):
@@ -317,7 +317,7 @@
 
         self.assertFalse(run_world(3, scenario))
 
-    def test_store_that_is_away_again(self):
+    def test_store_is_unavailable_again(self):
         """It is not asked repeatedly for missing data."""
 
         async def scenario(world, *entries):
--- a/tests/test_entry_signs.py
+++ b/tests/test_entry_signs.py
@@ -23,7 +23,7 @@
 BEGUN = make_stream(1, 2, end=b'')
 
 
-class SignTest(unittest.TestCase):
+class EvidenceTest(unittest.TestCase):
     """Each kind of failure has its own evidence."""
 
     def check(self, answer, sign):
@@ -59,17 +59,17 @@
     def test_silent(self):
         self.check(Hang, Sign.silent)
 
-    def test_no_answer_in_the_protocol(self):
+    def test_invalid_answer(self):
         self.check(b'what?\r\n\r\n', Sign.garbled)
 
-    def test_an_answer_has_none(self):
+    def test_answer_is_no_failure(self):
         self.check(make_answer(status=500), Sign.none)
 
 
 class ConnectTest(unittest.TestCase):
     """Failures to connect."""
 
-    def test_nobody_listens(self):
+    def test_connection_refused(self):
         async def main():
             listener = await anyio.create_tcp_listener(local_host='127.0.0.1')
             port = listener.extra(anyio.abc.SocketAttribute.local_port)
--- a/tests/test_entry_stale.py
+++ b/tests/test_entry_stale.py
@@ -29,7 +29,7 @@
 class SequenceTest(unittest.TestCase):
     """Heartbeats aren't passed on, so other entries know older sequences."""
 
-    def test_own_read_brings_nothing_back(self):
+    def test_own_read_does_not_restore_target(self):
         """A removed target is not retained after a disturbance.
 
         The own read begins where the last one ended, long before, so that it
@@ -91,7 +91,7 @@
         before, after = run_entries(3, store, scenario)
         self.assertEqual(before, after)
 
-    def test_gone_target_stays_gone(self):
+    def test_removed_target_stays_removed(self):
         """It returned for good, as the first reader's revision was known."""
         self.play(lambda store: store.remove(1))
 
--- a/tests/test_entry_words.py
+++ b/tests/test_entry_words.py
@@ -60,7 +60,7 @@
     gone=9,
     patience_s=2,
 )
-WORDS = (
+MESSAGES = (
     Flights('e', 3, True, 'dc', False, 0.5, 2, (('r1', FLIGHT), ('r2', None))),
     Beat('e', 'dc', leaving=True),
     Ends('e', ((End('f', 't1@5'), 0.25), (End('g', 't2'), 0))),
@@ -88,21 +88,21 @@
 SENDER = ('10.0.0.1', 9)
 
 
-def spoil(word, name, plain):
+def replace_field(word, name, plain):
     """Return an encoded message with another value for a field."""
     told = json.loads(write_word(word, now=2))
     return json.dumps({**told, name: plain}).encode()
 
 
-class WordsTest(unittest.TestCase):
+class EncodingTest(unittest.TestCase):
     """Encoding and decoding."""
 
-    def test_there_and_back(self):
+    def test_round_trip(self):
         """Instants are relative to the clock of the receiver."""
-        for word in WORDS:
+        for word in MESSAGES:
             self.assertEqual(read_word(write_word(word, now=2), now=2), word)
 
-    def test_rest_is_elsewhere_for_who_is_told(self):
+    def test_backoff_is_decoded_as_elsewhere(self):
         told = ToldNotices('e', (TargetNotice('t', Rest(9, 0, 1)),))
         found = read_word(write_word(told, now=2), now=2)
         self.assertEqual(
@@ -110,70 +110,72 @@
             (TargetNotice('t', RestElsewhere(9, 0, 1, is_told=True)),),
         )
 
-    def test_each_kind_is_written(self):
+    def test_each_kind_is_encoded(self):
         """Every decodable kind can be encoded."""
-        kinds = {json.loads(write_word(one, now=0))['kind'] for one in WORDS}
+        kinds = {json.loads(write_word(one, now=0))['kind'] for one in MESSAGES}
         self.assertEqual(kinds, set(DECODERS))
 
     def test_older_version(self):
         """Older versions don't send the time until the next full state."""
-        told = json.loads(write_word(WORDS[0], now=2))
+        told = json.loads(write_word(MESSAGES[0], now=2))
         told.pop('again_ms')
         self.assertEqual(read_word(json.dumps(told).encode(), 2).again_s, 0.5)
 
     @given(st.binary(max_size=80) | ANY_JSON.map(json.dumps))
-    def test_anything(self, text):
+    def test_arbitrary_data(self, text):
         """Invalid data raises one type of error."""
         raw = text if isinstance(text, bytes) else text.encode()
         with self.assertRaises(BadWord):
             read_word(raw, now=0)
 
-    @given(st.sampled_from(WORDS), st.data())
-    def test_any_field(self, word, draw):
+    @given(st.sampled_from(MESSAGES), st.data())
+    def test_arbitrary_field(self, word, draw):
         """A field of another type makes the message invalid, or is valid."""
         name = draw.draw(
             st.sampled_from(sorted(json.loads(write_word(word, 2))))
         )
-        raw = spoil(word, name, draw.draw(ANY_JSON))
+        raw = replace_field(word, name, draw.draw(ANY_JSON))
         try:
             found = read_word(raw, now=2)
         except BadWord:
             return
         self.assertIsInstance(write_word(found, now=2), bytes)
 
-    def test_rows_of_other_kinds(self):
+    def test_invalid_fields_of_requests(self):
         """Each field of an in-flight request is checked."""
-        row = json.loads(write_word(WORDS[0], now=2))['flights'][0]
+        row = json.loads(write_word(MESSAGES[0], now=2))['flights'][0]
         for at, _ in enumerate(row):
             for plain in ({}, True, [[1]]):
                 rows = [[*row[:at], plain, *row[at + 1 :]]]
                 with self.assertRaises(BadWord):
-                    read_word(spoil(WORDS[0], 'flights', rows), now=2)
+                    read_word(
+                        replace_field(MESSAGES[0], 'flights', rows), now=2
+                    )
 
-    def test_too_deep(self):
+    def test_deep_nesting(self):
         """Nesting too deep for the JSON decoder is invalid as well."""
         with self.assertRaises(BadWord):
             read_word(b'[' * 60_000, now=0)
 
 
-class TakeTest(unittest.TestCase):
+class ReceiveTest(unittest.TestCase):
     """Effects of invalid messages on an entry."""
 
-    def test_nothing_changes(self):
+    def test_invalid_messages_are_ignored(self):
         """Invalid messages are ignored, and valid ones still count."""
 
         async def main():
             state = EntryState(SETTINGS, 'entry-1#a', Random(1), None)
             gossip = Gossip(state)
             exchange = NewsExchange(state, gossip)
-            for word in WORDS:
+            for word in MESSAGES:
                 for name in json.loads(write_word(word, now=2)):
-                    gossip.take(spoil(word, name, {}), SENDER)
+                    gossip.take(replace_field(word, name, {}), SENDER)
             self.assertEqual(
                 (gossip.peers.known, state.board.count_peers()), ({}, 0)
             )
             self.assertFalse(exchange.take_proof('e'))
-            gossip.take(write_word(WORDS[0], now=2), SENDER)
+            gossip.take(write_word(MESSAGES[0], now=2), SENDER)
             self.assertEqual(set(gossip.peers.known), {'e'})
             self.assertEqual(len(list(state.board.get_flights('t1@5'))), 1)
 
--- a/tests/test_notice_property.py
+++ b/tests/test_notice_property.py
@@ -1,9 +1,9 @@
 """Targets' notices are respected whatever happens to entries.
 
 Entries are cut off, killed, restarted and paused; targets drain, restart under
-their ids, refuse all requests and ask for back-off, or report rate limits, while
-the list always shows them as ready. Checked is what a target receives from each
-entry that it has told.
+their ids, refuse all requests and ask for back-off, or report rate limits,
+while the list always shows them as ready. Checked is what a target receives
+from each entry that it has told.
 """
 
 import unittest
@@ -20,7 +20,7 @@
 #: Requests a second at all entries together, and the duration of a notice, in
 #: seconds.
 RATE = 24
-HOLDS_S = 5
+SLOT_S = 5
 ENTRY = st.none() | st.integers(0, 8)
 RESTS = st.sampled_from(['0', '0.3', '1', '2.5', '4', '30'])
 
@@ -48,7 +48,7 @@
     return st.lists(slot, min_size=2, max_size=3)
 
 
-def start_again(fleet, number):
+def restart_target(fleet, number):
     """Restart a target under its id, as the list shows at once."""
     target = fleet.targets[number]
     target.born += 1
@@ -70,7 +70,7 @@
         if slot.limited is not None:
             fleet.targets[slot.limited % len(fleet.targets)].name(1)
         async with anyio.create_task_group() as group:
-            group.start_soon(fleet.ask_for, HOLDS_S, RATE / count)
+            group.start_soon(fleet.ask_for, SLOT_S, RATE / count)
             await anyio.sleep(1)
             fleet.cut = {one % count for one in slot.cut}
             if slot.deaf is not None:
@@ -84,7 +84,7 @@
             target.name(None)
             latest.append(target.get_late_s())
         if slot.started is not None:
-            start_again(fleet, slot.started % len(fleet.targets))
+            restart_target(fleet, slot.started % len(fleet.targets))
     return max(latest), max(one.get_most_in_rest() for one in fleet.targets)
 
 
@@ -94,7 +94,7 @@
     # Guards against any sequence of events after which a notice is forgotten.
     @given(st.integers(2, 9), st.integers(1, 4), draw_slots(), st.integers(0))
     @settings(max_examples=25)
-    def test_what_targets_said_is_kept(self, entries, targets, slots, seed):
+    def test_notices_are_respected(self, entries, targets, slots, seed):
         async def scenario(fleet):
             return await play(fleet, slots)
 
