--- a/tests/following.py
+++ b/tests/following.py
@@ -28,7 +28,8 @@
 
     def __init__(self, *numbers):
         self.records = [
-            TargetNews(f't{one}', make_listed(one, 80)) for one in numbers
+            TargetNews(f't{number}', make_listed(number, 80))
+            for number in numbers
         ]
         self.down = False
 
@@ -114,7 +115,9 @@
 
     def get_usable(self):
         """Return the ids of the targets that accept new requests."""
-        return {one.target_id for one in self.state.fleet.get_usable('svc')}
+        return {
+            target.target_id for target in self.state.fleet.get_usable('svc')
+        }
 
     def _send(self, word, where):
         raw = write_word(word, anyio.current_time())
--- a/tests/living.py
+++ b/tests/living.py
@@ -101,9 +101,11 @@
 
     def get_readers(self):
         """Return the running entries that are readers, or will be."""
-        running = [one for one in self.entries if one.running.is_set()]
-        names = {one.follower._reader for one in running}
-        return [one for one in running if one.name in names] or running[:1]
+        running = [entry for entry in self.entries if entry.running.is_set()]
+        names = {entry.follower._reader for entry in running}
+        return [entry for entry in running if entry.name in names] or running[
+            :1
+        ]
 
 
 def run_life(count, numbers, scenario):
@@ -118,8 +120,8 @@
                     LivingEntry(number, life.store, network, group)
                 )
             addresses = {
-                one.name: f'127.0.0.1:{port}'
-                for one, (_, port) in zip(life.entries, network, strict=True)
+                entry.name: f'127.0.0.1:{port}'
+                for entry, (_, port) in zip(life.entries, network, strict=True)
             }
             for entry in life.entries:
                 entry.gossip.neighbours.own = entry.address
--- a/tests/restoring.py
+++ b/tests/restoring.py
@@ -61,7 +61,7 @@
             raise WireError('answer', 'reset') from exc
 
     async def _take(self, status, body=b'', headers=()):
-        raw = tuple((one.encode(), two.encode()) for one, two in headers)
+        raw = tuple((name.encode(), value.encode()) for name, value in headers)
         self._answer = Head(status, raw), body
 
     async def read_head(self):
@@ -132,7 +132,9 @@
 
     def get_usable(self):
         """Return the ids of the targets that accept new requests."""
-        return {one.target_id for one in self.state.fleet.get_usable('svc')}
+        return {
+            target.target_id for target in self.state.fleet.get_usable('svc')
+        }
 
     def _send(self, word, where):
         raw = write_word(word, anyio.current_time())
--- a/tests/test_entry_anew.py
+++ b/tests/test_entry_anew.py
@@ -29,8 +29,8 @@
         news = await super().read_targets()
         if not begins:
             return news
-        newest = {one.target_id: one for one in news.targets}
-        present = [one for one in newest.values() if one.listed]
+        newest = {record.target_id: record for record in news.targets}
+        present = [record for record in newest.values() if record.listed]
         return News(targets=tuple(present), whole=True)
 
 
@@ -42,10 +42,12 @@
     entry.follower.reading.directory = NewestReading(life.store)
     entry.disturbed_until = anyio.current_time()
     everybody = [*life.entries, entry]
-    addresses = {one.name: f'127.0.0.1:{one.address[1]}' for one in everybody}
+    addresses = {
+        member.name: f'127.0.0.1:{member.address[1]}' for member in everybody
+    }
     entry.gossip.neighbours.own = entry.address
-    for one in everybody:
-        one.gossip.meet(addresses)
+    for member in everybody:
+        member.gossip.meet(addresses)
     life.entries.append(entry)
     await entry.live()
 
--- a/tests/test_entry_incarnations.py
+++ b/tests/test_entry_incarnations.py
@@ -43,7 +43,7 @@
 def get_births(entry):
     """Return the start times of the usable incarnations of target 1."""
     usable = entry.state.fleet.get_usable('svc')
-    return [one.born for one in usable if one.target_id == 't1']
+    return [target.born for target in usable if target.target_id == 't1']
 
 
 class ListTest(unittest.TestCase):
--- a/tests/test_entry_isolation.py
+++ b/tests/test_entry_isolation.py
@@ -160,7 +160,9 @@
         async def scenario(isolation):
             await isolation.note_lost('f', Sign.closed, [TARGETS[0]])
             others = [
-                (End(name, f'o{one}'), 0) for name in 'fg' for one in '123'
+                (End(name, f'o{number}'), 0)
+                for name in 'fg'
+                for number in '123'
             ]
             isolation.take_ends(others, 'e#b')
 
--- a/tests/test_entry_keeping.py
+++ b/tests/test_entry_keeping.py
@@ -76,7 +76,7 @@
 
     async def main():
         topic = Topic()
-        entries = [Entry(topic, reads=one) for one in reads]
+        entries = [Entry(topic, reads=is_reader) for is_reader in reads]
         async with anyio.create_task_group() as group:
             for entry in entries:
                 group.start_soon(entry.keeping.run)
--- a/tests/test_entry_logs.py
+++ b/tests/test_entry_logs.py
@@ -61,7 +61,7 @@
         for _ in range(count):
             lines.extend(pipe.read_lines())
             pipe.handler.emit(make_record('later'))
-        self.assertTrue(any(one.get('reason') == 'pipe' for one in lines))
+        self.assertTrue(any(line.get('reason') == 'pipe' for line in lines))
 
     def test_rate_is_bounded(self):
         """Lines over the limit are counted; failures have a higher limit."""
@@ -73,10 +73,10 @@
         now[0] = 1.0
         pipe.handler.emit(make_record('started'))
         lines = pipe.read_lines()
-        kinds = [one['message'] for one in lines]
+        kinds = [line['message'] for line in lines]
         self.assertEqual(kinds.count('answered'), MAX_LINES_PER_S)
         self.assertEqual(kinds.count('refused'), MAX_FAILURE_LINES_PER_S)
-        told = {one['kind']: one['count'] for one in lines if 'kind' in one}
+        told = {line['kind']: line['count'] for line in lines if 'kind' in line}
         self.assertEqual(told['answered'], 1000 - MAX_LINES_PER_S)
 
 
@@ -88,6 +88,6 @@
         found = dict(ROW.findall(PAGE.read_text(encoding='utf-8')))
         for event in EVENTS:
             with self.subTest(event=event.get_name()):
-                expected = ', '.join(f'`{one}`' for one in event.names)
+                expected = ', '.join(f'`{name}`' for name in event.names)
                 self.assertEqual(found.pop(event.get_name()), expected)
         self.assertEqual(found, {})
--- a/tests/test_entry_notices.py
+++ b/tests/test_entry_notices.py
@@ -117,12 +117,12 @@
             now = anyio.current_time()
             rests = state.notices.get_all(Rest)
             found.append(
-                {one: rest.is_over(now) for one, rest in rests.items()}
+                {name: rest.is_over(now) for name, rest in rests.items()}
             )
             found.append(
                 {
-                    one
-                    for one, health in state.health.targets.items()
+                    name
+                    for name, health in state.health.targets.items()
                     if health.suspect_until > now
                 }
             )
@@ -193,7 +193,7 @@
 
         targets = [Refusing() for _ in range(4)]
         run_world(RESUMABLE, targets, scenario, ENGINE)
-        named = {name for one in targets for name in one.helpers if name}
+        named = {name for target in targets for name in target.helpers if name}
         self.assertTrue(named)
         self.assertLessEqual(named, found)
         self.assertGreater(len(found), len(named))
@@ -253,9 +253,9 @@
 
 def get_changes(lines):
     return [
-        (one.change, one.per_s)
-        for one in lines
-        if isinstance(one, events.LimitHeard)
+        (event.change, event.per_s)
+        for event in lines
+        if isinstance(event, events.LimitHeard)
     ]
 
 
@@ -269,8 +269,10 @@
             pause_s=1.2,
         )
         self.assertEqual(get_changes(lines), [('learnt', 2), ('lifted', None)])
-        sent = [one for one in lines if isinstance(one, events.SentUnderLimit)]
-        self.assertEqual([one.req for one in sent], ['r1'])
+        sent = [
+            event for event in lines if isinstance(event, events.SentUnderLimit)
+        ]
+        self.assertEqual([event.req for event in sent], ['r1'])
 
     def test_limit_in_refusal_and_failure(self):
         for status, more in ((503, NOT_RUN), (500, ()), (421, ())):
@@ -289,9 +291,9 @@
         )
         self.assertEqual(get_changes(lines), [('learnt', 2)])
         ignored = [
-            one for one in lines if isinstance(one, events.NoticeIgnored)
+            event for event in lines if isinstance(event, events.NoticeIgnored)
         ]
-        self.assertEqual([one.detail for one in ignored], ["'-3'"])
+        self.assertEqual([event.detail for event in ignored], ["'-3'"])
 
     # Guards against a line for each answer of a target with two invalid
     # headers.
@@ -303,9 +305,9 @@
             pause_s=0.1,
         )
         ignored = [
-            one for one in lines if isinstance(one, events.NoticeIgnored)
+            event for event in lines if isinstance(event, events.NoticeIgnored)
         ]
-        self.assertEqual([one.notice for one in ignored], ['limit', 'rest'])
+        self.assertEqual([event.notice for event in ignored], ['limit', 'rest'])
 
     def test_refusal_or_failure_does_not_withdraw_limit(self):
         """The component that refuses may not know the limit."""
--- a/tests/test_entry_notices_exchange.py
+++ b/tests/test_entry_notices_exchange.py
@@ -24,7 +24,9 @@
 def get_limits(fleet, number=0):
     """Return the limit of a target as each entry knows it."""
     name = fleet.targets[number].get_listed().incarnation
-    found = [one.state.notices.get(RateLimit, name) for one in fleet.entries]
+    found = [
+        entry.state.notices.get(RateLimit, name) for entry in fleet.entries
+    ]
     return [limit and limit.per_s for limit in found]
 
 
@@ -51,7 +53,7 @@
             return found
 
         found = run_fleet(scenario, [ROUTE], targets=1)
-        self.assertEqual([set(one) for one in found], [{2}, {9}, {None}])
+        self.assertEqual([set(limits) for limits in found], [{2}, {9}, {None}])
 
     def test_new_entry_knows_limit_before_it_sends(self):
         async def scenario(fleet):
@@ -189,11 +191,11 @@
             target.name(None)
             lifted_at = anyio.current_time()
             await fleet.ask_for(6, 8)
-            return [one.at - lifted_at for one in target.arrivals]
+            return [arrival.at - lifted_at for arrival in target.arrivals]
 
-        at = run_fleet(scenario, [ROUTE])
-        before = sum(-3 < one < 0 for one in at)
-        after = sum(3 < one < 6 for one in at)
+        offsets_s = run_fleet(scenario, [ROUTE])
+        before = sum(-3 < offset_s < 0 for offset_s in offsets_s)
+        after = sum(3 < offset_s < 6 for offset_s in offsets_s)
         self.assertGreater(after, before * 3)
 
     def test_limit_is_checked_before_sending(self):
@@ -210,8 +212,8 @@
                 await fleet.ask_for(0.3, 20, entries=[1])
             told_at = target.told[fleet.entries[1].name]
             return sum(
-                one.entry == entry.name and one.at > told_at + TOLD_S
-                for one in target.arrivals
+                arrival.entry == entry.name and arrival.at > told_at + TOLD_S
+                for arrival in target.arrivals
             )
 
         sent = run_fleet(scenario, [ROUTE], targets=2, entries=2)
--- a/tests/test_entry_outage.py
+++ b/tests/test_entry_outage.py
@@ -63,6 +63,6 @@
     for _ in range(round(WATCH_S / STEP_S)):
         await anyio.sleep(STEP_S)
         wrong.update(
-            one.name for one in life.entries if 't1' in one.get_usable()
+            entry.name for entry in life.entries if 't1' in entry.get_usable()
         )
     return wrong
--- a/tests/test_entry_pace.py
+++ b/tests/test_entry_pace.py
@@ -110,7 +110,7 @@
         async def scenario(life, reader):
             reader.end()
             await anyio.sleep(1)
-            return {one.follower._reader for one in life.entries}
+            return {entry.follower._reader for entry in life.entries}
 
         self.assertEqual(self.play(scenario), {'entry-1'})
 
@@ -123,11 +123,13 @@
             for number in range(3, 9):
                 life.store.put(number, 1)
                 await anyio.sleep(1)
-            others = [one for one in life.entries if one is not reader]
-            calls = [one.reading.calls for one in others]
+            others = [entry for entry in life.entries if entry is not reader]
+            calls = [entry.reading.calls for entry in others]
             await anyio.sleep(3)
-            after = [one.reading.calls for one in others]
-            wrong = [one.name for one in others if len(one.get_usable()) != 8]
+            after = [entry.reading.calls for entry in others]
+            wrong = [
+                entry.name for entry in others if len(entry.get_usable()) != 8
+            ]
             readers = sum(
                 new - old > 1 for old, new in zip(calls, after, strict=True)
             )
--- a/tests/test_entry_restoring.py
+++ b/tests/test_entry_restoring.py
@@ -35,8 +35,8 @@
 
 def get_wrong_proofs(entries, revoked_at):
     """Return later proofs of entries that don't know a change."""
-    proofs = [one.state.proof for one in entries if one.state.version < 2]
-    return [one.proven_at for one in proofs if one.proven_at > revoked_at]
+    proofs = [entry.state.proof for entry in entries if entry.state.version < 2]
+    return [proof.proven_at for proof in proofs if proof.proven_at > revoked_at]
 
 
 class ConfigurationTest(unittest.TestCase):
@@ -48,7 +48,7 @@
             world.publish()
             await anyio.sleep(3)
             world.store.go_back(5)
-            return await watch(entries, 6, lambda one: one.state.version)
+            return await watch(entries, 6, lambda entry: entry.state.version)
 
         self.assertEqual(set(run_world(3, scenario)), {2})
 
@@ -69,7 +69,7 @@
             proofs = await watch([entries], 2, find_wrong)
             world.publish(version=2)
             proofs += await watch([entries], 6, find_wrong)
-            versions = [one.state.version for one in entries]
+            versions = [entry.state.version for entry in entries]
             return sum(proofs, []), versions
 
         self.assertEqual(run_world(3, scenario), ([], [2, 2, 2]))
@@ -79,8 +79,8 @@
 
         async def scenario(world, *entries):
             world.store.go_back(5)
-            fresh = await watch(entries, 5, lambda one: one.is_key_served())
-            ready = await watch(entries, 5, lambda one: one.is_ready())
+            fresh = await watch(entries, 5, lambda entry: entry.is_key_served())
+            ready = await watch(entries, 5, lambda entry: entry.is_ready())
             return {*fresh, *ready}
 
         self.assertEqual(run_world(3, scenario), {True})
@@ -102,7 +102,7 @@
             found = await watch(
                 [late],
                 4,
-                lambda one: (one.state.version, 't0' in one.get_usable()),
+                lambda entry: (entry.state.version, 't0' in entry.get_usable()),
             )
             return set(found)
 
@@ -135,12 +135,12 @@
             served = await watch(
                 world.entries,
                 REWRITE_S - (anyio.current_time() - began_at) - 0.1,
-                lambda one: one.is_key_served(),
+                lambda entry: entry.is_key_served(),
             )
             world.publish(version=2)
             await anyio.sleep(2)
-            ready = {one.is_ready() for one in world.entries}
-            versions = {one.state.version for one in world.entries}
+            ready = {entry.is_ready() for entry in world.entries}
+            versions = {entry.state.version for entry in world.entries}
             return any(served), ready, versions
 
         self.assertEqual(run_world(3, scenario), (False, {True}, {2}))
@@ -164,15 +164,15 @@
             began_at = anyio.current_time()
             for number in range(3):
                 await world.start(number, life=2)
-            versions = {one.state.version for one in world.entries}
+            versions = {entry.state.version for entry in world.entries}
             served = await watch(
                 world.entries,
                 REWRITE_S - (anyio.current_time() - began_at) - 0.1,
-                lambda one: one.is_key_served(),
+                lambda entry: entry.is_key_served(),
             )
             world.publish(version=2)
             await anyio.sleep(2)
-            ready = {one.is_ready() for one in world.entries}
+            ready = {entry.is_ready() for entry in world.entries}
             return versions, any(served), ready
 
         self.assertEqual(run_world(3, scenario), ({1}, False, {True}))
@@ -232,9 +232,9 @@
             if not comes_back:
                 world.targets.pop('new')
             await anyio.sleep(1.5)
-            first = [one.get_usable() for one in entries]
+            first = [entry.get_usable() for entry in entries]
             await anyio.sleep(3)
-            return first, [one.get_usable() for one in entries]
+            return first, [entry.get_usable() for entry in entries]
 
         return run_world(3, scenario)
 
@@ -256,7 +256,7 @@
             await anyio.sleep(2)
             world.store.go_back(4)
             found = await watch(
-                entries, 5, lambda one: 't0' in one.get_usable()
+                entries, 5, lambda entry: 't0' in entry.get_usable()
             )
             return any(found)
 
@@ -276,32 +276,32 @@
             await anyio.sleep(READ_S + AGAIN_S)
             writes = StoreWire.requests.count(('/log-append', PEERS))
             newest = world.store.get_topic(PEERS).newest
-            names = sorted(one for one in newest if one.startswith('entry-'))
+            names = sorted(name for name in newest if name.startswith('entry-'))
             return writes, len(names)
 
         self.assertEqual(run_world(3, scenario), (1, 3))
 
     def test_quarantine_is_written_again(self):
         async def scenario(world, *entries):
-            for one in entries:
-                one.state.isolation.take_records([RECORD], 'test')
+            for entry in entries:
+                entry.state.isolation.take_records([RECORD], 'test')
             world.store.go_back(5)
             await anyio.sleep(READ_S + AGAIN_S)
             late = await entries[0].directory.quarantine.read_whole()
-            return [one.fingerprint for one in late.records]
+            return [record.fingerprint for record in late.records]
 
         self.assertEqual(run_world(3, scenario), ['f'])
 
     def test_probes_are_written_again(self):
         async def scenario(world, *entries):
-            for one in entries:
-                one.state.isolation.take_records([RECORD], 'test')
+            for entry in entries:
+                entry.state.isolation.take_records([RECORD], 'test')
             granted = await entries[2].state.isolation.may_try('f')
             world.store.go_back(5)
             await anyio.sleep(READ_S + AGAIN_S)
             stored = await entries[0].directory.quarantine.read_whole()
             return granted, [
-                (one.fingerprint, one.trials) for one in stored.records
+                (record.fingerprint, record.trials) for record in stored.records
             ]
 
         self.assertEqual(run_world(3, scenario), (True, [('f', 1)]))
@@ -310,8 +310,8 @@
         """The record of another entry's probe may be lost."""
 
         async def scenario(world, *entries):
-            for one in entries:
-                one.state.isolation.take_records([RECORD], 'test')
+            for entry in entries:
+                entry.state.isolation.take_records([RECORD], 'test')
             world.store.go_back(5)
             return await entries[2].state.isolation.may_try('f')
 
--- a/tests/test_entry_words.py
+++ b/tests/test_entry_words.py
@@ -112,7 +112,10 @@
 
     def test_each_kind_is_encoded(self):
         """Every decodable kind can be encoded."""
-        kinds = {json.loads(write_word(one, now=0))['kind'] for one in MESSAGES}
+        kinds = {
+            json.loads(write_word(message, now=0))['kind']
+            for message in MESSAGES
+        }
         self.assertEqual(kinds, set(DECODERS))
 
     def test_older_version(self):
--- a/tests/test_notice_property.py
+++ b/tests/test_notice_property.py
@@ -72,7 +72,7 @@
         async with anyio.create_task_group() as group:
             group.start_soon(fleet.ask_for, SLOT_S, RATE / count)
             await anyio.sleep(1)
-            fleet.cut = {one % count for one in slot.cut}
+            fleet.cut = {number % count for number in slot.cut}
             if slot.deaf is not None:
                 deaf = fleet.entries[slot.deaf % count]
                 group.start_soon(deaf.stand_still_for, 2.5)
@@ -85,7 +85,9 @@
             latest.append(target.get_late_s())
         if slot.started is not None:
             restart_target(fleet, slot.started % len(fleet.targets))
-    return max(latest), max(one.get_most_in_rest() for one in fleet.targets)
+    return max(latest), max(
+        target.get_most_in_rest() for target in fleet.targets
+    )
 
 
 class NoticePropertyTest(unittest.TestCase):
--- a/trestledock/entry/_ends.py
+++ b/trestledock/entry/_ends.py
@@ -24,7 +24,7 @@
 
 
 class EndsExchange:
-    """Sends and receives crashes for one entry."""
+    """Sends and receives `Ends` and `Cleared` messages for one entry."""
 
     def __init__(self, gossip: Gossip) -> None:
         """Register the handlers with the gossip and the isolation."""
@@ -37,7 +37,7 @@
         gossip.on_met.append(self._send_known)
 
     def send_crashes(self, crashes: Sequence[End]) -> None:
-        """Send crashes that have just happened to all other entries."""
+        """Send all other entries an `Ends` message about new crashes."""
         if not crashes:
             return
         self._send([(crash, 0) for crash in crashes], self._get_all())
