--- a/tests/crashing.py
+++ b/tests/crashing.py
@@ -22,18 +22,18 @@
     make_stream,
 )
 from tests.soak.serving import reset
-from trestledock.entry._ends import EndsExchange
+from trestledock.entry._crash_exchange import EndsExchange
 from trestledock.entry._gossip import Gossip
 from trestledock.entry._pool import Pool
 from trestledock.entry._relaying import Relayer
 from trestledock.entry._sending import Sender
 from trestledock.entry._state import EntryState
 from trestledock.entry._tickets import Tickets
-from trestledock.entry._word_codec import write_word
+from trestledock.entry._message_codec import encode_message
 from trestledock.platform._headers import PlatformDialect
 from trestledock.relay import (
     Catalog,
-    Listed,
+    ListedTarget,
     RouteKind,
     Service,
     Standing,
@@ -108,7 +108,7 @@
             await listener.aclose()
 
     def get_listed(self):
-        return Listed(
+        return ListedTarget(
             self.target_id,
             'svc',
             f'127.0.0.1:{self.port}',
@@ -185,11 +185,11 @@
         state.proof.renew(anyio.current_time())
         gossip = Gossip(state)
         EndsExchange(gossip)
-        gossip.neighbours.own = ('127.0.0.1', number)
+        gossip.addresses.own = ('127.0.0.1', number)
         gossip.send = self._send_from(number)
         pool = Pool(state.spawn)
         dialect = PlatformDialect()
-        state.isolation.ways.look = pool.look
+        state.isolation.hooks.reconnect = pool.check_connection
         tickets = Tickets(state, pool, dialect)
         sender = Sender(state, pool, dialect, tickets)
         world = World(state, Relayer(state, dialect, sender))
@@ -241,7 +241,7 @@
 
     def _send_from(self, number):
         def send(word, where):
-            raw = write_word(word, anyio.current_time())
+            raw = encode_message(word, anyio.current_time())
             for _, port in where:
                 self.entries[port].gossip.take(raw, ('127.0.0.1', number))
 
--- a/tests/engines.py
+++ b/tests/engines.py
@@ -1,7 +1,7 @@
 """Engines and fleets that tests of placement share."""
 
 from trestledock.bench.ablation import ENGINE
-from trestledock.relay import EngineModel, Listed, Standing
+from trestledock.relay import EngineModel, ListedTarget, Standing
 
 #: Engines with memory for 405,000 tokens: 182,000 are read in 3.9 s, 790,000
 #: in 55 s.
@@ -19,6 +19,6 @@
 )
 #: A fleet of 18 in one data centre.
 TARGETS = tuple(
-    Listed(f't{one:02}', 's', f'10.0.0.{one}:80', 'dc', Standing.ready, 8)
+    ListedTarget(f't{one:02}', 's', f'10.0.0.{one}:80', 'dc', Standing.ready, 8)
     for one in range(18)
 )
--- a/tests/following.py
+++ b/tests/following.py
@@ -8,14 +8,14 @@
 
 from tests.relaying import SETTINGS, make_listed
 from tests.virtual_loop import run_virtually
-from trestledock.entry import DirectoryError, News, TargetNews
-from trestledock.entry._following import Follower
+from trestledock.entry import DirectoryError, StoreUpdate, TargetUpdate
+from trestledock.entry._follower import Follower
 from trestledock.entry._gossip import Gossip
 from trestledock.entry._peers import Peer
-from trestledock.entry._news import NewsExchange
+from trestledock.entry._update_exchange import UpdateExchange
 from trestledock.entry._pool import Pool
 from trestledock.entry._state import EntryState
-from trestledock.entry._word_codec import write_word
+from trestledock.entry._message_codec import encode_message
 from trestledock.relay import Catalog
 
 CATALOG = Catalog(1, {}, {}, None)
@@ -28,7 +28,7 @@
 
     def __init__(self, *numbers):
         self.records = [
-            TargetNews(f't{number}', make_listed(number, 80))
+            TargetUpdate(f't{number}', make_listed(number, 80))
             for number in numbers
         ]
         self.down = False
@@ -38,12 +38,12 @@
 
     def remove(self, number):
         """Remove a target that was never marked as draining."""
-        self.records.append(TargetNews(f't{number}', None))
+        self.records.append(TargetUpdate(f't{number}', None))
 
     def put(self, number, sequence):
         """Write a heartbeat of a target."""
         listed = replace(make_listed(number, 80), sequence=sequence)
-        self.records.append(TargetNews(f't{number}', listed))
+        self.records.append(TargetUpdate(f't{number}', listed))
 
 
 class Reading:
@@ -58,14 +58,14 @@
 
     async def read_catalog(self):
         await self._check()
-        return News(CATALOG, '{}')
+        return StoreUpdate(CATALOG, '{}')
 
     async def read_targets(self):
         await self._check()
         self.calls += 1
         new = self.store.records[self.position :]
         self.position = len(self.store.records)
-        return News(targets=tuple(new))
+        return StoreUpdate(targets=tuple(new))
 
     def decode_document(self, document):
         return CATALOG
@@ -87,7 +87,7 @@
         self.state = EntryState(SETTINGS, self.name, Random(1), group)
         self.reading = Reading(store)
         self.gossip = Gossip(self.state)
-        self.exchange = NewsExchange(self.state, self.gossip)
+        self.exchange = UpdateExchange(self.state, self.gossip)
         self.gossip.send = self._send
         self.exchange._get = self._get
         self.follower = Follower(
@@ -111,7 +111,7 @@
         """Move the last reads into the past, as if the process had paused."""
         self.state.fleet.watch.read_at -= pause_s
         self.state.proof.proven_at -= pause_s
-        self.state.fleet.watch.note_trouble(anyio.current_time())
+        self.state.fleet.watch.record_failure(anyio.current_time())
 
     def get_usable(self):
         """Return the ids of the targets that accept new requests."""
@@ -120,13 +120,13 @@
         }
 
     def _send(self, word, where):
-        raw = write_word(word, anyio.current_time())
+        raw = encode_message(word, anyio.current_time())
         for address in where:
             self.network[address].take(raw, self.address)
 
     def take(self, raw, sender):
         """Handle a datagram."""
-        self.gossip.take(raw, sender)
+        self.gossip.handle_datagram(raw, sender)
 
     async def _get(self, address, asked):
         return json.loads(self.network[address].exchange.make_news())
--- a/tests/limiting.py
+++ b/tests/limiting.py
@@ -24,9 +24,9 @@
 from trestledock.entry._sending import Sender
 from trestledock.entry._state import EntryState
 from trestledock.entry._tickets import Tickets
-from trestledock.entry._word_codec import write_word
+from trestledock.entry._message_codec import encode_message
 from trestledock.platform._headers import HELPERS, REQUEST_ID, PlatformDialect
-from trestledock.relay import Catalog, Listed, Service, Standing, TeamKey
+from trestledock.relay import Catalog, ListedTarget, Service, Standing, TeamKey
 
 #: One way to a target, and to another entry, in seconds.
 WAY_S = 0.001
@@ -34,11 +34,11 @@
 WORK_S = 0.02
 #: A word binds whom it was told so long ago, and from so long after the first
 #: naming on, in seconds.
-TOLD_S = 0.5
-BINDS_S = 3.0
+NOTICE_LATENCY_S = 0.5
+LIMIT_EFFECT_S = 3.0
 #: In such a stretch a target may get one and a half times what it asked for,
 #: and a few requests more.
-STRETCH_S = 4.0
+WINDOW_S = 4.0
 OVER_SHARE = 1.5
 OVER_COUNT = 5
 #: For how long after an entry was told of it requests may reach a target that
@@ -47,7 +47,7 @@
 #: From so long after a target has asked an entry for rest, in seconds, until
 #: the rest is over, so many requests may come from there.
 REST_BINDS_S = 0.5
-REST_COUNT = 2
+MAX_REQUESTS_IN_BACKOFF = 2
 
 
 @dataclass(frozen=True)
@@ -96,7 +96,7 @@
         return f'10.0.0.{self.number}:80'
 
     def get_listed(self, service='svc'):
-        return Listed(
+        return ListedTarget(
             f't{self.number}',
             service,
             self.address,
@@ -121,7 +121,7 @@
         """Return how many came from entries that had long been told."""
         return sum(
             since <= one.at < until
-            and self.told.get(one.entry, float('inf')) <= one.at - TOLD_S
+            and self.told.get(one.entry, float('inf')) <= one.at - NOTICE_LATENCY_S
             for one in self.arrivals
         )
 
@@ -159,13 +159,13 @@
     def get_most(self, count, since, until):
         """Return the most that came within any stretch."""
         starts = [one.at for one in self.arrivals if since <= one.at < until]
-        ends = [min(until, start + STRETCH_S) for start in starts]
+        ends = [min(until, start + WINDOW_S) for start in starts]
         return max(map(count, starts, ends), default=0)
 
 
 def get_allowed(per_s):
     """Return how many requests a limit allows within any stretch."""
-    return OVER_SHARE * STRETCH_S * per_s + OVER_COUNT
+    return OVER_SHARE * WINDOW_S * per_s + OVER_COUNT
 
 
 class TargetWire:
@@ -233,16 +233,16 @@
         self.fleet = fleet
         self.entry = entry
 
-    async def take(self, listed):
+    async def acquire(self, listed):
         for target in self.fleet.targets:
             if target.get_listed().incarnation == listed.incarnation:
                 return TargetWire(self.fleet, self.entry, target)
         raise WireError('connect', 'refused')
 
-    async def give(self, listed, wire, idle_s):
+    async def release(self, listed, wire, idle_s):
         """Nothing is kept."""
 
-    def drop(self, incarnation):
+    def close_idle(self, incarnation):
         """Nothing is kept."""
 
 
@@ -280,8 +280,8 @@
     async def live(self):
         """Tell the others until killed."""
         self.fleet.network[self.address] = self
-        self.gossip.meet(self.fleet.get_addresses())
-        self.state.tell_own = self.gossip.tell_own
+        self.gossip.add_addresses(self.fleet.get_addresses())
+        self.state.tell_own = self.gossip.send_own_changes
         with self.scope:
             async with anyio.create_task_group() as group:
                 group.start_soon(self.gossip._send_periodically)
@@ -318,7 +318,7 @@
             await anyio.sleep(0.5)
 
     def _send(self, word, where):
-        raw = write_word(word, anyio.current_time())
+        raw = encode_message(word, anyio.current_time())
         self.fleet.note_words(len(where), len(raw))
         for address in where:
             self.state.group.start_soon(self._deliver, raw, address)
--- a/tests/living.py
+++ b/tests/living.py
@@ -12,7 +12,7 @@
 from tests.following import FollowingEntry, Store
 from tests.virtual_loop import run_virtually
 from trestledock.entry import WireError
-from trestledock.entry._word_codec import write_word
+from trestledock.entry._message_codec import encode_message
 
 #: Latency between two entries, and of a call to the store, in seconds.
 WAY_S = 0.001
@@ -45,13 +45,13 @@
         self.disturbed_until = float('inf')
         await anyio.sleep(pause_s)
         now = anyio.current_time()
-        self.state.fleet.watch.note_trouble(now)
+        self.state.fleet.watch.record_failure(now)
         self.disturbed_until = now
         self.running.set()
 
     def end(self):
         """Start draining."""
-        self.state.leaving = True
+        self.state.draining = True
 
     def close(self):
         """Refuse connections, as in the last part of the shutdown."""
@@ -66,7 +66,7 @@
 
     async def _deliver(self, word, where):
         await self.running.wait()
-        raw = write_word(word, anyio.current_time())
+        raw = encode_message(word, anyio.current_time())
         await anyio.sleep(WAY_S)
         for address in where:
             self.state.spawn(self._arrive, raw, self.network[address])
--- a/tests/relaying.py
+++ b/tests/relaying.py
@@ -18,7 +18,7 @@
 from trestledock.relay import (
     Body,
     Catalog,
-    Listed,
+    ListedTarget,
     Route,
     RouteKind,
     Service,
@@ -83,7 +83,7 @@
 
 
 @dataclass(frozen=True)
-class Late:
+class DelayedAnswer:
     """What a target does that says nothing between two parts of its answer."""
 
     first: bytes
@@ -92,7 +92,7 @@
 
 
 @dataclass(frozen=True)
-class Torn:
+class AbortedAnswer:
     """What a target does that breaks an answer off after a moment."""
 
     first: bytes
@@ -129,11 +129,11 @@
             elif answer is Reset:
                 reset(stream)
                 return
-            elif isinstance(answer, Torn):
+            elif isinstance(answer, AbortedAnswer):
                 await stream.send(answer.first)
                 await anyio.sleep(answer.pause_s)
                 return
-            elif isinstance(answer, Late):
+            elif isinstance(answer, DelayedAnswer):
                 await stream.send(answer.first)
                 await anyio.sleep(answer.pause_s)
                 await stream.send(answer.rest)
@@ -208,7 +208,7 @@
         }
         outcome = Outcome()
         now = anyio.current_time()
-        call = self.dialect.read_call(scope, Body.of(body), now)
+        call = self.dialect.read_call(scope, Body.from_bytes(body), now)
         try:
             await self.relayer.relay(
                 call, Reply(outcome.take, lambda: self.state.leaving)
@@ -250,7 +250,7 @@
 
 def make_listed(number, port):
     """Return the entry of a stub target."""
-    return Listed(
+    return ListedTarget(
         f't{number}', 'svc', f'127.0.0.1:{port}', 'dc', Standing.ready, 8
     )
 
@@ -263,9 +263,9 @@
 WHOLE = make_stream(1, 4)
 HALF = WHOLE.index(b'id: 3') - 4
 #: Two events, a silence above that, and two more.
-SILENT = Late(WHOLE[:HALF], WHOLE[HALF:])
+SILENT = DelayedAnswer(WHOLE[:HALF], WHOLE[HALF:])
 #: Far above what any scenario with stub targets takes, in seconds.
-PATIENCE_S = 30
+SCENARIO_TIMEOUT_S = 30
 
 
 def get_event_ids(found):
--- a/tests/restoring.py
+++ b/tests/restoring.py
@@ -17,14 +17,14 @@
 from tests.soak.store import CONFIG, TARGETS, Store
 from tests.virtual_loop import run_virtually
 from trestledock.entry import Head, WireError
-from trestledock.entry._following import Follower
+from trestledock.entry._follower import Follower
 from trestledock.entry._gossip import Gossip
-from trestledock.entry._keeping import Keeping
-from trestledock.entry._news import NewsExchange
+from trestledock.entry._quarantine_sync import Keeping
+from trestledock.entry._update_exchange import UpdateExchange
 from trestledock.entry._pool import Pool
-from trestledock.entry._restoring import Restoring
+from trestledock.entry._store_repair import Restoring
 from trestledock.entry._state import EntryState
-from trestledock.entry._word_codec import write_word
+from trestledock.entry._message_codec import encode_message
 from trestledock.platform import _log
 from trestledock.platform._store import StoreDirectory
 
@@ -93,7 +93,7 @@
         self.state = EntryState(self.settings, member, Random(number), group)
         self.directory = StoreDirectory('store')
         self.gossip = Gossip(self.state)
-        self.exchange = NewsExchange(self.state, self.gossip)
+        self.exchange = UpdateExchange(self.state, self.gossip)
         self.gossip.send = self._send
         self.exchange._get = self._get
         self.follower = Follower(
@@ -137,7 +137,7 @@
         }
 
     def _send(self, word, where):
-        raw = write_word(word, anyio.current_time())
+        raw = encode_message(word, anyio.current_time())
         for address in where:
             self.state.group.start_soon(self._deliver, raw, address)
 
--- a/tests/soak/mutants.py
+++ b/tests/soak/mutants.py
@@ -23,13 +23,13 @@
 )
 from trestledock.entry._job import STATUSES, Job, Refusal
 from trestledock.platform import _epochs, _headers, run
-from trestledock.relay import Fleet, History, Proof, Quarantine, Throttle
-from trestledock.relay._resting import Resting
+from trestledock.relay import Fleet, AttemptHistory, FreshnessProof, Quarantine, Throttle
+from trestledock.relay._backoff import BackoffGate
 
 
 def once() -> None:
     """Repeat whatever failed, also what may have run."""
-    History.may_repeat = lambda history, route: len(history.sendings) < 4
+    AttemptHistory.may_repeat = lambda history, route: len(history.attempts) < 4
 
 
 def refusals() -> None:
@@ -59,7 +59,7 @@
 
 def runs() -> None:
     """Pass callers' keys on to targets."""
-    _headers.REPLACED = _headers.REPLACED - {_headers.AUTHORIZATION}
+    _headers.REPLACED_HEADERS = _headers.REPLACED_HEADERS - {_headers.AUTHORIZATION}
 
 
 def exits() -> None:
@@ -74,7 +74,7 @@
 
 def revoked() -> None:
     """Serve keys without a recent proof."""
-    Proof.is_fresh = lambda proof, now: True
+    FreshnessProof.is_fresh = lambda proof, now: True
 
 
 def leaks() -> None:
@@ -104,13 +104,13 @@
 
 def lost() -> None:
     """End at once when asked to stop."""
-    _daemon.NOTICE_S = 0
+    _daemon.DRAIN_DELAY_S = 0
     _daemon.END_MARGIN_S = 8
 
 
 def gone() -> None:
     """Don't notice callers that leave."""
-    _app._cancel_when_left = _sleep_on
+    _app._cancel_on_disconnect = _sleep_on
 
 
 def budget() -> None:
@@ -120,12 +120,12 @@
 
 def copies() -> None:
     """Take the word of any copy of the store, as if it were the only one."""
-    _epochs.StoreEpochs.take = lambda epochs, head: None
+    _epochs.StoreEpochs.record = lambda epochs, head: None
 
 
 def limit() -> None:
     """Send to targets whatever they ask for."""
-    Throttle.is_free = lambda throttle, target, now: True
+    Throttle.can_send = lambda throttle, target, now: True
 
 
 def words() -> None:
@@ -135,7 +135,7 @@
 
 def rests() -> None:
     """Give targets no rest."""
-    Resting.is_free = lambda resting, target, now: True
+    BackoffGate.can_send = lambda resting, target, now: True
 
 
 async def _sleep_on(*args: Any) -> None:
--- a/tests/test_bench_ablation.py
+++ b/tests/test_bench_ablation.py
@@ -11,7 +11,7 @@
     make_table,
     play_day,
 )
-from trestledock.relay import TERMS
+from trestledock.relay import DEFAULT_POLICY
 
 
 class RowsTest(unittest.TestCase):
@@ -22,15 +22,15 @@
         changed = [
             [
                 one.name
-                for one in fields(TERMS)
-                if getattr(terms, one.name) != getattr(TERMS, one.name)
+                for one in fields(DEFAULT_POLICY)
+                if getattr(terms, one.name) != getattr(DEFAULT_POLICY, one.name)
             ]
             for _, terms in ROWS
         ]
         self.assertEqual(changed[0], [])
         self.assertEqual(
             sorted(name for names in changed for name in names),
-            sorted(one.name for one in fields(TERMS)),
+            sorted(one.name for one in fields(DEFAULT_POLICY)),
         )
         self.assertTrue(all(len(names) == 1 for names in changed[1:]))
 
@@ -40,7 +40,7 @@
 
     def test_difference_to_all(self):
         """The first row is the measure of the others, on the same seeds."""
-        rows = (ROWS[0], ('no helpers', replace(TERMS, helpers=False)))
+        rows = (ROWS[0], ('no helpers', replace(DEFAULT_POLICY, helpers=False)))
         lines = list(make_table(2, rows, seconds=6.0))
         cells = [line.split(' | ') for line in lines[2:]]
         self.assertTrue(cells[0][-1].startswith('+0.000 ± 0.000'))
@@ -48,8 +48,8 @@
 
     def test_helpers_matter(self):
         """Long prompts that no helper reads are late."""
-        without = play_day(replace(TERMS, helpers=False), 0, 6.0)
-        self.assertGreater(play_day(TERMS, 0, 6.0).whole, without.whole + 0.05)
+        without = play_day(replace(DEFAULT_POLICY, helpers=False), 0, 6.0)
+        self.assertGreater(play_day(DEFAULT_POLICY, 0, 6.0).whole, without.whole + 0.05)
 
     def test_bad_option(self):
         """A count of seeds that makes no sense is an error."""
--- a/tests/test_bench_passes.py
+++ b/tests/test_bench_passes.py
@@ -3,7 +3,7 @@
 import unittest
 
 from trestledock.bench._passes import Part, PassEngine, Writer
-from trestledock.relay import EngineModel, get_read_s
+from trestledock.relay import EngineModel, get_prefill_s
 
 ENGINE = EngineModel(8, 232_000, 0.001, 200_000, stride=40)
 
@@ -23,7 +23,7 @@
     def test_reading_alone(self):
         """A prompt that an engine has to itself is read at its rate."""
         engine = PassEngine(ENGINE)
-        read_s = get_read_s(ENGINE, 100_000)
+        read_s = get_prefill_s(ENGINE, 100_000)
         engine.add_part(Part('r', 100_000, read_s))
         ends = play(engine)
         self.assertEqual(ends[-1][1].read, ('r',))
--- a/tests/test_bench_sharing.py
+++ b/tests/test_bench_sharing.py
@@ -12,7 +12,7 @@
     get_share,
     make_fleet,
 )
-from trestledock.relay import TERMS, Decision, PromptSize
+from trestledock.relay import DEFAULT_POLICY, Decision, PromptSize
 
 GIANT = PromptSize(790_000, 600)
 LARGE = PromptSize(300_000, 600)
@@ -112,7 +112,7 @@
             engines=18,
             entries=9,
             places=3,
-            terms=replace(TERMS, **terms),
+            terms=replace(DEFAULT_POLICY, **terms),
             many=True,
         )
         prompts = [
@@ -135,7 +135,7 @@
         size = PromptSize(250_000, 600)
         earned = []
         for claims in (True, False):
-            terms = replace(TERMS, claims=claims)
+            terms = replace(DEFAULT_POLICY, claims=claims)
             fleet = make_fleet(ENGINE, engines=4, entries=2, terms=terms)
             asked = fleet.play(
                 [make_long(0.0, size), make_long(0.002, size, 1)]
--- a/tests/test_claims.py
+++ b/tests/test_claims.py
@@ -5,7 +5,7 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from trestledock.process import ClaimTable, Epoch, Grant
+from trestledock.process import ClaimTable, Epoch, ClaimDecision
 from trestledock.process._payloads import (
     ClaimAnswer,
     ClaimAsk,
@@ -31,7 +31,7 @@
         self.granted = {}
         self.epochs = [Epoch(1, EpochBody(members))]
         for name in members:
-            self.tables[name].enter(self.epochs[0], 0)
+            self.tables[name].enter_epoch(self.epochs[0], 0)
 
     def ask(self, key, claimant):
         epoch = self.epochs[-1]
@@ -46,12 +46,12 @@
         epoch = Epoch(last.offset + 1, body)
         self.epochs.append(epoch)
         for name in members:
-            self.tables[name].enter(epoch, self.now)
+            self.tables[name].enter_epoch(epoch, self.now)
 
     def hand_over(self, old, new):
         epoch = self.epochs[-1]
         table = self.tables[old]
-        table.enter(epoch, self.now)
+        table.enter_epoch(epoch, self.now)
         if table.epoch is epoch and old != new:
             self.flying.append((new, old, table.seal(new, self.now)))
 
@@ -63,7 +63,7 @@
         if not keep:
             self.flying.pop(index)
         if isinstance(payload, ClaimAnswer):
-            if payload.grant == Grant.granted.value:
+            if payload.grant == ClaimDecision.granted.value:
                 ids = self.granted.setdefault(payload.key, set())
                 ids.add(payload.claim_id)
             return
@@ -72,9 +72,9 @@
             table.take_over(sender, payload, self.now)
             return
         takers = {
-            ClaimAsk: lambda: table.ask(sender, payload, self.now),
-            ClaimCopy: lambda: table.copy(sender, payload, self.now),
-            ClaimCopied: lambda: table.copied(sender, payload),
+            ClaimAsk: lambda: table.handle_ask(sender, payload, self.now),
+            ClaimCopy: lambda: table.handle_copy(sender, payload, self.now),
+            ClaimCopied: lambda: table.handle_copied(sender, payload),
         }
         for member, answer in takers[type(payload)]():
             self.flying.append((member, to, answer))
@@ -120,11 +120,11 @@
 class Keeping(unittest.TestCase):
     def setUp(self):
         self.table = ClaimTable('a', KEEP_S)
-        self.table.enter(Epoch(1, EpochBody(('a',))), 0)
+        self.table.enter_epoch(Epoch(1, EpochBody(('a',))), 0)
 
     def ask(self, claim_id, now):
         ask = ClaimAsk('k', claim_id, 1, 10)
-        return self.table.ask('x', ask, now)[0][1]
+        return self.table.handle_ask('x', ask, now)[0][1]
 
     def test_repeat_waits_then_is_unknown(self):
         self.assertEqual(self.ask('1', 0).grant, 'granted')
@@ -133,25 +133,25 @@
 
     def test_repeat_gets_the_first_answer(self):
         self.ask('1', 0)
-        self.table.settle(ClaimResult('k', '1', 1, 'answered', 200, 'done'))
+        self.table.handle_result(ClaimResult('k', '1', 1, 'answered', 200, 'done'))
         answer = self.ask('2', 1)
         self.assertEqual((answer.grant, answer.body), ('done', 'done'))
 
     def test_not_run_frees_the_key(self):
         self.ask('1', 0)
-        self.table.settle(ClaimResult('k', '1', 1, 'not_run'))
+        self.table.handle_result(ClaimResult('k', '1', 1, 'not_run'))
         self.assertEqual(self.ask('2', 1).grant, 'granted')
 
     def test_old_epoch_is_stale(self):
-        self.table.enter(Epoch(2, EpochBody(('a',), 2, 1, ('a',))), 5)
+        self.table.enter_epoch(Epoch(2, EpochBody(('a',), 2, 1, ('a',))), 5)
         self.assertEqual(self.ask('1', 6).grant, 'stale')
 
     def test_lost_state_is_blind_until_kept_long_enough(self):
         body = EpochBody(('a',), 2, 1, ('b', 'c'))
-        self.table.enter(Epoch(2, body), 0)
+        self.table.enter_epoch(Epoch(2, body), 0)
         self.table.forget({'b', 'c'}, 1)
         ask = ClaimAsk('k', '1', 2, 10)
-        self.assertEqual(self.table.ask('x', ask, 2)[0][1].grant, 'blind')
+        self.assertEqual(self.table.handle_ask('x', ask, 2)[0][1].grant, 'blind')
         self.table.forget({'b', 'c'}, KEEP_S + 2)
-        late = self.table.ask('x', ask, KEEP_S + 3)
+        late = self.table.handle_ask('x', ask, KEEP_S + 3)
         self.assertEqual(late[0][1].grant, 'granted')
--- a/tests/test_clock.py
+++ b/tests/test_clock.py
@@ -9,9 +9,9 @@
 import anyio
 
 from tests.relaying import SETTINGS, make_listed
-from trestledock.clock import PauseWatch, SuspensionLoop, read_clock
-from trestledock.entry import News, TargetNews
-from trestledock.entry._listing import Listing
+from trestledock.clock import SuspensionDetector, BoottimeEventLoop, read_clock
+from trestledock.entry import StoreUpdate, TargetUpdate
+from trestledock.entry._target_list import TargetListUpdater
 from trestledock.entry._pool import Pool
 from trestledock.entry._state import EntryState
 from trestledock.relay import Catalog
@@ -39,7 +39,7 @@
         """Run a program on an event loop with this machine's clock."""
         return anyio.run(
             main,
-            backend_options={'loop_factory': lambda: SuspensionLoop(self.read)},
+            backend_options={'loop_factory': lambda: BoottimeEventLoop(self.read)},
         )
 
 
@@ -86,9 +86,9 @@
 
         async def main():
             state = EntryState(SETTINGS, 'entry-1#a', Random(1), None)
-            listing = Listing(state, Pool(state.spawn))
-            news = (TargetNews('t0', make_listed(0, 1)),)
-            listing.take(News(targets=news, as_of=anyio.current_time()))
+            listing = TargetListUpdater(state, Pool(state.spawn))
+            news = (TargetUpdate('t0', make_listed(0, 1)),)
+            listing.apply(StoreUpdate(targets=news, as_of=anyio.current_time()))
             self.pause()
             return state.get_list_age_s(anyio.current_time())
 
@@ -101,7 +101,7 @@
     def test_clock_goes_back(self):
         """Time and timers continue from the last value."""
         times = iter([10.0, 11.0, 5.0, 6.0, 6.5])
-        loop = SuspensionLoop(times.__next__)
+        loop = BoottimeEventLoop(times.__next__)
         found = [loop.time() for _ in range(4)]
         loop.close()
         self.assertEqual(found, [11.0, 11.0, 12.0, 12.5])
@@ -115,9 +115,9 @@
 
     def test_pause_is_found_once(self):
         machine = Machine()
-        watch = PauseWatch(time.monotonic, machine.read)
+        watch = SuspensionDetector(time.monotonic, machine.read)
         machine.asleep_s += PAUSE_S
-        found = [round(watch.look()) for _ in range(3)]
+        found = [round(watch.measure()) for _ in range(3)]
         self.assertEqual(found, [round(PAUSE_S), 0, 0])
 
 
--- a/tests/test_entry_anew.py
+++ b/tests/test_entry_anew.py
@@ -11,7 +11,7 @@
 from tests.following import Reading
 from tests.living import LivingEntry, run_life
 from tests.test_entry_pace import BOUND_S, EXCUSED_S, STEP_S
-from trestledock.entry import News
+from trestledock.entry import StoreUpdate
 
 #: Length of the reader's pause, and delay of the new entry's start after the
 #: removal of a target, in seconds.
@@ -31,7 +31,7 @@
             return news
         newest = {record.target_id: record for record in news.targets}
         present = [record for record in newest.values() if record.listed]
-        return News(targets=tuple(present), whole=True)
+        return StoreUpdate(targets=tuple(present), whole=True)
 
 
 async def start_anew(life):
@@ -45,7 +45,7 @@
     addresses = {
         member.name: f'127.0.0.1:{member.address[1]}' for member in everybody
     }
-    entry.gossip.neighbours.own = entry.address
+    entry.gossip.addresses.own = entry.address
     for member in everybody:
         member.gossip.meet(addresses)
     life.entries.append(entry)
--- a/tests/test_entry_following.py
+++ b/tests/test_entry_following.py
@@ -6,15 +6,15 @@
 import anyio
 
 from tests.relaying import SETTINGS, make_listed
-from trestledock.entry import DirectoryError, News, TargetNews
-from trestledock.entry._following import (
+from trestledock.entry import DirectoryError, StoreUpdate, TargetUpdate
+from trestledock.entry._follower import (
     MIN_FETCH_TIMEOUT_S,
     FETCH_TIMEOUT_S,
     Follower,
 )
 from trestledock.entry._gossip import Gossip
 from trestledock.entry._peers import Peer
-from trestledock.entry._news import NewsExchange
+from trestledock.entry._update_exchange import UpdateExchange
 from trestledock.entry._pool import Pool
 from trestledock.entry._state import EntryState
 from trestledock.platform._settings import decode_settings
@@ -32,11 +32,11 @@
 
     async def read_catalog(self):
         self._count('catalog')
-        return News(Catalog(1, {}, {}, None), '{}')
+        return StoreUpdate(Catalog(1, {}, {}, None), '{}')
 
     async def read_targets(self):
         self._count('targets')
-        return News(targets=(TargetNews('t0', make_listed(0, 1)),))
+        return StoreUpdate(targets=(TargetUpdate('t0', make_listed(0, 1)),))
 
     def _count(self, name):
         self.calls.append(name)
@@ -51,7 +51,7 @@
         async def main():
             state = EntryState(SETTINGS, 'entry-1#a', Random(1), None)
             directory = StubDirectory()
-            exchange = NewsExchange(state, Gossip(state))
+            exchange = UpdateExchange(state, Gossip(state))
             pool = Pool(state.spawn)
             follower = Follower(state, directory, pool, exchange)
             await scenario(follower, directory)
@@ -117,7 +117,7 @@
                 gossip.peers.known[f'entry-{number}'] = Peer(
                     ('127.0.0.1', 1), now, 0
                 )
-            exchange = NewsExchange(state, gossip)
+            exchange = UpdateExchange(state, gossip)
             follower = Follower(
                 state, StubDirectory(), Pool(state.spawn), exchange
             )
--- a/tests/test_entry_gossip.py
+++ b/tests/test_entry_gossip.py
@@ -10,11 +10,11 @@
 
 from tests.relaying import SETTINGS, make_listed
 from trestledock.entry._gossip import FULL_STATE_INTERVAL_S, Gossip
-from trestledock.entry._neighbours import MOST_TOLD_ALL
+from trestledock.entry._peer_addresses import MAX_FULL_MESH
 from trestledock.entry._peers import MIN_TIMEOUT_S, TIMEOUT_INTERVALS, Peer
 from trestledock.entry._state import EntryState
-from trestledock.entry._word_codec import write_word
-from trestledock.entry._words import Beat
+from trestledock.entry._message_codec import encode_message
+from trestledock.entry._messages import Beat
 from trestledock.relay import Flight, Phase
 
 
@@ -39,7 +39,7 @@
         name = f'p{number:03}'
         again_ms = 500 if place == 'dc' else far_again_ms
         raw = make_message(name, place, again_ms=again_ms)
-        gossip.take(raw, ('10.0.0.1', number))
+        gossip.handle_datagram(raw, ('10.0.0.1', number))
     return gossip
 
 
@@ -61,7 +61,7 @@
 
     def test_many_entries(self):
         """With many entries each data centre is separate, with its reader."""
-        far = MOST_TOLD_ALL
+        far = MAX_FULL_MESH
         self.check(near=5, far=far, told=5, readers=6)
 
 
@@ -72,12 +72,12 @@
         """A request is sent where its target or one of its helpers is."""
 
         async def main():
-            gossip = make_gossip(near=2, far=MOST_TOLD_ALL)
+            gossip = make_gossip(near=2, far=MAX_FULL_MESH)
             fleet = gossip.state.fleet
             fleet.put(make_listed(0, 1))
             fleet.put(replace(make_listed(1, 2), data_centre='other'))
             own = [
-                (name, Flight(name, target, 9, 9, Phase.reading, 0))
+                (name, Flight(name, target, 9, 9, Phase.prefill, 0))
                 for name, target in (('a', 't0'), ('b', 't1'))
             ]
             sent = []
@@ -88,7 +88,7 @@
             gossip.state.board.own.update(own)
             gossip._send_flights = tell
             gossip._send_remote_states()
-            self.assertEqual(sent, [(['b'], MOST_TOLD_ALL, True)])
+            self.assertEqual(sent, [(['b'], MAX_FULL_MESH, True)])
 
         anyio.run(main)
 
@@ -97,7 +97,7 @@
 
         async def main():
             gossip = make_gossip(near=3, far=3)
-            self.assertEqual(gossip.neighbours.get_far(many=False), {})
+            self.assertEqual(gossip.addresses.get_far(many=False), {})
 
         anyio.run(main)
 
@@ -112,11 +112,11 @@
         """Near peers time out sooner than far ones."""
 
         async def main():
-            gossip = make_gossip(near=1, far=MOST_TOLD_ALL, far_again_ms=3000)
+            gossip = make_gossip(near=1, far=MAX_FULL_MESH, far_again_ms=3000)
             now = anyio.current_time()
             gossip._drop_silent(now + MIN_TIMEOUT_S + 0.5)
-            self.assertEqual(len(gossip.peers.known), MOST_TOLD_ALL)
-            self.assertEqual(gossip.state.board.count_peers(), MOST_TOLD_ALL)
+            self.assertEqual(len(gossip.peers.known), MAX_FULL_MESH)
+            self.assertEqual(gossip.state.board.count_peers(), MAX_FULL_MESH)
             gossip._drop_silent(now + 3 * TIMEOUT_INTERVALS + 0.5)
             self.assertEqual(gossip.peers.known, {})
 
@@ -140,7 +140,7 @@
                 await gossip._exchange_heartbeats()
             far = [
                 address
-                for address, place in gossip.neighbours.places.items()
+                for address, place in gossip.addresses.data_centres.items()
                 if place == 'other'
             ]
             self.assertEqual(set(told), {(Beat, tuple(far))})
@@ -155,10 +155,10 @@
             state = gossip.state
             now = anyio.current_time()
             for passed_s in (0.2, 0.4, 0.6):
-                state.check_reach(now + passed_s)
+                state.check_reachability(now + passed_s)
             self.assertTrue(state.health.is_suspect('t', now + 0.7, 'other'))
             beat = Beat('p001', 'other', leaving=False)
-            gossip.take(write_word(beat, now), ('10.0.0.1', 1))
+            gossip.handle_datagram(encode_message(beat, now), ('10.0.0.1', 1))
             self.assertFalse(state.health.is_suspect('t', now + 0.8, 'other'))
 
         anyio.run(main)
--- a/tests/test_entry_incarnations.py
+++ b/tests/test_entry_incarnations.py
@@ -14,14 +14,14 @@
 from tests.relaying import (
     Hang,
     StubTarget,
-    Torn,
+    AbortedAnswer,
     make_answer,
     make_listed,
     make_route,
     run_world,
 )
-from trestledock.entry import TargetNews
-from trestledock.entry._tickets import RENEW_S, Tickets
+from trestledock.entry import TargetUpdate
+from trestledock.entry._tickets import RENEW_INTERVAL_S, Tickets
 from trestledock.relay import RouteKind, Standing
 
 #: Start times of the incarnations, in milliseconds of Unix time.
@@ -37,7 +37,7 @@
 
 def write(store, *words):
     """Append records of target 1 to the store; None is its removal."""
-    store.records.extend(TargetNews('t1', word) for word in words)
+    store.records.extend(TargetUpdate('t1', word) for word in words)
 
 
 def get_births(entry):
@@ -54,7 +54,7 @@
         store = Store()
         write(store, *words)
         store.records.append(
-            TargetNews('t2', replace(make_listed(2, 80), born=OLD))
+            TargetUpdate('t2', replace(make_listed(2, 80), born=OLD))
         )
         return run_entries(2, store, lambda *some: scenario(store, *some))
 
@@ -175,7 +175,7 @@
 
     def test_repeat_at_new_incarnation(self):
         """The new incarnation is untried, and gets repeatable requests."""
-        old = StubTarget(Torn(b''))
+        old = StubTarget(AbortedAnswer(b''))
         new = StubTarget(make_answer())
         found = self.play(RouteKind.idempotent, old, new)
         self.assertEqual(found.status, 200)
@@ -183,7 +183,7 @@
 
     def test_no_repeat_after_unknown_outcome(self):
         """The old incarnation may have run the request: no repetition."""
-        old = StubTarget(Torn(b''))
+        old = StubTarget(AbortedAnswer(b''))
         new = StubTarget(make_answer())
         found = self.play(RouteKind.non_idempotent, old, new)
         self.assertEqual(found.status, 502)
@@ -229,7 +229,7 @@
             scope = anyio.CancelScope()
             async with anyio.create_task_group() as group:
                 group.start_soon(tickets._renew, scope, holder, 'r1-1', 9)
-                await anyio.sleep(RENEW_S * 1.5)
+                await anyio.sleep(RENEW_INTERVAL_S * 1.5)
                 fleet.put(make_born(NEW, 1, target.port))
 
         run_world(make_route(), [target], scenario)
--- a/tests/test_entry_isolation.py
+++ b/tests/test_entry_isolation.py
@@ -8,14 +8,14 @@
 from tests.relaying import SETTINGS, make_listed
 from tests.virtual_loop import run_virtually
 from trestledock.entry._state import EntryState
-from trestledock.relay import End, Listed, Quarantined, Sign, Standing
-from trestledock.relay._open_ends import OPEN_S
-from trestledock.relay._proven import PROVEN_S
+from trestledock.relay import Crash, ListedTarget, QuarantineRecord, FailureKind, Standing
+from trestledock.relay._unconfirmed_crashes import UNCONFIRMED_TTL_S
+from trestledock.relay._recent_answers import ANSWER_TTL_S
 
 TARGETS = tuple(make_listed(number, 80 + number) for number in range(6))
 
 
-def run_isolation(scenario, seen=Sign.refused):
+def run_isolation(scenario, seen=FailureKind.refused):
     """Run `scenario(isolation)`; each new connection yields `seen`."""
 
     async def look(target):
@@ -28,8 +28,8 @@
     isolation = EntryState(SETTINGS, 'e#a', Random(1), None).isolation
     isolation.looks = []
     isolation.told = []
-    isolation.ways.look = look
-    isolation.ways.tell_ends = isolation.told.extend
+    isolation.hooks.reconnect = look
+    isolation.hooks.send_crashes = isolation.told.extend
     run_virtually(main)
     return isolation
 
@@ -45,32 +45,32 @@
                 await isolation.note_lost('f', sign, [target])
 
         isolation = run_isolation(scenario, seen)
-        return isolation.quarantine.count_ends('f'), len(isolation.looks)
+        return isolation.quarantine.count_crashes('f'), len(isolation.looks)
 
     def test_closed_and_connection_refused(self):
-        self.assertEqual(self.count(Sign.closed, Sign.refused), (3, 3))
+        self.assertEqual(self.count(FailureKind.closed, FailureKind.refused), (3, 3))
 
     def test_closed_by_live_target(self):
         """Reset connections say nothing about the request."""
-        self.assertEqual(self.count(Sign.closed, Sign.none), (0, 3))
+        self.assertEqual(self.count(FailureKind.closed, FailureKind.none), (0, 3))
 
     def test_closed_by_unreachable_target(self):
         """The target may be cut off."""
-        self.assertEqual(self.count(Sign.closed, Sign.unreachable), (0, 3))
+        self.assertEqual(self.count(FailureKind.closed, FailureKind.unreachable), (0, 3))
 
     def test_silence_and_invalid_bytes(self):
         """Neither leads to a new connection."""
-        self.assertEqual(self.count(Sign.silent, Sign.refused), (0, 0))
-        self.assertEqual(self.count(Sign.garbled, Sign.refused), (0, 0))
+        self.assertEqual(self.count(FailureKind.silent, FailureKind.refused), (0, 0))
+        self.assertEqual(self.count(FailureKind.garbled, FailureKind.refused), (0, 0))
 
     def test_one_crash_per_attempt(self):
         """The engine of a prompt and its helpers may crash together."""
 
         async def scenario(isolation):
-            await isolation.note_lost('f', Sign.closed, TARGETS)
+            await isolation.note_lost('f', FailureKind.closed, TARGETS)
 
         isolation = run_isolation(scenario)
-        self.assertEqual(isolation.quarantine.count_ends('f'), 1)
+        self.assertEqual(isolation.quarantine.count_crashes('f'), 1)
 
     def test_crashed_helper(self):
         """A target may close its connection because its helper has crashed."""
@@ -78,13 +78,13 @@
         async def scenario(isolation):
             async def look(target):
                 is_first = target is TARGETS[0]
-                return Sign.none if is_first else Sign.refused
+                return FailureKind.none if is_first else FailureKind.refused
 
             isolation.ways.look = look
-            await isolation.note_lost('f', Sign.closed, TARGETS)
+            await isolation.note_lost('f', FailureKind.closed, TARGETS)
 
         isolation = run_isolation(scenario)
-        self.assertEqual(isolation.told, [End('f', TARGETS[1].incarnation)])
+        self.assertEqual(isolation.told, [Crash('f', TARGETS[1].incarnation)])
 
 
 class AnsweredTest(unittest.TestCase):
@@ -94,7 +94,7 @@
         async def scenario(isolation):
             isolation.note_answered('f')
             for target in TARGETS[:3]:
-                await isolation.note_lost('f', Sign.closed, [target])
+                await isolation.note_lost('f', FailureKind.closed, [target])
 
         isolation = run_isolation(scenario)
         self.assertFalse(isolation.is_quarantined('f'))
@@ -106,16 +106,16 @@
         async def scenario(isolation):
             isolation.note_answered('f')
             for target in TARGETS:
-                await isolation.note_lost('f', Sign.closed, [target])
+                await isolation.note_lost('f', FailureKind.closed, [target])
 
         self.assertTrue(run_isolation(scenario).is_quarantined('f'))
 
     def test_answer_expires_as_evidence(self):
         async def scenario(isolation):
             isolation.note_answered('f')
-            await anyio.sleep(PROVEN_S + 1)
+            await anyio.sleep(ANSWER_TTL_S + 1)
             for target in TARGETS[:3]:
-                await isolation.note_lost('f', Sign.closed, [target])
+                await isolation.note_lost('f', FailureKind.closed, [target])
 
         self.assertTrue(run_isolation(scenario).is_quarantined('f'))
 
@@ -123,7 +123,7 @@
 class ListedTest(unittest.TestCase):
     """Crashes that are found when another incarnation is listed."""
 
-    def check(self, count, step, sign=Sign.closed, after_s=1.0):
+    def check(self, count, step, sign=FailureKind.closed, after_s=1.0):
         """One attempt fails, and a list is read after a while."""
 
         async def scenario(isolation):
@@ -131,20 +131,20 @@
             await anyio.sleep(after_s)
             step(isolation)
 
-        isolation = run_isolation(scenario, Sign.none)
-        self.assertEqual(isolation.quarantine.count_ends('f'), count)
+        isolation = run_isolation(scenario, FailureKind.none)
+        self.assertEqual(isolation.quarantine.count_crashes('f'), count)
 
     def test_restart_under_same_id(self):
         def step(isolation):
             isolation.note_replaced(TARGETS[0].incarnation)
 
         self.check(1, step)
-        self.check(1, step, Sign.garbled)
-        self.check(0, step, Sign.silent)
-        self.check(0, step, after_s=OPEN_S)
+        self.check(1, step, FailureKind.garbled)
+        self.check(0, step, FailureKind.silent)
+        self.check(0, step, after_s=UNCONFIRMED_TTL_S)
 
     def test_other_target_at_same_address(self):
-        listed = Listed(
+        listed = ListedTarget(
             'new', 'svc', TARGETS[0].address, 'dc', Standing.ready, 8
         )
         self.check(1, lambda isolation: isolation.note_listed(listed))
@@ -158,9 +158,9 @@
 
     def test_witness_of_a_crash_saves_quarantine(self):
         async def scenario(isolation):
-            await isolation.note_lost('f', Sign.closed, [TARGETS[0]])
+            await isolation.note_lost('f', FailureKind.closed, [TARGETS[0]])
             others = [
-                (End(name, f'o{number}'), 0)
+                (Crash(name, f'o{number}'), 0)
                 for name in 'fg'
                 for number in '123'
             ]
@@ -169,33 +169,33 @@
         isolation = run_isolation(scenario)
         self.assertTrue(isolation.is_quarantined('f'))
         self.assertTrue(isolation.is_quarantined('g'))
-        self.assertEqual(isolation.to_keep, {'f'})
+        self.assertEqual(isolation.unsaved, {'f'})
 
     def test_records_from_store_are_not_saved(self):
         async def scenario(isolation):
-            isolation.take_records([Quarantined('f', ('a', 'b', 'c'))], 'store')
+            isolation.take_records([QuarantineRecord('f', ('a', 'b', 'c'))], 'store')
 
         isolation = run_isolation(scenario)
         self.assertTrue(isolation.is_quarantined('f'))
-        self.assertFalse(isolation.to_keep)
+        self.assertFalse(isolation.unsaved)
 
     def test_answer_is_sent_to_entries_with_crashes(self):
         told = []
 
         async def scenario(isolation):
             isolation.ways.tell_cleared = lambda name, _: told.append(name)
-            isolation.take_ends([(End('one', 'a'), 0)], 'e#b')
-            isolation.take_ends([(End('two', x), 0) for x in 'ab'], 'e#b')
-            isolation.take_ends([(End('held', x), 0) for x in 'abc'], 'e#b')
+            isolation.take_ends([(Crash('one', 'a'), 0)], 'e#b')
+            isolation.take_ends([(Crash('two', x), 0) for x in 'ab'], 'e#b')
+            isolation.take_ends([(Crash('held', x), 0) for x in 'abc'], 'e#b')
             for name in ('none', 'one', 'two', 'held'):
                 isolation.note_answered(name)
 
         isolation = run_isolation(scenario)
         self.assertEqual(told, ['two', 'held'])
-        self.assertEqual(isolation.to_keep, {'held'})
+        self.assertEqual(isolation.unsaved, {'held'})
 
         async def main():
-            return isolation.take_to_keep()
+            return isolation.pop_unsaved()
 
         records = run_virtually(main)
         self.assertEqual(records[0].incarnations, ())
@@ -207,8 +207,8 @@
         async def scenario(isolation):
             for number in range(2):
                 isolation.fleet.put(make_listed(number, 80))
-            isolation.take_ends([(End('f', 't9'), 0)], 'b')
-            isolation.take_ends([(End('f', 't0'), 0), (End('f', 't1'), 9)], 'b')
+            isolation.take_ends([(Crash('f', 't9'), 0)], 'b')
+            isolation.take_ends([(Crash('f', 't0'), 0), (Crash('f', 't1'), 9)], 'b')
             now = anyio.current_time()
             isolation.found = [
                 isolation.health.is_suspect(name, now) for name in ('t0', 't1')
@@ -225,11 +225,11 @@
         async def main():
             state = EntryState(SETTINGS, 'e#a', Random(1), None)
             for number in range(3):
-                listed = Listed(f't{number}', 'svc', 'a:1', 'far')
+                listed = ListedTarget(f't{number}', 'svc', 'a:1', 'far')
                 state.fleet.put(listed)
-                state.isolation.take_ends([(End('f', f't{number}'), 9)], 'b')
-                state.note_silence(f't{number}', anyio.current_time())
-            found.extend(state.health.places)
+                state.isolation.merge_crashes([(Crash('f', f't{number}'), 9)], 'b')
+                state.record_silence(f't{number}', anyio.current_time())
+            found.extend(state.health.data_centres)
 
         run_virtually(main)
         self.assertEqual(found, [])
@@ -251,7 +251,7 @@
                 found.append(await isolation.may_try('f'))
 
             isolation.ways.claim = claim
-            isolation.take_ends([(End('f', x), 0) for x in 'abc'], 'e#b')
+            isolation.take_ends([(Crash('f', x), 0) for x in 'abc'], 'e#b')
             await ask()
             await anyio.sleep(isolation.get_come_back_s('f'))
             async with anyio.create_task_group() as group:
@@ -275,7 +275,7 @@
                 return True
 
             isolation.ways.claim = claim
-            isolation.take_ends([(End('f', x), 0) for x in 'abc'], 'e#b')
+            isolation.take_ends([(Crash('f', x), 0) for x in 'abc'], 'e#b')
             await anyio.sleep(isolation.get_come_back_s('f'))
             found.append(await isolation.may_try('f'))
             found.append(isolation.is_quarantined('f'))
--- a/tests/test_entry_keeping.py
+++ b/tests/test_entry_keeping.py
@@ -7,14 +7,14 @@
 
 from tests.relaying import SETTINGS, make_listed
 from tests.virtual_loop import run_virtually
-from trestledock.entry import DirectoryError, Place, StoredQuarantine
-from trestledock.entry._keeping import (
+from trestledock.entry import DirectoryError, LogPosition, StoredQuarantine
+from trestledock.entry._quarantine_sync import (
     MIN_CLAIM_INTERVAL_S,
     POLL_TIMEOUT_S,
     Keeping,
 )
 from trestledock.entry._state import EntryState
-from trestledock.relay import Sign
+from trestledock.relay import FailureKind
 
 TARGETS = tuple(make_listed(number, 80 + number) for number in range(5))
 
@@ -45,7 +45,7 @@
 
     async def read_whole(self):
         self._check()
-        return StoredQuarantine((), Place(0, None))
+        return StoredQuarantine((), LogPosition(0, None))
 
     def _check(self):
         self.calls += 1
@@ -59,16 +59,16 @@
     def __init__(self, topic, *, reads):
         state = EntryState(SETTINGS, 'entry-1#a', Random(1), None)
         self.isolation = state.isolation
-        self.isolation.ways.look = self._look
+        self.isolation.hooks.reconnect = self._look
         self.keeping = Keeping(state, topic, lambda: reads)
 
     async def observe_crashes(self, count):
         """Observe crashes of several targets during a request."""
         for target in TARGETS[:count]:
-            await self.isolation.note_lost('f', Sign.closed, [target])
+            await self.isolation.investigate_failure('f', FailureKind.closed, [target])
 
     async def _look(self, _):
-        return Sign.refused
+        return FailureKind.refused
 
 
 def run_entries(scenario, *reads):
--- a/tests/test_entry_leaving.py
+++ b/tests/test_entry_leaving.py
@@ -12,12 +12,12 @@
 import anyio
 
 from tests.relaying import (
-    PATIENCE_S,
+    SCENARIO_TIMEOUT_S,
     RESUMABLE,
     WHOLE,
-    Late,
+    DelayedAnswer,
     StubTarget,
-    Torn,
+    AbortedAnswer,
     get_event_ids,
     make_answer,
     make_listed,
@@ -28,14 +28,14 @@
 )
 from trestledock.demo import get_free_port
 from trestledock.entry._limits import LOOK_AGAIN_S, Limits
-from trestledock.relay import Leave
+from trestledock.relay import Drain
 from trestledock.relay import (
-    BEAT_S,
-    BudgetTerms,
+    BEAT_INTERVAL_S,
+    RetryLimits,
     EngineModel,
     Flight,
     Phase,
-    RetryWindow,
+    RetryBudget,
     RouteKind,
 )
 
@@ -44,9 +44,9 @@
 #: Above twice the longest silence here, in milliseconds.
 LONG = {'trestledock-request-deadline': '8000'}
 SIZES = {'trestledock-token-counts': '1000,400'}
-NO_BUDGET = BudgetTerms(ratio=0, slack=0)
+NO_BUDGET = RetryLimits(ratio=0, slack=0)
 #: Of the slack a share of 0.7 is used.
-ONE_REPEAT = BudgetTerms(ratio=0, slack=1.5)
+ONE_REPEAT = RetryLimits(ratio=0, slack=1.5)
 
 
 class StreamTarget(StubTarget):
@@ -105,7 +105,7 @@
     """Look for silent data centres as the product does."""
     while True:
         state.check_reach(anyio.current_time())
-        await anyio.sleep(BEAT_S)
+        await anyio.sleep(BEAT_INTERVAL_S)
 
 
 def put_elsewhere(state):
@@ -129,7 +129,7 @@
     found = []
 
     async def run(world):
-        with anyio.fail_after(PATIENCE_S):
+        with anyio.fail_after(SCENARIO_TIMEOUT_S):
             found.append(await scenario(world))
 
     run_world(route, targets, run, engine=engine)
@@ -149,7 +149,7 @@
         """Two that fall silent at once don't both leave for one repeat."""
 
         async def scenario(world):
-            world.state.budgets.windows['svc'] = RetryWindow(ONE_REPEAT)
+            world.state.budgets.windows['svc'] = RetryBudget(ONE_REPEAT)
             return await ask_all(world, ('r1', 'r2'))
 
         found = play(RESUMABLE, [StreamTarget(), StreamTarget()], scenario)
@@ -162,8 +162,8 @@
         names = [f'r{number}' for number in range(10)]
 
         async def scenario(world):
-            terms = BudgetTerms(slack=BudgetTerms().slack / 6)
-            world.state.budgets.windows['svc'] = RetryWindow(terms)
+            terms = RetryLimits(slack=RetryLimits().slack / 6)
+            world.state.budgets.windows['svc'] = RetryBudget(terms)
             return await ask_all(world, names)
 
         found = play(RESUMABLE, [StreamTarget(), StreamTarget()], scenario)
@@ -178,8 +178,8 @@
 
         async def scenario(world):
             state = world.state
-            terms = BudgetTerms(slack=BudgetTerms().slack / 6)
-            state.budgets.windows['svc'] = RetryWindow(terms)
+            terms = RetryLimits(slack=RetryLimits().slack / 6)
+            state.budgets.windows['svc'] = RetryBudget(terms)
             put_elsewhere(state)
             return await ask_all(world, names)
 
@@ -208,7 +208,7 @@
             now = anyio.current_time()
             for name in 'xyz':
                 world.state.board.put(
-                    Flight(name, 't1', 230_000, 900, Phase.reading, since=now)
+                    Flight(name, 't1', 230_000, 900, Phase.prefill, since=now)
                 )
             return await world.ask(headers=SIZES)
 
@@ -244,7 +244,7 @@
 
     def test_other_refuses_connections(self):
         """One that broke off waits for a target that is just starting."""
-        first = StubTarget(Torn(make_stream(1, 2, end=b'')))
+        first = StubTarget(AbortedAnswer(make_stream(1, 2, end=b'')))
         second = StreamTarget()
         port = get_free_port()
 
@@ -260,7 +260,7 @@
             async with anyio.create_task_group() as group:
                 group.start_soon(ask)
                 await wait_for_request([first])
-                state.notices.drop(Leave, 't1')
+                state.notices.drop(Drain, 't1')
                 state.fleet.note_leaving('t0', 0)
                 await anyio.sleep(1)
                 listener = await anyio.create_tcp_listener(
@@ -276,19 +276,19 @@
         route = make_route(
             RouteKind.streaming, resumable=True, timeout_s=9, pause_s=0.5
         )
-        targets = [StreamTarget(PATIENCE_S), StreamTarget(PATIENCE_S)]
+        targets = [StreamTarget(SCENARIO_TIMEOUT_S), StreamTarget(SCENARIO_TIMEOUT_S)]
 
         waits = []
         get_again = Limits.get_again
 
         async def scenario(world):
             state = world.state
-            state.budgets.windows['svc'] = RetryWindow(NO_BUDGET)
+            state.budgets.windows['svc'] = RetryBudget(NO_BUDGET)
 
             def look_again(limits, job):
                 """Let a repeat be there from the first look on."""
                 waits.append(get_again(limits, job).wait_s)
-                state.budgets.windows['svc'] = RetryWindow(BudgetTerms())
+                state.budgets.windows['svc'] = RetryBudget(RetryLimits())
                 return get_again(limits, job)
 
             with patch.object(Limits, 'get_again', look_again):
@@ -332,7 +332,7 @@
 
     def spend(self, state):
         """Leave no repeat in the budget."""
-        state.budgets.windows['svc'] = RetryWindow(NO_BUDGET)
+        state.budgets.windows['svc'] = RetryBudget(NO_BUDGET)
 
     def check_given_back(self, route, answers, **how):
         """Expect a word that promises nothing, before the deadline."""
@@ -343,19 +343,19 @@
 
     def test_stream_without_budget(self):
         """A stream without an event is given back after its target's limit."""
-        late = Late(b'', make_stream(1, 4), pause_s=PATIENCE_S)
+        late = DelayedAnswer(b'', make_stream(1, 4), pause_s=SCENARIO_TIMEOUT_S)
         self.check_given_back(RESUMABLE, [late], prepare=self.spend)
 
     def test_plain_without_budget(self):
         """So is a plain request."""
         route = make_route(objective_s=0.3)
-        late = Late(b'', make_answer(), pause_s=PATIENCE_S)
+        late = DelayedAnswer(b'', make_answer(), pause_s=SCENARIO_TIMEOUT_S)
         self.check_given_back(route, [late], prepare=self.spend)
 
     def test_last_run(self):
         """So is one whose last target may be dead."""
         route = make_route(objective_s=0.3, max_attempts=1)
-        late = Late(b'', make_answer(), pause_s=PATIENCE_S)
+        late = DelayedAnswer(b'', make_answer(), pause_s=SCENARIO_TIMEOUT_S)
         self.check_given_back(route, [late])
 
     def test_failure_passed_on_where_no_target(self):
@@ -366,6 +366,6 @@
             for name in ('t0', 't1'):
                 state.fleet.note_leaving(name, 0)
 
-        answers = [Late(b'', make_answer(b'bad', 500), pause_s=0.3)]
+        answers = [DelayedAnswer(b'', make_answer(b'bad', 500), pause_s=0.3)]
         found = self.ask(route, answers, during=leave)
         self.assertEqual(found.status, 500)
--- a/tests/test_entry_limits.py
+++ b/tests/test_entry_limits.py
@@ -16,12 +16,12 @@
 
 from tests.relaying import (
     HOST,
-    PATIENCE_S,
+    SCENARIO_TIMEOUT_S,
     RESUMABLE,
     SILENT,
-    Late,
+    DelayedAnswer,
     StubTarget,
-    Torn,
+    AbortedAnswer,
     get_event_ids,
     make_answer,
     make_listed,
@@ -30,15 +30,15 @@
     run_world,
 )
 from trestledock.relay import (
-    BudgetTerms,
+    RetryLimits,
     EngineModel,
     Flight,
     Phase,
-    RetryWindow,
+    RetryBudget,
     Share,
 )
 
-NO_BUDGET = BudgetTerms(ratio=0, slack=0)
+NO_BUDGET = RetryLimits(ratio=0, slack=0)
 
 
 class BegunTest(unittest.TestCase):
@@ -51,7 +51,7 @@
         async def scenario(world):
             if prepare:
                 prepare(world.state)
-            with anyio.fail_after(PATIENCE_S):
+            with anyio.fail_after(SCENARIO_TIMEOUT_S):
                 await ask(world)
 
         async def ask(world):
@@ -68,8 +68,8 @@
     def test_resumed_at_the_last_target(self):
         """The last target that may run it is waited for from its start."""
         shared = [
-            Torn(make_stream(1, 2, end=b'')),
-            Late(b'', make_stream(3, 4)),
+            AbortedAnswer(make_stream(1, 2, end=b'')),
+            DelayedAnswer(b'', make_stream(3, 4)),
         ]
         targets = [StubTarget(), StubTarget()]
         for target in targets:
@@ -80,7 +80,7 @@
         """It is not left where no repeat is left."""
 
         def prepare(state):
-            state.budgets.windows['svc'] = RetryWindow(NO_BUDGET)
+            state.budgets.windows['svc'] = RetryBudget(NO_BUDGET)
 
         self.check([StubTarget(SILENT), StubTarget(SILENT)], prepare)
 
@@ -113,24 +113,24 @@
 
     def test_waits_for_budget(self):
         """One that its target has broken off waits for a repeat."""
-        shared = [Torn(make_stream(1, 2, end=b'')), make_stream(3, 4)]
+        shared = [AbortedAnswer(make_stream(1, 2, end=b'')), make_stream(3, 4)]
         targets = [StubTarget(), StubTarget()]
         for target in targets:
             target.answers = shared
 
         def prepare(state):
-            state.budgets.windows['svc'] = RetryWindow(NO_BUDGET)
+            state.budgets.windows['svc'] = RetryBudget(NO_BUDGET)
 
         async def earn(state):
             await wait_for_loss(state, targets)
-            state.budgets.windows['svc'] = RetryWindow(BudgetTerms())
+            state.budgets.windows['svc'] = RetryBudget(RetryLimits())
 
         self.check(targets, prepare, earn)
 
     def test_waits_for_a_target(self):
         """One whose targets are all gone waits until there is another."""
         first, second = (
-            StubTarget(Torn(make_stream(1, 2, end=b''))),
+            StubTarget(AbortedAnswer(make_stream(1, 2, end=b''))),
             StubTarget(),
         )
         second.answers = [make_stream(3, 4)]
@@ -167,16 +167,16 @@
 
     def play(self, tokens):
         """Return how many sendings a prompt took beside another one."""
-        first = Late(b'', make_answer(), HELD_S)
+        first = DelayedAnswer(b'', make_answer(), HELD_S)
         targets = [StubTarget(first, make_answer())]
         targets.append(StubTarget(make_answer()))
         found = []
 
         async def scenario(world):
-            other = Flight('o', 't0', tokens, 10, Phase.reading, since=0)
+            other = Flight('o', 't0', tokens, 10, Phase.prefill, since=0)
             world.state.board.hear('p', 1, [('o', other)], whole=True)
             world.state.fleet.drop('t1', 0, 0)
-            with anyio.fail_after(PATIENCE_S):
+            with anyio.fail_after(SCENARIO_TIMEOUT_S):
                 found.append(await world.ask(headers=SIZES))
 
         run_world(make_route(timeout_s=8), targets, scenario, engine=ENGINE)
--- a/tests/test_entry_listing.py
+++ b/tests/test_entry_listing.py
@@ -7,11 +7,11 @@
 import anyio
 
 from tests.relaying import SETTINGS, make_listed
-from trestledock.entry import News, TargetNews
-from trestledock.entry._listing import Listing
+from trestledock.entry import StoreUpdate, TargetUpdate
+from trestledock.entry._target_list import TargetListUpdater
 from trestledock.entry._pool import Pool
 from trestledock.entry._state import EntryState
-from trestledock.relay import UNTOLD
+from trestledock.relay import UNKNOWN_BIRTH
 
 #: A removal among sequence numbers.
 REMOVED = None
@@ -27,9 +27,9 @@
             state = EntryState(SETTINGS, 'entry-1#a', Random(1), None)
             if known is not None:
                 state.fleet.put(replace(make_listed(1, 80), sequence=known))
-            listing = Listing(state, Pool(state.spawn))
+            listing = TargetListUpdater(state, Pool(state.spawn))
             records = tuple(map(make_record, sequences))
-            listing.take(News(targets=records, as_of=anyio.current_time()))
+            listing.apply(StoreUpdate(targets=records, as_of=anyio.current_time()))
             return state.fleet
 
         return anyio.run(main)
@@ -63,14 +63,14 @@
     def test_removal_that_is_long_past(self):
         """Other entries reported the return since; reading loses nothing."""
         fleet = self.check(9, (4, REMOVED, 7, 8, 9), listed=True)
-        self.assertEqual(fleet.gone, {})
+        self.assertEqual(fleet.removed, {})
 
     def test_removal_keeps_the_newest_sequence(self):
         """Otherwise a known record would later count as new."""
         fleet = self.check(3, (7, REMOVED, 5), listed=False)
-        self.assertEqual(fleet.gone, {'t1': (UNTOLD, 7)})
+        self.assertEqual(fleet.removed, {'t1': (UNKNOWN_BIRTH, 7)})
 
 
 def make_record(sequence):
     listed = sequence and replace(make_listed(1, 80), sequence=sequence)
-    return TargetNews('t1', listed)
+    return TargetUpdate('t1', listed)
--- a/tests/test_entry_loads.py
+++ b/tests/test_entry_loads.py
@@ -14,7 +14,7 @@
 from trestledock.entry import WireError, _loads
 from trestledock.entry._gossip import Gossip
 from trestledock.entry._loads import LoadExchange
-from trestledock.entry._neighbours import MOST_TOLD_ALL
+from trestledock.entry._peer_addresses import MAX_FULL_MESH
 from trestledock.entry._state import EntryState
 from trestledock.relay import Flight, Phase
 
@@ -25,7 +25,7 @@
 
 
 def make_flight(name, target, **fields):
-    return Flight(name, target, 300_000, 1_000, Phase.reading, 0.0, **fields)
+    return Flight(name, target, 300_000, 1_000, Phase.prefill, 0.0, **fields)
 
 
 class Entry:
@@ -41,10 +41,10 @@
         fleet = self.state.fleet
         fleet.put(replace(make_listed(0, 1), data_centre=OWN))
         fleet.put(replace(make_listed(1, 2), data_centre=OTHER))
-        for number in range(MOST_TOLD_ALL + 1):
+        for number in range(MAX_FULL_MESH + 1):
             there = OTHER if number % 2 else OWN
             raw = make_message(f'p{number}', there, again_ms=3000)
-            self.gossip.take(raw, ('10.0.0.1', number))
+            self.gossip.handle_datagram(raw, ('10.0.0.1', number))
 
     def _send(self, word, where):
         self.sent.append((word, list(where)))
@@ -148,12 +148,12 @@
             board = entry.state.board
             entry.sent.clear()
             board.put(make_flight('a', target))
-            changes = list(board.take_changes().items())
+            changes = list(board.pop_changes().items())
             entry.gossip._send_remote_changes(changes)
             board.remove('a')
-            changes = list(board.take_changes().items())
+            changes = list(board.pop_changes().items())
             entry.gossip._send_remote_changes(changes)
-            places = entry.gossip.neighbours.places
+            places = entry.gossip.addresses.data_centres
             return [
                 (word.changes[0][1] is None, {places[one] for one in where})
                 for word, where in entry.sent
@@ -180,11 +180,11 @@
             entry = Entry(OWN)
             for number, place in enumerate(places):
                 raw = make_message(f'f{number}', place, again_ms=3000)
-                entry.gossip.take(raw, ('10.0.1.1', number))
+                entry.gossip.handle_datagram(raw, ('10.0.1.1', number))
             asked = []
 
             async def call(address, path):
-                place = entry.gossip.neighbours.places[address]
+                place = entry.gossip.addresses.data_centres[address]
                 asked.append(place)
                 if place in fails:
                     raise WireError('connect', 'timed out')
@@ -192,7 +192,7 @@
 
             with patch.object(_loads, 'call_peer', call):
                 for _ in range(3):
-                    await entry.state.learn_loads()
+                    await entry.state.refresh_loads()
             return asked
 
         return run_virtually(main)
--- a/tests/test_entry_metrics.py
+++ b/tests/test_entry_metrics.py
@@ -17,9 +17,9 @@
     def test_events_count(self):
         """A refusal counts by its reason, an answer with its time."""
         metrics = Metrics()
-        metrics.take(events.Refused('r', 'no_target', 503, 1, 1, 0))
-        metrics.take(events.Answered('r', 't', '200', 250, 200, 40))
-        metrics.take(events.PeerMet('p'))
+        metrics.record_event(events.Refused('r', 'no_target', 503, 1, 1, 0))
+        metrics.record_event(events.Answered('r', 't', '200', 250, 200, 40))
+        metrics.record_event(events.PeerMet('p'))
         text = metrics.render(dict.fromkeys(GAUGES, 1)).decode()
         self.assertIn('trestledock_refused_total{reason="no_target"} 1.0', text)
         self.assertIn('trestledock_answered_took_seconds_sum 0.25', text)
@@ -28,7 +28,7 @@
     def test_words_count_by_kind(self):
         """Messages between entries count by number and by bytes."""
         metrics = Metrics()
-        metrics.count_words('sent', 'Beat', 60, 3)
+        metrics.count_messages('sent', 'Beat', 60, 3)
         text = metrics.render(dict.fromkeys(GAUGES, 1)).decode()
         labels = '{kind="Beat",way="sent"}'
         self.assertIn(f'trestledock_words_total{labels} 3.0', text)
--- a/tests/test_entry_news.py
+++ b/tests/test_entry_news.py
@@ -9,9 +9,9 @@
 from tests.relaying import SETTINGS, make_listed
 from trestledock.entry._gossip import Gossip
 from trestledock.entry._peers import Peer
-from trestledock.entry._news import NewsExchange
+from trestledock.entry._update_exchange import UpdateExchange
 from trestledock.entry._state import EntryState
-from trestledock.entry._words import Reply
+from trestledock.entry._messages import Reply
 from trestledock.relay import Catalog
 
 READER = 'entry-2#b'
@@ -22,7 +22,7 @@
     state = EntryState(SETTINGS, 'entry-1#a', Random(1), None)
     gossip = Gossip(state)
     gossip.peers.known[READER] = Peer(('127.0.0.1', 9), 0, 0)
-    return NewsExchange(state, gossip)
+    return UpdateExchange(state, gossip)
 
 
 def make_reply(asked_at, age_s=0.1, version=1, revision=7):
@@ -38,8 +38,8 @@
         async def main():
             state = make_exchange().state
             state.proof.renew(10)
-            state.fleet.watch.note_read(7, 7)
-            self.assertEqual(state.get_news_age_s(11), 4)
+            state.fleet.watch.record_read(7, 7)
+            self.assertEqual(state.get_store_age_s(11), 4)
 
         anyio.run(main)
 
--- a/tests/test_entry_notices.py
+++ b/tests/test_entry_notices.py
@@ -8,7 +8,7 @@
 from tests.engines import LARGE_ENGINE as ENGINE
 from tests.relaying import (
     RESUMABLE,
-    Late,
+    DelayedAnswer,
     StubTarget,
     make_answer,
     make_route,
@@ -18,7 +18,7 @@
 )
 from trestledock.entry import _events as events
 from trestledock.entry import _notices
-from trestledock.relay import Flight, Leave, Phase, Rest
+from trestledock.relay import Flight, Drain, Phase, Backoff
 
 LIMITED = ('Server-Limit: 2',)
 NOT_RUN = ('Trestledock-Not-Executed: 1',)
@@ -47,7 +47,7 @@
     found = set()
 
     async def scenario(world):
-        world.state.board.put(Flight('x', 't1', 9, 9, Phase.reading, since=0))
+        world.state.board.put(Flight('x', 't1', 9, 9, Phase.prefill, since=0))
         await world.ask()
         found.update(world.state.fleet.leaving)
 
@@ -110,12 +110,12 @@
 
         async def scenario(world):
             state = world.state
-            state.board.put(Flight('x', 't1', 9, 9, Phase.reading, since=0))
+            state.board.put(Flight('x', 't1', 9, 9, Phase.prefill, since=0))
             for number in range(1, len(later) + 2):
                 await world.ask(f'r{number}', **fields)
                 await anyio.sleep(0.4)
             now = anyio.current_time()
-            rests = state.notices.get_all(Rest)
+            rests = state.notices.get_all(Backoff)
             found.append(
                 {name: rest.is_over(now) for name, rest in rests.items()}
             )
@@ -165,7 +165,7 @@
         refusal = make_answer(
             status=503, req_id='r2', seal=False, more=(REST, *NOT_RUN)
         )
-        late = Late(b'', make_answer(req_id='r1'), pause_s=0.3)
+        late = DelayedAnswer(b'', make_answer(req_id='r1'), pause_s=0.3)
         found = []
 
         async def scenario(world):
@@ -173,7 +173,7 @@
                 group.start_soon(world.ask, 'r1')
                 await anyio.sleep(0.1)
                 group.start_soon(world.ask, 'r2')
-            found.extend(world.state.notices.get_all(Rest))
+            found.extend(world.state.notices.get_all(Backoff))
 
         run_world(make_route(), [StubTarget(late, refusal)], scenario)
         self.assertEqual(found, ['t0'])
@@ -188,7 +188,7 @@
             await world.ask(headers=LONG)
             found.update(
                 fleet.targets[name].address
-                for name in world.state.notices.get_all(Rest)
+                for name in world.state.notices.get_all(Backoff)
             )
 
         targets = [Refusing() for _ in range(4)]
@@ -212,7 +212,7 @@
             tickets = world.relayer.sender.tickets
             await tickets._release_one(state.fleet.targets['t0'], 'x')
             notices = state.notices
-            found.append({*notices.get_all(Leave), *notices.get_all(Rest)})
+            found.append({*notices.get_all(Drain), *notices.get_all(Backoff)})
 
         run_world(make_route(), [target], scenario)
         return found[0], target.requests
--- a/tests/test_entry_notices_exchange.py
+++ b/tests/test_entry_notices_exchange.py
@@ -6,9 +6,9 @@
 import anyio
 
 from tests.limiting import (
-    BINDS_S,
-    STRETCH_S,
-    TOLD_S,
+    LIMIT_EFFECT_S,
+    WINDOW_S,
+    NOTICE_LATENCY_S,
     get_allowed,
     run_fleet,
 )
@@ -131,10 +131,10 @@
                 group.start_soon(ask)
                 await anyio.sleep(5)
                 await disturb(fleet)
-            since = target.named_at + BINDS_S
+            since = target.named_at + LIMIT_EFFECT_S
             most = target.get_most(target.count, since, inf)
-            used = target.count(since, since + for_s - BINDS_S)
-            return most, used / (for_s - BINDS_S) / per_s
+            used = target.count(since, since + for_s - LIMIT_EFFECT_S)
+            return most, used / (for_s - LIMIT_EFFECT_S) / per_s
 
         most, used = run_fleet(scenario, [ROUTE], targets=targets)
         self.assertLessEqual(most, get_allowed(per_s))
@@ -212,7 +212,7 @@
                 await fleet.ask_for(0.3, 20, entries=[1])
             told_at = target.told[fleet.entries[1].name]
             return sum(
-                arrival.entry == entry.name and arrival.at > told_at + TOLD_S
+                arrival.entry == entry.name and arrival.at > told_at + NOTICE_LATENCY_S
                 for arrival in target.arrivals
             )
 
@@ -231,4 +231,4 @@
         self.assertEqual(set(demand.statuses), {200, 503})
         self.assertLess(max(demand.took_s), 1)
         self.assertGreater(min(demand.come_back_s), 0.2)
-        self.assertLess(max(demand.come_back_s), STRETCH_S)
+        self.assertLess(max(demand.come_back_s), WINDOW_S)
--- a/tests/test_entry_peers.py
+++ b/tests/test_entry_peers.py
@@ -2,9 +2,9 @@
 
 import unittest
 
-from trestledock.entry._neighbours import MOST_TOLD_ALL
+from trestledock.entry._peer_addresses import MAX_FULL_MESH
 from trestledock.entry._peers import Peers
-from trestledock.entry._words import Flights
+from trestledock.entry._messages import Flights
 
 
 def hear(peers, name, *, place='dc', now=0.0, port=1):
@@ -19,7 +19,7 @@
     def test_near_among_many(self):
         """Among many only the entries of the own data centre are near."""
         peers = Peers('dc')
-        for number in range(MOST_TOLD_ALL + 1):
+        for number in range(MAX_FULL_MESH + 1):
             hear(peers, f'p{number}', place='other', port=number)
         hear(peers, 'near', port=99)
         self.assertEqual(peers.get_near(), ['near'])
@@ -32,7 +32,7 @@
         hear(peers, 'a')
         found = next(peers.get_candidates(now=2))
         self.assertAlmostEqual(found.age_s, 2.1)
-        peers.note_fresh('a', 0, now=3)
+        peers.record_read('a', 0, now=3)
         self.assertEqual(next(peers.get_candidates(now=3)).age_s, 0)
 
     def test_new_process_at_known_address(self):
@@ -41,4 +41,4 @@
         hear(peers, 'a#1')
         hear(peers, 'b#1', port=2)
         self.assertTrue(hear(peers, 'a#2'))
-        self.assertEqual(peers.get_others_at('a#2'), ['a#1'])
+        self.assertEqual(peers.get_previous_at('a#2'), ['a#1'])
--- a/tests/test_entry_pool.py
+++ b/tests/test_entry_pool.py
@@ -7,7 +7,7 @@
 
 from tests.relaying import make_listed
 from trestledock.entry._pool import Pool
-from trestledock.relay import Sign
+from trestledock.relay import FailureKind
 
 
 def look(handle, closes_after_s=None):
@@ -24,7 +24,7 @@
             pool = Pool(group.start_soon)
             if closes_after_s is not None:
                 group.start_soon(close_later, listener, scope, closes_after_s)
-            found.append(await pool.look(target))
+            found.append(await pool.check_connection(target))
             found.append(len(pool._idle['t0']))
             group.cancel_scope.cancel()
 
@@ -58,12 +58,12 @@
 
     def test_one_that_lives(self):
         """The connection is kept for the next request."""
-        self.assertEqual(look(stay), [Sign.none, 1])
+        self.assertEqual(look(stay), [FailureKind.none, 1])
 
     def test_one_that_closes_what_is_too_much(self):
-        self.assertEqual(look(leave), [Sign.closed, 0])
+        self.assertEqual(look(leave), [FailureKind.closed, 0])
 
     def test_one_that_is_just_ending(self):
         """It still accepts, closes that, and then nobody listens."""
 
-        self.assertEqual(look(stay, 0.005), [Sign.refused, 0])
+        self.assertEqual(look(stay, 0.005), [FailureKind.refused, 0])
--- a/tests/test_entry_restoring.py
+++ b/tests/test_entry_restoring.py
@@ -10,7 +10,7 @@
 
 from tests.restoring import CONFIG, StoreWire, run_world
 from tests.soak.store import TARGETS
-from trestledock.relay import REWRITE_S, Quarantined
+from trestledock.relay import REWRITE_WAIT_S, QuarantineRecord
 
 #: Time until the data of entries is back, in seconds.
 AGAIN_S = 1.0
@@ -18,7 +18,7 @@
 READ_S = 0.5
 #: Time at which the store has a version but no record of an epoch, in seconds.
 BEFORE_RECORD_S = 0.15
-RECORD = Quarantined('f', ('t1@1', 't2@1', 't3@2'), age_s=70)
+RECORD = QuarantineRecord('f', ('t1@1', 't2@1', 't3@2'), age_s=70)
 #: Topic of the addresses of entries.
 PEERS = 'keyed.status'
 
@@ -134,7 +134,7 @@
                 await world.start(number, life=2)
             served = await watch(
                 world.entries,
-                REWRITE_S - (anyio.current_time() - began_at) - 0.1,
+                REWRITE_WAIT_S - (anyio.current_time() - began_at) - 0.1,
                 lambda entry: entry.is_key_served(),
             )
             world.publish(version=2)
@@ -167,7 +167,7 @@
             versions = {entry.state.version for entry in world.entries}
             served = await watch(
                 world.entries,
-                REWRITE_S - (anyio.current_time() - began_at) - 0.1,
+                REWRITE_WAIT_S - (anyio.current_time() - began_at) - 0.1,
                 lambda entry: entry.is_key_served(),
             )
             world.publish(version=2)
@@ -339,7 +339,7 @@
             await anyio.sleep(READ_S)
             world.store.go_back(1)
             StoreWire.requests.clear()
-            await anyio.sleep(REWRITE_S)
+            await anyio.sleep(REWRITE_WAIT_S)
             return [
                 StoreWire.requests.count(('/log-newest', topic))
                 for topic in (CONFIG[0], TARGETS, PEERS)
--- a/tests/test_entry_selecting.py
+++ b/tests/test_entry_selecting.py
@@ -20,8 +20,8 @@
     Catalog,
     EngineModel,
     Flight,
-    Listed,
-    Load,
+    ListedTarget,
+    RemoteLoad,
     Phase,
     Placement,
     PromptSize,
@@ -50,7 +50,7 @@
     for place in (OWN, ASKED, SILENT):
         for number in range(EACH):
             name = f'{place}-{number}'
-            one = Listed(name, 'svc', 'a:1', place, Standing.ready, 8, 1)
+            one = ListedTarget(name, 'svc', 'a:1', place, Standing.ready, 8, 1)
             state.fleet.put(one)
             if place == OWN:
                 state.board.put(make_reading(name))
@@ -63,17 +63,17 @@
         target,
         300_000,
         700,
-        Phase.reading,
+        Phase.prefill,
         since=0.0,
         pause_s=0.8,
         worth=20,
-        due=4.0,
+        due_at=4.0,
     )
 
 
 def make_job(size):
     route = make_route(objective_s=4.0, timeout_s=15, pause_s=0.8)
-    call = Call('r1', 'POST', '/p/', '', HOST, (), Body.of(b''), 0.0, size=size)
+    call = Call('r1', 'POST', '/p/', '', HOST, (), Body.from_bytes(b''), 0.0, size=size)
     return Job(call, route, 'svc', TeamKey('kiosks'), deadline=15.0)
 
 
@@ -89,9 +89,9 @@
 
             async def learn():
                 asked.append(1)
-                state.loads[ASKED] = Load(0.0, ())
+                state.remote_loads[ASKED] = RemoteLoad(0.0, ())
 
-            state.learn_loads = learn
+            state.refresh_loads = learn
             found = await select(state, make_job(size))
             return found, len(asked)
 
@@ -103,7 +103,7 @@
         self.assertIsInstance(found, Placement)
         places = {one.data_centre for one in (found.target, *found.helpers)}
         self.assertEqual((places, asked), ({ASKED}, 1))
-        self.assertLess(found.first_s, 4.0)
+        self.assertLess(found.first_token_s, 4.0)
 
     def test_short_one_stays(self):
         """It asks nobody, and is placed among its own."""
--- a/tests/test_entry_signs.py
+++ b/tests/test_entry_signs.py
@@ -8,14 +8,14 @@
     Hang,
     Reset,
     StubTarget,
-    Torn,
+    AbortedAnswer,
     make_answer,
     make_route,
     make_stream,
     run_world,
 )
 from trestledock.entry._wire import Wire, WireError
-from trestledock.relay import RouteKind, Sign
+from trestledock.relay import RouteKind, FailureKind
 
 STREAM = make_route(
     RouteKind.streaming, resumable=True, objective_s=0.1, pause_s=0.1
@@ -45,25 +45,25 @@
         self.assertIs(found[0].sign, sign)
 
     def test_reset_before_the_head(self):
-        self.check(Reset, Sign.closed)
+        self.check(Reset, FailureKind.closed)
 
     def test_closed_before_the_head(self):
-        self.check(Torn(b'', 0), Sign.closed)
+        self.check(AbortedAnswer(b'', 0), FailureKind.closed)
 
     def test_closed_in_the_head(self):
-        self.check(Torn(BEGUN[:20], 0), Sign.closed)
+        self.check(AbortedAnswer(BEGUN[:20], 0), FailureKind.closed)
 
     def test_closed_in_the_middle_of_a_stream(self):
-        self.check(Torn(BEGUN, 0), Sign.closed)
+        self.check(AbortedAnswer(BEGUN, 0), FailureKind.closed)
 
     def test_silent(self):
-        self.check(Hang, Sign.silent)
+        self.check(Hang, FailureKind.silent)
 
     def test_invalid_answer(self):
-        self.check(b'what?\r\n\r\n', Sign.garbled)
+        self.check(b'what?\r\n\r\n', FailureKind.garbled)
 
     def test_answer_is_no_failure(self):
-        self.check(make_answer(status=500), Sign.none)
+        self.check(make_answer(status=500), FailureKind.none)
 
 
 class ConnectTest(unittest.TestCase):
@@ -78,4 +78,4 @@
 
         with self.assertRaises(WireError) as found:
             anyio.run(main)
-        self.assertIs(found.exception.sign, Sign.refused)
+        self.assertIs(found.exception.sign, FailureKind.refused)
--- a/tests/test_entry_words.py
+++ b/tests/test_entry_words.py
@@ -16,15 +16,15 @@
 
 from tests.relaying import SETTINGS
 from trestledock.entry._gossip import Gossip
-from trestledock.entry._news import NewsExchange
+from trestledock.entry._update_exchange import UpdateExchange
 from trestledock.entry._state import EntryState
-from trestledock.entry._word_codec import (
+from trestledock.entry._message_codec import (
     DECODERS,
-    BadWord,
-    read_word,
-    write_word,
+    InvalidMessage,
+    decode_message,
+    encode_message,
 )
-from trestledock.entry._words import (
+from trestledock.entry._messages import (
     Beat,
     Cleared,
     Ends,
@@ -36,13 +36,13 @@
     ToldNotices,
 )
 from trestledock.relay import (
-    End,
+    Crash,
     Flight,
-    Leave,
+    Drain,
     Phase,
     RateLimit,
-    Rest,
-    RestElsewhere,
+    Backoff,
+    PeerBackoff,
 )
 
 FLIGHT = Flight(
@@ -50,27 +50,27 @@
     target='t1@5',
     prompt_tokens=90,
     output_tokens=9,
-    phase=Phase.reading,
+    phase=Phase.prefill,
     since=1,
     pause_s=0.25,
     worth=1.5,
-    due=3,
+    due_at=3,
     helpers=('t2',),
-    tickets=(('t2', 40),),
-    gone=9,
+    reservations=(('t2', 40),),
+    abandoned_at=9,
     patience_s=2,
 )
 MESSAGES = (
     Flights('e', 3, True, 'dc', False, 0.5, 2, (('r1', FLIGHT), ('r2', None))),
     Beat('e', 'dc', leaving=True),
-    Ends('e', ((End('f', 't1@5'), 0.25), (End('g', 't2'), 0))),
+    Ends('e', ((Crash('f', 't1@5'), 0.25), (Crash('g', 't2'), 0))),
     Cleared('e', 'f', ('t1@5', 't2')),
     ToldNotices(
         'e',
         (
-            TargetNotice('t1', RateLimit(1.5, 0, 1, is_told=True)),
-            TargetNotice('t2', RateLimit(None, 2, 2, is_told=True)),
-            TargetNotice('t2', Leave(0.5, 1, is_told=True)),
+            TargetNotice('t1', RateLimit(1.5, 0, 1, is_shared=True)),
+            TargetNotice('t2', RateLimit(None, 2, 2, is_shared=True)),
+            TargetNotice('t2', Drain(0.5, 1, is_shared=True)),
         ),
     ),
     Fresh('e', 0.25),
@@ -90,7 +90,7 @@
 
 def replace_field(word, name, plain):
     """Return an encoded message with another value for a field."""
-    told = json.loads(write_word(word, now=2))
+    told = json.loads(encode_message(word, now=2))
     return json.dumps({**told, name: plain}).encode()
 
 
@@ -100,65 +100,65 @@
     def test_round_trip(self):
         """Instants are relative to the clock of the receiver."""
         for word in MESSAGES:
-            self.assertEqual(read_word(write_word(word, now=2), now=2), word)
+            self.assertEqual(decode_message(encode_message(word, now=2), now=2), word)
 
     def test_backoff_is_decoded_as_elsewhere(self):
-        told = ToldNotices('e', (TargetNotice('t', Rest(9, 0, 1)),))
-        found = read_word(write_word(told, now=2), now=2)
+        told = ToldNotices('e', (TargetNotice('t', Backoff(9, 0, 1)),))
+        found = decode_message(encode_message(told, now=2), now=2)
         self.assertEqual(
             found.notices,
-            (TargetNotice('t', RestElsewhere(9, 0, 1, is_told=True)),),
+            (TargetNotice('t', PeerBackoff(9, 0, 1, is_shared=True)),),
         )
 
     def test_each_kind_is_encoded(self):
         """Every decodable kind can be encoded."""
         kinds = {
-            json.loads(write_word(message, now=0))['kind']
+            json.loads(encode_message(message, now=0))['kind']
             for message in MESSAGES
         }
         self.assertEqual(kinds, set(DECODERS))
 
     def test_older_version(self):
         """Older versions don't send the time until the next full state."""
-        told = json.loads(write_word(MESSAGES[0], now=2))
+        told = json.loads(encode_message(MESSAGES[0], now=2))
         told.pop('again_ms')
-        self.assertEqual(read_word(json.dumps(told).encode(), 2).again_s, 0.5)
+        self.assertEqual(decode_message(json.dumps(told).encode(), 2).again_s, 0.5)
 
     @given(st.binary(max_size=80) | ANY_JSON.map(json.dumps))
     def test_arbitrary_data(self, text):
         """Invalid data raises one type of error."""
         raw = text if isinstance(text, bytes) else text.encode()
-        with self.assertRaises(BadWord):
-            read_word(raw, now=0)
+        with self.assertRaises(InvalidMessage):
+            decode_message(raw, now=0)
 
     @given(st.sampled_from(MESSAGES), st.data())
     def test_arbitrary_field(self, word, draw):
         """A field of another type makes the message invalid, or is valid."""
         name = draw.draw(
-            st.sampled_from(sorted(json.loads(write_word(word, 2))))
+            st.sampled_from(sorted(json.loads(encode_message(word, 2))))
         )
         raw = replace_field(word, name, draw.draw(ANY_JSON))
         try:
-            found = read_word(raw, now=2)
-        except BadWord:
+            found = decode_message(raw, now=2)
+        except InvalidMessage:
             return
-        self.assertIsInstance(write_word(found, now=2), bytes)
+        self.assertIsInstance(encode_message(found, now=2), bytes)
 
     def test_invalid_fields_of_requests(self):
         """Each field of an in-flight request is checked."""
-        row = json.loads(write_word(MESSAGES[0], now=2))['flights'][0]
+        row = json.loads(encode_message(MESSAGES[0], now=2))['flights'][0]
         for at, _ in enumerate(row):
             for plain in ({}, True, [[1]]):
                 rows = [[*row[:at], plain, *row[at + 1 :]]]
-                with self.assertRaises(BadWord):
-                    read_word(
+                with self.assertRaises(InvalidMessage):
+                    decode_message(
                         replace_field(MESSAGES[0], 'flights', rows), now=2
                     )
 
     def test_deep_nesting(self):
         """Nesting too deep for the JSON decoder is invalid as well."""
-        with self.assertRaises(BadWord):
-            read_word(b'[' * 60_000, now=0)
+        with self.assertRaises(InvalidMessage):
+            decode_message(b'[' * 60_000, now=0)
 
 
 class ReceiveTest(unittest.TestCase):
@@ -170,15 +170,15 @@
         async def main():
             state = EntryState(SETTINGS, 'entry-1#a', Random(1), None)
             gossip = Gossip(state)
-            exchange = NewsExchange(state, gossip)
+            exchange = UpdateExchange(state, gossip)
             for word in MESSAGES:
-                for name in json.loads(write_word(word, now=2)):
-                    gossip.take(replace_field(word, name, {}), SENDER)
+                for name in json.loads(encode_message(word, now=2)):
+                    gossip.handle_datagram(replace_field(word, name, {}), SENDER)
             self.assertEqual(
                 (gossip.peers.known, state.board.count_peers()), ({}, 0)
             )
-            self.assertFalse(exchange.take_proof('e'))
-            gossip.take(write_word(MESSAGES[0], now=2), SENDER)
+            self.assertFalse(exchange.renew_proof('e'))
+            gossip.handle_datagram(encode_message(MESSAGES[0], now=2), SENDER)
             self.assertEqual(set(gossip.peers.known), {'e'})
             self.assertEqual(len(list(state.board.get_flights('t1@5'))), 1)
 
--- a/tests/test_fold.py
+++ b/tests/test_fold.py
@@ -131,7 +131,7 @@
         ahead = Reader()
         record = Record('a', 'lease/a', NO_BASE, BODY)
         ahead.feed(Batch(0, 1, (Entry(0, record),)))
-        ahead.adopt(Fold().get_snapshot())
+        ahead.install_snapshot(Fold().get_snapshot())
         self.assertIn('lease/a', ahead.fold.scopes)
 
 
--- a/tests/test_limited_targets.py
+++ b/tests/test_limited_targets.py
@@ -15,7 +15,7 @@
 import anyio
 
 from tests.engines import SMALL_ENGINE
-from tests.limiting import BINDS_S, get_allowed, run_fleet
+from tests.limiting import LIMIT_EFFECT_S, get_allowed, run_fleet
 from tests.relaying import make_route
 
 ROUTE = make_route()
@@ -42,7 +42,7 @@
             group.start_soon(ask)
         most = [
             target.get_most(
-                target.count_told, target.named_at + BINDS_S, float('inf')
+                target.count_told, target.named_at + LIMIT_EFFECT_S, float('inf')
             )
             for target in named
         ]
--- a/tests/test_notice_property.py
+++ b/tests/test_notice_property.py
@@ -13,7 +13,7 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from tests.limiting import DRAIN_S, REST_COUNT, run_fleet
+from tests.limiting import DRAIN_S, MAX_REQUESTS_IN_BACKOFF, run_fleet
 from tests.relaying import make_route
 
 ROUTE = make_route()
@@ -104,4 +104,4 @@
             scenario, [ROUTE], entries=entries, targets=targets, seed=seed
         )
         self.assertLessEqual(late_s, DRAIN_S)
-        self.assertLessEqual(most, REST_COUNT)
+        self.assertLessEqual(most, MAX_REQUESTS_IN_BACKOFF)
--- a/tests/test_parts.py
+++ b/tests/test_parts.py
@@ -17,9 +17,9 @@
 from trestledock.process._liveness import Liveness
 from trestledock.process._load import EngineLoad, Sent
 from trestledock.process._queue import FairQueue, Waiting
-from trestledock.relay import BudgetTerms, RetryWindow
+from trestledock.relay import RetryLimits, RetryBudget
 from trestledock.request import (
-    Breaker,
+    CircuitBreaker,
     Kind,
     Request,
     draw_backoff,
@@ -155,7 +155,7 @@
         self.lease = Lease('me', Timing())
 
     def take(self, asked_at, read_at):
-        self.lease.note_asked('r1', asked_at)
+        self.lease.record_request('r1', asked_at)
         self.lease.observe(5, 'r1', LeaseBody('me', 10), read_at)
 
     def test_counted_from_before_it_was_asked(self):
@@ -165,16 +165,16 @@
 
     def test_paused_holder_knows_that_it_lapsed(self):
         self.take(asked_at=0, read_at=1)
-        self.assertFalse(self.lease.may_order(60))
-        self.assertEqual(self.lease.get_order_limit(), 8)
+        self.assertFalse(self.lease.may_send_orders(60))
+        self.assertEqual(self.lease.get_order_deadline(), 8)
 
     def test_successor_waits_for_orders_in_flight(self):
         self.lease.observe(3, 'x', LeaseBody('other', 10), 0)
-        self.assertFalse(self.lease.wants(11, 0))
-        self.assertTrue(self.lease.wants(12.1, 0))
+        self.assertFalse(self.lease.should_request(11, 0))
+        self.assertTrue(self.lease.should_request(12.1, 0))
         self.take(asked_at=12.1, read_at=12.5)
-        self.assertFalse(self.lease.may_order(13))
-        self.assertTrue(self.lease.may_order(16))
+        self.assertFalse(self.lease.may_send_orders(13))
+        self.assertTrue(self.lease.may_send_orders(16))
 
     def test_older_record_changes_nothing(self):
         self.take(asked_at=0, read_at=1)
@@ -209,14 +209,14 @@
         self.assertEqual(failing, Term('zone', Op.present))
 
     def test_retry_bounds(self):
-        budget = RetryWindow(BudgetTerms(ratio=0, slack=2))
-        self.assertTrue(budget.spend(0, instances=1))
-        self.assertFalse(budget.spend(0, instances=1))
+        budget = RetryBudget(RetryLimits(ratio=0, slack=2))
+        self.assertTrue(budget.try_spend(0, instances=1))
+        self.assertFalse(budget.try_spend(0, instances=1))
         rng = Random(1)
         self.assertLessEqual(max(draw_backoff(9, rng) for _ in range(99)), 1)
 
     def test_breaker_probes_once(self):
-        breaker = Breaker()
+        breaker = CircuitBreaker()
         for _ in range(3):
             breaker.fail(0)
         self.assertFalse(breaker.allows(1))
--- a/tests/test_platform_entries.py
+++ b/tests/test_platform_entries.py
@@ -17,7 +17,7 @@
 
 from tests.test_platform_store import make_heartbeat
 from trestledock.entry._isolation import Isolation
-from trestledock.entry._listing import Listing
+from trestledock.entry._target_list import TargetListUpdater
 from trestledock.entry._pool import Pool
 from trestledock.platform._log import Batch, Record, split_records
 from trestledock.platform._store import PEER_PREFIX, StoreDirectory
@@ -80,9 +80,9 @@
 
     async def main():
         state = StubState()
-        listing = Listing(state, Pool(None))
+        listing = TargetListUpdater(state, Pool(None))
         for records in reads:
-            listing.take(await make_directory(records).read_targets())
+            listing.apply(await make_directory(records).read_targets())
         return state.fleet
 
     return anyio.run(main)
--- a/tests/test_platform_epochs.py
+++ b/tests/test_platform_epochs.py
@@ -20,10 +20,10 @@
 from trestledock.platform._epochs import DOUBT_S, StoreEpochs
 from trestledock.platform._log import KeyedTopic, StoreClient
 from trestledock.platform._quarantine import QuarantineTopic
-from trestledock.relay import Quarantined
+from trestledock.relay import QuarantineRecord
 
 TOPIC = 'keyed.things'
-RECORD = Quarantined('f', ('t1@1', 't2@1', 't3@2'), age_s=70)
+RECORD = QuarantineRecord('f', ('t1@1', 't2@1', 't3@2'), age_s=70)
 
 
 def run_with_topic(scenario, era=1):
@@ -193,7 +193,7 @@
                 await anyio.sleep(pause_s)
                 headers = ((b'Store-Era', text.encode()),) if text else ()
                 try:
-                    found.append(epochs.take(Head(200, headers)))
+                    found.append(epochs.record(Head(200, headers)))
                 except DirectoryError:
                     found.append('doubt')
             return found
@@ -223,10 +223,10 @@
 
         async def main():
             epochs = StoreEpochs()
-            epochs.take(Head(200, ((b'Store-Era', b'4'),)))
+            epochs.record(Head(200, ((b'Store-Era', b'4'),)))
             for _ in range(3):
                 await anyio.sleep(DOUBT_S * 0.6)
-                epochs.take(Head(503, ()))
+                epochs.record(Head(503, ()))
             return epochs.current
 
         self.assertEqual(run_virtually(main), 4)
--- a/tests/test_platform_notices.py
+++ b/tests/test_platform_notices.py
@@ -39,7 +39,7 @@
         for text, per_s in known.items():
             found = read(text)
             self.assertEqual(found.per_s, per_s, text)
-            self.assertFalse(found.unreadable)
+            self.assertFalse(found.invalid_text)
 
     def test_nonsense_is_no_number_and_no_silence(self):
         for text in (
@@ -56,17 +56,17 @@
         ):
             found = read(text.encode('utf-8').decode('latin-1'))
             self.assertIsNone(found.per_s, text)
-            self.assertTrue(found.is_named, text)
-            self.assertTrue(found.unreadable, text)
+            self.assertTrue(found.is_present, text)
+            self.assertTrue(found.invalid_text, text)
 
     def test_named_twice(self):
         """The lowest number counts, whatever stands beside it."""
         self.assertEqual(read('3', '2', '5').per_s, 2)
         self.assertEqual(read('x', '4').per_s, 4)
-        self.assertEqual(read('x', '4').unreadable, "'x'")
+        self.assertEqual(read('x', '4').invalid_text, "'x'")
 
     def test_not_named(self):
-        self.assertFalse(read().is_named)
+        self.assertFalse(read().is_present)
         self.assertIsNone(read().per_s)
 
     def test_stands_in_any_answer(self):
@@ -77,7 +77,7 @@
     @given(st.lists(st.text(st.characters(max_codepoint=255)), max_size=3))
     def test_anything(self, texts):
         found = read(*texts)
-        self.assertEqual(found.is_named, bool(texts))
+        self.assertEqual(found.is_present, bool(texts))
         if found.per_s is not None:
             self.assertGreaterEqual(found.per_s, 0)
 
@@ -101,33 +101,33 @@
         }
         for text, rest_s in known.items():
             found = read_after(text)
-            self.assertEqual(found.rest_s, rest_s, text)
-            self.assertFalse(found.unreadable, text)
+            self.assertEqual(found.backoff_s, rest_s, text)
+            self.assertFalse(found.invalid_text, text)
 
     def test_nonsense_asks_for_nothing(self):
         """A date would be read by another machine's clock."""
         date = 'Thu, 03 Dec 2026 09:36:11 GMT'
         for text in ('', '-3', '+3', 'NaN', 'inf', '1e3', '1,5', 'soon', date):
             found = read_after(text)
-            self.assertEqual(found.rest_s, 0, text)
-            self.assertTrue(found.unreadable, text)
+            self.assertEqual(found.backoff_s, 0, text)
+            self.assertTrue(found.invalid_text, text)
 
     def test_named_twice(self):
         """The longest counts, whatever stands beside it."""
-        self.assertEqual(read_after('1', '3', 'x').rest_s, 3)
-        self.assertEqual(read_after('1', '3', 'x').unreadable, "'x'")
+        self.assertEqual(read_after('1', '3', 'x').backoff_s, 3)
+        self.assertEqual(read_after('1', '3', 'x').invalid_text, "'x'")
 
     def test_only_where_a_request_is_turned_away(self):
         for status in (429, 503):
-            self.assertEqual(read_after('3', status=status).rest_s, 3)
+            self.assertEqual(read_after('3', status=status).backoff_s, 3)
         for status in (200, 301, 421, 500):
-            self.assertEqual(read_after('3', status=status).rest_s, 0)
+            self.assertEqual(read_after('3', status=status).backoff_s, 0)
 
     @given(st.lists(st.text(st.characters(max_codepoint=255)), max_size=3))
     def test_anything(self, texts):
         found = read_after(*texts)
-        self.assertGreaterEqual(found.rest_s, 0)
-        self.assertLessEqual(found.rest_s, MOST_REST_S)
+        self.assertGreaterEqual(found.backoff_s, 0)
+        self.assertLessEqual(found.backoff_s, MOST_REST_S)
 
 
 class LeavingTest(unittest.TestCase):
--- a/tests/test_platform_quarantine.py
+++ b/tests/test_platform_quarantine.py
@@ -10,13 +10,13 @@
 from tests.soak.serving import serve_stream
 from tests.soak.store import Store
 from trestledock.entry import DirectoryError
-from trestledock.entry._keeping import Keeping
+from trestledock.entry._quarantine_sync import Keeping
 from trestledock.entry._state import EntryState
 from trestledock.platform._epochs import StoreEpochs
 from trestledock.platform._quarantine import TOPIC, QuarantineTopic
-from trestledock.relay import Quarantined
+from trestledock.relay import QuarantineRecord
 
-RECORD = Quarantined('f', ('t1@1', 't2@1', 't3@2'), age_s=70)
+RECORD = QuarantineRecord('f', ('t1@1', 't2@1', 't3@2'), age_s=70)
 
 
 def run_with_store(scenario):
@@ -60,7 +60,7 @@
             self.assertEqual(found[0].incarnations, RECORD.incarnations)
             self.assertLess(abs(found[0].age_s - RECORD.age_s), 30)
             self.assertEqual(found[0].trials, 0)
-            answered = Quarantined('f', (), cleared=RECORD.incarnations)
+            answered = QuarantineRecord('f', (), cleared=RECORD.incarnations)
             await one.write_records([answered])
             found = await other.read_records(0)
             self.assertEqual(found[0].incarnations, ())
@@ -113,7 +113,7 @@
 
         async def scenario(store, one, other):
             await one.write_records(
-                [Quarantined('f', ('t1', 't2', 't3', 't4'), 1)]
+                [QuarantineRecord('f', ('t1', 't2', 't3', 't4'), 1)]
             )
             self.assertFalse(await claim_trial(other, RECORD))
 
--- a/tests/test_process_isolating.py
+++ b/tests/test_process_isolating.py
@@ -4,7 +4,7 @@
 from random import Random
 
 from trestledock.process import Identity, Policy, Timing
-from trestledock.process._actions import ToPeer
+from trestledock.process._actions import SendToPeer
 from trestledock.process._isolating import (
     is_quarantined,
     note_answered,
@@ -39,7 +39,7 @@
 
 def take_told(state):
     """Return what an instance has told, once."""
-    told = [one.payload for one in state.out if isinstance(one, ToPeer)]
+    told = [one.payload for one in state.out if isinstance(one, SendToPeer)]
     state.out.clear()
     return told
 
--- a/tests/test_rate_limit_property.py
+++ b/tests/test_rate_limit_property.py
@@ -14,7 +14,7 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from tests.limiting import BINDS_S, get_allowed, run_fleet
+from tests.limiting import LIMIT_EFFECT_S, get_allowed, run_fleet
 from tests.relaying import make_route
 
 ROUTE = make_route()
@@ -61,7 +61,7 @@
                 await fleet.restart(slot.killed % count, 2)
         fleet.cut = set()
         if isinstance(slot.name, int | float):
-            since = began_at + BINDS_S
+            since = began_at + LIMIT_EFFECT_S
             most = target.get_most(target.count, since, began_at + HOLDS_S)
             over.append(most - get_allowed(slot.name))
     return over
--- a/tests/test_relay_asking.py
+++ b/tests/test_relay_asking.py
@@ -6,12 +6,12 @@
 from tests.engines import LARGE_ENGINE as ENGINE
 from tests.engines import TARGETS
 from trestledock.relay import (
-    Ask,
-    Board,
+    PlacementRequest,
+    LoadTable,
     Decision,
     Flight,
     Health,
-    NoPlace,
+    Unplaced,
     Phase,
     Placement,
     Placer,
@@ -24,11 +24,11 @@
     """Return a long prompt whose caller leaves after a silence of 12 s."""
     timing = Timing(
         arrived_at=arrived_at,
-        due=arrived_at + 3.0,
-        gone=min(deadline, arrived_at + 12.0),
+        due_at=arrived_at + 3.0,
+        abandoned_at=min(deadline, arrived_at + 12.0),
         deadline=deadline,
     )
-    return Ask('r1', PromptSize(tokens, output), timing, 1.0, 12.0)
+    return PlacementRequest('r1', PromptSize(tokens, output), timing, 1.0, 12.0)
 
 
 def read_by(name, numbers, *, due, gone, tokens=300_000):
@@ -39,13 +39,13 @@
         names[0],
         tokens,
         600,
-        Phase.reading,
+        Phase.prefill,
         since=0,
         pause_s=1.0,
         worth=20,
-        due=due,
+        due_at=due,
         helpers=tuple(names[1:]),
-        gone=gone,
+        abandoned_at=gone,
         patience_s=12.0,
     )
 
@@ -54,7 +54,7 @@
     """An idle fleet of 18 engines."""
 
     def setUp(self):
-        self.board = Board()
+        self.board = LoadTable()
         self.placer = Placer(self.board, Health())
 
     def choose(self, ask, now=0.0, targets=TARGETS):
@@ -68,7 +68,7 @@
         """A giant on an idle fleet is read well before its caller leaves."""
         found = self.choose(make_ask(790_000))
         self.assertIsInstance(found, Placement)
-        self.assertLess(found.first_s, 9.6)
+        self.assertLess(found.first_token_s, 9.6)
 
     def test_never_for_nobody(self):
         """Beside others' reading it isn't read for longer than anyone waits.
@@ -79,11 +79,11 @@
         self.board.put(read_by('a', range(9), due=3, gone=12))
         self.board.put(read_by('b', range(9, 15), due=3, gone=12))
         found = self.choose(make_ask(790_000))
-        self.assertIsInstance(found, NoPlace)
+        self.assertIsInstance(found, Unplaced)
         self.assertIs(found.decision, Decision.wait)
         found = self.choose(make_ask(790_000), now=5)
         if isinstance(found, Placement):
-            self.assertLess(found.first_s, 9.6)
+            self.assertLess(found.first_token_s, 9.6)
 
     def test_goes_when_others_have_finished(self):
         """Once they are done, it goes over many engines at once."""
@@ -112,8 +112,8 @@
 
         3,000 tokens take 3.9 s, but most answers use a third of that.
         """
-        timing = Timing(-5.5, due=-5.2, gone=2.0, deadline=4.5)
-        ask = Ask('r1', PromptSize(8_000, 3_300), timing, 0.25, 2.0)
+        timing = Timing(-5.5, due_at=-5.2, abandoned_at=2.0, deadline=4.5)
+        ask = PlacementRequest('r1', PromptSize(8_000, 3_300), timing, 0.25, 2.0)
         self.assertIsInstance(self.choose(ask), Placement)
 
 
@@ -127,7 +127,7 @@
         found = self.choose(make_ask(300_000))
         if isinstance(found, Placement):
             names = {one.target_id for one in found.helpers}
-            taken = names & set(flight.engaged)
+            taken = names & set(flight.engaged_targets)
             self.assertEqual(taken, set())
 
     def test_stream_whose_caller_would_leave(self):
@@ -140,7 +140,7 @@
                     target,
                     5_000,
                     1_300,
-                    Phase.writing,
+                    Phase.decode,
                     0,
                     pause_s=0.25,
                     patience_s=patience_s,
@@ -197,8 +197,8 @@
                 read_by('a', range(18), due=3, gone=12, tokens=tokens)
             )
             found = self.choose(make_ask(789_000))
-            self.assertGreater(found.come_back_s, least)
-            self.assertLess(found.come_back_s, most)
+            self.assertGreater(found.retry_after_s, least)
+            self.assertLess(found.retry_after_s, most)
 
 
 class SmallTest(Fixture):
@@ -207,7 +207,7 @@
     def test_in_time(self):
         """A long prompt on an idle fleet comes within its objective."""
         found = self.choose(make_ask(182_000))
-        self.assertLess(found.first_s, 2.25)
+        self.assertLess(found.first_token_s, 2.25)
 
     def test_no_target(self):
         """Without any target it waits a little, then says so."""
--- a/tests/test_relay_board.py
+++ b/tests/test_relay_board.py
@@ -2,7 +2,7 @@
 
 import unittest
 
-from trestledock.relay import Board, Flight, Phase
+from trestledock.relay import LoadTable, Flight, Phase
 
 
 def make_flight(name, target='t1', helpers=(), tickets=(), tokens=1000):
@@ -11,10 +11,10 @@
         target,
         tokens,
         100,
-        Phase.reading,
+        Phase.prefill,
         0,
         helpers=helpers,
-        tickets=tickets,
+        reservations=tickets,
     )
 
 
@@ -27,7 +27,7 @@
 
     def test_helpers_count(self):
         """A flight stands at its target and at all helpers."""
-        board = Board()
+        board = LoadTable()
         board.put(make_flight('a', helpers=('t2', 't3')))
         for target in ('t1', 't2', 't3'):
             self.assertEqual(get_ids(board, target), ['a'])
@@ -42,40 +42,40 @@
 
     def test_whole_replaces(self):
         """A whole message makes good what was lost."""
-        board = Board()
+        board = LoadTable()
         changes = [('a', make_flight('a')), ('b', make_flight('b'))]
-        board.hear('peer', 1, changes, whole=False)
-        board.hear('peer', 5, [('b', make_flight('b'))], whole=True)
+        board.apply_update('peer', 1, changes, whole=False)
+        board.apply_update('peer', 5, [('b', make_flight('b'))], whole=True)
         self.assertEqual(get_ids(board, 't1'), ['b'])
 
     def test_late_message_is_dropped(self):
         """A message that was overtaken changes nothing."""
-        board = Board()
-        board.hear('peer', 2, [('a', None)], whole=False)
-        board.hear('peer', 1, [('a', make_flight('a'))], whole=False)
+        board = LoadTable()
+        board.apply_update('peer', 2, [('a', None)], whole=False)
+        board.apply_update('peer', 1, [('a', make_flight('a'))], whole=False)
         self.assertEqual(get_ids(board, 't1'), [])
 
     def test_silent_peer_is_forgotten(self):
         """The flights of a peer that died end with it."""
-        board = Board()
+        board = LoadTable()
         board.put(make_flight('own'))
-        board.hear('peer', 1, [('a', make_flight('a'))], whole=True)
+        board.apply_update('peer', 1, [('a', make_flight('a'))], whole=True)
         board.drop_sender('peer')
         self.assertEqual(get_ids(board, 't1'), ['own'])
 
     def test_restarted_peer_is_heard(self):
         """A peer that counts from the start again is believed once gone."""
-        board = Board()
-        board.hear('peer', 900, [], whole=True)
+        board = LoadTable()
+        board.apply_update('peer', 900, [], whole=True)
         board.drop_sender('peer')
-        board.hear('peer', 1, [('a', make_flight('a'))], whole=True)
+        board.apply_update('peer', 1, [('a', make_flight('a'))], whole=True)
         self.assertEqual(get_ids(board, 't1'), ['a'])
 
     def test_changes_are_taken_once(self):
         """Each change is told once; the newest of a flight wins."""
-        board = Board()
+        board = LoadTable()
         board.put(make_flight('a'))
-        board.advance('a', 1)
-        changes = board.take_changes()
-        self.assertIs(changes['a'].phase, Phase.writing)
-        self.assertEqual(board.take_changes(), {})
+        board.start_decode('a', 1)
+        changes = board.pop_changes()
+        self.assertIs(changes['a'].phase, Phase.decode)
+        self.assertEqual(board.pop_changes(), {})
--- a/tests/test_relay_claims.py
+++ b/tests/test_relay_claims.py
@@ -10,15 +10,15 @@
 
 from tests.engines import TARGETS
 from trestledock.relay import (
-    CLAIM_S,
+    CLAIM_DELAY_S,
     Flight,
     Phase,
     Placement,
-    find_prior,
+    find_prior_claim,
     needs_claim,
 )
 
-LONG = Flight('b', 't1', 260_922, 600, Phase.reading, 10.0, worth=20)
+LONG = Flight('b', 't1', 260_922, 600, Phase.prefill, 10.0, worth=20)
 OTHER = replace(LONG, flight_id='a')
 
 
@@ -26,8 +26,8 @@
     """Only what takes long is worth a moment's wait."""
 
     def test_which(self):
-        long = Placement(TARGETS[0], first_s=2.1)
-        short = Placement(TARGETS[0], first_s=0.1)
+        long = Placement(TARGETS[0], first_token_s=2.1)
+        short = Placement(TARGETS[0], first_token_s=0.1)
         self.assertTrue(needs_claim(long, 20))
         self.assertFalse(needs_claim(short, 20))
         self.assertFalse(needs_claim(long, 0.5))
@@ -37,25 +37,25 @@
     """Which of two goes first is the same for both."""
 
     def test_one_of_two_at_the_same_moment(self):
-        for gap_s in (0, 0.02, -0.02, CLAIM_S, 0.1, -0.1):
+        for gap_s in (0, 0.02, -0.02, CLAIM_DELAY_S, 0.1, -0.1):
             with self.subTest(gap_s=gap_s):
                 other = replace(OTHER, since=LONG.since + gap_s)
                 found = (
-                    find_prior(LONG, [LONG, other], ()),
-                    find_prior(other, [LONG, other], ()),
+                    find_prior_claim(LONG, [LONG, other], ()),
+                    find_prior_claim(other, [LONG, other], ()),
                 )
                 self.assertEqual(found.count(None), 1)
 
     def test_what_is_under_way_goes_first(self):
         """Its sender has seen nobody in time, whatever the ids say."""
         other = replace(LONG, flight_id='z', since=LONG.since - 0.05)
-        self.assertEqual(find_prior(LONG, [other], ()), other)
+        self.assertEqual(find_prior_claim(LONG, [other], ()), other)
 
     def test_what_was_known_at_the_choice(self):
         """It was reckoned with: the prompt fits beside it, or after it."""
-        self.assertIsNone(find_prior(LONG, [OTHER], {'a'}))
+        self.assertIsNone(find_prior_claim(LONG, [OTHER], {'a'}))
 
     def test_what_takes_no_time_there(self):
         short = replace(OTHER, worth=0.5)
-        writing = replace(OTHER, phase=Phase.writing)
-        self.assertIsNone(find_prior(LONG, [short, writing], ()))
+        writing = replace(OTHER, phase=Phase.decode)
+        self.assertIsNone(find_prior_claim(LONG, [short, writing], ()))
--- a/tests/test_relay_elsewhere.py
+++ b/tests/test_relay_elsewhere.py
@@ -11,15 +11,15 @@
 from tests.engines import SMALL_ENGINE as ENGINE
 from tests.engines import TARGETS
 from trestledock.relay import (
-    Board,
+    LoadTable,
     Flight,
     Health,
     Phase,
     Placer,
     PromptSize,
     Work,
-    is_worth_asking,
-    summarize,
+    should_query_remote,
+    summarize_load,
 )
 
 NEAR, FAR = 'near', 'far'
@@ -41,13 +41,13 @@
         target.incarnation,
         180_000,
         1_000,
-        Phase.reading,
+        Phase.prefill,
         since=0.0,
         pause_s=0.8,
         worth=20,
-        due=4.0,
+        due_at=4.0,
         helpers=tuple([one.incarnation for one in helpers]),
-        tickets=tickets,
+        reservations=tickets,
     )
 
 
@@ -58,7 +58,7 @@
         target.incarnation,
         5_000,
         700,
-        Phase.writing,
+        Phase.decode,
         since=0.0,
         pause_s=pause_s,
         worth=0.9,
@@ -69,7 +69,7 @@
     """All engines nearby read long prompts, all others are idle."""
 
     def setUp(self):
-        self.board = Board()
+        self.board = LoadTable()
         self.placer = Placer(self.board, Health(), data_centre=NEAR)
         for number, one in enumerate(NEAR_TARGETS):
             self.board.put(make_reading(number, one))
@@ -80,25 +80,25 @@
     def test_long_prompt_is_worth_a_question(self):
         near = self.place(LONG, NEAR_TARGETS)
         cost = near.cost if near else None
-        self.assertTrue(is_worth_asking(LONG.worth, cost))
+        self.assertTrue(should_query_remote(LONG.worth, cost))
 
     def test_it_is_early_elsewhere(self):
         """With all engines in sight it takes idle ones, and is in time."""
         chosen = self.place(LONG, PLACED)
-        self.assertLess(chosen.first_s, LONG.objective_s)
+        self.assertLess(chosen.first_token_s, LONG.objective_s)
         places = {one.data_centre for one in (chosen.target, *chosen.helpers)}
         self.assertEqual(places, {FAR})
-        self.assertFalse(is_worth_asking(LONG.worth, chosen.cost))
+        self.assertFalse(should_query_remote(LONG.worth, chosen.cost))
 
     def test_short_one_is_not(self):
         """A question costs it more than it gains."""
-        self.assertFalse(is_worth_asking(SHORT.worth, None))
+        self.assertFalse(should_query_remote(SHORT.worth, None))
 
     def test_idle_engines_nearby_suffice(self):
-        board = Board()
+        board = LoadTable()
         placer = Placer(board, Health(), data_centre=NEAR)
         near = placer.place(LONG, ENGINE, NEAR_TARGETS, now=0.0)
-        self.assertFalse(is_worth_asking(LONG.worth, near.cost))
+        self.assertFalse(should_query_remote(LONG.worth, near.cost))
 
 
 class SummaryTest(unittest.TestCase):
@@ -106,10 +106,10 @@
 
     def compare(self, *flights):
         """Return views of all far targets, by the flights and by summary."""
-        told = Board()
+        told = LoadTable()
         names = {one.incarnation for one in FAR_TARGETS}
-        told.set_elsewhere(FAR, summarize(flights, names, now=0.5))
-        known = Board()
+        told.set_remote_load(FAR, summarize_load(flights, names, now=0.5))
+        known = LoadTable()
         for flight in flights:
             known.put(flight)
         return [
@@ -147,7 +147,7 @@
             self.assertAlmostEqual(*harms)
 
     def test_targets_elsewhere_are_left_out(self):
-        found = summarize(
+        found = summarize_load(
             [make_reading(1, NEAR_TARGETS[0])],
             {one.incarnation for one in FAR_TARGETS},
             now=0.0,
@@ -155,9 +155,9 @@
         self.assertEqual(tuple(found), ())
 
     def test_what_is_told_replaces_what_was(self):
-        board = Board()
+        board = LoadTable()
         name = FAR_TARGETS[0].incarnation
-        board.set_elsewhere(FAR, [make_reading(1, FAR_TARGETS[0])])
+        board.set_remote_load(FAR, [make_reading(1, FAR_TARGETS[0])])
         self.assertEqual(len(tuple(board.get_flights(name))), 1)
-        board.set_elsewhere(FAR, ())
+        board.set_remote_load(FAR, ())
         self.assertEqual(tuple(board.get_flights(name)), ())
--- a/tests/test_relay_fingerprint.py
+++ b/tests/test_relay_fingerprint.py
@@ -10,7 +10,7 @@
 from trestledock.relay import Body, Call, Catalog, Service, TeamKey
 
 CALL = Call(
-    'r1', 'POST', '/p/7', '?a=1', HOST, (), Body.of(b'text'), 5, key='k'
+    'r1', 'POST', '/p/7', '?a=1', HOST, (), Body.from_bytes(b'text'), 5, key='k'
 )
 KEYS = {'k': TeamKey('kiosks'), 'new': TeamKey('kiosks'), 'o': TeamKey('desk')}
 
@@ -42,7 +42,7 @@
             replace(CALL, key='o'),
             replace(CALL, path='/p/8'),
             replace(CALL, query=''),
-            replace(CALL, body=Body.of(b'text2')),
+            replace(CALL, body=Body.from_bytes(b'text2')),
             replace(CALL, path='/p/7?a', query='=1'),
         ]
         found = {get_fingerprint(one) for one in (CALL, *others)}
--- a/tests/test_relay_fleet.py
+++ b/tests/test_relay_fleet.py
@@ -2,11 +2,11 @@
 
 import unittest
 
-from trestledock.relay import Fleet, Listed, Standing
+from trestledock.relay import Fleet, ListedTarget, Standing
 
 
 def make_target(number, standing=Standing.ready, sequence=1):
-    return Listed(
+    return ListedTarget(
         f't{number}', 's', f'10.0.0.{number}:80', 'dc', standing, 8, sequence
     )
 
@@ -14,7 +14,7 @@
 def make_fleet():
     """Return a fleet that has followed the directory until now, at 0 s."""
     fleet = Fleet()
-    fleet.watch.note_read(0, 0)
+    fleet.watch.record_read(0, 0)
     fleet.watch.resumed_at = float('-inf')
     fleet.put(make_target(1))
     fleet.put(make_target(2))
@@ -75,7 +75,7 @@
     def test_missing_in_calm_is_gone(self):
         """An entry that vanishes while all is calm is gone at once."""
         fleet = make_fleet()
-        fleet.watch.note_read(0.5, 0.5)
+        fleet.watch.record_read(0.5, 0.5)
         self.assertTrue(drop(fleet, 't2', 0.5))
         self.assertEqual(get_ids(fleet), ['t1'])
 
@@ -85,8 +85,8 @@
         disturb(fleet, 8.6, 9)
         self.assertFalse(drop(fleet, 't2', 9))
         self.assertEqual(get_ids(fleet), ['t1', 't2'])
-        self.assertEqual(fleet.expire(10), [])
-        self.assertEqual(fleet.expire(11.3), ['t2'])
+        self.assertEqual(fleet.expire_retained(10), [])
+        self.assertEqual(fleet.expire_retained(11.3), ['t2'])
         self.assertEqual(get_ids(fleet), ['t1'])
 
     def test_missing_after_a_mere_gap_is_gone(self):
@@ -96,7 +96,7 @@
         than a target may take to be left alone.
         """
         fleet = make_fleet()
-        fleet.watch.note_read(2.5, 2.5)
+        fleet.watch.record_read(2.5, 2.5)
         self.assertTrue(drop(fleet, 't2', 2.5))
 
     def test_one_failed_read_is_no_outage(self):
@@ -109,7 +109,7 @@
         """Who followed the directory all the while knows better."""
         fleet = make_fleet()
         disturb(fleet, 8.6, 9)
-        self.assertTrue(fleet.drop('t2', 9.1, 9.1))
+        self.assertTrue(fleet.record_removal('t2', 9.1, 9.1))
         self.assertEqual(get_ids(fleet), ['t1'])
 
     def test_back_after_an_outage(self):
@@ -118,7 +118,7 @@
         disturb(fleet, 8.6, 9)
         drop(fleet, 't2', 9)
         fleet.put(make_target(2, sequence=2))
-        self.assertEqual(fleet.expire(20), [])
+        self.assertEqual(fleet.expire_retained(20), [])
 
     def test_back_with_the_same_record(self):
         """What is listed again is held no longer, and others are told."""
@@ -141,20 +141,20 @@
         disturb(fleet, 8.6, 9)
         drop(fleet, 't2', 9)
         self.assertEqual([one.target_id for one in fleet.get_listed()], ['t1'])
-        held = [(one.target_id, until) for one, until in fleet.get_held()]
+        held = [(one.target_id, until) for one, until in fleet.get_retained()]
         self.assertEqual(held, [('t2', 11.2)])
         self.assertGreater(fleet.revision, revision)
 
     def test_held_elsewhere(self):
         """Whoever never knew a target may hold it for as long as others do."""
         fleet = make_fleet()
-        self.assertTrue(fleet.hold(make_target(3), 2))
+        self.assertTrue(fleet.retain(make_target(3), 2))
         self.assertIn('t3', get_ids(fleet))
-        self.assertEqual(fleet.expire(2), ['t3'])
+        self.assertEqual(fleet.expire_retained(2), ['t3'])
 
     def test_gone_here_is_not_held_for_others(self):
         """What is known to have gone is not brought back by a doubt."""
         fleet = make_fleet()
         drop(fleet, 't1', 0.5)
-        self.assertFalse(fleet.hold(make_target(1), 2))
+        self.assertFalse(fleet.retain(make_target(1), 2))
         self.assertEqual(get_ids(fleet), ['t2'])
--- a/tests/test_relay_parts.py
+++ b/tests/test_relay_parts.py
@@ -7,16 +7,16 @@
 from hypothesis import strategies as st
 
 from trestledock.relay import (
-    BudgetTerms,
-    Ending,
+    RetryLimits,
+    AttemptOutcome,
     Health,
-    History,
-    Proof,
-    RetryWindow,
+    AttemptHistory,
+    FreshnessProof,
+    RetryBudget,
     Route,
     RouteKind,
-    Sending,
-    Splitter,
+    RelayAttempt,
+    EventSplitter,
 )
 
 NON_IDEMPOTENT = Route('r', 'h', '/', RouteKind.non_idempotent, ())
@@ -29,7 +29,7 @@
 
 
 def make_history(*endings):
-    return History(tuple(Sending(one, 'step', 'peer') for one in endings))
+    return AttemptHistory(tuple(RelayAttempt(one, 'step', 'peer') for one in endings))
 
 
 class SplitterTest(unittest.TestCase):
@@ -38,24 +38,24 @@
     @given(st.lists(st.integers(0, len(EVENTS)), max_size=20))
     def test_any_cut(self, cuts):
         """However the bytes arrive, the same events come out."""
-        splitter = Splitter()
+        splitter = EventSplitter()
         ends = [0, *sorted(cuts), len(EVENTS)]
         found = []
         for start, end in zip(ends, ends[1:]):
             found.extend(splitter.push(EVENTS[start:end]))
         self.assertEqual(b''.join(one.raw for one in found), EVENTS)
         self.assertEqual([one.event_id for one in found], list('012345678'))
-        self.assertEqual(splitter.rest, b'')
+        self.assertEqual(splitter.remainder, b'')
 
     def test_half_an_event_is_kept_back(self):
         """What is not whole is not given out."""
-        splitter = Splitter()
+        splitter = EventSplitter()
         self.assertEqual(splitter.push(b'id: 1\ndata: a'), [])
-        self.assertEqual(splitter.rest, b'id: 1\ndata: a')
+        self.assertEqual(splitter.remainder, b'id: 1\ndata: a')
 
     def test_line_ends_of_two_bytes(self):
         """Events may end their lines either way."""
-        found = Splitter().push(b'id: 1\r\ndata: a\r\n\r\n')
+        found = EventSplitter().push(b'id: 1\r\ndata: a\r\n\r\n')
         self.assertEqual(found[0].event_id, '1')
 
 
@@ -63,18 +63,18 @@
     """Which endings allow another sending."""
 
     cases = (
-        (NON_IDEMPOTENT, (Ending.not_sent,), True),
-        (NON_IDEMPOTENT, (Ending.rejected,), True),
-        (NON_IDEMPOTENT, (Ending.lost,), False),
-        (NON_IDEMPOTENT, (Ending.failed,), False),
-        (NON_IDEMPOTENT, (Ending.rejected, Ending.lost), False),
-        (IDEMPOTENT, (Ending.lost,), True),
-        (IDEMPOTENT, (Ending.failed,), True),
-        (IDEMPOTENT, (Ending.failed, Ending.lost), False),
-        (IDEMPOTENT, (Ending.rejected, Ending.lost), True),
-        (STREAM, (Ending.lost,), False),
-        (RESUMABLE, (Ending.lost,), True),
-        (RESUMABLE, (Ending.lost, Ending.lost), False),
+        (NON_IDEMPOTENT, (AttemptOutcome.not_sent,), True),
+        (NON_IDEMPOTENT, (AttemptOutcome.rejected,), True),
+        (NON_IDEMPOTENT, (AttemptOutcome.lost,), False),
+        (NON_IDEMPOTENT, (AttemptOutcome.failed,), False),
+        (NON_IDEMPOTENT, (AttemptOutcome.rejected, AttemptOutcome.lost), False),
+        (IDEMPOTENT, (AttemptOutcome.lost,), True),
+        (IDEMPOTENT, (AttemptOutcome.failed,), True),
+        (IDEMPOTENT, (AttemptOutcome.failed, AttemptOutcome.lost), False),
+        (IDEMPOTENT, (AttemptOutcome.rejected, AttemptOutcome.lost), True),
+        (STREAM, (AttemptOutcome.lost,), False),
+        (RESUMABLE, (AttemptOutcome.lost,), True),
+        (RESUMABLE, (AttemptOutcome.lost, AttemptOutcome.lost), False),
     )
 
     def test_table(self):
@@ -86,22 +86,22 @@
 
     def test_promise(self):
         """A promise that nothing ran needs proof from every sending."""
-        self.assertFalse(make_history(Ending.rejected).may_have_run)
-        self.assertTrue(make_history(Ending.rejected, Ending.lost).may_have_run)
+        self.assertFalse(make_history(AttemptOutcome.rejected).may_have_run)
+        self.assertTrue(make_history(AttemptOutcome.rejected, AttemptOutcome.lost).may_have_run)
 
     def test_last_run(self):
         """The last target is the one after which nobody else may run it."""
-        lost = make_history(Ending.lost)
+        lost = make_history(AttemptOutcome.lost)
         for route, history, expected in (
             (RESUMABLE, make_history(), False),
             (RESUMABLE, lost, True),
-            (RESUMABLE, make_history(Ending.rejected), False),
+            (RESUMABLE, make_history(AttemptOutcome.rejected), False),
             (STREAM, make_history(), True),
             (NON_IDEMPOTENT, make_history(), True),
-            (IDEMPOTENT, make_history(*repeat(Ending.not_sent, 5)), True),
+            (IDEMPOTENT, make_history(*repeat(AttemptOutcome.not_sent, 5)), True),
         ):
-            with self.subTest(route=route.kind, sendings=history.sendings):
-                self.assertEqual(history.is_last_run(route), expected)
+            with self.subTest(route=route.kind, sendings=history.attempts):
+                self.assertEqual(history.is_last_attempt(route), expected)
 
 
 class ProofTest(unittest.TestCase):
@@ -109,21 +109,21 @@
 
     def test_ages_through_a_freeze(self):
         """A process that stood still serves no key when it wakes."""
-        proof = Proof(bound_s=5)
+        proof = FreshnessProof(max_age_s=5)
         proof.renew(asked_at=10)
         self.assertTrue(proof.is_fresh(13))
         self.assertFalse(proof.is_fresh(20))
 
     def test_late_answer_proves_its_question(self):
         """An answer read late proves no more than when it was asked for."""
-        proof = Proof(bound_s=5)
+        proof = FreshnessProof(max_age_s=5)
         proof.renew(asked_at=10)
         proof.renew(asked_at=4)
         self.assertEqual(proof.get_age_s(11), 1)
 
     def test_no_bound(self):
         """Without a bound no proof is asked for."""
-        self.assertTrue(Proof().is_fresh(1e9))
+        self.assertTrue(FreshnessProof().is_fresh(1e9))
 
 
 class BudgetTest(unittest.TestCase):
@@ -132,22 +132,22 @@
     @given(st.integers(1, 20), st.integers(0, 300))
     def test_sum_over_instances(self, instances, requests):
         """However many instances spend at once, the bound is kept."""
-        terms = BudgetTerms(ratio=0.2, window_s=10, slack=100)
+        terms = RetryLimits(ratio=0.2, window_s=10, slack=100)
         spent = 0
         for _ in range(instances):
-            window = RetryWindow(terms)
+            window = RetryBudget(terms)
             for _ in range(requests):
-                window.earn(now=0)
-            while window.spend(now=1, instances=instances):
+                window.record_request(now=0)
+            while window.try_spend(now=1, instances=instances):
                 spent += 1
         self.assertLessEqual(spent, 0.2 * requests * instances + 100)
 
     def test_window_slides(self):
         """What was spent long ago is available again."""
-        window = RetryWindow(BudgetTerms(ratio=0, window_s=10, slack=2))
-        self.assertTrue(window.spend(0, 1))
-        self.assertFalse(window.spend(9, 1))
-        self.assertTrue(window.spend(10.1, 1))
+        window = RetryBudget(RetryLimits(ratio=0, window_s=10, slack=2))
+        self.assertTrue(window.try_spend(0, 1))
+        self.assertFalse(window.try_spend(9, 1))
+        self.assertTrue(window.try_spend(10.1, 1))
 
 
 class HealthTest(unittest.TestCase):
@@ -156,40 +156,40 @@
     def test_doubles(self):
         """A target that stays silent is tried ever less often."""
         health = Health()
-        health.note_silence('t', 0)
-        health.note_silence('t', 0.1)
+        health.record_silence('t', 0)
+        health.record_silence('t', 0.1)
         self.assertFalse(health.is_suspect('t', 1.1))
-        health.note_silence('t', 1.2)
+        health.record_silence('t', 1.2)
         self.assertTrue(health.is_suspect('t', 3.1))
 
     def test_answer_clears(self):
         """One good answer ends the suspicion."""
         health = Health()
-        health.note_silence('t', 0)
-        health.note_success('t', 0.5)
+        health.record_silence('t', 0)
+        health.record_success('t', 0.5)
         self.assertFalse(health.is_suspect('t', 0.5))
 
     def test_cut_data_centre(self):
         """Two silent targets of a data centre make all of it suspect."""
         health = Health()
-        health.note_silence('t1', 0, 'dc2')
+        health.record_silence('t1', 0, 'dc2')
         self.assertFalse(health.is_suspect('t3', 0.1, 'dc2'))
-        health.note_silence('t2', 0.4, 'dc2')
+        health.record_silence('t2', 0.4, 'dc2')
         self.assertTrue(health.is_suspect('t3', 0.5, 'dc2'))
         self.assertFalse(health.is_suspect('t4', 0.5, 'dc1'))
-        health.note_success('t3', 0.6, 'dc2')
+        health.record_success('t3', 0.6, 'dc2')
         self.assertFalse(health.is_suspect('t3', 0.7, 'dc2'))
 
     def test_silences_long_apart(self):
         """Targets that fall silent now and then say nothing of the others."""
         health = Health()
-        health.note_silence('t1', 0, 'dc2')
-        health.note_silence('t2', 5, 'dc2')
+        health.record_silence('t1', 0, 'dc2')
+        health.record_silence('t2', 5, 'dc2')
         self.assertFalse(health.is_suspect('t3', 5.1, 'dc2'))
 
     def test_failures_fade(self):
         """A failure counts for less as time passes."""
         health = Health()
-        health.note_failure('t', 0)
+        health.record_failure('t', 0)
         share = health.get('t').get_failure_share
         self.assertGreater(share(0), share(6))
--- a/tests/test_relay_placing.py
+++ b/tests/test_relay_placing.py
@@ -6,7 +6,7 @@
 from tests.engines import SMALL_ENGINE as ENGINE
 from tests.engines import TARGETS
 from trestledock.relay import (
-    Board,
+    LoadTable,
     Flight,
     Health,
     Phase,
@@ -14,7 +14,7 @@
     PromptSize,
     Work,
     choose_least_busy,
-    get_read_s,
+    get_prefill_s,
 )
 
 SHORT = Work(PromptSize(5_000, 1_400), 0.3, 0.25, 1.3)
@@ -26,7 +26,7 @@
     """An empty fleet of 18 engines."""
 
     def setUp(self):
-        self.board = Board()
+        self.board = LoadTable()
         self.health = Health()
         self.placer = Placer(self.board, self.health)
         self.count = 0
@@ -34,7 +34,7 @@
     def place(self, work, now=0.0):
         return self.placer.place(work, ENGINE, TARGETS, now)
 
-    def put(self, work, placement, phase=Phase.writing, now=0.0):
+    def put(self, work, placement, phase=Phase.decode, now=0.0):
         self.count += 1
         self.board.put(
             Flight(
@@ -79,7 +79,7 @@
     def test_not_behind_a_long_read(self):
         """A short request keeps away from engines that read a long prompt."""
         placement = self.place(LONG)
-        self.put(LONG, placement, Phase.reading)
+        self.put(LONG, placement, Phase.prefill)
         busy = {placement.target, *placement.helpers}
         if len(busy) < len(TARGETS):
             self.assertNotIn(self.place(SHORT).target, busy)
@@ -88,7 +88,7 @@
         """An engine that fails is left to others."""
         self.put(SHORT, self.place(SHORT))
         for _ in range(4):
-            self.health.note_failure(self.place(SHORT).target.target_id, 0)
+            self.health.record_failure(self.place(SHORT).target.target_id, 0)
         self.assertLess(
             self.health.get(self.place(SHORT).target.target_id).failures, 0.3
         )
@@ -101,14 +101,14 @@
         """A long prompt on an idle fleet comes well within its objective."""
         placement = self.place(LONG)
         self.assertGreater(len(placement.helpers), 1)
-        self.assertLess(placement.first_s, 1.2)
+        self.assertLess(placement.first_token_s, 1.2)
 
     def test_short_pauses_are_kept(self):
         """Parts on engines with short answers stay within their pauses."""
         for _ in range(40):
             self.put(SHORT, self.place(SHORT))
         placement = self.place(LONG)
-        part_s = get_read_s(ENGINE, LONG.size.prompt_tokens) / (
+        part_s = get_prefill_s(ENGINE, LONG.size.prompt_tokens) / (
             len(placement.helpers) + 1
         )
         for target in (placement.target, *placement.helpers):
@@ -129,16 +129,16 @@
     def test_long_prompts_keep_apart(self):
         """A second long prompt leaves the engines of the first alone."""
         first = self.place(LONG)
-        self.put(LONG, first, Phase.reading)
+        self.put(LONG, first, Phase.prefill)
         second = self.place(LONG, now=0.1)
         taken = {first.target, *first.helpers}
         self.assertFalse(taken & {second.target, *second.helpers})
 
     def test_giant_shares_with_one_that_has_time(self):
         """A second giant takes engines of the first rather than be late."""
-        self.put(GIANT, self.place(GIANT), Phase.reading)
+        self.put(GIANT, self.place(GIANT), Phase.prefill)
         second = self.place(GIANT, now=0.2)
-        self.assertLess(second.first_s, GIANT.objective_s)
+        self.assertLess(second.first_token_s, GIANT.objective_s)
 
     def test_instances_choose_differently(self):
         """Two instances that choose at once rarely take the same engine."""
@@ -157,10 +157,10 @@
     def test_tickets_hold_the_rest(self):
         """The tickets and the first engine hold the whole prompt."""
         placement = self.place(GIANT)
-        held = sum(tokens for _, tokens in placement.tickets)
+        held = sum(tokens for _, tokens in placement.reservations)
         first = GIANT.size.total_tokens - held
         self.assertLessEqual(first, ENGINE.capacity_tokens)
-        for _, tokens in placement.tickets:
+        for _, tokens in placement.reservations:
             self.assertLessEqual(tokens, ENGINE.capacity_tokens)
 
     def test_none_without_memory(self):
@@ -172,7 +172,7 @@
                     target.target_id,
                     220_000,
                     100,
-                    Phase.writing,
+                    Phase.decode,
                     0,
                 )
             )
@@ -186,7 +186,7 @@
         """The target with the fewest requests is chosen."""
         for one in TARGETS[1:]:
             self.board.put(
-                Flight(one.target_id, one.target_id, 0, 0, Phase.reading, 0)
+                Flight(one.target_id, one.target_id, 0, 0, Phase.prefill, 0)
             )
         chosen = choose_least_busy(
             self.board, self.health, TARGETS, 0, lambda: 0.5
--- a/tests/test_relay_quarantine.py
+++ b/tests/test_relay_quarantine.py
@@ -4,12 +4,12 @@
 from itertools import permutations
 from random import Random
 
-from trestledock.relay import End, Quarantine
+from trestledock.relay import Crash, Quarantine
 from trestledock.relay._quarantine import (
-    MOST_CLEARED,
-    MOST_ENDS,
-    MOST_KNOWN,
-    TRIALS_S,
+    MAX_CLEARED,
+    MIN_CRASHES,
+    MAX_SUSPECTS,
+    PROBE_DELAYS_S,
 )
 
 DEADLY, BESIDE = 'deadly', 'beside'
@@ -18,7 +18,7 @@
 def note(quarantine, fingerprint, *targets, now=0):
     """Note that targets ended while they ran a request."""
     for target in targets:
-        quarantine.note_end(End(fingerprint, target), now)
+        quarantine.note_end(Crash(fingerprint, target), now)
 
 
 def make_quarantine(*targets):
@@ -36,7 +36,7 @@
             make_quarantine(
                 *(f't{one}' for one in range(count))
             ).is_quarantined(DEADLY)
-            for count in range(MOST_ENDS + 2)
+            for count in range(MIN_CRASHES + 2)
         ]
         self.assertEqual(known, [False, False, False, True, True])
 
@@ -59,13 +59,13 @@
 
     def test_order_does_not_matter(self):
         """Each instance hears of the same ends in an order of its own."""
-        ends = [End(DEADLY, f't{one}') for one in range(4)]
-        ends.extend(End(BESIDE, f't{one}') for one in range(1, 4))
+        ends = [Crash(DEADLY, f't{one}') for one in range(4)]
+        ends.extend(Crash(BESIDE, f't{one}') for one in range(1, 4))
         found = set()
         for order in permutations(ends):
             quarantine = Quarantine()
             for end in order:
-                quarantine.note_end(end, 0)
+                quarantine.record_crash(end, 0)
             found.add(
                 (
                     quarantine.is_quarantined(DEADLY),
@@ -76,9 +76,9 @@
 
     def test_an_answer_clears(self):
         quarantine = make_quarantine('t1', 't2', 't3')
-        self.assertEqual(len(quarantine.note_answered(DEADLY, 0)), MOST_ENDS)
+        self.assertEqual(len(quarantine.record_answer(DEADLY, 0)), MIN_CRASHES)
         self.assertFalse(quarantine.is_quarantined(DEADLY))
-        self.assertFalse(quarantine.was_ended('t1'))
+        self.assertFalse(quarantine.has_crashed('t1'))
 
 
 class TrialTest(unittest.TestCase):
@@ -87,24 +87,24 @@
     def test_each_trial_later_than_the_last(self):
         quarantine = make_quarantine('t1', 't2', 't3')
         now = 0
-        for number, wait_s in enumerate((*TRIALS_S, TRIALS_S[-1])):
-            self.assertFalse(quarantine.is_due(DEADLY, now + wait_s - 1))
+        for number, wait_s in enumerate((*PROBE_DELAYS_S, PROBE_DELAYS_S[-1])):
+            self.assertFalse(quarantine.is_probe_due(DEADLY, now + wait_s - 1))
             now += wait_s
-            self.assertTrue(quarantine.is_due(DEADLY, now))
-            quarantine.note_trial(DEADLY, now)
+            self.assertTrue(quarantine.is_probe_due(DEADLY, now))
+            quarantine.record_probe(DEADLY, now)
             now += 1
             note(quarantine, DEADLY, f'u{number}', now=now)
 
     def test_handed_on_with_its_age(self):
         """A later start knows as much as who was there."""
         known = make_quarantine('t1', 't2', 't3')
-        known.note_trial(DEADLY, 70)
+        known.record_probe(DEADLY, 70)
         later = Quarantine()
         for record in known.get_records(now=100):
-            later.take(record, now=0)
+            later.merge(record, now=0)
         self.assertTrue(later.is_quarantined(DEADLY))
         self.assertEqual(
-            later.get_due_in_s(DEADLY, 0), known.get_due_in_s(DEADLY, 100)
+            later.get_probe_delay_s(DEADLY, 0), known.get_probe_delay_s(DEADLY, 100)
         )
 
 
@@ -115,43 +115,43 @@
         """Whoever has not heard of the answer tells the old ends on."""
         known = make_quarantine('t1', 't2', 't3')
         stale = list(known.get_records(now=0))
-        known.note_answered(DEADLY, 0)
+        known.record_answer(DEADLY, 0)
         for record in stale:
-            known.take(record, now=1)
+            known.merge(record, now=1)
         note(known, DEADLY, 't1', 't2', 't3')
         self.assertFalse(known.is_quarantined(DEADLY))
 
     def test_new_ends_count(self):
         known = make_quarantine('t1', 't2', 't3')
-        known.note_answered(DEADLY, 0)
+        known.record_answer(DEADLY, 0)
         note(known, DEADLY, 't4', 't5', 't6')
         self.assertTrue(known.is_quarantined(DEADLY))
 
     def test_handed_on(self):
         """Who missed the word learns of it with the list of another."""
         known = make_quarantine('t1', 't2', 't3')
-        known.note_answered(DEADLY, 0)
+        known.record_answer(DEADLY, 0)
         other = make_quarantine('t1', 't2', 't3', 't4')
         for record in known.get_records(now=0):
-            other.take(record, now=0)
-        self.assertEqual(other.count_ends(DEADLY), 1)
+            other.merge(record, now=0)
+        self.assertEqual(other.count_crashes(DEADLY), 1)
 
     def test_newest_are_kept(self):
         """What many ask for is cleared of some ends with each crash."""
         known = Quarantine()
-        for number in range(MOST_CLEARED * 2):
+        for number in range(MAX_CLEARED * 2):
             note(known, DEADLY, f't{number}')
-            known.note_answered(DEADLY, 0)
+            known.record_answer(DEADLY, 0)
         cleared = known.make_record(DEADLY, 0).cleared
-        self.assertEqual(len(cleared), MOST_CLEARED)
-        self.assertEqual(cleared[-1], f't{MOST_CLEARED * 2 - 1}')
+        self.assertEqual(len(cleared), MAX_CLEARED)
+        self.assertEqual(cleared[-1], f't{MAX_CLEARED * 2 - 1}')
 
     def test_first_forgotten(self):
         known = make_quarantine('t1', 't2', 't3')
-        known.note_answered(DEADLY, 0)
-        for number in range(MOST_KNOWN):
+        known.record_answer(DEADLY, 0)
+        for number in range(MAX_SUSPECTS):
             note(known, f'f{number}', f'u{number}')
-        self.assertEqual(known.trim(), [DEADLY])
+        self.assertEqual(known.evict_excess(), [DEADLY])
 
 
 class BoundTest(unittest.TestCase):
@@ -159,19 +159,19 @@
 
     def test_fewest_ends_are_forgotten_first(self):
         quarantine = make_quarantine('t1', 't2', 't3')
-        for number in range(MOST_KNOWN * 2):
+        for number in range(MAX_SUSPECTS * 2):
             note(quarantine, f'f{number}', f'u{number}', now=number)
-            quarantine.trim()
-        self.assertEqual(len(quarantine.suspects), MOST_KNOWN)
+            quarantine.evict_excess()
+        self.assertEqual(len(quarantine.suspects), MAX_SUSPECTS)
         self.assertTrue(quarantine.is_quarantined(DEADLY))
-        self.assertIn(f'f{MOST_KNOWN * 2 - 1}', quarantine.suspects)
+        self.assertIn(f'f{MAX_SUSPECTS * 2 - 1}', quarantine.suspects)
 
     def test_targets_are_forgotten_with_them(self):
         quarantine = Quarantine()
-        for number in range(MOST_KNOWN * 2):
+        for number in range(MAX_SUSPECTS * 2):
             note(quarantine, f'f{number}', f'u{number}')
-            quarantine.trim()
-        self.assertFalse(quarantine.was_ended('u0'))
+            quarantine.evict_excess()
+        self.assertFalse(quarantine.has_crashed('u0'))
 
 
 class BlameTest(unittest.TestCase):
--- a/tests/test_relay_quotas.py
+++ b/tests/test_relay_quotas.py
@@ -5,12 +5,12 @@
 from hypothesis import given
 from hypothesis import strategies as st
 
-from trestledock.relay import Member, Members
+from trestledock.relay import Member, Membership
 from trestledock.relay._quotas import (
-    LEAST_PER_S,
-    SPARE_HOLDERS,
-    Demand,
-    Quotas,
+    MIN_RATE_PER_S,
+    EXTRA_HOLDERS,
+    TargetRate,
+    QuotaCache,
     get_quota,
 )
 
@@ -24,10 +24,10 @@
 
 def get_quotas(groups, per_s, known, target='t1'):
     """Return the quotas of all entries; those of a group hear one another."""
-    demand = Demand(target, 'dc-0', per_s)
+    demand = TargetRate(target, 'dc-0', per_s)
     return [
         get_quota(
-            Members(
+            Membership(
                 one, tuple(other for other in group if other != one), known
             ),
             demand,
@@ -44,7 +44,7 @@
     def test_all_together(self, count, per_s):
         """They add up to the limit, and none is above the others."""
         quotas = get_quotas([make_members(count)], per_s, count)
-        self.assertAlmostEqual(sum(quotas), max(per_s, LEAST_PER_S))
+        self.assertAlmostEqual(sum(quotas), max(per_s, MIN_RATE_PER_S))
         self.assertLessEqual(len({one for one in quotas if one}), 1)
 
     @given(
@@ -64,11 +64,11 @@
             for side in range(4)
         ]
         quotas = get_quotas(groups, per_s, count)
-        self.assertAlmostEqual(sum(quotas), max(per_s, LEAST_PER_S))
+        self.assertAlmostEqual(sum(quotas), max(per_s, MIN_RATE_PER_S))
 
     def test_few_hold_a_small_limit(self):
         quotas = get_quotas([make_members(195)], 1, 195)
-        self.assertEqual(sum(1 for one in quotas if one), 1 + SPARE_HOLDERS)
+        self.assertEqual(sum(1 for one in quotas if one), 1 + EXTRA_HOLDERS)
 
     def test_own_data_centre_first(self):
         everyone = make_members(12)
@@ -88,15 +88,15 @@
     def test_restart_keeps_its_place(self):
         """An entry is known by its address, whichever start it is."""
         own, *others = make_members(9)
-        before = get_quota(Members(own, tuple(others), 9), Demand('t', '', 2))
+        before = get_quota(Membership(own, tuple(others), 9), TargetRate('t', '', 2))
         again = Member(own.name, own.data_centre)
-        after = get_quota(Members(again, tuple(others), 9), Demand('t', '', 2))
+        after = get_quota(Membership(again, tuple(others), 9), TargetRate('t', '', 2))
         self.assertEqual(before, after)
 
     def test_kept_until_the_members_change(self):
         own, *others = make_members(6)
-        quotas = Quotas(Members(own))
-        demand = Demand('t', 'dc-0', 3)
+        quotas = QuotaCache(Membership(own))
+        demand = TargetRate('t', 'dc-0', 3)
         self.assertEqual(quotas.get(demand), 3)
-        quotas.set_members(Members(own, tuple(others), 6))
+        quotas.set_members(Membership(own, tuple(others), 6))
         self.assertLess(quotas.get(demand), 3)
--- a/tests/test_relay_throttle.py
+++ b/tests/test_relay_throttle.py
@@ -3,10 +3,10 @@
 import unittest
 from math import inf
 
-from trestledock.relay import Listed, Member, Notices, RateLimit, Throttle
+from trestledock.relay import ListedTarget, Member, Notices, RateLimit, Throttle
 
 ONE, TWO, FREE = (
-    Listed(name, 'svc', f'{name}:80', 'dc') for name in ('t1', 't2', 't3')
+    ListedTarget(name, 'svc', f'{name}:80', 'dc') for name in ('t1', 't2', 't3')
 )
 
 
@@ -14,7 +14,7 @@
     """Return the throttle of the only entry, and limits of some targets."""
     limits = Notices()
     for name, number in per_s.items():
-        limits.note(name, RateLimit(number, 0, 0))
+        limits.record(name, RateLimit(number, 0, 0))
     return Throttle(Member('e', 'dc'), limits, draw)
 
 
@@ -24,36 +24,36 @@
     def test_without_limit(self):
         throttle = make_throttle(t1=1)
         for _ in range(100):
-            self.assertIsNone(throttle.take([FREE], now=0))
+            self.assertIsNone(throttle.acquire([FREE], now=0))
 
     def test_all_or_none(self):
         """Where a helper has no room, the target keeps its own."""
         throttle = make_throttle(t1=1, t2=1)
-        self.assertIsNone(throttle.take([TWO], now=0))
-        self.assertIs(throttle.take([ONE, FREE, TWO], now=0), TWO)
-        self.assertIsNone(throttle.take([ONE], now=0))
+        self.assertIsNone(throttle.acquire([TWO], now=0))
+        self.assertIs(throttle.acquire([ONE, FREE, TWO], now=0), TWO)
+        self.assertIsNone(throttle.acquire([ONE], now=0))
 
     def test_wait_counts_those_ahead(self):
         throttle = make_throttle(t1=1, t2=2)
-        throttle.take([ONE, TWO], now=0)
+        throttle.acquire([ONE, TWO], now=0)
         waits = [throttle.get_wait_s([ONE, TWO], one, 0) for one in range(4)]
         self.assertEqual(waits, [0.5, 1, 1, 1.5])
         self.assertEqual(throttle.get_wait_s([], 0, 0), inf)
 
     def test_raised_limit_counts_at_once(self):
         throttle = make_throttle(t1=0.1)
-        throttle.take([ONE], now=0)
-        throttle.notices.note('t1', RateLimit(10, 1, 1))
-        self.assertTrue(throttle.is_free(ONE, now=1.2))
+        throttle.acquire([ONE], now=0)
+        throttle.notices.record('t1', RateLimit(10, 1, 1))
+        self.assertTrue(throttle.can_send(ONE, now=1.2))
 
     def test_gone_with_its_target(self):
         throttle = make_throttle(t1=1)
-        throttle.take([ONE], now=0)
+        throttle.acquire([ONE], now=0)
         throttle.forget('t1')
-        self.assertTrue(throttle.is_free(ONE, now=0))
+        self.assertTrue(throttle.can_send(ONE, now=0))
 
     def test_limit_of_nothing_lets_few_through(self):
         """Else nobody would hear that it is over."""
         throttle = make_throttle(t1=0)
-        left = [now for now in range(100) if throttle.take([ONE], now) is None]
+        left = [now for now in range(100) if throttle.acquire([ONE], now) is None]
         self.assertEqual(len(left), 10)
--- a/tests/test_relay_turns.py
+++ b/tests/test_relay_turns.py
@@ -5,7 +5,7 @@
 from hypothesis import given
 from hypothesis import strategies as st
 
-from trestledock.relay import Turn, Turns
+from trestledock.relay import WaitingRequest, WaitQueue
 
 TURNS = st.lists(
     st.tuples(st.sampled_from('abc'), st.sampled_from([None, 0, 5, 9])),
@@ -15,9 +15,9 @@
 
 def make_turns(drawn):
     """Return requests that wait, in the order of their arrival."""
-    found = Turns()
+    found = WaitQueue()
     for number, (team, priority) in enumerate(drawn):
-        found.join(Turn(f'r{number}', 'svc', team, number, priority))
+        found.add(WaitingRequest(f'r{number}', 'svc', team, number, priority))
     return found
 
 
@@ -60,4 +60,4 @@
 
     def test_other_services_are_not_in_the_way(self):
         turns = make_turns([('a', 0)])
-        self.assertEqual(turns.count_ahead(Turn('x', 'other', 'a', 9)), 0)
+        self.assertEqual(turns.count_ahead(WaitingRequest('x', 'other', 'a', 9)), 0)
--- a/tests/test_relaying.py
+++ b/tests/test_relaying.py
@@ -79,7 +79,7 @@
 
         async def scenario(world):
             world.state.board.put(
-                Flight('x', 't1', 9, 9, Phase.reading, since=0)
+                Flight('x', 't1', 9, 9, Phase.prefill, since=0)
             )
             found = await world.ask()
             self.assertEqual(found.status, 200)
--- a/tests/test_resting_targets.py
+++ b/tests/test_resting_targets.py
@@ -5,7 +5,7 @@
 import anyio
 
 from tests.engines import SMALL_ENGINE
-from tests.limiting import REST_COUNT, run_fleet
+from tests.limiting import MAX_REQUESTS_IN_BACKOFF, run_fleet
 from tests.relaying import make_route
 
 ROUTE = make_route()
@@ -49,13 +49,13 @@
     # Guards against requests to a plain target within the rest it asked for.
     def test_plain_target_has_its_rest(self):
         most, demand = ask_while_some_shed([0])
-        self.assertLessEqual(most, REST_COUNT)
+        self.assertLessEqual(most, MAX_REQUESTS_IN_BACKOFF)
         self.assertEqual(demand.count(200), len(demand.statuses))
 
     # Guards against the same where prompts are packed on the nearest engines.
     def test_engines_have_their_rest(self):
         most, demand = ask_while_some_shed([0, 3], SIZES, engine=SMALL_ENGINE)
-        self.assertLessEqual(most, REST_COUNT)
+        self.assertLessEqual(most, MAX_REQUESTS_IN_BACKOFF)
         # Six entries are turned away twice each: the repeats cost their budget.
         self.assertGreater(demand.count(200), len(demand.statuses) * 0.99)
         self.assertEqual(
@@ -66,12 +66,12 @@
     def test_any_length(self):
         for rest in ('0.7', '1.5', '6'):
             most, _ = ask_while_some_shed([0], rest=rest)
-            self.assertLessEqual(most, REST_COUNT, rest)
+            self.assertLessEqual(most, MAX_REQUESTS_IN_BACKOFF, rest)
 
     # Guards against callers that wait in vain while all targets rest.
     def test_all_rest(self):
         most, demand = ask_while_some_shed(range(5))
-        self.assertLessEqual(most, REST_COUNT)
+        self.assertLessEqual(most, MAX_REQUESTS_IN_BACKOFF)
         self.assertLess(max(demand.took_s), 2)
         self.assertEqual(
             demand.count(503) + demand.count(200), len(demand.statuses)
--- a/tests/test_scenarios.py
+++ b/tests/test_scenarios.py
@@ -45,10 +45,10 @@
         run.world.run_until(8)
         budget = run.world.hosts['entry-a1'].node.state.get_budget('booking')
         for _ in range(99):
-            budget.spend(8, instances=1)
-        self.assertFalse(budget.is_left(8, instances=1))
+            budget.try_spend(8, instances=1)
+        self.assertFalse(budget.has_budget(8, instances=1))
         run.world.run_until(14)
-        self.assertTrue(budget.is_left(14, instances=1))
+        self.assertTrue(budget.has_budget(14, instances=1))
 
     @params('fly 3', 'at 3 explode', 'traffic call', 'end soon')
     def test_unknown_words(self, line):
--- a/tests/test_stream.py
+++ b/tests/test_stream.py
@@ -19,15 +19,15 @@
             passed.extend(assembler.push(1, Chunk(index, str(index))))
         assembler.finish(1, COUNT)
         self.assertEqual([one.index for one in passed], list(range(COUNT)))
-        self.assertTrue(assembler.is_whole)
+        self.assertTrue(assembler.is_complete)
 
     def test_end_marker_before_last_chunk(self):
         assembler = Assembler(1)
         assembler.finish(1, 2)
         assembler.push(1, Chunk(0, 'a'))
-        self.assertFalse(assembler.is_whole)
+        self.assertFalse(assembler.is_complete)
         assembler.push(1, Chunk(1, 'b'))
-        self.assertTrue(assembler.is_whole)
+        self.assertTrue(assembler.is_complete)
 
     def test_late_chunk_of_an_earlier_attempt(self):
         assembler = Assembler(1)
--- a/trestledock/bench/_cases.py
+++ b/trestledock/bench/_cases.py
@@ -7,7 +7,7 @@
 """
 
 from trestledock.bench._replay import Case, vary
-from trestledock.process import PLAIN, Chooser, Policy
+from trestledock.process import BASELINE, Chooser, Policy
 
 FULL = Policy()
 BASE_LOAD = 0.7
@@ -28,12 +28,12 @@
 
 def _make_baselines(base: Case) -> tuple[Case, ...]:
     steps = (
-        ('round robin (plain)', PLAIN),
-        ('least in flight', vary(PLAIN, chooser=Chooser.least_in_flight)),
-        ('join shortest predicted', vary(PLAIN, chooser=Chooser.predicted)),
+        ('round robin (plain)', BASELINE),
+        ('least in flight', vary(BASELINE, chooser=Chooser.least_in_flight)),
+        ('join shortest predicted', vary(BASELINE, chooser=Chooser.predicted)),
         (
             'and priorities',
-            vary(PLAIN, chooser=Chooser.predicted, priorities=True),
+            vary(BASELINE, chooser=Chooser.predicted, priorities=True),
         ),
         ('all but pieces', vary(FULL, piece_s=0)),
         ('all but whole short prompts', vary(FULL, whole_tokens=0)),
@@ -46,7 +46,7 @@
         vary(
             base,
             name='plain, short only',
-            policy=PLAIN,
+            policy=BASELINE,
             short_only=True,
         ),
     )
@@ -58,7 +58,7 @@
             vary(base, name=f'load {load}', load=load)
             for load in (1.0, 2.0, OVERLOAD)
         ),
-        vary(base, name='plain, load 3.0', load=OVERLOAD, policy=PLAIN),
+        vary(base, name='plain, load 3.0', load=OVERLOAD, policy=BASELINE),
     )
 
 
--- a/trestledock/bench/_passes.py
+++ b/trestledock/bench/_passes.py
@@ -14,7 +14,7 @@
 
 from dataclasses import dataclass, field
 
-from trestledock.relay import EngineModel, PassLoad, get_write_pass_s
+from trestledock.relay import EngineModel, PassLoad, get_decode_pass_s
 
 #: Prompt tokens that a step reads at most.
 CHUNK_TOKENS = 2048
@@ -93,7 +93,7 @@
             return self.model.step_s + read_s
         context = sum(one.context_tokens for one in self.writers.values())
         load = PassLoad(len(self._writing), context, read_s)
-        return get_write_pass_s(self.model, load)
+        return get_decode_pass_s(self.model, load)
 
     def end(self) -> PassEnd:
         """End the pass; return what it brought."""
--- a/trestledock/bench/_rates.py
+++ b/trestledock/bench/_rates.py
@@ -17,9 +17,9 @@
 from random import Random
 from typing import Callable, Protocol
 
-from trestledock.relay import Member, Members
-from trestledock.relay._pacing import Bucket
-from trestledock.relay._quotas import Demand, get_quota
+from trestledock.relay import Member, Membership
+from trestledock.relay._token_bucket import TokenBucket
+from trestledock.relay._quotas import TargetRate, get_quota
 
 #: A stretch in which the target's requests are counted, in seconds.
 STRETCH_S = 4.0
@@ -104,7 +104,7 @@
     _rates: list[float] = field(default_factory=list)
     _shared_at: float = -TOLD_S
     _groups: list[list[int]] = field(default_factory=list)
-    _buckets: list[Bucket] = field(default_factory=list)
+    _buckets: list[TokenBucket] = field(default_factory=list)
 
     def __post_init__(self) -> None:
         """Begin with a part of a request each, or with a whole one."""
@@ -112,7 +112,7 @@
         self.sent = [0 for _ in range(self.day.entries)]
         self._rates = [0 for _ in range(self.day.entries)]
         self._buckets = [
-            Bucket(1 if self.starts_full else rng.random(), 0)
+            TokenBucket(1 if self.starts_full else rng.random(), 0)
             for _ in range(self.day.entries)
         ]
 
@@ -121,7 +121,7 @@
         if now - self._shared_at >= TOLD_S:
             self._share(now)
         self.sent[entry] += 1
-        return self._buckets[entry].take(now, self._rates[entry])
+        return self._buckets[entry].try_take(now, self._rates[entry])
 
     def _share(self, now: float) -> None:
         """Have the rates follow who is heard, and what was told since."""
@@ -152,10 +152,10 @@
 def share_among_few(way: Paced, group: list[int]) -> list[float]:
     """Give few of those that are heard the right to send, as the product."""
     members = [_make_member(entry) for entry in group]
-    demand = Demand(TARGET, 'dc-0', way.day.per_s)
+    demand = TargetRate(TARGET, 'dc-0', way.day.per_s)
     return [
         get_quota(
-            Members(
+            Membership(
                 one,
                 tuple(other for other in members if other is not one),
                 way.day.entries,
--- a/trestledock/bench/_sharing.py
+++ b/trestledock/bench/_sharing.py
@@ -21,27 +21,27 @@
 
 from trestledock.bench._passes import Part, PassEnd, PassEngine, Writer
 from trestledock.relay import (
-    CLAIM_S,
-    LOOK_S,
-    TERMS,
-    Ask,
-    Board,
+    CLAIM_DELAY_S,
+    PLACEMENT_RETRY_S,
+    DEFAULT_POLICY,
+    PlacementRequest,
+    LoadTable,
     Decision,
     EngineModel,
     Flight,
     Health,
-    Listed,
-    NoPlace,
+    ListedTarget,
+    Unplaced,
     Phase,
     Placement,
     Placer,
     PromptSize,
-    Terms,
+    PlacementPolicy,
     Timing,
-    find_prior,
-    get_read_s,
+    find_prior_claim,
+    get_prefill_s,
     get_worth,
-    is_worth_asking,
+    should_query_remote,
     needs_claim,
     pick_cheapest,
 )
@@ -82,7 +82,7 @@
 class Asked:
     """A request under way, and what came of it."""
 
-    ask: Ask
+    ask: PlacementRequest
     prompt: Prompt
     placement: Placement | None = None
     unread: int = 0
@@ -99,7 +99,7 @@
         if self.done_at is None or self.first_at is None:
             return 0
         kind = self.prompt.kind
-        late = self.first_at > self.ask.timing.due
+        late = self.first_at > self.ask.timing.due_at
         paused = self.longest_pause_s > kind.pause_s
         return LATE_KEEPS if late or paused else 1
 
@@ -112,9 +112,9 @@
     and asks for the others; of few all see all.
     """
 
-    board: Board
+    board: LoadTable
     placer: Placer
-    near: tuple[Listed, ...]
+    near: tuple[ListedTarget, ...]
     sequence: int = 0
 
 
@@ -123,7 +123,7 @@
     """Engines and entries of one service; `play` runs arrivals to their end."""
 
     model: EngineModel
-    listed: tuple[Listed, ...]
+    listed: tuple[ListedTarget, ...]
     entries: tuple[Entry, ...]
     now: float = 0
     asked: dict[str, Asked] = field(default_factory=dict)
@@ -154,18 +154,18 @@
         if isinstance(chosen, Placement):
             self._claim(one, chosen)
         elif chosen.decision is Decision.wait:
-            self._at(self.now + LOOK_S, partial(self._try, one))
+            self._at(self.now + PLACEMENT_RETRY_S, partial(self._try, one))
         elif one.refused is None:
             self._come_back(one, chosen)
 
-    def _choose(self, one: Asked, entry: Entry) -> Placement | NoPlace:
+    def _choose(self, one: Asked, entry: Entry) -> Placement | Unplaced:
         """Return the best place nearby, or a better one elsewhere."""
         chosen = self._choose_among(one, entry, entry.near)
         cost = chosen.cost if isinstance(chosen, Placement) else None
-        may_ask = entry.placer.terms.elsewhere
-        if not may_ask or not is_worth_asking(one.ask.worth, cost):
+        may_ask = entry.placer.policy.remote_targets
+        if not may_ask or not should_query_remote(one.ask.worth, cost):
             return chosen
-        groups: dict[str, list[Listed]] = defaultdict(list)
+        groups: dict[str, list[ListedTarget]] = defaultdict(list)
         for listed in self.listed:
             if listed not in entry.near:
                 groups[listed.data_centre].append(listed)
@@ -175,22 +175,22 @@
         return pick_cheapest(found)
 
     def _choose_among(
-        self, one: Asked, entry: Entry, targets: tuple[Listed, ...]
-    ) -> Placement | NoPlace:
+        self, one: Asked, entry: Entry, targets: tuple[ListedTarget, ...]
+    ) -> Placement | Unplaced:
         return one.ask.choose(entry.placer, self.model, targets, self.now)
 
     def _claim(self, one: Asked, placement: Placement) -> None:
         """Tell of a long prompt, and send it a moment later."""
         entry = self.entries[one.prompt.entry]
-        claims = entry.placer.terms.claims
+        claims = entry.placer.policy.claims
         if not claims or not needs_claim(placement, one.ask.worth):
             self._send(one, placement)
             return
-        flight = one.ask.make_flight(placement, Phase.reading, self.now)
-        known = {beside.flight_id for beside in entry.board.get_beside(flight)}
+        flight = one.ask.make_flight(placement, Phase.prefill, self.now)
+        known = {beside.flight_id for beside in entry.board.get_colocated(flight)}
         self._put(one, flight)
         self._at(
-            self.now + CLAIM_S,
+            self.now + CLAIM_DELAY_S,
             partial(self._end_claim, one, placement, flight, known),
         )
 
@@ -203,17 +203,17 @@
     ) -> None:
         """Send what was told of, unless another prompt goes before it."""
         entry = self.entries[one.prompt.entry]
-        if find_prior(flight, entry.board.get_beside(flight), known):
+        if find_prior_claim(flight, entry.board.get_colocated(flight), known):
             self._put(one, None)
             self._try(one)
         else:
             self._send(one, placement)
 
-    def _come_back(self, one: Asked, refusal: NoPlace) -> None:
+    def _come_back(self, one: Asked, refusal: Unplaced) -> None:
         """Have a refused caller try once more, if it has the time."""
         one.refused = refusal.decision
         timing = one.ask.timing
-        after_s = max(COME_BACK_S, refusal.come_back_s)
+        after_s = max(COME_BACK_S, refusal.retry_after_s)
         if after_s > (timing.deadline - self.now) / RETRY_PARTS:
             return
         patience_s = one.prompt.kind.patience_s
@@ -225,15 +225,15 @@
     def _send(self, one: Asked, placement: Placement) -> None:
         one.placement = placement
         one.unread = len(placement.helpers) + 1
-        self._put(one, one.ask.make_flight(placement, Phase.reading, self.now))
+        self._put(one, one.ask.make_flight(placement, Phase.prefill, self.now))
         self._part(one, placement.target, helping=False)
         for helper in placement.helpers:
             self._part(one, helper, helping=True)
         self._watch(one)
 
-    def _part(self, one: Asked, listed: Listed, *, helping: bool) -> None:
+    def _part(self, one: Asked, listed: ListedTarget, *, helping: bool) -> None:
         size = one.prompt.size
-        read_s = get_read_s(self.model, size.prompt_tokens) / one.unread
+        read_s = get_prefill_s(self.model, size.prompt_tokens) / one.unread
         part = Part(
             one.ask.req_id, size.prompt_tokens / one.unread, read_s, helping
         )
@@ -272,7 +272,7 @@
             return
         if one.first_at is None:
             one.first_at = self.now
-            flight = one.ask.make_flight(one.placement, Phase.writing, self.now)
+            flight = one.ask.make_flight(one.placement, Phase.decode, self.now)
             self._put(one, flight)
         else:
             pause_s = self.now - one.heard_at
@@ -323,7 +323,7 @@
     ) -> None:
         for other in self.entries:
             if other is not entry:
-                other.board.hear(
+                other.board.apply_update(
                     entry.placer.member,
                     sequence,
                     [(req_id, flight)],
@@ -336,7 +336,7 @@
     engines: int,
     entries: int,
     places: int = 1,
-    terms: Terms = TERMS,
+    terms: PlacementPolicy = DEFAULT_POLICY,
     *,
     many: bool = False,
 ) -> SharedFleet:
@@ -345,7 +345,7 @@
     With `many` entries each sees only the engines of its own data centre.
     """
     listed = tuple(
-        Listed(
+        ListedTarget(
             f't{one:02}',
             's',
             f'10.0.0.{one}:80',
@@ -381,24 +381,24 @@
     return worths[True] / worths[False]
 
 
-def _get_near(listed: tuple[Listed, ...], place: str) -> tuple[Listed, ...]:
+def _get_near(listed: tuple[ListedTarget, ...], place: str) -> tuple[ListedTarget, ...]:
     return tuple([one for one in listed if one.data_centre == place])
 
 
 def _make_entry(
-    number: int, place: str, terms: Terms, near: tuple[Listed, ...]
+    number: int, place: str, terms: PlacementPolicy, near: tuple[ListedTarget, ...]
 ) -> Entry:
-    board = Board()
+    board = LoadTable()
     name = f'entry-{number}'
     return Entry(board, Placer(board, Health(), name, place, terms), near)
 
 
-def _make_ask(req_id: str, prompt: Prompt) -> Ask:
+def _make_ask(req_id: str, prompt: Prompt) -> PlacementRequest:
     kind = prompt.kind
     timing = Timing(
         arrived_at=prompt.at,
-        due=prompt.at + kind.objective_s,
-        gone=prompt.at + min(kind.patience_s, kind.deadline_s),
+        due_at=prompt.at + kind.objective_s,
+        abandoned_at=prompt.at + min(kind.patience_s, kind.deadline_s),
         deadline=prompt.at + kind.deadline_s,
     )
-    return Ask(req_id, prompt.size, timing, kind.pause_s, kind.patience_s)
+    return PlacementRequest(req_id, prompt.size, timing, kind.pause_s, kind.patience_s)
--- a/trestledock/bench/ablation.py
+++ b/trestledock/bench/ablation.py
@@ -26,7 +26,7 @@
     make_bursts,
 )
 from trestledock.bench._sharing import Asked, make_fleet
-from trestledock.relay import TERMS, EngineModel, Terms
+from trestledock.relay import DEFAULT_POLICY, EngineModel, PlacementPolicy
 
 #: The engines of a fleet whose prompts are long, and how many there are.
 ENGINE = EngineModel(
@@ -109,19 +109,19 @@
 BEFORE = WORK_LOADS['before']
 
 #: One row each: what is switched off, and the terms without it.
-ROWS: tuple[tuple[str, Terms], ...] = (
-    ('all mechanisms', TERMS),
-    ('no packing of short requests', replace(TERMS, packing=False)),
-    ('no helpers', replace(TERMS, helpers=False)),
-    ('own data centre not first', replace(TERMS, near_first=False)),
-    ('harm to others not counted', replace(TERMS, harm=False)),
-    ('callers wait for ever', replace(TERMS, departure=False)),
-    ('no waiting for a better place', replace(TERMS, waiting=False)),
-    ('no queue of late ones', replace(TERMS, queueing=False)),
-    ('no price of idle engines', replace(TERMS, engine_cost=0)),
-    ('no refusal for harm', replace(TERMS, harm_limit=NO_LIMIT)),
-    ('no engines of other data centres', replace(TERMS, elsewhere=False)),
-    ('long prompts not told first', replace(TERMS, claims=False)),
+ROWS: tuple[tuple[str, PlacementPolicy], ...] = (
+    ('all mechanisms', DEFAULT_POLICY),
+    ('no packing of short requests', replace(DEFAULT_POLICY, packing=False)),
+    ('no helpers', replace(DEFAULT_POLICY, helpers=False)),
+    ('own data centre not first', replace(DEFAULT_POLICY, near_first=False)),
+    ('harm to others not counted', replace(DEFAULT_POLICY, harm=False)),
+    ('callers wait for ever', replace(DEFAULT_POLICY, departure=False)),
+    ('no waiting for a better place', replace(DEFAULT_POLICY, waiting=False)),
+    ('no queue of late ones', replace(DEFAULT_POLICY, queueing=False)),
+    ('no price of idle engines', replace(DEFAULT_POLICY, engine_cost=0)),
+    ('no refusal for harm', replace(DEFAULT_POLICY, harm_limit=NO_LIMIT)),
+    ('no engines of other data centres', replace(DEFAULT_POLICY, elsewhere=False)),
+    ('long prompts not told first', replace(DEFAULT_POLICY, claims=False)),
 )
 
 
@@ -134,7 +134,7 @@
 
 
 def play_day(
-    terms: Terms,
+    terms: PlacementPolicy,
     seed: int,
     seconds: float = SECONDS,
     load: WorkLoad = BEFORE,
@@ -173,7 +173,7 @@
 
 def make_table(
     seeds: int,
-    rows: tuple[tuple[str, Terms], ...] = ROWS,
+    rows: tuple[tuple[str, PlacementPolicy], ...] = ROWS,
     seconds: float = SECONDS,
     load: WorkLoad = BEFORE,
 ) -> Iterator[str]:
--- a/trestledock/bench/rests.py
+++ b/trestledock/bench/rests.py
@@ -21,8 +21,8 @@
 import click
 
 from trestledock.entry._holding_back import SPARE_SHARE
-from trestledock.relay import Notices, Rest
-from trestledock.relay._resting import Resting, get_spread_s
+from trestledock.relay import Notices, Backoff
+from trestledock.relay._backoff import BackoffGate, get_jitter_s
 
 #: One target: how much it works on at once, and how much may wait besides.
 SLOTS = 6
@@ -98,7 +98,7 @@
         self.free_at = [
             [float() for _ in range(SLOTS)] for _ in range(self.day.targets)
         ]
-        self.resting = [Resting(Notices()) for _ in range(self.day.entries)]
+        self.resting = [BackoffGate(Notices()) for _ in range(self.day.entries)]
         self.told: dict[int, float] = {}
 
     def get_own(self, entry: int, now: float) -> list[int]:
@@ -106,7 +106,7 @@
         return [
             one
             for one in range(self.day.targets)
-            if self.resting[entry].is_free(str(one), now)
+            if self.resting[entry].can_send(str(one), now)
         ]
 
     def get_untold(self, targets: list[int], now: float) -> list[int]:
@@ -121,7 +121,7 @@
             if not usable:
                 break
             target = self._choose(usable, at)
-            self.resting[entry].take(str(target), at)
+            self.resting[entry].record_sent(str(target), at)
             self.found.repeats += number > 0
             at += WAY_S
             if self._take(target, entry, at):
@@ -140,9 +140,9 @@
         name = str(target)
         if self.day.is_shedding(target, now) or waiting >= SLOTS + QUEUE:
             until = now + REST_S
-            drawn = get_spread_s(REST_S, self.rng.random())
-            rest = Rest(until + drawn, now, now)
-            self.resting[entry].notices.note(name, rest)
+            drawn = get_jitter_s(REST_S, self.rng.random())
+            rest = Backoff(until + drawn, now, now)
+            self.resting[entry].notices.record(name, rest)
             self.told[target] = max(self.told.get(target, 0), until)
             return False
         self.resting[entry].forget(name)
--- a/trestledock/bench/slopes.py
+++ b/trestledock/bench/slopes.py
@@ -30,7 +30,7 @@
     ClaimTable,
     Epoch,
     PeerMessage,
-    ToPeer,
+    SendToPeer,
 )
 from trestledock.proof import MODEL, Plan, Site, World, build, make_world
 from trestledock.request import Kind, Request
@@ -69,13 +69,13 @@
             self.seconds += time.process_time() - begun
             self.steps += 1
             for action in actions:
-                if isinstance(action, ToPeer):
+                if isinstance(action, SendToPeer):
                     self._count_sent(action)
             return actions
 
         node.step = measured  # type: ignore[method-assign]
 
-    def _count_sent(self, action: ToPeer) -> None:
+    def _count_sent(self, action: SendToPeer) -> None:
         size = _get_size(action.payload)
         self.sent += size
         kind = type(action.payload).__name__
@@ -160,12 +160,12 @@
 def measure_claims(count: int) -> str:
     """Return the bytes of a claim in a member's table."""
     table = ClaimTable('a')
-    table.enter(Epoch(0, EpochBody(('a',))), 0)
+    table.enter_epoch(Epoch(0, EpochBody(('a',))), 0)
     gc.collect()
     tracemalloc.start()
     for number in range(count):
         ask = _make_ask(number)
-        table.ask('claimant#000001', ask, 0)
+        table.handle_ask('claimant#000001', ask, 0)
     size = tracemalloc.get_traced_memory()[0]
     tracemalloc.stop()
     return f'memory: claim ({count} of them): {size / count:.0f} B each'
--- a/trestledock/cli/_files.py
+++ b/trestledock/cli/_files.py
@@ -16,7 +16,7 @@
 from trestledock.connection import Settings
 from trestledock.version import (
     Configuration,
-    OptionError,
+    ValidationError,
     check_configuration,
     load_document,
 )
@@ -50,7 +50,7 @@
         fail((f'{path}: {exc}',))
 
 
-def _unwrap(path: str, found: Result[Document, OptionError]) -> Document:
+def _unwrap(path: str, found: Result[Document, ValidationError]) -> Document:
     if isinstance(found, Success):
         return found.unwrap()
     errors = found.failure().errors
--- a/trestledock/clock.py
+++ b/trestledock/clock.py
@@ -21,7 +21,7 @@
 LEAST_PAUSE_S = 0.05
 
 
-def counts_suspension() -> bool:
+def has_boottime_clock() -> bool:
     """Whether this system has a clock that goes on while it is suspended."""
     return hasattr(time, 'CLOCK_BOOTTIME')
 
@@ -31,7 +31,7 @@
 
     A system without such a clock has its steady one read.
     """
-    if counts_suspension():
+    if has_boottime_clock():
         return time.clock_gettime(time.CLOCK_BOOTTIME)
     return time.monotonic()
 
@@ -41,7 +41,7 @@
     return time.time() * MS
 
 
-class SuspensionLoop(asyncio.SelectorEventLoop):
+class BoottimeEventLoop(asyncio.SelectorEventLoop):
     """An event loop whose time counts what the machine was suspended for.
 
     Its time never goes back, and goes on from where it was if the clock does.
@@ -67,12 +67,12 @@
 
 def run(main: Callable[..., Awaitable[Any]], *args: Any) -> Any:
     """Run a program on a loop whose time counts suspension."""
-    options = {'loop_factory': SuspensionLoop}
+    options = {'loop_factory': BoottimeEventLoop}
     return anyio.run(main, *args, backend_options=options)
 
 
 @dataclass
-class PauseWatch:
+class SuspensionDetector:
     """Finds pauses of the machine: what the steady clock has missed since.
 
     >>> steady, counting = iter([5.0, 6.0, 6.1]), iter([7.0, 8.0, 38.1])
@@ -89,7 +89,7 @@
         """Begin with what was missed before."""
         self.missed_s = self._get_missed_s()
 
-    def look(self) -> float:
+    def measure(self) -> float:
         """Return how long the machine was suspended since, in seconds."""
         before, self.missed_s = self.missed_s, self._get_missed_s()
         pause_s = self.missed_s - before
--- a/trestledock/connection/_caller.py
+++ b/trestledock/connection/_caller.py
@@ -39,7 +39,7 @@
     make_bad_request,
     make_problem,
 )
-from trestledock.process import Arrive, CallerGone, EmitChunks, Finish
+from trestledock.process import Arrive, CallerDisconnected, EmitChunks, Finish
 from trestledock.request import Outcome, Request, Verdict
 
 #: How long past the deadline the connection waits for the core's last word.
@@ -196,7 +196,7 @@
             self.hub.exchanges.pop(req.req_id, None)
             if not is_whole:
                 with anyio.CancelScope(shield=True):
-                    await self.hub.tell(CallerGone(req.req_id))
+                    await self.hub.tell(CallerDisconnected(req.req_id))
 
     async def _next_reply(self, req: Request, exchange: Exchange) -> Any:
         left_s = req.deadline + GRACE_S - anyio.current_time()
@@ -204,7 +204,7 @@
             try:
                 return await exchange.receive.receive()
             except anyio.EndOfStream:
-                await self.hub.tell(CallerGone(req.req_id))
+                await self.hub.tell(CallerDisconnected(req.req_id))
         return Finish(req, Verdict(_get_worst(req), step='reply'))
 
     async def _wait_for_verdict(
@@ -221,7 +221,7 @@
         """Tell the core when the caller leaves."""
         while not await http.is_disconnected():
             await anyio.sleep(GRACE_S / 4)
-        await self.hub.tell(CallerGone(req.req_id))
+        await self.hub.tell(CallerDisconnected(req.req_id))
 
 
 async def _answer_bad_request(
--- a/trestledock/connection/_daemon.py
+++ b/trestledock/connection/_daemon.py
@@ -30,14 +30,14 @@
 from trestledock.process import (
     AppendRecord,
     CallService,
-    CancelHolds,
+    CancelReservations,
     GiveOrder,
     Identity,
     Node,
     ResumeStream,
     Shutdown,
     StartJob,
-    ToPeer,
+    SendToPeer,
 )
 
 #: How often the end of the drain is looked for, in seconds.
@@ -105,11 +105,11 @@
             {
                 AppendRecord: platform.append,
                 CallService: target.call,
-                CancelHolds: target.cancel,
+                CancelReservations: target.cancel,
                 GiveOrder: target.order,
                 ResumeStream: target.resume,
                 StartJob: target.start_job,
-                ToPeer: PeerLink(hub, client).send,
+                SendToPeer: PeerLink(hub, client).send,
             }
         )
         group.start_soon(hub.run)
@@ -157,7 +157,7 @@
 
 
 async def _wait_until_drained(hub: Hub) -> None:
-    while hub.node.state.live or hub.exchanges:
+    while hub.node.state.requests or hub.exchanges:
         await anyio.sleep(DRAIN_LOOK_S)
     with anyio.move_on_after(hub.settings.handover_s):
         while not hub.node.is_drained():
--- a/trestledock/connection/_hub.py
+++ b/trestledock/connection/_hub.py
@@ -25,7 +25,7 @@
     EmitChunks,
     Finish,
     Node,
-    Note,
+    LogEvent,
     Published,
     Tick,
 )
@@ -153,7 +153,7 @@
 
 
 @perform.register
-def _(action: Note, hub: Hub) -> None:
+def _(action: LogEvent, hub: Hub) -> None:
     log.info(
         action.event,
         extra={'peer': action.peer, 'detail': action.detail},
--- a/trestledock/connection/_metrics.py
+++ b/trestledock/connection/_metrics.py
@@ -115,7 +115,7 @@
     def render(self, node: Node) -> bytes:
         """Return all metrics as text, gauges as of now."""
         state = node.state
-        self._gauges['in_flight'].set(len(state.live))
+        self._gauges['in_flight'].set(len(state.requests))
         self._gauges['version'].set(state.version.number)
         self._gauges['leaving_targets'].set(len(state.fleet.leaving))
         peers = [one for one in state.fleet.peers.values() if not one.gone]
--- a/trestledock/connection/_operator.py
+++ b/trestledock/connection/_operator.py
@@ -17,7 +17,7 @@
 from starlette.routing import Route
 
 from trestledock.connection._hub import Hub
-from trestledock.process import MarkLeaving, Publish, explain
+from trestledock.process import MarkDraining, Publish, explain
 from trestledock.request import Kind, Model, Request
 
 #: How long a publication may stay without a verdict, in seconds.
@@ -90,7 +90,7 @@
             {
                 'name': name,
                 'usable': state.fleet.is_usable(target, now),
-                'leaving': state.fleet.is_leaving(target),
+                'leaving': state.fleet.is_draining(target),
                 'in_flight': target.in_flight,
                 'models': sorted(target.models),
                 'labels': dict(target.info.labels),
@@ -143,5 +143,5 @@
                 {'detail': f'no target is called {name}'},
                 status_code=NOT_FOUND,
             )
-        await self.hub.tell(MarkLeaving(name))
+        await self.hub.tell(MarkDraining(name))
         return JSONResponse({'leaving': name})
--- a/trestledock/connection/_parsing.py
+++ b/trestledock/connection/_parsing.py
@@ -15,7 +15,7 @@
 
 from trestledock.connection._settings import Settings
 from trestledock.process import rank_by_key
-from trestledock.relay import Traits, get_fingerprint
+from trestledock.relay import RequestIdentity, get_fingerprint
 from trestledock.request import Kind, Model, Request
 from trestledock.version import Configuration, Team
 
@@ -191,7 +191,7 @@
 def make_fingerprint(http: HttpRequest, team: str, body: bytes) -> str:
     """Return what a request shares with its repeats, whoever takes them."""
     return get_fingerprint(
-        Traits(
+        RequestIdentity(
             http.method,
             http.url.hostname or '',
             http.url.path,
--- a/trestledock/connection/_peer.py
+++ b/trestledock/connection/_peer.py
@@ -14,7 +14,7 @@
 
 from trestledock.connection._hub import Hub
 from trestledock.connection._parsing import BadRequest
-from trestledock.process import PAYLOADS, PeerMessage, ToPeer
+from trestledock.process import PAYLOADS, PeerMessage, SendToPeer
 from trestledock.version import (
     CONVERTER,
     DecodeError,
@@ -45,7 +45,7 @@
         self.hub = hub
         self.client = client
 
-    async def send(self, action: ToPeer) -> None:
+    async def send(self, action: SendToPeer) -> None:
         """Send a payload; it may be lost, and the core counts on that."""
         if not action.address:
             return
--- a/trestledock/connection/_target.py
+++ b/trestledock/connection/_target.py
@@ -20,16 +20,16 @@
     CallDone,
     CallService,
     CancelConfirmed,
-    CancelHolds,
+    CancelReservations,
     ChunkArrived,
     GiveOrder,
     OrderAnswered,
-    PieceDone,
+    PrefillDone,
     ResumeStream,
     StartJob,
     StreamDone,
 )
-from trestledock.relay import Sign, get_connect_sign
+from trestledock.relay import FailureKind, classify_connect_error
 from trestledock.request import Chunk
 from trestledock.version import CONVERTER, DecodeError, load_json
 
@@ -145,7 +145,7 @@
             ),
         )
 
-    async def cancel(self, action: CancelHolds) -> None:
+    async def cancel(self, action: CancelReservations) -> None:
         """Cancel holds; silence means that they still count as held."""
         try:
             response = await self.client.post(
@@ -205,7 +205,7 @@
             await self._fail(action, 'piece', str(exc), proof=False)
             return
         await self.hub.tell(
-            PieceDone(action.req_id, action.attempt, done.hold, done.stop),
+            PrefillDone(action.req_id, action.attempt, done.hold, done.stop),
         )
 
     async def _read_stream(
@@ -287,7 +287,7 @@
             with anyio.fail_after(self.hub.settings.target_connect_s):
                 conn = await anyio.connect_tcp(host, int(port))
         except (OSError, TimeoutError) as exc:
-            return get_connect_sign(exc) is Sign.refused
+            return classify_connect_error(exc) is FailureKind.refused
         await conn.aclose()
         return False
 
--- a/trestledock/demo/_traffic.py
+++ b/trestledock/demo/_traffic.py
@@ -15,7 +15,7 @@
 import httpx
 import httpx_sse
 
-from trestledock.request import get_class_by_tokens
+from trestledock.request import get_length_class_by_tokens
 from trestledock.version import Configuration, Pool, TargetKind
 
 CHARS_PER_TOKEN = 4
@@ -147,7 +147,7 @@
             async for event in source.aiter_sse():
                 plain = json.loads(event.data)
                 if plain.get('index') == FIRST:
-                    name = get_class_by_tokens(tokens).value
+                    name = get_length_class_by_tokens(tokens).value
                     waited = anyio.current_time() - started
                     self.tally.ttft.setdefault(name, []).append(waited)
                 if 'outcome' in plain:
--- a/trestledock/entry/__init__.py
+++ b/trestledock/entry/__init__.py
@@ -8,25 +8,25 @@
 """
 
 from trestledock.entry._checks import (
-    read_amount,
+    read_number,
     read_count,
     read_list,
     read_text,
 )
 from trestledock.entry._daemon import run_entry
 from trestledock.entry._dialect import (
-    Announced,
-    AnswerNote,
+    EntryAnnouncements,
+    AnswerMetadata,
     Dialect,
     Directory,
-    NamedLimit,
-    NamedRest,
-    News,
-    Order,
-    Passing,
-    Place,
+    RateLimitHeader,
+    BackoffHeader,
+    StoreUpdate,
+    ControlRequest,
+    ForwardingContext,
+    LogPosition,
     StoredQuarantine,
-    TargetNews,
+    TargetUpdate,
 )
 from trestledock.entry._events import (
     EVENTS,
@@ -35,15 +35,15 @@
     OldRecord,
     RecordIgnored,
 )
-from trestledock.entry._reading import DirectoryError
+from trestledock.entry._store_reader import DirectoryError
 from trestledock.entry._logger import emit, set_up_logs
 from trestledock.entry._settings import EntrySettings
 from trestledock.entry._wire import Head, Headers, Wire, WireError
 
 __all__ = (
     'EVENTS',
-    'Announced',
-    'AnswerNote',
+    'EntryAnnouncements',
+    'AnswerMetadata',
     'Dialect',
     'Directory',
     'DirectoryError',
@@ -52,20 +52,20 @@
     'Head',
     'Headers',
     'HistoryForgotten',
-    'NamedLimit',
-    'NamedRest',
-    'News',
+    'RateLimitHeader',
+    'BackoffHeader',
+    'StoreUpdate',
     'OldRecord',
-    'Order',
-    'Passing',
-    'Place',
+    'ControlRequest',
+    'ForwardingContext',
+    'LogPosition',
     'RecordIgnored',
     'StoredQuarantine',
-    'TargetNews',
+    'TargetUpdate',
     'Wire',
     'WireError',
     'emit',
-    'read_amount',
+    'read_number',
     'read_count',
     'read_list',
     'read_text',
--- a/trestledock/entry/_admission.py
+++ b/trestledock/entry/_admission.py
@@ -14,7 +14,7 @@
     Catalog,
     Route,
     TeamKey,
-    Traits,
+    RequestIdentity,
     get_fingerprint,
 )
 
@@ -80,7 +80,7 @@
 
 
 def _make_fingerprint(call: Call, team: TeamKey) -> str:
-    traits = Traits(call.method, call.host, call.path, call.query, team.team)
+    traits = RequestIdentity(call.method, call.host, call.path, call.query, team.team)
     return get_fingerprint(traits, call.body.digest)
 
 
@@ -92,7 +92,7 @@
 ) -> Refusal | None:
     """Follow a route that leads to other services by now."""
     if job.service not in {share.service for share in route.shares}:
-        if job.history.sendings:
+        if job.history.attempts:
             return Refusal.not_run
         job.service = route.draw_service(state.rng)
     job.team = _get_team(catalog, route, job.call)
--- a/trestledock/entry/_speakers.py
+++ b/trestledock/entry/_answer_source.py
@@ -9,7 +9,7 @@
 
 from http import HTTPStatus
 
-from trestledock.entry._dialect import AnswerNote
+from trestledock.entry._dialect import AnswerMetadata
 from trestledock.entry._job import Job
 from trestledock.entry._state import EntryState
 from trestledock.relay import Placement
@@ -20,7 +20,7 @@
     job: Job,
     placement: Placement,
     status: int,
-    answer: AnswerNote,
+    answer: AnswerMetadata,
 ) -> str:
     """Return the target an answer can be attributed to, empty if unknown.
 
--- a/trestledock/entry/_answering.py
+++ b/trestledock/entry/_answering.py
@@ -11,16 +11,16 @@
 
 import anyio
 
-from trestledock.entry._dialect import AnswerNote, Dialect
+from trestledock.entry._dialect import AnswerMetadata, Dialect
 from trestledock.entry._job import Answer, Job
 from trestledock.entry._limits import Limit, Limits
 from trestledock.entry._pool import get_idle_s
-from trestledock.entry._notices import note_answer
+from trestledock.entry._notices import record_answer_notices
 from trestledock.entry._reply import Reply
 from trestledock.entry._state import EntryState
 from trestledock.entry._streaming import StreamPassing
 from trestledock.entry._wire import Head, Wire, WireError
-from trestledock.relay import Ending, Placement, RouteKind, Sending
+from trestledock.relay import AttemptOutcome, Placement, RouteKind, RelayAttempt
 
 #: The statuses that promise that nothing has run.
 PROMISES = frozenset((408, 421, 429, 503))
@@ -42,7 +42,7 @@
         wire: Wire,
         reply: Reply,
         asked_at: float,
-    ) -> tuple[Sending, float]:
+    ) -> tuple[RelayAttempt, float]:
         """Take an answer; return the ending and how long `wire` may idle.
 
         The request was written at the instant `asked_at` or later.
@@ -52,7 +52,7 @@
         answer = self.dialect.read_head(head)
         if answer.req_id and answer.req_id != job.call.req_id:
             raise WireError('answer', 'of another request')
-        note_answer(self.state, job, placement, head.status, answer, asked_at)
+        record_answer_notices(self.state, job, placement, head.status, answer, asked_at)
         idle_s = get_idle_s(answer.keep_alive, answer.connection)
         if _is_stream(job, head, answer):
             passing = StreamPassing(
@@ -67,11 +67,11 @@
 
     def note_success(self, peer: str) -> None:
         """Note that a target did its work."""
-        self.state.note_success(peer, anyio.current_time())
+        self.state.record_success(peer, anyio.current_time())
 
     def note_failure(self, peer: str) -> None:
         """Note that a target failed."""
-        self.state.health.note_failure(peer, anyio.current_time())
+        self.state.health.record_failure(peer, anyio.current_time())
 
     async def _read_head(
         self,
@@ -94,14 +94,14 @@
             again = self.limits.get_again(job)
 
     def _note_silence(self, peer: str) -> None:
-        self.state.note_silence(peer, anyio.current_time())
+        self.state.record_silence(peer, anyio.current_time())
 
     def _blame(
         self,
         job: Job,
         placement: Placement,
         status: int,
-        answer: AnswerNote,
+        answer: AnswerMetadata,
     ) -> str:
         """Have the next sending avoid the target at fault; return its name.
 
@@ -113,12 +113,12 @@
         at_fault = found or peer
         job.tried.add(at_fault)
         # One that says how long it wants rest, or that it leaves, is not ill.
-        if found and not answer.rest.rest_s and not answer.leaves:
+        if found and not answer.rest.backoff_s and not answer.leaves:
             self._note_silence(found)
         if status == HTTPStatus.MISDIRECTED_REQUEST:
             now = anyio.current_time()
-            self.state.fleet.note_leaving(at_fault, now)
-            self.state.isolation.note_replaced(at_fault)
+            self.state.fleet.record_draining(at_fault, now)
+            self.state.isolation.record_replaced(at_fault)
         return at_fault
 
     def _get_sent_to(self, placement: Placement, named: str) -> str:
@@ -126,7 +126,7 @@
 
         It may have started again since it was sent to.
         """
-        for one in placement.engaged:
+        for one in placement.engaged_targets:
             if one.is_named(named):
                 return one.incarnation
         return self.state.fleet.get_incarnation_by_name(named)
@@ -137,40 +137,40 @@
         placement: Placement,
         wire: Wire,
         head: Head,
-        answer: AnswerNote,
+        answer: AnswerMetadata,
         reply: Reply,
-    ) -> Sending:
+    ) -> RelayAttempt:
         peer = placement.target.incarnation
         body = await wire.read_body()
         if answer.not_run:
             at_fault = self._blame(job, placement, head.status, answer)
             detail = f'{head.status} at {at_fault}'
-            return Sending(Ending.rejected, 'answer', peer, detail)
+            return RelayAttempt(AttemptOutcome.rejected, 'answer', peer, detail)
         if head.status in PROMISES or not answer.sealed or answer.encoded:
             self.note_failure(peer)
-            return Sending(Ending.lost, 'answer', peer, f'{head.status}')
+            return RelayAttempt(AttemptOutcome.lost, 'answer', peer, f'{head.status}')
         if (
             head.status >= HTTPStatus.INTERNAL_SERVER_ERROR
             and not reply.started
         ):
             return self._take_failure(job, peer, Answer(head, body))
         if reply.started:
-            return Sending(Ending.lost, 'answer', peer, f'{head.status}')
+            return RelayAttempt(AttemptOutcome.lost, 'answer', peer, f'{head.status}')
         self.note_success(peer)
         job.note_event(anyio.current_time())
         await reply.start(head.status, self.dialect.make_reply_headers(head))
         await reply.finish(body)
-        return Sending(Ending.answered, 'answer', peer, f'{head.status}')
+        return RelayAttempt(AttemptOutcome.answered, 'answer', peer, f'{head.status}')
 
-    def _take_failure(self, job: Job, peer: str, answer: Answer) -> Sending:
+    def _take_failure(self, job: Job, peer: str, answer: Answer) -> RelayAttempt:
         """Keep a target's own failure in case nothing better comes."""
         job.fallback = answer
         if answer.head.status != HTTPStatus.GATEWAY_TIMEOUT:
             self.note_failure(peer)
-        return Sending(Ending.failed, 'answer', peer, f'{answer.head.status}')
+        return RelayAttempt(AttemptOutcome.failed, 'answer', peer, f'{answer.head.status}')
 
 
-def _is_stream(job: Job, head: Head, answer: AnswerNote) -> bool:
+def _is_stream(job: Job, head: Head, answer: AnswerMetadata) -> bool:
     if (
         job.route.kind is not RouteKind.streaming
         or head.status != HTTPStatus.OK
--- a/trestledock/entry/_app.py
+++ b/trestledock/entry/_app.py
@@ -19,7 +19,7 @@
 from trestledock.entry._loads import LOAD_PATH, PLACE_FIELD, LoadExchange
 from trestledock.entry._logger import emit
 from trestledock.entry._metrics import METRICS
-from trestledock.entry._news import REMOVED_FIELD, VERSION_FIELD, NewsExchange
+from trestledock.entry._update_exchange import REMOVED_FIELD, VERSION_FIELD, UpdateExchange
 from trestledock.entry._relaying import Relayer
 from trestledock.entry._reply import CutReply, Reply, Send
 from trestledock.entry._state import NO_VERSION, EntryState
@@ -41,7 +41,7 @@
         state: EntryState,
         relayer: Relayer,
         dialect: Dialect,
-        exchange: NewsExchange,
+        exchange: UpdateExchange,
         loads: LoadExchange,
     ) -> None:
         """Keep what requests are relayed by, and what peers ask for."""
@@ -104,7 +104,7 @@
         query = scope['query_string']
         if scope['path'] == LOAD_PATH:
             return self.loads.make_load(_read_field(query, PLACE_FIELD))
-        return self.exchange.make_news(
+        return self.exchange.encode_update(
             _read_version(query),
             with_removed=bool(_read_field(query, REMOVED_FIELD)),
         )
@@ -122,14 +122,14 @@
             body = await _read_body(receive)
         except NoRequest:
             return
-        reply = Reply(send, self.state.is_leaving)
+        reply = Reply(send, self.state.is_draining)
         call = self.dialect.read_call(scope, body, arrived_at)
-        if crossing or self.state.ending:
+        if crossing or self.state.aborting:
             await self.relayer.turn_away(call, reply)
             return
         cut = False
         async with anyio.create_task_group() as group:
-            group.start_soon(_cancel_when_left, receive, group, reply, call)
+            group.start_soon(_cancel_on_disconnect, receive, group, reply, call)
             try:
                 await self.relayer.relay(call, reply)
             except CutReply:
@@ -175,7 +175,7 @@
             return Body(b''.join(parts), digest.digest())
 
 
-async def _cancel_when_left(
+async def _cancel_on_disconnect(
     receive: Receive,
     group: anyio.abc.TaskGroup,
     reply: Reply,
--- a/trestledock/entry/_checks.py
+++ b/trestledock/entry/_checks.py
@@ -17,14 +17,14 @@
     raise ValueError(f'no text: {plain!r}')
 
 
-def read_flag(plain: Any) -> bool:
+def read_bool(plain: Any) -> bool:
     """Return a truth value."""
     if isinstance(plain, bool):
         return plain
     raise ValueError(f'no flag: {plain!r}')
 
 
-def read_whole(plain: Any) -> int:
+def read_int(plain: Any) -> int:
     """Return a whole number; a flag is none, though Python counts with it."""
     if isinstance(plain, int) and not isinstance(plain, bool):
         return plain
@@ -33,7 +33,7 @@
 
 def read_count(plain: Any) -> int:
     """Return a whole number that is not negative."""
-    count = read_whole(plain)
+    count = read_int(plain)
     if count < 0:
         raise ValueError(f'negative: {count}')
     return count
@@ -48,7 +48,7 @@
     return None if plain is None else read_count(plain)
 
 
-def read_amount(plain: Any) -> float:
+def read_number(plain: Any) -> float:
     """Return a finite number.
 
     >>> read_amount(5), read_amount(0.5)
@@ -56,7 +56,7 @@
     """
     if isinstance(plain, float) and math.isfinite(plain):
         return plain
-    return read_whole(plain)
+    return read_int(plain)
 
 
 def read_list(plain: Any) -> list[Any]:
