--- a/trestledock/entry/_ends.py
+++ b/trestledock/entry/_crash_exchange.py
@@ -12,15 +12,15 @@
 
 from trestledock.entry._datagrams import Address
 from trestledock.entry._gossip import Gossip
-from trestledock.entry._words import Cleared, Ends
-from trestledock.relay import End
+from trestledock.entry._messages import Cleared, Ends
+from trestledock.relay import Crash
 
 #: Delays between repetitions of an important crash message, in seconds:
 #: messages may be lost, or an entry be cut off for a while.
 RESEND_DELAYS_S = (0.3, 0.7, 2.0)
 
 #: Crash with its age, in seconds.
-AgedCrash = tuple[End, float]
+AgedCrash = tuple[Crash, float]
 
 
 class EndsExchange:
@@ -30,21 +30,21 @@
         """Register the handlers with the gossip and the isolation."""
         self.gossip = gossip
         self.isolation = gossip.state.isolation
-        self.isolation.ways.tell_ends = self.send_crashes
-        self.isolation.ways.tell_cleared = self._send_cleared
+        self.isolation.hooks.send_crashes = self.send_crashes
+        self.isolation.hooks.send_cleared = self._send_cleared
         gossip.handlers[Ends] = self._handle_ends
         gossip.handlers[Cleared] = self._handle_cleared
-        gossip.on_met.append(self._send_known)
+        gossip.on_new_peer.append(self._send_known)
 
-    def send_crashes(self, crashes: Sequence[End]) -> None:
+    def send_crashes(self, crashes: Sequence[Crash]) -> None:
         """Send all other entries an `Ends` message about new crashes."""
         if not crashes:
             return
         self._send([(crash, 0) for crash in crashes], self._get_all())
-        if any(map(self.isolation.is_told_again, crashes)):
+        if any(map(self.isolation.needs_resending, crashes)):
             self.gossip.state.spawn(self._tell_again, crashes)
 
-    async def _tell_again(self, crashes: Iterable[End]) -> None:
+    async def _tell_again(self, crashes: Iterable[Crash]) -> None:
         age_s: float = 0
         for wait_s in RESEND_DELAYS_S:
             await anyio.sleep(wait_s)
@@ -64,11 +64,11 @@
         self.gossip.send(message, self._get_all())
 
     def _handle_ends(self, message: Ends, _: Address) -> bool:
-        self.isolation.take_ends(message.ends, message.sender)
+        self.isolation.merge_crashes(message.ends, message.sender)
         return True
 
     def _handle_cleared(self, message: Cleared, _: Address) -> bool:
-        self.isolation.take_cleared(
+        self.isolation.merge_cleared(
             message.fingerprint, message.ends, message.sender
         )
         return False
@@ -79,4 +79,4 @@
         self.gossip.send_rows(Ends, crashes, addresses)
 
     def _get_all(self) -> list[Address]:
-        return self.gossip.neighbours.get_all()
+        return self.gossip.addresses.get_all()
--- a/trestledock/entry/_daemon.py
+++ b/trestledock/entry/_daemon.py
@@ -16,22 +16,22 @@
 import anyio
 from anyio.abc import TaskGroup
 
-from trestledock.clock import counts_suspension
+from trestledock.clock import has_boottime_clock
 from trestledock.entry._app import EntryApp
 from trestledock.entry import _events as events
 from trestledock.entry._dialect import Dialect, Directory
-from trestledock.entry._ends import EndsExchange
-from trestledock.entry._following import Follower
+from trestledock.entry._crash_exchange import EndsExchange
+from trestledock.entry._follower import Follower
 from trestledock.entry._gossip import Gossip
-from trestledock.entry._keeping import Keeping
+from trestledock.entry._quarantine_sync import Keeping
 from trestledock.entry._loads import LoadExchange
 from trestledock.entry._logger import emit
-from trestledock.entry._news import NewsExchange
+from trestledock.entry._update_exchange import UpdateExchange
 from trestledock.entry._pool import Pool
 from trestledock.entry._notices_exchange import NoticesExchange
 from trestledock.entry._relaying import Relayer
 from trestledock.entry._sending import Sender
-from trestledock.entry._restoring import Restoring
+from trestledock.entry._store_repair import Restoring
 from trestledock.entry._server import Server, listen
 from trestledock.entry._settings import EntrySettings
 from trestledock.entry._state import EntryState
@@ -40,7 +40,7 @@
 KINDS = (signal.SIGTERM, signal.SIGHUP, signal.SIGINT)
 #: How long new connections are taken after the request to stop, in seconds;
 #: the balancer asks once a second and needs two misses.
-NOTICE_S = 3.0
+DRAIN_DELAY_S = 3.0
 #: What is kept of the time to stop for the last word to each request, and for
 #: the end itself, in seconds.
 END_MARGIN_S = 0.7
@@ -70,7 +70,7 @@
             _start(state, dialect, make_directory(settings), server)
             emit(
                 events.Started(
-                    state.member, settings.data_centre, counts_suspension()
+                    state.member, settings.data_centre, has_boottime_clock()
                 )
             )
             async for signum in signals:
@@ -121,7 +121,7 @@
     gossip = Gossip(state)
     EndsExchange(gossip)
     NoticesExchange(gossip)
-    exchange = NewsExchange(state, gossip)
+    exchange = UpdateExchange(state, gossip)
     loads = LoadExchange(state, gossip)
     follower = Follower(state, directory, pool, exchange)
     tickets = Tickets(state, pool, dialect)
@@ -130,7 +130,7 @@
     app = EntryApp(state, relayer, dialect, exchange, loads)
     keeping = Keeping(state, directory.quarantine, follower.is_reader)
     restoring = Restoring(state, directory, gossip, follower.is_reader)
-    state.isolation.ways.look = pool.look
+    state.isolation.hooks.reconnect = pool.check_connection
     state.keep_running(follower.run)
     state.keep_running(keeping.run)
     state.keep_running(restoring.run)
@@ -144,14 +144,14 @@
     It is over when all connections are closed, since answers may still wait
     in their buffers.  Whoever has no answer by the end is told so.
     """
-    state.leaving = True
+    state.draining = True
     state.notify_own()
     emit(events.Draining(state.in_progress))
-    await anyio.sleep(NOTICE_S)
+    await anyio.sleep(DRAIN_DELAY_S)
     state.closing = True
     server.stop.set()
-    with anyio.move_on_after(grace_s - NOTICE_S - END_MARGIN_S):
+    with anyio.move_on_after(grace_s - DRAIN_DELAY_S - END_MARGIN_S):
         await server.ended.wait()
-    state.end_requests()
+    state.abort_requests()
     with anyio.move_on_after(END_MARGIN_S - LAST_MARGIN_S):
         await server.ended.wait()
--- a/trestledock/entry/_dialect.py
+++ b/trestledock/entry/_dialect.py
@@ -14,15 +14,15 @@
     Body,
     Call,
     Catalog,
-    GoneTarget,
-    Listed,
+    RemovedTarget,
+    ListedTarget,
     Placement,
-    Quarantined,
+    QuarantineRecord,
 )
 
 
 @dataclass(frozen=True)
-class Passing:
+class ForwardingContext:
     """What is added to a call on its way to a target.
 
     `left_s` is the time that the target may take, `tickets` the ids of the
@@ -39,7 +39,7 @@
 
 
 @dataclass(frozen=True)
-class NamedLimit:
+class RateLimitHeader:
     """How many requests a second an answer's target takes from all entries.
 
     `per_s` is None where no number was given; `is_named` says that there was
@@ -47,23 +47,23 @@
     """
 
     per_s: float | None = None
-    is_named: bool = False
-    unreadable: str = ''
+    is_present: bool = False
+    invalid_text: str = ''
 
 
 @dataclass(frozen=True)
-class NamedRest:
+class BackoffHeader:
     """For how many seconds an answer's target wants nothing more from here.
 
     `unreadable` has what made no sense.
     """
 
-    rest_s: float = 0
-    unreadable: str = ''
+    backoff_s: float = 0
+    invalid_text: str = ''
 
 
 @dataclass(frozen=True)
-class AnswerNote:
+class AnswerMetadata:
     """What an answer's head says beside its status.
 
     `not_run` is the target's word that it did not run the request; `sealed`
@@ -80,13 +80,13 @@
     connection: str
     at_fault: str = ''
     instance: str = ''
-    limit: NamedLimit = NamedLimit()
+    limit: RateLimitHeader = RateLimitHeader()
     leaves: bool = False
-    rest: NamedRest = NamedRest()
+    rest: BackoffHeader = BackoffHeader()
 
 
 @dataclass(frozen=True)
-class Order:
+class ControlRequest:
     """A request to a target's control interface."""
 
     method: str
@@ -96,23 +96,23 @@
 
 
 @dataclass(frozen=True)
-class TargetNews:
+class TargetUpdate:
     """What the directory says of one target; `listed` is None once removed."""
 
     target_id: str
-    listed: Listed | None
+    listed: ListedTarget | None
 
 
 @dataclass(frozen=True)
-class HeldTarget:
+class RetainedTarget:
     """A target whose entry is missing, and for how long it is still held."""
 
-    listed: Listed
+    listed: ListedTarget
     left_s: float
 
 
 @dataclass(frozen=True)
-class News:
+class StoreUpdate:
     """What a read of the store brought, or what another entry knows.
 
     `document` is the text that `catalog` was read from, for the other
@@ -130,17 +130,17 @@
 
     catalog: Catalog | None = None
     document: str = ''
-    targets: tuple[TargetNews, ...] = ()
-    held: tuple[HeldTarget, ...] = ()
+    targets: tuple[TargetUpdate, ...] = ()
+    held: tuple[RetainedTarget, ...] = ()
     as_of: float = float('-inf')
     latest_at: float | None = None
     whole: bool = False
     settled: bool = False
     source: str = 'store'
     revision: int = 0
-    quarantine: tuple[Quarantined, ...] = ()
+    quarantine: tuple[QuarantineRecord, ...] = ()
     epoch: int | None = None
-    gone: tuple[GoneTarget, ...] = ()
+    gone: tuple[RemovedTarget, ...] = ()
     leaving: tuple[str, ...] = ()
 
 
@@ -152,26 +152,26 @@
     ) -> Call:
         """Read a caller's request."""
 
-    def make_headers(self, call: Call, passing: Passing) -> Headers:
+    def make_headers(self, call: Call, passing: ForwardingContext) -> Headers:
         """Return the headers of a request to a target."""
 
-    def read_head(self, head: Head) -> AnswerNote:
+    def read_head(self, head: Head) -> AnswerMetadata:
         """Read the head of a target's answer."""
 
     def make_reply_headers(self, head: Head) -> Headers:
         """Return the headers of an answer that is passed on."""
 
     def make_reserve(
-        self, ticket: str, tokens: int, hold_s: float, holder: Listed
-    ) -> Order:
+        self, ticket: str, tokens: int, lease_s: float, holder: ListedTarget
+    ) -> ControlRequest:
         """Return the order that reserves memory at a target alone."""
 
-    def make_release(self, ticket: str, holder: Listed) -> Order:
+    def make_release(self, ticket: str, holder: ListedTarget) -> ControlRequest:
         """Return the order that gives memory back."""
 
 
 @dataclass(frozen=True)
-class Place:
+class LogPosition:
     """A place between records, in the copy of the store of an epoch."""
 
     offset: int
@@ -182,12 +182,12 @@
 class StoredQuarantine:
     """All records of quarantined requests; `end` is the place behind them."""
 
-    records: tuple[Quarantined, ...]
-    end: Place
+    records: tuple[QuarantineRecord, ...]
+    end: LogPosition
 
 
 @dataclass(frozen=True)
-class Announced:
+class EntryAnnouncements:
     """What entries have written: their addresses by name.
 
     `settled_epoch` is the newest epoch of the store in which one of them has
@@ -202,7 +202,7 @@
 class QuarantineStore(Protocol):
     """What the platform's store remembers of quarantined requests."""
 
-    async def read_records(self, wait_s: float) -> tuple[Quarantined, ...]:
+    async def read_records(self, wait_s: float) -> tuple[QuarantineRecord, ...]:
         """Return what is new, once there is something or the time is over."""
 
     async def read_whole(self) -> StoredQuarantine:
@@ -210,8 +210,8 @@
 
     async def write_records(
         self,
-        records: Iterable[Quarantined],
-        expected: Place | None = None,
+        records: Iterable[QuarantineRecord],
+        expected: LogPosition | None = None,
     ) -> bool:
         """Write records; return whether none had come behind that place."""
 
@@ -227,16 +227,16 @@
     def epoch(self) -> int | None:
         """Return the newest epoch of the store that was heard, if any."""
 
-    async def read_catalog(self) -> News:
+    async def read_catalog(self) -> StoreUpdate:
         """Return the newest configuration where it changed."""
 
     def decode_document(self, document: str) -> Catalog:
         """Read the text of a configuration that another entry passed on."""
 
-    async def read_targets(self) -> News:
+    async def read_targets(self) -> StoreUpdate:
         """Return what changed among the targets."""
 
-    async def read_peers(self) -> Announced:
+    async def read_peers(self) -> EntryAnnouncements:
         """Return what the entries have written."""
 
     async def announce(self, addresses: Mapping[str, str]) -> None:
--- a/trestledock/entry/_rows.py
+++ b/trestledock/entry/_flight_codec.py
@@ -10,12 +10,12 @@
 from typing import Any, NamedTuple, Sequence
 
 from trestledock.entry._checks import (
-    read_amount,
+    read_number,
     read_count,
     read_list,
     read_text,
 )
-from trestledock.entry._state import MOST_AGE_S
+from trestledock.entry._state import MAX_AGE_S
 from trestledock.relay import Flight, Phase
 
 MS = 1000
@@ -40,11 +40,11 @@
     due_ms: int
     helpers: Sequence[str]
     tickets: Sequence[tuple[str, int]]
-    gone_ms: float = MOST_AGE_S * MS
-    patience_ms: float = MOST_AGE_S * MS
+    gone_ms: float = MAX_AGE_S * MS
+    patience_ms: float = MAX_AGE_S * MS
 
 
-def write_change(
+def encode_change(
     flight_id: str,
     flight: Flight | None,
     now: float,
@@ -61,20 +61,20 @@
         since_ms=round((now - flight.since) * MS),
         pause_ms=round(flight.pause_s * MS),
         worth=round(flight.worth, 2),
-        due_ms=_get_ms(flight.due - now),
+        due_ms=_get_ms(flight.due_at - now),
         helpers=flight.helpers,
-        tickets=flight.tickets,
-        gone_ms=_get_ms(flight.gone - now),
+        tickets=flight.reservations,
+        gone_ms=_get_ms(flight.abandoned_at - now),
         patience_ms=_get_ms(flight.patience_s),
     )
 
 
 def _get_ms(seconds: float) -> int:
     """Return milliseconds, with infinity as a very long time."""
-    return round(min(seconds, MOST_AGE_S) * MS)
+    return round(min(seconds, MAX_AGE_S) * MS)
 
 
-def read_change(values: Any, now: float) -> Change:
+def decode_change(values: Any, now: float) -> Change:
     """Decode an in-flight request, or the id alone of one that has ended.
 
     An invalid row raises a `ValueError` or a `TypeError`.
@@ -88,15 +88,15 @@
         prompt_tokens=read_count(row.prompt_tokens),
         output_tokens=read_count(row.output_tokens),
         phase=Phase(row.phase),
-        since=now - read_amount(row.since_ms) / MS,
-        pause_s=read_amount(row.pause_ms) / MS,
-        worth=read_amount(row.worth),
-        due=now + read_amount(row.due_ms) / MS,
+        since=now - read_number(row.since_ms) / MS,
+        pause_s=read_number(row.pause_ms) / MS,
+        worth=read_number(row.worth),
+        due_at=now + read_number(row.due_ms) / MS,
         helpers=tuple(map(read_text, read_list(row.helpers))),
-        tickets=tuple(
+        reservations=tuple(
             (read_text(name), read_count(tokens))
             for name, tokens in read_list(row.tickets)
         ),
-        gone=now + read_amount(row.gone_ms) / MS,
-        patience_s=read_amount(row.patience_ms) / MS,
+        abandoned_at=now + read_number(row.gone_ms) / MS,
+        patience_s=read_number(row.patience_ms) / MS,
     )
--- a/trestledock/entry/_following.py
+++ b/trestledock/entry/_follower.py
@@ -10,19 +10,19 @@
 import anyio
 
 from trestledock.entry import _events as events
-from trestledock.entry._dialect import Directory, News
-from trestledock.entry._listing import Listing
+from trestledock.entry._dialect import Directory, StoreUpdate
+from trestledock.entry._target_list import TargetListUpdater
 from trestledock.entry._logger import emit
-from trestledock.entry._news import NewsExchange
+from trestledock.entry._update_exchange import UpdateExchange
 from trestledock.entry._pool import Pool
-from trestledock.entry._reading import DirectoryError, StoreReading
+from trestledock.entry._store_reader import DirectoryError, StoreReader
 from trestledock.entry._state import EntryState
 from trestledock.relay import (
-    Candidate,
-    ReadPace,
+    ReaderCandidate,
+    ReadSchedule,
     choose_reader,
-    get_own_read_in_s,
-    get_retry_s,
+    get_own_read_delay_s,
+    get_read_retry_s,
 )
 
 #: Timeout for fetching an update from the reader, in seconds, and its minimum
@@ -59,18 +59,18 @@
         state: EntryState,
         directory: Directory,
         pool: Pool,
-        exchange: NewsExchange,
+        exchange: UpdateExchange,
     ) -> None:
         """Take the source of updates and the state they are applied to."""
         self.state = state
-        self.listing = Listing(state, pool)
-        self.reading = StoreReading(state, directory, self.listing, exchange)
+        self.listing = TargetListUpdater(state, pool)
+        self.reading = StoreReader(state, directory, self.listing, exchange)
         self.gossip = exchange.gossip
         self.exchange = exchange
         self._reader = ''
         self._fetch_failures = 0
         self._excluded_until: dict[str, float] = {}
-        self._pace = ReadPace(state.settings.settle_s)
+        self._pace = ReadSchedule(state.settings.settle_s)
 
     async def run(self) -> None:
         """Follow the store until cancelled."""
@@ -91,7 +91,7 @@
         """
         await anyio.sleep(GREETING_S)
         for name in self.gossip.peers.get_near()[:MAX_CONSULTED]:
-            await self.exchange.ask(name)
+            await self.exchange.query_reader(name)
             await self._fetch(name, with_removed=True)
 
     async def _follow(self) -> None:
@@ -107,8 +107,8 @@
 
     async def _ask(self, reader: str) -> None:
         """Get updates from the reader; read the store if that fails."""
-        await self.exchange.ask(reader)
-        if self.exchange.take_proof(reader):
+        await self.exchange.query_reader(reader)
+        if self.exchange.renew_proof(reader):
             await self._fetch(reader)
         if self._is_own_read_due(anyio.current_time()):
             await self.reading.read()
@@ -122,15 +122,15 @@
         if news and self._apply_configuration(news):
             self._fetch_failures = 0
             self._apply_list(news)
-            self.state.isolation.take_records(news.quarantine, reader)
-            self.exchange.take_proof(reader)
+            self.state.isolation.merge_records(news.quarantine, reader)
+            self.exchange.renew_proof(reader)
             return
         self._fetch_failures += 1
         if self._fetch_failures >= MAX_FETCH_FAILURES:
             self._fetch_failures = 0
             self._excluded_until[reader] = now + EXCLUSION_S
 
-    def _apply_configuration(self, news: News) -> bool:
+    def _apply_configuration(self, news: StoreUpdate) -> bool:
         """Apply another entry's configuration; return whether it was valid."""
         try:
             self.reading.apply(news)
@@ -156,20 +156,20 @@
     def _get_ask_pause_s(self, now: float) -> float:
         """Return the time until the next question or, if sooner, own read."""
         due_in_s = self._get_own_read_in_s(now)
-        pause_s = self._pace.ask_s
+        pause_s = self._pace.ask_interval_s
         return min(pause_s, due_in_s) if due_in_s > 0 else pause_s
 
-    def _apply_list(self, news: News) -> None:
+    def _apply_list(self, news: StoreUpdate) -> None:
         """Apply another entry's list if it is certainly newer than the own one.
 
         Its knowledge of removed targets applies in any case.
         """
         now = anyio.current_time()
-        self.state.note_told_epoch(news.epoch, now, news.source)
-        self.listing.take_past(news)
+        self.state.record_reported_epoch(news.epoch, now, news.source)
+        self.listing.apply_removals(news)
         if news.as_of > self.state.fleet.watch.latest_at:
-            self.listing.take(news)
-            self.exchange.note_taken(news)
+            self.listing.apply(news)
+            self.exchange.record_list_source(news)
 
     def _is_own_read_due(self, now: float) -> bool:
         if now - self.reading.failed_at < self._get_retry_s(now):
@@ -177,9 +177,9 @@
         return self._get_own_read_in_s(now) <= 0
 
     def _get_own_read_in_s(self, now: float) -> float:
-        age_s = self.state.get_news_age_s(now)
+        age_s = self.state.get_store_age_s(now)
         names = self._get_names(now)
-        return get_own_read_in_s(self.state.member, names, age_s, self._pace)
+        return get_own_read_delay_s(self.state.member, names, age_s, self._pace)
 
     def _set_reader(self, reader: str) -> None:
         if reader != self._reader:
@@ -189,17 +189,17 @@
     def _get_pause_s(self, now: float) -> float:
         if self._get_own_read_in_s(now) <= 0:
             return self._get_retry_s(now)
-        return self._pace.read_s
+        return self._pace.read_interval_s
 
     def _get_retry_s(self, now: float) -> float:
-        return get_retry_s(self.state.member, self._get_names(now))
+        return get_read_retry_s(self.state.member, self._get_names(now))
 
     def _get_names(self, now: float) -> list[str]:
         self._end_exclusions(now)
         known = [self.state.member, *self.gossip.peers.get_near()]
         return [name for name in known if name not in self._excluded_until]
 
-    def _get_candidates(self, now: float) -> list[Candidate]:
+    def _get_candidates(self, now: float) -> list[ReaderCandidate]:
         """Return who may read for this entry, and can be asked."""
         self._end_exclusions(now)
         known = self.gossip.get_candidates(now)
@@ -220,11 +220,11 @@
         await anyio.sleep(wait_s * self.state.rng.uniform(*JITTER))
 
     async def _follow_peers(self) -> None:
-        for step in (self.reading.announce, self.reading.meet_peers):
+        for step in (self.reading.announce, self.reading.update_peers):
             while not await step():
                 await self._sleep(PEERS_RETRY_S)
-        if not self.state.restores.is_settled(anyio.current_time()):
+        if not self.state.restores.is_complete(anyio.current_time()):
             await self.consult()
         while True:
             await self._sleep(PEERS_INTERVAL_S)
-            await self.reading.meet_peers()
+            await self.reading.update_peers()
--- a/trestledock/entry/_gossip.py
+++ b/trestledock/entry/_gossip.py
@@ -16,13 +16,13 @@
 from trestledock.entry._datagrams import Address, Datagrams, split_address
 from trestledock.entry._logger import emit
 from trestledock.entry._metrics import METRICS
-from trestledock.entry._neighbours import Neighbours
+from trestledock.entry._peer_addresses import PeerAddresses
 from trestledock.entry._peers import Peers
-from trestledock.entry._rows import Change
+from trestledock.entry._flight_codec import Change
 from trestledock.entry._state import EntryState
-from trestledock.entry._word_codec import BadWord, read_word, write_word
-from trestledock.entry._words import Beat, Flights, Fresh, Word
-from trestledock.relay import BEAT_S, Candidate, Flight
+from trestledock.entry._message_codec import InvalidMessage, decode_message, encode_message
+from trestledock.entry._messages import Beat, Flights, Fresh, Message
+from trestledock.relay import BEAT_INTERVAL_S, ReaderCandidate, Flight
 
 #: How long changes are collected before they are sent, in seconds.
 BATCH_S = 0.004
@@ -60,37 +60,37 @@
         """Start without peers."""
         self.state = state
         own = split_address(state.settings.peers)
-        self.neighbours = Neighbours(own, state.settings.data_centre)
+        self.addresses = PeerAddresses(own, state.settings.data_centre)
         self.peers = Peers(state.settings.data_centre)
-        self.handlers: dict[type[Word], Handler] = {
+        self.handlers: dict[type[Message], Handler] = {
             Flights: self._handle_flights,
             Beat: self._handle_beat,
             Fresh: self._handle_fresh,
         }
-        self.on_met: list[Callable[[Address], None]] = []
-        self.on_told: list[Callable[[Sequence[Address]], None]] = []
+        self.on_new_peer: list[Callable[[Address], None]] = []
+        self.on_full_state_sent: list[Callable[[Sequence[Address]], None]] = []
         self.sequence = 0
         self._datagrams: Datagrams | None = None
         self._fast_poll_until = float('-inf')
         self._is_drain_announced = False
         self._remote_by_flight: dict[str, set[str]] = {}
 
-    def meet(self, addresses: Mapping[str, str]) -> None:
+    def add_addresses(self, addresses: Mapping[str, str]) -> None:
         """Add the addresses of other entries by name, and contact new ones."""
         parsed = map(split_address, addresses.values())
-        new = self.neighbours.meet(parsed, anyio.current_time())
+        new = self.addresses.add_addresses(parsed, anyio.current_time())
         self._send_full_state(new, self._get_remote_interval_s())
 
-    def get_candidates(self, now: float) -> list[Candidate]:
+    def get_candidates(self, now: float) -> list[ReaderCandidate]:
         """Return the entries that may read the store, including this one."""
-        own = Candidate(self.state.member, self.state.get_offered_age_s(now))
+        own = ReaderCandidate(self.state.member, self.state.get_advertised_age_s(now))
         return [own, *self.peers.get_candidates(now)]
 
     async def run(self) -> None:
         """Send and receive until cancelled."""
-        self._datagrams = Datagrams(self.neighbours.own)
-        self.state.catch_up = self.catch_up
-        self.state.tell_own = self.tell_own
+        self._datagrams = Datagrams(self.addresses.own)
+        self.state.receive_messages = self.receive_messages
+        self.state.send_own_changes = self.send_own_changes
         try:
             async with anyio.create_task_group() as group:
                 group.start_soon(self._poll)
@@ -101,18 +101,18 @@
             self._datagrams.close()
             self._datagrams = None
 
-    def send(self, message: Word, addresses: Sequence[Address]) -> None:
+    def send(self, message: Message, addresses: Sequence[Address]) -> None:
         """Send a message to some addresses, without guaranteed delivery."""
         if self._datagrams is None or not addresses:
             return
-        raw = write_word(message, anyio.current_time())
+        raw = encode_message(message, anyio.current_time())
         name = type(message).__name__
-        METRICS.count_words('sent', name, len(raw), len(addresses))
+        METRICS.count_messages('sent', name, len(raw), len(addresses))
         self._datagrams.send(raw, addresses)
 
     def send_rows(
         self,
-        make_message: Callable[[str, tuple[Any, ...]], Word],
+        make_message: Callable[[str, tuple[Any, ...]], Message],
         rows: Sequence[Any],
         addresses: Sequence[Address],
     ) -> None:
@@ -121,13 +121,13 @@
             part = tuple(rows[start : start + MAX_ROWS])
             self.send(make_message(self.state.member, part), addresses)
 
-    def catch_up(self) -> None:
+    def receive_messages(self) -> None:
         """Handle all datagrams that have arrived."""
         if self._datagrams is None:
             return
         is_changed = False
         for raw, sender in self._datagrams.receive():
-            is_changed = self.take(raw, sender) or is_changed
+            is_changed = self.handle_datagram(raw, sender) or is_changed
         if is_changed:
             self.state.notify()
 
@@ -136,31 +136,31 @@
         while not event.is_set():
             with anyio.move_on_after(POLL_INTERVAL_S):
                 await event.wait()
-            self.catch_up()
+            self.receive_messages()
 
-    def take(self, raw: bytes, sender: Address) -> bool:
+    def handle_datagram(self, raw: bytes, sender: Address) -> bool:
         """Handle a datagram; return whether it changes the load of targets.
 
         An invalid datagram changes nothing.
         """
         now = anyio.current_time()
         try:
-            message = read_word(raw, now)
-        except BadWord as exc:
+            message = decode_message(raw, now)
+        except InvalidMessage as exc:
             emit(events.DatagramDropped(repr(exc)))
             return False
-        METRICS.count_words('heard', type(message).__name__, len(raw), 1)
+        METRICS.count_messages('heard', type(message).__name__, len(raw), 1)
         return bool(self.handlers[type(message)](message, sender))
 
-    def tell_fresh(self) -> None:
+    def announce_read(self) -> None:
         """Announce that this entry has just read the store."""
-        if not self.state.leaving:
-            age_s = self.state.get_offered_age_s(anyio.current_time())
+        if not self.state.draining:
+            age_s = self.state.get_advertised_age_s(anyio.current_time())
             self.send(Fresh(self.state.member, age_s), self._get_near())
 
-    def tell_own(self) -> None:
+    def send_own_changes(self) -> None:
         """Send the own in-flight requests that changed since the last time."""
-        changes = list(self.state.board.take_changes().items())
+        changes = list(self.state.board.pop_changes().items())
         if changes:
             again_s = self._get_full_state_interval_s()
             self._send_flights(
@@ -168,19 +168,19 @@
             )
             self._send_remote_changes(changes)
 
-    def be_attentive(self) -> None:
+    def poll_more_often(self) -> None:
         """Poll more often for a while, as other entries wait for answers."""
         self._fast_poll_until = anyio.current_time() + FAST_POLL_S
 
     def _handle_flights(self, message: Flights, sender: Address) -> bool:
         now = anyio.current_time()
-        self.neighbours.note(sender, message.data_centre, now)
-        is_new = self.peers.hear(message, sender, now)
+        self.addresses.record_address(sender, message.data_centre, now)
+        is_new = self.peers.update(message, sender, now)
         self.state.many_entries = self.peers.are_many
         self._record_sender(message, now)
         if is_new:
             self._add_peer(message.sender, sender)
-        return self.state.board.hear(
+        return self.state.board.apply_update(
             message.sender,
             message.sequence,
             message.changes,
@@ -193,11 +193,11 @@
 
     def _handle_fresh(self, message: Fresh, _: Address) -> bool:
         now = anyio.current_time()
-        self.peers.note_fresh(message.sender, message.news_age_s, now)
+        self.peers.record_read(message.sender, message.news_age_s, now)
         return False
 
     def _record_sender(self, message: Flights | Beat, now: float) -> None:
-        self.state.note_heard(
+        self.state.record_remote_entry(
             message.data_centre, message.sender, now, leaving=message.leaving
         )
 
@@ -208,7 +208,7 @@
         entry until the next period.
         """
         emit(events.PeerMet(name))
-        for predecessor in self.peers.get_others_at(name):
+        for predecessor in self.peers.get_previous_at(name):
             self._drop(predecessor)
         is_near = self.peers.is_near(name)
         again_s = (
@@ -217,7 +217,7 @@
             else self._get_remote_interval_s()
         )
         self._send_full_state([address], again_s)
-        for callback in self.on_met:
+        for callback in self.on_new_peer:
             callback(address)
 
     def _send_full_state(
@@ -228,7 +228,7 @@
 
     async def _poll(self) -> None:
         while True:
-            self.catch_up()
+            self.receive_messages()
             await anyio.sleep(self._get_poll_interval_s())
 
     def _get_poll_interval_s(self) -> float:
@@ -245,19 +245,19 @@
         """
         data_centre = self.state.settings.data_centre
         while True:
-            await anyio.sleep(BEAT_S)
+            await anyio.sleep(BEAT_INTERVAL_S)
             if self.state.many_entries:
                 continue
-            beat = Beat(self.state.member, data_centre, self.state.leaving)
-            self.send(beat, self.neighbours.get_elsewhere())
-            self.catch_up()
-            self.state.check_reach(anyio.current_time())
+            beat = Beat(self.state.member, data_centre, self.state.draining)
+            self.send(beat, self.addresses.get_remote())
+            self.receive_messages()
+            self.state.check_reachability(anyio.current_time())
 
     async def _send_changes(self) -> None:
         while True:
             await self.state.wait_for_own_change()
             await anyio.sleep(BATCH_S)
-            self.tell_own()
+            self.send_own_changes()
             self._announce_drain()
 
     def _send_remote_changes(self, changes: Sequence[Change]) -> None:
@@ -267,7 +267,7 @@
         centres. An ended request names no target, so its end goes where its
         start was sent.
         """
-        remote = self.neighbours.get_far(many=self.state.many_entries)
+        remote = self.addresses.get_far(many=self.state.many_entries)
         for flight_id, flight in changes:
             previous = self._remote_by_flight.pop(flight_id, set())
             data_centres = self._get_data_centres(flight) if flight else set()
@@ -284,10 +284,10 @@
 
     def _announce_drain(self) -> None:
         """Announce at once that this entry is draining."""
-        if self.state.leaving and not self._is_drain_announced:
+        if self.state.draining and not self._is_drain_announced:
             self._is_drain_announced = True
             self._send_full_state(
-                self.neighbours.get_all(), self._get_remote_interval_s()
+                self.addresses.get_all(), self._get_remote_interval_s()
             )
 
     async def _send_periodically(self) -> None:
@@ -302,13 +302,13 @@
                 self._send_remote_states()
                 next_remote_at = now + self._get_remote_interval_s()
             await anyio.sleep(self._get_full_state_interval_s())
-            self.catch_up()
+            self.receive_messages()
             self._drop_silent(anyio.current_time())
 
     def _send_remote_states(self) -> None:
         """Send other data centres the in-flight requests at their targets."""
         own = list(self.state.board.own.items())[:MAX_FLIGHTS]
-        remote = self.neighbours.get_far(many=self.state.many_entries)
+        remote = self.addresses.get_far(many=self.state.many_entries)
         for data_centre, addresses in remote.items():
             changes = [
                 change
@@ -324,7 +324,7 @@
             self._notify_full_state_sent(addresses)
 
     def _notify_full_state_sent(self, addresses: Sequence[Address]) -> None:
-        for callback in self.on_told:
+        for callback in self.on_full_state_sent:
             callback(addresses)
 
     def _get_full_state_interval_s(self) -> float:
@@ -335,7 +335,7 @@
     def _get_remote_interval_s(self) -> float:
         return max(
             REMOTE_INTERVAL_S,
-            len(self.neighbours.places) / MAX_REMOTE_STATES_PER_S,
+            len(self.addresses.data_centres) / MAX_REMOTE_STATES_PER_S,
         )
 
     def _drop_silent(self, now: float) -> None:
@@ -345,12 +345,12 @@
     def _drop(self, name: str) -> None:
         peer = self.peers.known.pop(name)
         if peer.leaving:
-            self.neighbours.note_left(peer.address)
+            self.addresses.record_shutdown(peer.address)
         self.state.board.drop_sender(name)
         emit(events.PeerLost(name))
 
     def _get_near(self) -> list[Address]:
-        return self.neighbours.get_near(many=self.state.many_entries)
+        return self.addresses.get_near(many=self.state.many_entries)
 
     def _get_data_centres(self, flight: Flight) -> set[str]:
         """Return the data centres of the targets that a request occupies."""
@@ -370,13 +370,13 @@
         again_s: float,
     ) -> None:
         self.sequence += 1
-        age_s = self.state.get_offered_age_s(anyio.current_time())
+        age_s = self.state.get_advertised_age_s(anyio.current_time())
         message = Flights(
             sender=self.state.member,
             sequence=self.sequence,
             whole=whole,
             data_centre=self.state.settings.data_centre,
-            leaving=self.state.leaving,
+            leaving=self.state.draining,
             news_age_s=age_s,
             again_s=again_s,
             changes=tuple(changes),
--- a/trestledock/entry/_holding_back.py
+++ b/trestledock/entry/_holding_back.py
@@ -12,7 +12,7 @@
 
 from trestledock.entry._job import Job, Refusal
 from trestledock.entry._state import EntryState
-from trestledock.relay import Listed, get_come_back_s
+from trestledock.relay import ListedTarget, get_retry_after_s
 
 #: The part of its time left that a request may wait for its turn.
 TURN_SHARE = 0.5
@@ -25,17 +25,17 @@
 
 
 def get_free(
-    state: EntryState, job: Job, targets: Sequence[Listed], now: float
-) -> list[Listed]:
+    state: EntryState, job: Job, targets: Sequence[ListedTarget], now: float
+) -> list[ListedTarget]:
     """Return the targets that may get a request now, as they asked.
 
     Where each of them is restrained, those go first that wait already.
     """
-    if not state.throttle.restrains_any:
+    if not state.throttle.has_restraints:
         return list(targets)
     free = _spare(
         state,
-        [one for one in targets if state.throttle.is_free(one, now)],
+        [one for one in targets if state.throttle.can_send(one, now)],
         now,
     )
     if all(map(state.throttle.is_restrained, free)):
@@ -43,17 +43,17 @@
     return free
 
 
-def _spare(state: EntryState, free: list[Listed], now: float) -> list[Listed]:
+def _spare(state: EntryState, free: list[ListedTarget], now: float) -> list[ListedTarget]:
     """Return the targets that rest from nobody, if enough of them do.
 
     Else each entry would learn of a rest by a request that is turned away; but
     too few of them must not get the work of all.
     """
-    rested = [one for one in free if not state.throttle.is_spared(one, now)]
+    rested = [one for one in free if not state.throttle.has_peer_backoff(one, now)]
     return rested if len(rested) >= len(free) * SPARE_SHARE else free
 
 
-def get_restrained(state: EntryState, job: Job) -> list[Listed]:
+def get_restrained(state: EntryState, job: Job) -> list[ListedTarget]:
     """Return the targets of a request's service that are restrained."""
     usable = state.fleet.get_usable(job.service)
     return [one for one in usable if state.throttle.is_restrained(one)]
@@ -70,12 +70,12 @@
     ahead = state.turns.count_ahead(job.turn)
     wait_s = state.throttle.get_wait_s(restrained, ahead, now)
     timing = job.timing
-    if wait_s <= (min(timing.due, timing.gone) - now) * TURN_SHARE:
+    if wait_s <= (min(timing.due_at, timing.abandoned_at) - now) * TURN_SHARE:
         return None
     if wait_s == inf:
-        wait_s = 1 / state.throttle.get_limit(restrained)
-    if all(state.throttle.is_resting(one, now) for one in restrained):
+        wait_s = 1 / state.throttle.get_total_limit(restrained)
+    if all(state.throttle.is_backing_off(one, now) for one in restrained):
         job.come_back_s = wait_s * state.rng.uniform(1, 1 + RETURN_SPREAD)
         return Refusal.resting
-    job.come_back_s = get_come_back_s(timing, wait_s, now)
+    job.come_back_s = get_retry_after_s(timing, wait_s, now)
     return Refusal.limited
--- a/trestledock/entry/_isolation.py
+++ b/trestledock/entry/_isolation.py
@@ -27,14 +27,14 @@
 from trestledock.entry import _events as events
 from trestledock.entry._logger import emit
 from trestledock.relay import (
-    End,
+    Crash,
     Fleet,
     Health,
-    Listed,
-    OpenEnds,
+    ListedTarget,
+    UnconfirmedCrashes,
     Quarantine,
-    Quarantined,
-    Sign,
+    QuarantineRecord,
+    FailureKind,
 )
 
 
@@ -54,43 +54,43 @@
 #: may write bytes that are no valid answer first. Silence proves nothing: a
 #: target given up for silence is not known to have run the request, and network
 #: partitions and overload cause more silence than crashes do.
-INQUIRIES: Mapping[Sign, Inquiry] = MappingProxyType(
+INQUIRIES: Mapping[FailureKind, Inquiry] = MappingProxyType(
     {
-        Sign.none: Inquiry.none,
-        Sign.closed: Inquiry.reconnect,
-        Sign.silent: Inquiry.none,
-        Sign.refused: Inquiry.none,
-        Sign.unreachable: Inquiry.none,
-        Sign.garbled: Inquiry.listing,
+        FailureKind.none: Inquiry.none,
+        FailureKind.closed: Inquiry.reconnect,
+        FailureKind.silent: Inquiry.none,
+        FailureKind.refused: Inquiry.none,
+        FailureKind.unreachable: Inquiry.none,
+        FailureKind.garbled: Inquiry.listing,
     }
 )
 #: Evidence at a new connection that the process is gone. Anything else waits
 #: for a listing: a process that listens may be the next incarnation, and an
 #: unreachable address may be that of a live one.
-GONE = Sign.refused
+GONE = FailureKind.refused
 #: Maximum age of a crash reported by another entry, in seconds, at which this
 #: entry stops using the target: the next incarnation has another name.
 RECENT_S = 1.0
 #: Minimum number of crashes of a request for which crash messages are repeated
 #: and its answer is announced: one crash says little, and each message goes to
 #: every entry.
-LEAST_TOLD = 2
+MIN_SHARED_CRASHES = 2
 SELF = 'self'
 #: Source in log events for what the platform's store said.
 STORE = 'store'
 
-Reconnect = Callable[[Listed], Awaitable[Sign]]
-Claim = Callable[[Quarantined], Awaitable[bool]]
-SendCrashes = Callable[[Sequence[End]], None]
+Reconnect = Callable[[ListedTarget], Awaitable[FailureKind]]
+Claim = Callable[[QuarantineRecord], Awaitable[bool]]
+SendCrashes = Callable[[Sequence[Crash]], None]
 SendCleared = Callable[[str, Sequence[str]], None]
 
 
-async def _find_unreachable(_: Listed) -> Sign:
+async def _find_unreachable(_: ListedTarget) -> FailureKind:
     """Default for `look`, without connections."""
-    return Sign.unreachable
+    return FailureKind.unreachable
 
 
-async def _refuse_claim(_: Quarantined) -> bool:
+async def _refuse_claim(_: QuarantineRecord) -> bool:
     """Default for `claim`, without a store."""
     return False
 
@@ -100,7 +100,7 @@
 
 
 @dataclass
-class Ways:
+class IsolationHooks:
     """Callbacks of the isolation.
 
     `look` connects to a target again; `claim` reserves the right to probe a
@@ -108,10 +108,10 @@
     once.
     """
 
-    look: Reconnect = _find_unreachable
+    reconnect: Reconnect = _find_unreachable
     claim: Claim = _refuse_claim
-    tell_ends: SendCrashes = _send_nothing
-    tell_cleared: SendCleared = _send_nothing
+    send_crashes: SendCrashes = _send_nothing
+    send_cleared: SendCleared = _send_nothing
 
 
 class Isolation:
@@ -126,11 +126,11 @@
         self.health = health
         self.fleet = fleet
         self.quarantine = Quarantine()
-        self.ways = Ways()
-        self.to_keep: set[str] = set()
-        self.wants_keeping = anyio.Event()
+        self.hooks = IsolationHooks()
+        self.unsaved: set[str] = set()
+        self.unsaved_added = anyio.Event()
         self.revision = 0
-        self._suspected = OpenEnds()
+        self._suspected = UnconfirmedCrashes()
         self._witnessed: set[str] = set()
         self._claiming: set[str] = set()
         self._probed: set[str] = set()
@@ -143,23 +143,23 @@
         """Return the number of quarantined requests."""
         return sum(map(self.is_quarantined, self.quarantine.suspects))
 
-    def get_come_back_s(self, fingerprint: str) -> float:
+    def get_retry_after_s(self, fingerprint: str) -> float:
         """Return the Retry-After of a quarantined request, in seconds."""
         now = anyio.current_time()
-        return self.quarantine.get_come_back_s(fingerprint, now)
+        return self.quarantine.get_retry_after_s(fingerprint, now)
 
-    async def may_try(self, fingerprint: str) -> bool:
+    async def may_probe(self, fingerprint: str) -> bool:
         """Whether a quarantined request may go to one target as a probe now.
 
         Of all such requests at all entries one may; the others don't wait.
         """
         now = anyio.current_time()
-        is_due = self.quarantine.is_due(fingerprint, now)
+        is_due = self.quarantine.is_probe_due(fingerprint, now)
         if not is_due or fingerprint in self._claiming:
             return False
         self._claiming.add(fingerprint)
         try:
-            is_granted = await self.ways.claim(
+            is_granted = await self.hooks.claim(
                 self.quarantine.make_record(fingerprint, now)
             )
         finally:
@@ -167,17 +167,17 @@
         # Another entry may have got an answer to it during the claim.
         if not is_granted or not self.is_quarantined(fingerprint):
             return False
-        self.quarantine.note_trial(fingerprint, now)
+        self.quarantine.record_probe(fingerprint, now)
         self._probed.add(fingerprint)
         self.revision += 1
         emit(events.TrialGranted(fingerprint))
         return True
 
-    async def note_lost(
+    async def investigate_failure(
         self,
         fingerprint: str,
-        evidence: Sign,
-        targets: Iterable[Listed],
+        evidence: FailureKind,
+        targets: Iterable[ListedTarget],
     ) -> None:
         """Find out whether a target has crashed during a request.
 
@@ -189,38 +189,38 @@
             return
         for target in targets:
             reconnects = inquiry is Inquiry.reconnect
-            if reconnects and await self.ways.look(target) is GONE:
-                crash = End(fingerprint, target.incarnation)
+            if reconnects and await self.hooks.reconnect(target) is GONE:
+                crash = Crash(fingerprint, target.incarnation)
                 self._record_own([crash], GONE)
                 return
-            self._suspected.keep(fingerprint, target, anyio.current_time())
+            self._suspected.add(fingerprint, target, anyio.current_time())
 
-    def note_replaced(self, incarnation: str) -> None:
+    def record_replaced(self, incarnation: str) -> None:
         """Record another incarnation of a target: the given one crashed."""
         now = anyio.current_time()
-        self._record_own(self._suspected.take(incarnation, now), Sign.none)
+        self._record_own(self._suspected.pop_confirmed(incarnation, now), FailureKind.none)
 
-    def note_listed(self, listed: Listed) -> None:
+    def record_listed(self, listed: ListedTarget) -> None:
         """Record a listed target: its predecessor at the address crashed."""
         now = anyio.current_time()
         self._record_own(
-            self._suspected.take_replaced_by(listed, now), Sign.none
+            self._suspected.pop_replaced_by(listed, now), FailureKind.none
         )
 
-    def note_answered(self, fingerprint: str) -> None:
+    def record_answered(self, fingerprint: str) -> None:
         """Record that a target has answered a request without a crash."""
         was_quarantined = self.is_quarantined(fingerprint)
         now = anyio.current_time()
-        incarnations = self.quarantine.note_answered(fingerprint, now)
+        incarnations = self.quarantine.record_answer(fingerprint, now)
         self._log_cleared(fingerprint, len(incarnations), SELF)
-        if len(incarnations) >= LEAST_TOLD:
-            self.ways.tell_cleared(fingerprint, incarnations)
+        if len(incarnations) >= MIN_SHARED_CRASHES:
+            self.hooks.send_cleared(fingerprint, incarnations)
         if was_quarantined:
             self._mark_unsaved(fingerprint)
 
-    def take_ends(
+    def merge_crashes(
         self,
-        crashes: Iterable[tuple[End, float]],
+        crashes: Iterable[tuple[Crash, float]],
         source: str,
     ) -> None:
         """Add crashes reported by another entry, with ages in seconds."""
@@ -230,47 +230,47 @@
             if age_s < RECENT_S:
                 self._avoid(crash.incarnation, now)
 
-    def take_cleared(
+    def merge_cleared(
         self,
         fingerprint: str,
         incarnations: Iterable[str],
         source: str,
     ) -> None:
         """Remove crashes of a request that was answered at another entry."""
-        count = self.quarantine.clear_ends(fingerprint, incarnations)
+        count = self.quarantine.clear_crashes(fingerprint, incarnations)
         self._log_cleared(fingerprint, count, source)
 
-    def take_records(
+    def merge_records(
         self,
-        records: Iterable[Quarantined],
+        records: Iterable[QuarantineRecord],
         source: str,
     ) -> None:
         """Add records of the store, or from another entry's update."""
         now = anyio.current_time()
         for record in records:
             fingerprint = record.fingerprint
-            self.take_cleared(fingerprint, record.cleared, source)
+            self.merge_cleared(fingerprint, record.cleared, source)
             was_quarantined = self.is_quarantined(fingerprint)
-            self.quarantine.take(record, now)
+            self.quarantine.merge(record, now)
             self._check_quarantined(
                 fingerprint, source, was_quarantined=was_quarantined
             )
 
-    def get_known(self) -> Iterator[tuple[End, float]]:
+    def get_known(self) -> Iterator[tuple[Crash, float]]:
         """Yield the crashes that a new entry is sent, with their ages."""
         now = anyio.current_time()
         for fingerprint, suspect in self.quarantine.suspects.items():
-            if len(suspect.incarnations) < LEAST_TOLD:
+            if len(suspect.incarnations) < MIN_SHARED_CRASHES:
                 continue
             age_s = now - suspect.since
             for incarnation in suspect.incarnations:
-                yield End(fingerprint, incarnation), age_s
+                yield Crash(fingerprint, incarnation), age_s
 
-    def is_told_again(self, crash: End) -> bool:
+    def needs_resending(self, crash: Crash) -> bool:
         """Whether the loss of a message about a crash would matter."""
-        return self.quarantine.count_ends(crash.fingerprint) >= LEAST_TOLD
+        return self.quarantine.count_crashes(crash.fingerprint) >= MIN_SHARED_CRASHES
 
-    def note_restore(self) -> None:
+    def record_restore(self) -> None:
         """Save the probes again that a restored store may have lost.
 
         Other entries may not know of them yet, and would probe once more.
@@ -278,33 +278,33 @@
         for fingerprint in filter(self.is_quarantined, self._probed):
             self._mark_unsaved(fingerprint)
 
-    def take_to_keep(self) -> list[Quarantined]:
+    def pop_unsaved(self) -> list[QuarantineRecord]:
         """Return and clear the records that are to be saved."""
         now = anyio.current_time()
-        fingerprints = sorted(self.to_keep & self.quarantine.suspects.keys())
-        self.to_keep = set()
-        self.wants_keeping = anyio.Event()
+        fingerprints = sorted(self.unsaved & self.quarantine.suspects.keys())
+        self.unsaved = set()
+        self.unsaved_added = anyio.Event()
         return [
             self.quarantine.make_record(fingerprint, now)
             for fingerprint in fingerprints
         ]
 
-    def keep_again(self, records: Iterable[Quarantined]) -> None:
+    def requeue_unsaved(self, records: Iterable[QuarantineRecord]) -> None:
         """Mark records for saving again after a failure."""
         for record in records:
             self._mark_unsaved(record.fingerprint)
 
-    def _record_own(self, crashes: list[End], evidence: Sign) -> None:
+    def _record_own(self, crashes: list[Crash], evidence: FailureKind) -> None:
         now = anyio.current_time()
         for crash in crashes:
             self._avoid(crash.incarnation, now)
         attributed = [
-            crash for crash in crashes if self.quarantine.blames(crash, now)
+            crash for crash in crashes if self.quarantine.is_blamed(crash, now)
         ]
         for crash in attributed:
             self._witnessed.add(crash.fingerprint)
             if self._add(crash, now, SELF):
-                count = self.quarantine.count_ends(crash.fingerprint)
+                count = self.quarantine.count_crashes(crash.fingerprint)
                 emit(
                     events.TargetEnded(
                         crash.incarnation,
@@ -313,16 +313,16 @@
                         count,
                     )
                 )
-        self.ways.tell_ends(attributed)
+        self.hooks.send_crashes(attributed)
 
     def _avoid(self, incarnation: str, now: float) -> None:
         """Stop using a crashed target until its record is removed."""
         if incarnation in self.fleet.targets:
-            self.health.note_silence(incarnation, now)
+            self.health.record_silence(incarnation, now)
 
-    def _add(self, crash: End, crashed_at: float, source: str) -> bool:
+    def _add(self, crash: Crash, crashed_at: float, source: str) -> bool:
         was_quarantined = self.is_quarantined(crash.fingerprint)
-        is_new = self.quarantine.note_end(crash, crashed_at)
+        is_new = self.quarantine.record_crash(crash, crashed_at)
         if is_new:
             self._check_quarantined(
                 crash.fingerprint, source, was_quarantined=was_quarantined
@@ -339,12 +339,12 @@
         have stopped.
         """
         if self.is_quarantined(fingerprint) and not was_quarantined:
-            count = self.quarantine.count_ends(fingerprint)
+            count = self.quarantine.count_crashes(fingerprint)
             self.revision += 1
             emit(events.RequestQuarantined(fingerprint, count, source))
             if source != STORE and fingerprint in self._witnessed:
                 self._mark_unsaved(fingerprint)
-        for forgotten in self.quarantine.trim():
+        for forgotten in self.quarantine.evict_excess():
             self._witnessed.discard(forgotten)
             emit(events.SuspectForgotten(forgotten))
 
@@ -356,5 +356,5 @@
         emit(events.RequestCleared(fingerprint, count, source))
 
     def _mark_unsaved(self, fingerprint: str) -> None:
-        self.to_keep.add(fingerprint)
-        self.wants_keeping.set()
+        self.unsaved.add(fingerprint)
+        self.unsaved_added.set()
--- a/trestledock/entry/_job.py
+++ b/trestledock/entry/_job.py
@@ -12,14 +12,14 @@
 
 from trestledock.entry._wire import Head
 from trestledock.relay import (
-    Ask,
+    PlacementRequest,
     Call,
-    History,
+    AttemptHistory,
     PromptSize,
     Route,
     TeamKey,
     Timing,
-    Turn,
+    WaitingRequest,
 )
 
 
@@ -94,7 +94,7 @@
     team: TeamKey
     deadline: float
     fingerprint: str = ''
-    history: History = field(default_factory=History)
+    history: AttemptHistory = field(default_factory=AttemptHistory)
     tried: set[str] = field(default_factory=set)
     last_event: str = ''
     last_event_at: float | None = None
@@ -129,9 +129,9 @@
         return self.team.priority
 
     @property
-    def turn(self) -> Turn:
+    def turn(self) -> WaitingRequest:
         """The request as it waits where targets take only so many."""
-        return Turn(
+        return WaitingRequest(
             req_id=self.call.req_id,
             service=self.service,
             team=self.team.team,
@@ -158,16 +158,16 @@
         heard_at = self.last_event_at or arrived_at
         return Timing(
             arrived_at=arrived_at,
-            due=arrived_at + self.route.objective_s,
-            gone=min(self.deadline, heard_at + self.route.patience_s),
+            due_at=arrived_at + self.route.objective_s,
+            abandoned_at=min(self.deadline, heard_at + self.route.patience_s),
             deadline=self.deadline,
-            begun=self.may_have_run,
+            started=self.may_have_run,
         )
 
     @property
-    def ask(self) -> Ask:
+    def ask(self) -> PlacementRequest:
         """The request as the decisions take it; a plain call has no size."""
-        return Ask(
+        return PlacementRequest(
             req_id=self.call.req_id,
             size=self.call.size or PromptSize(0, 0),
             timing=self.timing,
--- a/trestledock/entry/_limits.py
+++ b/trestledock/entry/_limits.py
@@ -20,10 +20,10 @@
 from trestledock.entry._wire import WireError
 from trestledock.relay import (
     Placement,
-    Sign,
-    get_first_patience_s,
-    get_pause_patience_s,
-    is_held_up,
+    FailureKind,
+    get_first_event_timeout_s,
+    get_pause_timeout_s,
+    is_waiting_for_memory,
 )
 
 #: How often it is looked again whether a silent target may be left, in seconds.
@@ -48,11 +48,11 @@
     def get_first(self, job: Job, placement: Placement) -> Limit:
         """Return how long a target may be silent before another is asked."""
         is_last = self._is_last(job)
-        may_leave = self.state.budgets.may_leave_early(anyio.current_time())
+        may_leave = self.state.budgets.may_fail_over_early(anyio.current_time())
         early = may_leave and not is_last and not placement.helpers
-        patience_s = get_first_patience_s(
+        patience_s = get_first_event_timeout_s(
             job.route,
-            placement.first_s,
+            placement.first_token_s,
             early=early,
             helped=bool(placement.helpers),
         )
@@ -64,14 +64,14 @@
         The last target that may run it is waited for: nobody else would go on.
         """
         left_s = _get_left_s(job)
-        if job.history.is_last_run(job.route):
+        if job.history.is_last_attempt(job.route):
             return Limit(left_s)
-        return Limit(min(get_pause_patience_s(job.route), left_s))
+        return Limit(min(get_pause_timeout_s(job.route), left_s))
 
     def get_again(self, job: Job) -> Limit:
         """Return when to look again whether a silent target may be left."""
         left_s = _get_left_s(job)
-        if job.history.is_last_run(job.route):
+        if job.history.is_last_attempt(job.route):
             return Limit(left_s)
         return Limit(min(LOOK_AGAIN_S, left_s))
 
@@ -79,7 +79,7 @@
         """Whether there is nothing more to wait for."""
         now = anyio.current_time()
         peer = placement.target.incarnation
-        return not _get_left_s(job) or self.state.is_cut_off(peer, now)
+        return not _get_left_s(job) or self.state.is_unreachable(peer, now)
 
     def is_held_up(self, job: Job, placement: Placement) -> bool:
         """Whether a target's silence is known to be a wait for memory."""
@@ -88,7 +88,7 @@
         if engine is None or own is None:
             return False
         flights = self.state.board.get_flights(placement.target.incarnation)
-        return is_held_up(own, flights, engine.capacity_tokens)
+        return is_waiting_for_memory(own, flights, engine.capacity_tokens)
 
     def may_leave(self, job: Job, placement: Placement) -> bool:
         """Whether a target that was silent for too long is left now.
@@ -99,7 +99,7 @@
         """
         if not job.begun or not _get_left_s(job):
             return True
-        if job.history.is_last_run(job.route):
+        if job.history.is_last_attempt(job.route):
             return False
         if not may_go_on(self.state, job):
             return False
@@ -115,7 +115,7 @@
     ) -> Iterator[anyio.CancelScope]:
         """Wait within a limit, or until the way to a target is cut."""
         with anyio.move_on_after(limit.wait_s) as scope:
-            if job.history.is_last_run(job.route):
+            if job.history.is_last_attempt(job.route):
                 yield scope
                 return
             helpers = () if job.last_event else placement.helpers
@@ -131,30 +131,30 @@
         """Note that a target was silent for too long; return the error."""
         now = anyio.current_time()
         if limit.early:
-            self.state.note_early(peer, now)
+            self.state.record_early_failover(peer, now)
         else:
-            self.state.note_silence(peer, now)
-        if self.state.is_cut_off(peer, now):
-            return WireError(step, 'its data centre is silent', Sign.silent)
-        return WireError(step, f'silent for {limit.wait_s:.2f} s', Sign.silent)
+            self.state.record_silence(peer, now)
+        if self.state.is_unreachable(peer, now):
+            return WireError(step, 'its data centre is silent', FailureKind.silent)
+        return WireError(step, f'silent for {limit.wait_s:.2f} s', FailureKind.silent)
 
     def _claim(self, job: Job) -> bool:
         now = anyio.current_time()
-        job.has_repeat = self.state.budgets.spend_repeat(job.service, now)
+        job.has_repeat = self.state.budgets.spend_retry(job.service, now)
         return job.has_repeat
 
     def _is_last(self, job: Job) -> bool:
         """Whether nobody else may, or could, go on with a request now."""
-        if job.history.is_last_run(job.route):
+        if job.history.is_last_attempt(job.route):
             return True
-        if not self.state.budgets.is_repeat_left(
+        if not self.state.budgets.has_retry_left(
             job.service, anyio.current_time()
         ):
             return True
         # A target that is leaving, or has had its share, takes nothing new.
         usable = self.state.fleet.get_usable(job.service)
         now = anyio.current_time()
-        free = any(self.state.throttle.is_free(one, now) for one in usable)
+        free = any(self.state.throttle.can_send(one, now) for one in usable)
         return not free or not may_go_on(self.state, job)
 
 
--- a/trestledock/entry/_loads.py
+++ b/trestledock/entry/_loads.py
@@ -18,9 +18,9 @@
 from trestledock.entry._gossip import Gossip
 from trestledock.entry._logger import emit
 from trestledock.entry._peer_calls import BAD_ANSWER, call_peer
-from trestledock.entry._rows import read_change, write_change
+from trestledock.entry._flight_codec import decode_change, encode_change
 from trestledock.entry._state import EntryState
-from trestledock.relay import Flight, Load, summarize
+from trestledock.relay import Flight, RemoteLoad, summarize_load
 
 LOAD_PATH = '/load'
 #: The data centre of who asks, whose own flights it knows.
@@ -48,9 +48,9 @@
         self.gossip = gossip
         self._asking: anyio.Event | None = None
         self._silent_at: dict[str, float] = {}
-        state.learn_loads = self.learn
+        state.refresh_loads = self.refresh
 
-    async def learn(self) -> None:
+    async def refresh(self) -> None:
         """Know the loads of the other data centres, those that answer.
 
         Several prompts that need them at the same moment share the answers.
@@ -72,7 +72,7 @@
 
         What entries of the asking data centre have here is known there.
         """
-        self.state.catch_up()
+        self.state.receive_messages()
         now = anyio.current_time()
         own = self.state.settings.data_centre
         targets = {
@@ -85,17 +85,17 @@
             for name, peer in self.gossip.peers.known.items()
             if peer.data_centre == asker
         }
-        flights = self.state.board.get_all_but(known)
+        flights = self.state.board.get_flights_except(known)
         rows = [
-            write_change(one.flight_id, one, now)
-            for one in summarize(flights, targets, now)
+            encode_change(one.flight_id, one, now)
+            for one in summarize_load(flights, targets, now)
         ]
         return json.dumps({'flights': rows}, separators=(',', ':')).encode()
 
     def _get_far(self) -> Mapping[str, Sequence[Address]]:
         """Return whom to ask: entries of some data centres that answer."""
         now = anyio.current_time()
-        far = self.gossip.neighbours.get_far(many=self.state.many_entries)
+        far = self.gossip.addresses.get_far(many=self.state.many_entries)
         answering = [
             place
             for place in far
@@ -117,11 +117,11 @@
             emit(events.LoadLost(place, repr(exc)))
             return
         self._silent_at.pop(place, None)
-        self.state.loads[place] = Load(asked_at, flights)
-        self.state.board.set_elsewhere(place, flights)
+        self.state.remote_loads[place] = RemoteLoad(asked_at, flights)
+        self.state.board.set_remote_load(place, flights)
 
 
 def _read_flights(plain: Mapping[str, Any], now: float) -> tuple[Flight, ...]:
     """Return the flights of an answer, or raise where it makes no sense."""
-    changes = [read_change(row, now) for row in read_list(plain['flights'])]
+    changes = [decode_change(row, now) for row in read_list(plain['flights'])]
     return tuple([flight for _, flight in changes if flight])
--- a/trestledock/entry/_logger.py
+++ b/trestledock/entry/_logger.py
@@ -44,7 +44,7 @@
 
 def emit(event: events.Event, *, failed: bool = False) -> None:
     """Count and log an event; `failed` adds the current traceback."""
-    METRICS.take(event)
+    METRICS.record_event(event)
     level = logging.ERROR if failed else logging.INFO
     logger.log(
         level, event.get_name(), extra=event.get_fields(), exc_info=failed
@@ -119,7 +119,7 @@
 
     def _put_dropped_count(self, kind: str, count: int, reason: str) -> None:
         event = events.LinesLeftOut(kind, count, reason)
-        METRICS.take(event)
+        METRICS.record_event(event)
         record = logger.makeRecord(
             logger.name,
             logging.WARNING,
--- a/trestledock/entry/_word_codec.py
+++ b/trestledock/entry/_message_codec.py
@@ -13,17 +13,17 @@
 from typing import Any, Callable, Mapping
 
 from trestledock.entry._checks import (
-    read_amount,
+    read_number,
     read_count,
-    read_flag,
+    read_bool,
     read_list,
     read_optional_count,
     read_text,
-    read_whole,
+    read_int,
 )
-from trestledock.entry._notice_rows import read_notices, write_notices
-from trestledock.entry._rows import read_change, write_change
-from trestledock.entry._words import (
+from trestledock.entry._notice_codec import decode_notices, encode_notices
+from trestledock.entry._flight_codec import decode_change, encode_change
+from trestledock.entry._messages import (
     Beat,
     Cleared,
     Ends,
@@ -32,9 +32,9 @@
     Question,
     Reply,
     ToldNotices,
-    Word,
+    Message,
 )
-from trestledock.relay import End
+from trestledock.relay import Crash
 
 MS = 1000
 #: Period of the full state in older versions, in milliseconds.
@@ -46,12 +46,12 @@
 Fields = Mapping[str, Any]
 
 
-class BadWord(ValueError):
+class InvalidMessage(ValueError):
     """Raised for an invalid datagram."""
 
 
 @singledispatch
-def _get_fields(message: Word, now: float) -> dict[str, Any]:
+def _get_fields(message: Message, now: float) -> dict[str, Any]:
     """Return the fields of a message other than its sender."""
     raise TypeError(f'unknown message type: {message!r}')
 
@@ -66,7 +66,7 @@
         'leaving': message.leaving,
         'news_age_ms': round(message.news_age_s * MS),
         'again_ms': round(message.again_s * MS),
-        'flights': [write_change(*change, now) for change in message.changes],
+        'flights': [encode_change(*change, now) for change in message.changes],
     }
 
 
@@ -123,10 +123,10 @@
 
 @_get_fields.register
 def _(message: ToldNotices, now: float) -> dict[str, Any]:
-    return {'kind': 'limits', **write_notices(message.notices, now)}
+    return {'kind': 'limits', **encode_notices(message.notices, now)}
 
 
-def write_word(message: Word, now: float) -> bytes:
+def encode_message(message: Message, now: float) -> bytes:
     """Return the encoded message."""
     fields = _get_fields(message, now)
     fields['from'] = message.sender
@@ -137,13 +137,13 @@
     rows = read_list(fields['flights'])
     return Flights(
         sender=sender,
-        sequence=read_whole(fields['sequence']),
-        whole=read_flag(fields['whole']),
+        sequence=read_int(fields['sequence']),
+        whole=read_bool(fields['whole']),
         data_centre=read_text(fields['data_centre']),
-        leaving=read_flag(fields.get('leaving', False)),
-        news_age_s=read_amount(fields['news_age_ms']) / MS,
-        again_s=read_amount(fields.get('again_ms', OLD_VERSION_AGAIN_MS)) / MS,
-        changes=tuple([read_change(row, now) for row in rows]),
+        leaving=read_bool(fields.get('leaving', False)),
+        news_age_s=read_number(fields['news_age_ms']) / MS,
+        again_s=read_number(fields.get('again_ms', OLD_VERSION_AGAIN_MS)) / MS,
+        changes=tuple([decode_change(row, now) for row in rows]),
     )
 
 
@@ -151,29 +151,29 @@
     return Beat(
         sender,
         read_text(fields['data_centre']),
-        read_flag(fields.get('leaving', False)),
+        read_bool(fields.get('leaving', False)),
     )
 
 
 def _decode_fresh(fields: Fields, sender: str, now: float) -> Fresh:
-    return Fresh(sender, read_amount(fields['news_age_ms']) / MS)
+    return Fresh(sender, read_number(fields['news_age_ms']) / MS)
 
 
 def _decode_question(fields: Fields, sender: str, now: float) -> Question:
-    return Question(sender, read_amount(fields['asked_at']))
+    return Question(sender, read_number(fields['asked_at']))
 
 
 def _decode_reply(fields: Fields, sender: str, now: float) -> Reply:
     """Decode a reply; in older versions each read is a proof."""
-    proof_age_s = read_amount(fields['proof_age_s'])
+    proof_age_s = read_number(fields['proof_age_s'])
     return Reply(
         sender=sender,
-        asked_at=read_amount(fields['asked_at']),
+        asked_at=read_number(fields['asked_at']),
         proof_age_s=proof_age_s,
-        read_age_s=read_amount(fields.get('read_age_s', proof_age_s)),
-        list_age_s=read_amount(fields['list_age_s']),
-        version=read_whole(fields['version']),
-        revision=read_whole(fields['revision']),
+        read_age_s=read_number(fields.get('read_age_s', proof_age_s)),
+        list_age_s=read_number(fields['list_age_s']),
+        version=read_int(fields['version']),
+        revision=read_int(fields['revision']),
         epoch=read_optional_count(fields.get('epoch')),
     )
 
@@ -185,8 +185,8 @@
 
 def _decode_crash(
     fingerprint: Any, incarnation: Any, age_ms: Any
-) -> tuple[End, float]:
-    crash = End(read_text(fingerprint), read_text(incarnation))
+) -> tuple[Crash, float]:
+    crash = Crash(read_text(fingerprint), read_text(incarnation))
     return crash, read_count(age_ms) / MS
 
 
@@ -198,10 +198,10 @@
 
 
 def _decode_notices(fields: Fields, sender: str, now: float) -> ToldNotices:
-    return ToldNotices(sender, read_notices(fields, now))
+    return ToldNotices(sender, decode_notices(fields, now))
 
 
-DECODERS: Mapping[str, Callable[[Fields, str, float], Word]] = MappingProxyType(
+DECODERS: Mapping[str, Callable[[Fields, str, float], Message]] = MappingProxyType(
     {
         'flights': _decode_flights,
         'beat': _decode_beat,
@@ -215,7 +215,7 @@
 )
 
 
-def read_word(raw: bytes, now: float) -> Word:
+def decode_message(raw: bytes, now: float) -> Message:
     """Decode a message, or raise `BadWord`.
 
     >>> read_word(b'{"kind":"fresh","from":"e","news_age_ms":250}', now=0)
@@ -225,4 +225,4 @@
         fields = json.loads(raw)
         return DECODERS[fields['kind']](fields, read_text(fields['from']), now)
     except DECODE_ERRORS as exc:
-        raise BadWord(repr(exc)) from exc
+        raise InvalidMessage(repr(exc)) from exc
--- a/trestledock/entry/_words.py
+++ b/trestledock/entry/_messages.py
@@ -7,8 +7,8 @@
 
 from dataclasses import dataclass
 
-from trestledock.entry._rows import Change
-from trestledock.relay import End, Notice
+from trestledock.entry._flight_codec import Change
+from trestledock.relay import Crash, Notice
 
 
 @dataclass(frozen=True)
@@ -83,7 +83,7 @@
     """Crashes of targets during requests, each with its age in seconds."""
 
     sender: str
-    ends: tuple[tuple[End, float], ...]
+    ends: tuple[tuple[Crash, float], ...]
 
 
 @dataclass(frozen=True)
@@ -111,4 +111,4 @@
     notices: tuple[TargetNotice, ...]
 
 
-Word = ToldNotices | Flights | Beat | Fresh | Question | Reply | Ends | Cleared
+Message = ToldNotices | Flights | Beat | Fresh | Question | Reply | Ends | Cleared
--- a/trestledock/entry/_metrics.py
+++ b/trestledock/entry/_metrics.py
@@ -193,7 +193,7 @@
             name: HistogramCounts() for name in HISTOGRAMS
         }
 
-    def take(self, event: events.Event) -> None:
+    def record_event(self, event: events.Event) -> None:
         """Count and observe an event, if it is in the tables."""
         kind = type(event)
         counter = COUNTERS.get(kind)
@@ -210,7 +210,7 @@
         """Observe a time in a histogram without an event."""
         self.histograms[name].add(seconds)
 
-    def count_words(
+    def count_messages(
         self, direction: str, kind: str, size: int, count: int
     ) -> None:
         """Count messages between entries, of `size` bytes each."""
--- a/trestledock/entry/_notice_rows.py
+++ b/trestledock/entry/_notice_codec.py
@@ -13,13 +13,13 @@
 from typing import Any, Callable, Iterable, Mapping, Sequence
 
 from trestledock.entry._checks import (
-    read_amount,
+    read_number,
     read_count,
     read_list,
     read_text,
 )
-from trestledock.entry._words import TargetNotice
-from trestledock.relay import Leave, Notice, RateLimit, Rest, RestElsewhere
+from trestledock.entry._messages import TargetNotice
+from trestledock.relay import Drain, Notice, RateLimit, Backoff, PeerBackoff
 
 MS = 1000
 
@@ -39,7 +39,7 @@
     decode: Callable[..., Row]
 
 
-def write_notices(
+def encode_notices(
     notices: Iterable[TargetNotice], now: float
 ) -> dict[str, list[Row]]:
     """Encode notices as rows by kind."""
@@ -52,7 +52,7 @@
     return rows
 
 
-def read_notices(
+def decode_notices(
     fields: Mapping[str, Any], now: float
 ) -> tuple[TargetNotice, ...]:
     """Decode rows of notices, or raise if they are invalid."""
@@ -93,10 +93,10 @@
 
 
 def _decode_limit(now: float, per_s: Any) -> Row:
-    return (None if per_s is None else max(0, read_amount(per_s)),)
+    return (None if per_s is None else max(0, read_number(per_s)),)
 
 
-def _encode_drain(drain: Leave, now: float) -> Row:
+def _encode_drain(drain: Drain, now: float) -> Row:
     return ()
 
 
@@ -104,7 +104,7 @@
     return ()
 
 
-def _encode_backoff(backoff: Rest, now: float) -> Row:
+def _encode_backoff(backoff: Backoff, now: float) -> Row:
     return (max(0, round((backoff.until - now) * MS)),)
 
 
@@ -117,9 +117,9 @@
 ENCODINGS: Mapping[type, Encoding] = MappingProxyType(
     {
         RateLimit: Encoding('limits', RateLimit, _encode_limit, _decode_limit),
-        Leave: Encoding('leaves', Leave, _encode_drain, _decode_drain),
-        Rest: Encoding(
-            'rests', RestElsewhere, _encode_backoff, _decode_backoff
+        Drain: Encoding('leaves', Drain, _encode_drain, _decode_drain),
+        Backoff: Encoding(
+            'rests', PeerBackoff, _encode_backoff, _decode_backoff
         ),
     }
 )
--- a/trestledock/entry/_notices.py
+++ b/trestledock/entry/_notices.py
@@ -12,21 +12,21 @@
 import anyio
 
 from trestledock.entry import _events as events
-from trestledock.entry._dialect import AnswerNote
+from trestledock.entry._dialect import AnswerMetadata
 from trestledock.entry._job import Job
 from trestledock.entry._logger import emit
-from trestledock.entry._speakers import find_helper, find_attributed_target
+from trestledock.entry._answer_source import find_helper, find_attributed_target
 from trestledock.entry._state import EntryState
 from trestledock.relay import (
-    Change,
-    Leave,
-    Listed,
+    NoticeChange,
+    Drain,
+    ListedTarget,
     Notice,
     Placement,
     RateLimit,
-    Rest,
-    RestElsewhere,
-    get_spread_s,
+    Backoff,
+    PeerBackoff,
+    get_jitter_s,
 )
 
 MS = 1000
@@ -37,12 +37,12 @@
 OWN = 'self'
 
 
-def note_answer(
+def record_answer_notices(
     state: EntryState,
     job: Job,
     placement: Placement,
     status: int,
-    answer: AnswerNote,
+    answer: AnswerMetadata,
     asked_at: float,
 ) -> None:
     """Record the notices in an answer to a request sent at `asked_at`."""
@@ -51,23 +51,23 @@
     target = find_attributed_target(state, job, placement, status, answer)
     if answer.leaves:
         _record_drain(state, peer, target, asked_at)
-    _log_ignored(state, peer, 'rest', answer.rest.unreadable)
-    if not answer.rest.rest_s:
+    _log_ignored(state, peer, 'rest', answer.rest.invalid_text)
+    if not answer.rest.backoff_s:
         _record_backoff_end(state, target, answer, asked_at)
     elif target:
-        _record_backoff(state, target, answer.rest.rest_s, status, asked_at)
+        _record_backoff(state, target, answer.rest.backoff_s, status, asked_at)
         helper = find_helper(placement, answer.at_fault)
         if helper:
-            _record_backoff(state, helper, answer.rest.rest_s, status, asked_at)
+            _record_backoff(state, helper, answer.rest.backoff_s, status, asked_at)
     else:
         _log_ignored(state, peer, 'rest', 'not its own answer')
 
 
-def note_order(
+def record_order_notices(
     state: EntryState,
-    holder: Listed,
+    holder: ListedTarget,
     status: int,
-    answer: AnswerNote,
+    answer: AnswerMetadata,
     asked_at: float,
 ) -> None:
     """Record the notices in an answer to an order to a target."""
@@ -76,8 +76,8 @@
     peer = holder.incarnation
     if answer.leaves:
         _record_drain(state, peer, peer, asked_at)
-    if answer.rest.rest_s:
-        _record_backoff(state, peer, answer.rest.rest_s, status, asked_at)
+    if answer.rest.backoff_s:
+        _record_backoff(state, peer, answer.rest.backoff_s, status, asked_at)
 
 
 def _record_drain(
@@ -87,16 +87,16 @@
     if not target:
         _log_ignored(state, peer, 'leave', 'not its own answer')
         return
-    notice = Leave(asked_at, anyio.current_time())
-    if take_notice(state, target, notice, OWN) is Change.learnt:
-        state.tell_notices(target)
+    notice = Drain(asked_at, anyio.current_time())
+    if apply_notice(state, target, notice, OWN) is NoticeChange.learnt:
+        state.send_notices(target)
 
 
 def _record_limit(
     state: EntryState,
     peer: str,
     status: int,
-    answer: AnswerNote,
+    answer: AnswerMetadata,
     asked_at: float,
 ) -> None:
     """Record the rate limit of a target, in requests a second.
@@ -106,15 +106,15 @@
     of the target, or from a proxy before it, that does not know the limit.
     """
     limit = answer.limit
-    _log_ignored(state, peer, 'limit', limit.unreadable)
+    _log_ignored(state, peer, 'limit', limit.invalid_text)
     may_withdraw = answer.sealed and status < HTTPStatus.BAD_REQUEST
-    if limit.per_s is None and (limit.is_named or not may_withdraw):
+    if limit.per_s is None and (limit.is_present or not may_withdraw):
         return
     before = state.notices.get(RateLimit, peer)
     notice = RateLimit(limit.per_s, asked_at, anyio.current_time())
-    change = take_notice(state, peer, notice, OWN)
-    if change is not Change.nothing and _is_urgent(before, notice):
-        state.tell_notices(peer)
+    change = apply_notice(state, peer, notice, OWN)
+    if change is not NoticeChange.nothing and _is_urgent(before, notice):
+        state.send_notices(peer)
 
 
 def _record_backoff(
@@ -122,38 +122,38 @@
 ) -> None:
     """Record for how long a target refuses requests of this entry."""
     now = anyio.current_time()
-    left_ms = _get_left_ms(state.notices.get(Rest, peer))
-    until = now + rest_s + get_spread_s(rest_s, state.rng.random())
-    change = state.notices.note(peer, Rest(until, asked_at, now))
-    if change is not Change.nothing:
+    left_ms = _get_left_ms(state.notices.get(Backoff, peer))
+    until = now + rest_s + get_jitter_s(rest_s, state.rng.random())
+    change = state.notices.record(peer, Backoff(until, asked_at, now))
+    if change is not NoticeChange.nothing:
         rest_ms = round(rest_s * MS)
         emit(events.RestHeard(peer, rest_ms, left_ms, status, OWN))
-        state.tell_notices(peer)
+        state.send_notices(peer)
 
 
 def _record_backoff_end(
-    state: EntryState, peer: str, answer: AnswerNote, asked_at: float
+    state: EntryState, peer: str, answer: AnswerMetadata, asked_at: float
 ) -> None:
     """Record that a target works again: it was sent to after its back-off."""
-    backoff = state.notices.get(Rest, peer)
+    backoff = state.notices.get(Backoff, peer)
     if backoff and answer.sealed and backoff.is_over(asked_at):
-        state.throttle.resting.forget(peer)
+        state.throttle.backoffs.forget(peer)
         emit(events.RestEnded(peer, round((asked_at - backoff.until) * MS)))
         state.notify()
 
 
-def take_notice(
+def apply_notice(
     state: EntryState, peer: str, notice: Notice, source: str
-) -> Change:
+) -> NoticeChange:
     """Apply a notice about a target if it is news; return the change.
 
     A draining notice may arrive before the first record of its target.
     """
-    if peer not in state.fleet.targets and not isinstance(notice, Leave):
-        return Change.nothing
+    if peer not in state.fleet.targets and not isinstance(notice, Drain):
+        return NoticeChange.nothing
     before = state.notices.get(type(notice), peer)
-    change = state.notices.note(peer, notice)
-    if change is Change.nothing:
+    change = state.notices.record(peer, notice)
+    if change is NoticeChange.nothing:
         return change
     emit(_make_event(notice, before, peer, change, source))
     state.notify()
@@ -165,7 +165,7 @@
     notice: Notice,
     before: Notice | None,
     peer: str,
-    change: Change,
+    change: NoticeChange,
     source: str,
 ) -> events.Event:
     """Return the log event for a notice that changed something."""
@@ -177,7 +177,7 @@
     notice: RateLimit,
     before: RateLimit | None,
     peer: str,
-    change: Change,
+    change: NoticeChange,
     source: str,
 ) -> events.Event:
     return events.LimitHeard(
@@ -192,10 +192,10 @@
 
 @_make_event.register
 def _(
-    notice: Leave,
-    before: Leave | None,
+    notice: Drain,
+    before: Drain | None,
     peer: str,
-    change: Change,
+    change: NoticeChange,
     source: str,
 ) -> events.Event:
     return events.LeaveHeard(peer, source, _get_age_ms(notice))
@@ -203,19 +203,19 @@
 
 @_make_event.register
 def _(
-    notice: RestElsewhere,
-    before: RestElsewhere | None,
+    notice: PeerBackoff,
+    before: PeerBackoff | None,
     peer: str,
-    change: Change,
+    change: NoticeChange,
     source: str,
 ) -> events.Event:
     left_ms = _get_left_ms(before)
     return events.RestHeard(peer, _get_left_ms(notice), left_ms, 0, source)
 
 
-def note_sent(state: EntryState, req: str, placement: Placement) -> None:
+def log_send_against_notices(state: EntryState, req: str, placement: Placement) -> None:
     """Log that a request goes to targets with a notice in force."""
-    for target in placement.engaged:
+    for target in placement.engaged_targets:
         peer = target.incarnation
         limit = state.notices.get(RateLimit, peer)
         if limit and limit.per_s is not None:
@@ -234,8 +234,8 @@
 
 def _log_against(state: EntryState, req: str, peer: str) -> None:
     """Log that a request goes to a draining or backed-off target."""
-    drain = state.notices.get(Leave, peer)
-    backoff = state.notices.get(Rest, peer)
+    drain = state.notices.get(Drain, peer)
+    backoff = state.notices.get(Backoff, peer)
     if drain:
         age_ms = _get_age_ms(drain)
         emit(events.SentAgainstNotice(req, peer, 'leave', age_ms))
@@ -244,7 +244,7 @@
         emit(events.SentAgainstNotice(req, peer, 'rest', age_ms))
 
 
-def _get_left_ms(backoff: Rest | None) -> int:
+def _get_left_ms(backoff: Backoff | None) -> int:
     """Return the remaining time of a back-off, or 0."""
     left_s = backoff.until - anyio.current_time() if backoff else 0
     return round(max(0, left_s) * MS)
--- a/trestledock/entry/_notices_exchange.py
+++ b/trestledock/entry/_notices_exchange.py
@@ -13,12 +13,12 @@
 
 from trestledock.entry._datagrams import Address, join_address
 from trestledock.entry._gossip import Gossip
-from trestledock.entry._notices import take_notice
-from trestledock.entry._words import TargetNotice, ToldNotices
-from trestledock.relay import Leave, Member, Members, Notice, RateLimit, Rest
+from trestledock.entry._notices import apply_notice
+from trestledock.entry._messages import TargetNotice, ToldNotices
+from trestledock.relay import Drain, Member, Membership, Notice, RateLimit, Backoff
 
 #: The kinds of notices that concern all entries.
-SHARED = (RateLimit, Leave, Rest)
+SHARED = (RateLimit, Drain, Backoff)
 #: For how long a withdrawn notice is sent again, in seconds.
 RESEND_WITHDRAWN_S = 30.0
 #: Interval of refreshing the list of entries while their number is constant, in
@@ -33,21 +33,21 @@
         """Register the handlers with the gossip and the state."""
         self.gossip = gossip
         self.state = gossip.state
-        self._members: Members | None = None
+        self._members: Membership | None = None
         self._counts = (0, 0)
         self._refreshed_at = float('-inf')
         self.state.throttle.get_members = self.get_members
-        self.state.tell_notices = self._send_of_target
+        self.state.send_notices = self._send_of_target
         gossip.handlers[ToldNotices] = self._handle_notices
-        gossip.on_met.append(self._send_known)
-        gossip.on_told.append(self._resend_own)
+        gossip.on_new_peer.append(self._send_known)
+        gossip.on_full_state_sent.append(self._resend_own)
 
-    def get_members(self) -> Members:
+    def get_members(self) -> Membership:
         """Return the entries that are heard from, and the number of all."""
         now = anyio.current_time()
         counts = (
             len(self.gossip.peers.known),
-            len(self.gossip.neighbours.places),
+            len(self.gossip.addresses.data_centres),
         )
         is_old = (
             counts != self._counts
@@ -59,16 +59,16 @@
             self._refreshed_at = now
         return self._members
 
-    def _find_members(self, now: float) -> Members:
+    def _find_members(self, now: float) -> Membership:
         settings = self.state.settings
         others = [
             Member(join_address(peer.address), peer.data_centre)
             for peer in self.gossip.peers.known.values()
         ]
-        return Members(
+        return Membership(
             Member(settings.peers, settings.data_centre),
             tuple(sorted(others, key=lambda member: member.name)),
-            self.gossip.neighbours.count(now) + 1,
+            self.gossip.addresses.count(now) + 1,
         )
 
     def _send_of_target(self, target: str) -> None:
@@ -76,7 +76,7 @@
         notices = [
             notice for notice in self._get_known() if notice.target == target
         ]
-        self._send(notices, self.gossip.neighbours.get_all())
+        self._send(notices, self.gossip.addresses.get_all())
 
     def _send_known(self, address: Address) -> None:
         """Send all notices, including withdrawn ones, to a new entry."""
@@ -112,7 +112,7 @@
 
     def _handle_notices(self, message: ToldNotices, _: Address) -> bool:
         for received in message.notices:
-            take_notice(
+            apply_notice(
                 self.state, received.target, received.notice, message.sender
             )
         return False
@@ -123,9 +123,9 @@
 
     A back-off is not repeated, as it ends soon.
     """
-    if notice.is_told or isinstance(notice, Rest):
+    if notice.is_shared or isinstance(notice, Backoff):
         return False
     return (
-        notice.asks_for is not None
+        notice.requested is not None
         or now - notice.heard_at <= RESEND_WITHDRAWN_S
     )
--- a/trestledock/entry/_neighbours.py
+++ b/trestledock/entry/_peer_addresses.py
@@ -14,7 +14,7 @@
 from trestledock.entry._datagrams import Address
 
 #: Maximum number of other entries that form a full mesh.
-MOST_TOLD_ALL = 16
+MAX_FULL_MESH = 16
 #: Data centre of an entry that no message has come from yet.
 UNKNOWN = ''
 #: How long a silent entry still counts, in seconds: it may be cut off or
@@ -22,36 +22,36 @@
 FORGET_AFTER_S = 600
 
 
-class Neighbours:
+class PeerAddresses:
     """Addresses of the other entries, with their data centres."""
 
     def __init__(self, own: Address, data_centre: str) -> None:
         """Start with the own address only."""
         self.own = own
         self.data_centre = data_centre
-        self.places: dict[Address, str] = {}
+        self.data_centres: dict[Address, str] = {}
         self._seen_at: dict[Address, float] = {}
         self._near: list[Address] | None = None
 
-    def meet(self, addresses: Iterable[Address], now: float) -> list[Address]:
+    def add_addresses(self, addresses: Iterable[Address], now: float) -> list[Address]:
         """Add addresses; return those that are new."""
         new = [
             address
             for address in addresses
-            if address not in self.places and address != self.own
+            if address not in self.data_centres and address != self.own
         ]
         for address in new:
-            self.note(address, UNKNOWN, now)
+            self.record_address(address, UNKNOWN, now)
         return new
 
-    def note(self, address: Address, data_centre: str, now: float) -> None:
+    def record_address(self, address: Address, data_centre: str, now: float) -> None:
         """Record the data centre of an entry."""
         self._seen_at[address] = now
-        if self.places.get(address) != data_centre:
-            self.places[address] = data_centre
+        if self.data_centres.get(address) != data_centre:
+            self.data_centres[address] = data_centre
             self._near = None
 
-    def note_left(self, address: Address) -> None:
+    def record_shutdown(self, address: Address) -> None:
         """Record that an entry has shut down as planned."""
         self._seen_at.pop(address, None)
 
@@ -64,7 +64,7 @@
 
     def get_all(self) -> list[Address]:
         """Return the addresses of all other entries."""
-        return list(self.places)
+        return list(self.data_centres)
 
     def get_near(self, *, many: bool) -> list[Address]:
         """Return the entries that get the full state often.
@@ -78,7 +78,7 @@
             near = (self.data_centre, UNKNOWN)
             self._near = [
                 address
-                for address, data_centre in self.places.items()
+                for address, data_centre in self.data_centres.items()
                 if data_centre in near
             ]
         return self._near
@@ -87,15 +87,15 @@
         """Return the entries elsewhere by data centre, if there are `many`."""
         by_data_centre: dict[str, list[Address]] = defaultdict(list)
         if many:
-            for address, data_centre in self.places.items():
+            for address, data_centre in self.data_centres.items():
                 if data_centre not in (self.data_centre, UNKNOWN):
                     by_data_centre[data_centre].append(address)
         return by_data_centre
 
-    def get_elsewhere(self) -> list[Address]:
+    def get_remote(self) -> list[Address]:
         """Return the addresses that are not known to be in this data centre."""
         return [
             address
-            for address, data_centre in self.places.items()
+            for address, data_centre in self.data_centres.items()
             if data_centre != self.data_centre
         ]
--- a/trestledock/entry/_peers.py
+++ b/trestledock/entry/_peers.py
@@ -10,9 +10,9 @@
 from typing import Iterator
 
 from trestledock.entry._datagrams import Address
-from trestledock.entry._neighbours import MOST_TOLD_ALL
-from trestledock.entry._words import Flights
-from trestledock.relay import Candidate
+from trestledock.entry._peer_addresses import MAX_FULL_MESH
+from trestledock.entry._messages import Flights
+from trestledock.relay import ReaderCandidate
 
 #: Timeout after which the in-flight requests of a silent peer are dropped: a
 #: multiple of its announced period of the full state, so that two messages may
@@ -32,7 +32,7 @@
     again_s: float = 0
     leaving: bool = False
 
-    def get_news_age_s(self, now: float) -> float:
+    def get_store_age_s(self, now: float) -> float:
         """Return the age of its copy if it has not been updated since."""
         return self.news_age_s + now - self.heard_at
 
@@ -53,9 +53,9 @@
     @property
     def are_many(self) -> bool:
         """Whether data centres exchange less and have readers of their own."""
-        return len(self.known) > MOST_TOLD_ALL
+        return len(self.known) > MAX_FULL_MESH
 
-    def hear(self, message: Flights, sender: Address, now: float) -> bool:
+    def update(self, message: Flights, sender: Address, now: float) -> bool:
         """Record an entry's message; return whether the entry is new."""
         is_new = message.sender not in self.known
         self.known[message.sender] = Peer(
@@ -68,7 +68,7 @@
         )
         return is_new
 
-    def note_fresh(self, name: str, news_age_s: float, now: float) -> None:
+    def record_read(self, name: str, news_age_s: float, now: float) -> None:
         """Record that an entry has read the store."""
         peer = self.known.get(name)
         if peer:
@@ -90,13 +90,13 @@
             name for name, peer in self.known.items() if peer.data_centre == own
         ]
 
-    def get_candidates(self, now: float) -> Iterator[Candidate]:
+    def get_candidates(self, now: float) -> Iterator[ReaderCandidate]:
         """Yield the near entries as possible readers of the store for this one.
 
         With many entries each data centre has a reader of its own.
         """
         for name in self.get_near():
-            yield Candidate(name, self.known[name].get_news_age_s(now))
+            yield ReaderCandidate(name, self.known[name].get_store_age_s(now))
 
     def get_silent(self, now: float) -> list[str]:
         """Return the names of the entries that have timed out."""
@@ -104,7 +104,7 @@
             name for name, peer in self.known.items() if peer.is_silent(now)
         ]
 
-    def get_others_at(self, name: str) -> list[str]:
+    def get_previous_at(self, name: str) -> list[str]:
         """Return the earlier processes at an entry's address."""
         address = self.known[name].address
         return [
--- a/trestledock/entry/_pool.py
+++ b/trestledock/entry/_pool.py
@@ -13,7 +13,7 @@
 import anyio
 
 from trestledock.entry._wire import Wire, WireError
-from trestledock.relay import Listed, Sign
+from trestledock.relay import ListedTarget, FailureKind
 
 #: How long a connection may be idle where the target does not say, in seconds.
 IDLE_S = 4.0
@@ -51,7 +51,7 @@
         self._spawn = spawn
         self._idle: dict[str, list[_Idle]] = defaultdict(list)
 
-    async def take(self, target: Listed) -> Wire:
+    async def acquire(self, target: ListedTarget) -> Wire:
         """Return an idle connection or a new one."""
         waiting = self._idle[target.incarnation]
         while waiting:
@@ -62,7 +62,7 @@
             await idle.wire.close()
         return await Wire.connect(target.address)
 
-    async def look(self, target: Listed) -> Sign:
+    async def check_connection(self, target: ListedTarget) -> FailureKind:
         """Connect to a target once more; return what is seen of it.
 
         A process that ends closes its sockets one after the other, so what it
@@ -76,10 +76,10 @@
                 return exc.sign
             if await self._is_settled(wire):
                 self._keep(target, wire, IDLE_S)
-                return Sign.none
-        return Sign.closed
+                return FailureKind.none
+        return FailureKind.closed
 
-    async def give(self, target: Listed, wire: Wire, idle_s: float) -> None:
+    async def release(self, target: ListedTarget, wire: Wire, idle_s: float) -> None:
         """Take a connection back after an answer.
 
         It is closed where `idle_s` is zero, or where something is left on it.
@@ -89,13 +89,13 @@
             return
         self._keep(target, wire, idle_s)
 
-    def drop(self, incarnation: str) -> None:
+    def close_idle(self, incarnation: str) -> None:
         """Close the idle connections to an incarnation that has gone."""
         for idle in self._idle.pop(incarnation, []):
             idle.watcher.cancel()
             self._spawn(idle.wire.close)
 
-    def _keep(self, target: Listed, wire: Wire, idle_s: float) -> None:
+    def _keep(self, target: ListedTarget, wire: Wire, idle_s: float) -> None:
         until = anyio.current_time() + idle_s
         idle = _Idle(wire, until, anyio.CancelScope(), anyio.Event())
         self._idle[target.incarnation].append(idle)
@@ -106,7 +106,7 @@
         settled = False
         try:
             with anyio.move_on_after(SETTLE_S) as scope:
-                await wire.wait_for_surplus()
+                await wire.wait_for_unexpected_data()
             settled = scope.cancelled_caught
         finally:
             if not settled:
@@ -117,7 +117,7 @@
         left_s = max(0, idle.until - anyio.current_time())
         try:
             with idle.watcher, anyio.move_on_after(left_s):
-                await idle.wire.wait_for_surplus()
+                await idle.wire.wait_for_unexpected_data()
         finally:
             idle.watched.set()
         waiting = self._idle.get(incarnation, [])
--- a/trestledock/entry/_keeping.py
+++ b/trestledock/entry/_quarantine_sync.py
@@ -18,9 +18,9 @@
 from trestledock.entry._dialect import QuarantineStore
 from trestledock.entry._isolation import STORE
 from trestledock.entry._logger import emit
-from trestledock.entry._reading import EXPECTED
+from trestledock.entry._store_reader import EXPECTED
 from trestledock.entry._state import EntryState
-from trestledock.relay import Quarantined
+from trestledock.relay import QuarantineRecord
 
 #: Duration of one long poll, in seconds: an open connection may go silent for
 #: good, and its timeout ends two seconds later.
@@ -54,7 +54,7 @@
         self.is_reader = is_reader
         self._failures = 0
         self._next_claim_at = float('-inf')
-        self.isolation.ways.claim = self.claim
+        self.isolation.hooks.claim = self.claim
 
     async def run(self) -> None:
         """Read and write until cancelled."""
@@ -62,7 +62,7 @@
             group.start_soon(self._follow)
             group.start_soon(self._write)
 
-    async def claim(self, record: Quarantined) -> bool:
+    async def claim(self, record: QuarantineRecord) -> bool:
         """Claim the right to probe a request; refused without the store."""
         now = anyio.current_time()
         if now < self._next_claim_at:
@@ -75,7 +75,7 @@
             emit(events.StoreLost('claim_trial', repr(exc)))
             return False
 
-    async def _claim(self, record: Quarantined) -> bool:
+    async def _claim(self, record: QuarantineRecord) -> bool:
         """Write that a request is probed now, unless another entry wrote first.
 
         Of several claims one succeeds, because each is valid only if the
@@ -85,16 +85,16 @@
         """
         stored = await self.store.read_whole()
         now = anyio.current_time()
-        self.state.note_epoch(stored.end.epoch, now)
-        if not self.state.restores.is_settled(now):
+        self.state.record_epoch(stored.end.epoch, now)
+        if not self.state.restores.is_complete(now):
             return False
         for stored_record in stored.records:
             if (
                 stored_record.fingerprint == record.fingerprint
-                and not stored_record.is_due
+                and not stored_record.is_probe_due
             ):
                 return False
-        probed = replace(record, age_s=0, trials=record.trials + 1)
+        probed = replace(record, age_s=0, trials=record.probes + 1)
         return await self.store.write_records([probed], stored.end)
 
     async def _follow(self) -> None:
@@ -112,17 +112,17 @@
             await self._pause('read_records', exc)
             return
         self._failures = 0
-        self.isolation.take_records(records, STORE)
+        self.isolation.merge_records(records, STORE)
 
     async def _write(self) -> None:
         while True:
-            await self.isolation.wants_keeping.wait()
-            records = self.isolation.take_to_keep()
+            await self.isolation.unsaved_added.wait()
+            records = self.isolation.pop_unsaved()
             try:
                 with anyio.fail_after(TIMEOUT_S):
                     await self.store.write_records(records)
             except EXPECTED as exc:
-                self.isolation.keep_again(records)
+                self.isolation.requeue_unsaved(records)
                 await self._pause('write_records', exc)
 
     async def _pause(self, step: str, exc: Exception) -> None:
--- a/trestledock/entry/_relaying.py
+++ b/trestledock/entry/_relaying.py
@@ -19,14 +19,14 @@
 from trestledock.entry._reply import CutReply, Reply
 from trestledock.entry._selecting import select
 from trestledock.entry._sending import Sender
-from trestledock.entry._state import MOST_AGE_S, EntryState
+from trestledock.entry._state import MAX_AGE_S, EntryState
 from trestledock.entry._wire import Headers
 from trestledock.relay import (
-    LOOK_S,
+    PLACEMENT_RETRY_S,
     Call,
-    Ending,
+    AttemptOutcome,
     Placement,
-    Sending,
+    RelayAttempt,
     get_worth,
 )
 
@@ -63,9 +63,9 @@
             return
         self._note_admitted(job)
         if is_quarantined(self.state, job):
-            job.is_trial = await self.state.isolation.may_try(job.fingerprint)
+            job.is_trial = await self.state.isolation.may_probe(job.fingerprint)
         with anyio.CancelScope(deadline=job.deadline) as scope:
-            with self.state.keep_unanswered(reply, scope):
+            with self.state.track_unanswered(reply, scope):
                 await self._run(job, reply)
         if scope.cancelled_caught:
             over = anyio.current_time() >= job.deadline
@@ -85,7 +85,7 @@
                 await self._give_up(job, reply, _pick(refusal, placement))
                 return
             sending = await self._send(job, placement, reply)
-            if sending.ending is Ending.answered:
+            if sending.outcome is AttemptOutcome.answered:
                 return
             if is_quarantined(self.state, job):
                 await self._give_up(job, reply, Refusal.quarantined)
@@ -96,7 +96,7 @@
             emit(
                 events.Repeated(
                     job.call.req_id,
-                    len(job.history.sendings),
+                    len(job.history.attempts),
                     job.resume_after,
                 )
             )
@@ -106,13 +106,13 @@
         job: Job,
         placement: Placement,
         reply: Reply,
-    ) -> Sending:
+    ) -> RelayAttempt:
         began_at = anyio.current_time()
         sending = await self.sender.send(job, placement, reply)
         job.history = job.history.add(sending)
         job.writing = False
-        if sending.ending is Ending.answered:
-            self.state.isolation.note_answered(job.fingerprint)
+        if sending.outcome is AttemptOutcome.answered:
+            self.state.isolation.record_answered(job.fingerprint)
         _avoid(job, placement, sending)
         took_ms = round((anyio.current_time() - began_at) * MS)
         _note_ending(job, sending, took_ms)
@@ -120,16 +120,16 @@
 
     async def _may_repeat(self, job: Job) -> bool:
         """Whether to go on elsewhere; an answer that has begun waits for it."""
-        if job.begun and job.history.sendings[-1].ending is Ending.not_sent:
+        if job.begun and job.history.attempts[-1].outcome is AttemptOutcome.not_sent:
             return await self._may_try_again(job)
         if not job.history.may_repeat(job.route):
             return False
-        if job.history.sendings[-1].ending is Ending.not_sent:
+        if job.history.attempts[-1].outcome is AttemptOutcome.not_sent:
             return True
         while not self._spend(job):
-            if not job.begun or anyio.current_time() >= job.timing.gone:
+            if not job.begun or anyio.current_time() >= job.timing.abandoned_at:
                 return False
-            await self.state.wait_for_change(LOOK_S)
+            await self.state.wait_for_change(PLACEMENT_RETRY_S)
         return True
 
     async def _may_try_again(self, job: Job) -> bool:
@@ -141,13 +141,13 @@
         if not job.history.may_run_again(job.route):
             return False
         await anyio.sleep(TRY_AGAIN_S)
-        return anyio.current_time() < job.timing.gone
+        return anyio.current_time() < job.timing.abandoned_at
 
     def _spend(self, job: Job) -> bool:
         if job.has_repeat:
             job.has_repeat = False
             return True
-        return self.state.budgets.spend_repeat(
+        return self.state.budgets.spend_retry(
             job.service, anyio.current_time()
         )
 
@@ -159,7 +159,7 @@
         refusal = _get_refusal(job, reason)
         if refusal is Refusal.quarantined:
             isolation = self.state.isolation
-            job.come_back_s = isolation.get_come_back_s(job.fingerprint)
+            job.come_back_s = isolation.get_retry_after_s(job.fingerprint)
         if job.fallback and refusal in FAILURES:
             head = job.fallback.head
             emit(events.FailurePassedOn(job.call.req_id, head.status))
@@ -182,9 +182,9 @@
                 req=call.req_id,
                 reason=reason.value,
                 status=STATUSES[reason],
-                proof_age_ms=round(min(age_s, MOST_AGE_S) * MS),
+                proof_age_ms=round(min(age_s, MAX_AGE_S) * MS),
                 version=self.state.version,
-                sendings=len(job.history.sendings) if job else 0,
+                sendings=len(job.history.attempts) if job else 0,
             ),
         )
         come_back_s = max(COME_BACK_S, job.come_back_s if job else 0)
@@ -234,39 +234,39 @@
     return Refusal.not_run if reason is Refusal.failed else reason
 
 
-def _avoid(job: Job, placement: Placement, sending: Sending) -> None:
+def _avoid(job: Job, placement: Placement, sending: RelayAttempt) -> None:
     """Remember which targets the next sending should keep away from.
 
     Who is at fault in a rejection is noted where the answer is read; silence
     may be anybody's who was involved.
     """
-    if sending.ending is Ending.rejected:
+    if sending.outcome is AttemptOutcome.rejected:
         return
     job.tried.add(placement.target.incarnation)
-    if sending.ending is Ending.lost:
+    if sending.outcome is AttemptOutcome.lost:
         job.tried.update(one.incarnation for one in placement.helpers)
 
 
-def _note_ending(job: Job, sending: Sending, took_ms: int) -> None:
+def _note_ending(job: Job, sending: RelayAttempt, took_ms: int) -> None:
     req = job.call.req_id
-    if sending.ending is Ending.answered:
+    if sending.outcome is AttemptOutcome.answered:
         emit(_make_answered(job, sending, took_ms))
         return
     emit(
         events.SendingEnded(
             req=req,
-            ending=sending.ending.value,
+            ending=sending.outcome.value,
             step=sending.step,
             peer=sending.peer,
             detail=sending.detail,
             took_ms=took_ms,
-            sign=sending.sign.value,
+            sign=sending.failure_kind.value,
             fingerprint=job.fingerprint,
         )
     )
 
 
-def _make_answered(job: Job, sending: Sending, took_ms: int) -> events.Answered:
+def _make_answered(job: Job, sending: RelayAttempt, took_ms: int) -> events.Answered:
     arrived_at = job.call.arrived_at
     first_s = (job.first_event_at or arrived_at) - arrived_at
     return events.Answered(
--- a/trestledock/entry/_selecting.py
+++ b/trestledock/entry/_selecting.py
@@ -21,17 +21,17 @@
 from trestledock.entry._job import Job, Refusal
 from trestledock.entry._state import EntryState
 from trestledock.relay import (
-    LOOK_S,
+    PLACEMENT_RETRY_S,
     Decision,
     EngineModel,
     Flight,
-    Listed,
+    ListedTarget,
     Phase,
     Placement,
     choose_least_busy,
-    decide_without_place,
-    get_come_back_s,
-    is_worth_asking,
+    decide_unplaced,
+    get_retry_after_s,
+    should_query_remote,
     pick_cheapest,
 )
 
@@ -55,7 +55,7 @@
 
 def make_flight(job: Job, placement: Placement, now: float) -> Flight:
     """Return what the board is told of a sending."""
-    return job.ask.make_flight(placement, Phase.reading, now)
+    return job.ask.make_flight(placement, Phase.prefill, now)
 
 
 async def select(state: EntryState, job: Job) -> Placement | Refusal:
@@ -67,26 +67,26 @@
     try:
         return await _select_in_turn(state, job)
     finally:
-        state.turns.leave(job.call.req_id)
+        state.turns.remove(job.call.req_id)
 
 
 async def _select_in_turn(state: EntryState, job: Job) -> Placement | Refusal:
     while True:
-        state.catch_up()
+        state.receive_messages()
         if is_quarantined(state, job):
             return Refusal.quarantined
         now = anyio.current_time()
         chosen = _select_now(state, job, now)
         if _needs_loads(state, job, chosen, now):
-            await state.learn_loads()
+            await state.refresh_loads()
             now = anyio.current_time()
             chosen = _select_now(state, job, now)
-        waits = job.begun and now < job.timing.gone
+        waits = job.begun and now < job.timing.abandoned_at
         if isinstance(chosen, Placement) or (chosen and not waits):
             return chosen
         if _is_held_back(state, job, now):
-            state.turns.join(job.turn)
-        await state.wait_for_change(LOOK_S)
+            state.turns.add(job.turn)
+        await state.wait_for_change(PLACEMENT_RETRY_S)
 
 
 def _needs_loads(
@@ -98,10 +98,10 @@
     """Whether to ask other data centres before a request is placed."""
     if not state.many_entries or job.call.size is None:
         return False
-    if state.get_loads(now):
+    if state.get_known_remote_loads(now):
         return False
     cost = chosen.cost if isinstance(chosen, Placement) else None
-    return state.placer.terms.elsewhere and is_worth_asking(job.ask.worth, cost)
+    return state.placer.policy.remote_targets and should_query_remote(job.ask.worth, cost)
 
 
 def could_go_on(state: EntryState, job: Job, peer: str) -> bool:
@@ -135,11 +135,11 @@
     engine = get_engine(state, job)
     if targets and (engine is None or job.call.size is None):
         return _choose_plain(state, targets, now)
-    if state.fleet.have_all_left(job.service) and not job.begun:
-        job.come_back_s = get_come_back_s(job.timing, SUCCESSOR_S, now)
+    if state.fleet.are_all_draining(job.service) and not job.begun:
+        job.come_back_s = get_retry_after_s(job.timing, SUCCESSOR_S, now)
         return Refusal.no_target
     if engine is None or job.call.size is None:
-        decision = decide_without_place(job.timing, now, any_target=False)
+        decision = decide_unplaced(job.timing, now, any_target=False)
         return REFUSALS.get(decision)
     options = [
         job.ask.choose(state.placer, engine, group, now)
@@ -149,13 +149,13 @@
     if isinstance(chosen, Placement):
         return chosen
     # Nothing elsewhere is better: what binds is the own data centre.
-    job.come_back_s = chosen.come_back_s
+    job.come_back_s = chosen.retry_after_s
     return REFUSALS.get(chosen.decision)
 
 
 def _split_by_place(
-    state: EntryState, targets: Sequence[Listed], job: Job
-) -> list[Sequence[Listed]]:
+    state: EntryState, targets: Sequence[ListedTarget], job: Job
+) -> list[Sequence[ListedTarget]]:
     """Return the targets among which a request is placed, the own ones first.
 
     Where other data centres were asked, a plan stays within one of them: a cut
@@ -164,7 +164,7 @@
     if not state.many_entries or job.ask.is_small:
         return [targets]
     own = state.settings.data_centre
-    groups: dict[str, list[Listed]] = {own: []}
+    groups: dict[str, list[ListedTarget]] = {own: []}
     for one in targets:
         groups.setdefault(one.data_centre, []).append(one)
     if any(len(group) < LEAST_NEAR for group in groups.values()):
@@ -172,7 +172,7 @@
     return list(groups.values())
 
 
-def get_candidates(state: EntryState, job: Job, now: float) -> list[Listed]:
+def get_candidates(state: EntryState, job: Job, now: float) -> list[ListedTarget]:
     """Return the targets that may get the request, better ones if any."""
     usable = _get_free(state, job, now)
     small = job.ask.is_small
@@ -191,12 +191,12 @@
 
 def _is_held_back(state: EntryState, job: Job, now: float) -> bool:
     """Whether a request waits for nothing but restrained targets."""
-    if not state.throttle.restrains_any or get_candidates(state, job, now):
+    if not state.throttle.has_restraints or get_candidates(state, job, now):
         return False
     return bool(get_restrained(state, job))
 
 
-def _get_free(state: EntryState, job: Job, now: float) -> list[Listed]:
+def _get_free(state: EntryState, job: Job, now: float) -> list[ListedTarget]:
     """Return the targets that may get a request now, near ones if any."""
     near = _get_near_enough(state, job, now)
     free = get_free(state, job, near, now)
@@ -206,7 +206,7 @@
     return get_free(state, job, usable, now)
 
 
-def _get_near_enough(state: EntryState, job: Job, now: float) -> list[Listed]:
+def _get_near_enough(state: EntryState, job: Job, now: float) -> list[ListedTarget]:
     """Return the usable targets, of the own data centre where those suffice.
 
     Where there are many entries, those elsewhere are told too late of this
@@ -216,7 +216,7 @@
     usable = list(state.fleet.get_usable(job.service))
     if not state.many_entries:
         return usable
-    known = set() if job.ask.is_small else state.get_loads(now)
+    known = set() if job.ask.is_small else state.get_known_remote_loads(now)
     places = {state.settings.data_centre, *known}
     near = [one for one in usable if one.data_centre in places]
     return near if len(near) >= LEAST_NEAR else usable
@@ -232,7 +232,7 @@
 
 def _choose_plain(
     state: EntryState,
-    targets: list[Listed],
+    targets: list[ListedTarget],
     now: float,
 ) -> Placement | Refusal:
     chosen = choose_least_busy(
--- a/trestledock/entry/_sending.py
+++ b/trestledock/entry/_sending.py
@@ -12,24 +12,24 @@
 from trestledock.entry import _events as events
 from trestledock.entry._admission import check_again
 from trestledock.entry._answering import Answering
-from trestledock.entry._dialect import Dialect, Passing
+from trestledock.entry._dialect import Dialect, ForwardingContext
 from trestledock.entry._job import Job, Refusal
 from trestledock.entry._logger import emit
 from trestledock.entry._pool import Pool
-from trestledock.entry._notices import note_sent
+from trestledock.entry._notices import log_send_against_notices
 from trestledock.entry._reply import Reply
 from trestledock.entry._selecting import make_flight
-from trestledock.entry._state import MOST_AGE_S, EntryState
+from trestledock.entry._state import MAX_AGE_S, EntryState
 from trestledock.entry._tickets import Tickets
 from trestledock.entry._wire import Wire, WireError
 from trestledock.relay import (
-    CLAIM_S,
-    Ending,
+    CLAIM_DELAY_S,
+    AttemptOutcome,
     Flight,
     Placement,
-    Sending,
-    Sign,
-    find_prior,
+    RelayAttempt,
+    FailureKind,
+    find_prior_claim,
     needs_claim,
 )
 
@@ -58,17 +58,17 @@
         job: Job,
         placement: Placement,
         reply: Reply,
-    ) -> Sending:
+    ) -> RelayAttempt:
         """Send a request to a target and pass its answer on."""
         now = anyio.current_time()
         flight = make_flight(job, placement, now)
         self._note_placed(job, placement, now)
-        if not job.history.sendings:
-            self.state.budgets.earn(job.service, now)
+        if not job.history.attempts:
+            self.state.budgets.record_request(job.service, now)
         held: dict[str, str] = {}
         known = self._get_known(flight, placement)
         self.state.board.put(flight)
-        self.state.note_sent(flight.target, now)
+        self.state.record_sent(flight.target, now)
         self.state.notify_own()
         try:
             prior = await self._claim(flight, known)
@@ -76,7 +76,7 @@
                 return await self._reserve(job, placement, reply, held)
         finally:
             self._clean_up(flight.flight_id, held)
-        return Sending(Ending.not_sent, 'claim', flight.target, prior.flight_id)
+        return RelayAttempt(AttemptOutcome.not_sent, 'claim', flight.target, prior.flight_id)
 
     async def _reserve(
         self,
@@ -84,19 +84,19 @@
         placement: Placement,
         reply: Reply,
         held: dict[str, str],
-    ) -> Sending:
+    ) -> RelayAttempt:
         if await self.tickets.reserve(job, placement, held):
             return await self._exchange(job, placement, reply, held)
-        return Sending(Ending.not_sent, 'reserve', placement.target.incarnation)
+        return RelayAttempt(AttemptOutcome.not_sent, 'reserve', placement.target.incarnation)
 
     def _get_known(
         self, flight: Flight, placement: Placement
     ) -> set[str] | None:
         """Return what a claim reckons with; None for what needs no claim."""
-        claims = self.state.placer.terms.claims
+        claims = self.state.placer.policy.claims
         if not claims or not needs_claim(placement, flight.worth):
             return None
-        return {one.flight_id for one in self.state.board.get_beside(flight)}
+        return {one.flight_id for one in self.state.board.get_colocated(flight)}
 
     async def _claim(
         self, flight: Flight, known: set[str] | None
@@ -107,10 +107,10 @@
         """
         if known is None:
             return None
-        self.state.tell_own()
-        await anyio.sleep(CLAIM_S)
-        self.state.catch_up()
-        return find_prior(flight, self.state.board.get_beside(flight), known)
+        self.state.send_own_changes()
+        await anyio.sleep(CLAIM_DELAY_S)
+        self.state.receive_messages()
+        return find_prior_claim(flight, self.state.board.get_colocated(flight), known)
 
     def _clean_up(self, flight_id: str, held: dict[str, str]) -> None:
         self.state.board.remove(flight_id)
@@ -123,14 +123,14 @@
         placement: Placement,
         reply: Reply,
         held: dict[str, str],
-    ) -> Sending:
+    ) -> RelayAttempt:
         peer = placement.target.incarnation
         try:
-            wire = await self.pool.take(placement.target)
+            wire = await self.pool.acquire(placement.target)
         except WireError as exc:
-            self.state.note_silence(peer, anyio.current_time())
-            return Sending(
-                Ending.not_sent, exc.step, peer, exc.detail, exc.sign
+            self.state.record_silence(peer, anyio.current_time())
+            return RelayAttempt(
+                AttemptOutcome.not_sent, exc.step, peer, exc.detail, exc.sign
             )
         obstacle = self._find_obstacle(job, placement) or self._find_restrained(
             job, placement
@@ -140,7 +140,7 @@
             return obstacle
         return await self._talk(job, placement, reply, held, wire)
 
-    def _find_obstacle(self, job: Job, placement: Placement) -> Sending | None:
+    def _find_obstacle(self, job: Job, placement: Placement) -> RelayAttempt | None:
         """Return why nothing may be written, as it is known by now.
 
         Reserving memory and connecting take up to a second, in which a key may
@@ -149,19 +149,19 @@
         """
         refusal = check_again(self.state, job)
         if refusal:
-            return Sending(Ending.not_sent, refusal.value, 'self')
+            return RelayAttempt(AttemptOutcome.not_sent, refusal.value, 'self')
         if placement.target.service != job.service:
-            return Sending(
-                Ending.not_sent, 'moved', placement.target.incarnation
+            return RelayAttempt(
+                AttemptOutcome.not_sent, 'moved', placement.target.incarnation
             )
-        for one in placement.engaged:
+        for one in placement.engaged_targets:
             if not self.state.fleet.is_usable(one.incarnation):
-                return Sending(Ending.not_sent, 'left', one.incarnation)
+                return RelayAttempt(AttemptOutcome.not_sent, 'left', one.incarnation)
         return None
 
     def _find_restrained(
         self, job: Job, placement: Placement
-    ) -> Sending | None:
+    ) -> RelayAttempt | None:
         """Take the request's part of what its targets take a second.
 
         Return why nothing may be written, where nothing is left of it: others
@@ -169,14 +169,14 @@
         meanwhile.
         """
         now = anyio.current_time()
-        engaged = placement.engaged
-        restrained = self.state.throttle.take(engaged, now)
+        engaged = placement.engaged_targets
+        restrained = self.state.throttle.acquire(engaged, now)
         if restrained:
-            resting = self.state.throttle.is_resting(restrained, now)
+            resting = self.state.throttle.is_backing_off(restrained, now)
             step = Refusal.resting if resting else Refusal.limited
-            return Sending(Ending.not_sent, step.value, restrained.incarnation)
+            return RelayAttempt(AttemptOutcome.not_sent, step.value, restrained.incarnation)
         if any(map(self.state.throttle.is_restrained, engaged)):
-            self.state.turns.note_served(job.turn, now)
+            self.state.turns.record_served(job.turn, now)
         return None
 
     async def _talk(
@@ -186,29 +186,29 @@
         reply: Reply,
         held: dict[str, str],
         wire: Wire,
-    ) -> Sending:
+    ) -> RelayAttempt:
         """Write the request and take the answer on an open connection."""
         peer = placement.target.incarnation
         idle_s: float = 0
         asked_at = anyio.current_time()
-        note_sent(self.state, job.call.req_id, placement)
+        log_send_against_notices(self.state, job.call.req_id, placement)
         try:
             await self._write(job, placement, held, wire)
             sending, idle_s = await self.answering.receive(
                 job, placement, wire, reply, asked_at
             )
         except WireError as exc:
-            self.state.health.note_failure(peer, anyio.current_time())
+            self.state.health.record_failure(peer, anyio.current_time())
             # Connections that go silent do so together, while new ones work.
-            self.pool.drop(peer)
+            self.pool.close_idle(peer)
             await self._find_out(job, placement, exc.sign)
-            return Sending(Ending.lost, exc.step, peer, exc.detail, exc.sign)
+            return RelayAttempt(AttemptOutcome.lost, exc.step, peer, exc.detail, exc.sign)
         finally:
-            await self.pool.give(placement.target, wire, idle_s)
+            await self.pool.release(placement.target, wire, idle_s)
         return sending
 
     async def _find_out(
-        self, job: Job, placement: Placement, sign: Sign
+        self, job: Job, placement: Placement, sign: FailureKind
     ) -> None:
         """Have it found out whether a target has ended under a request.
 
@@ -217,7 +217,7 @@
         """
         helpers = () if job.begun else placement.helpers
         with anyio.CancelScope(shield=True):
-            await self.state.isolation.note_lost(
+            await self.state.isolation.investigate_failure(
                 job.fingerprint, sign, (placement.target, *helpers)
             )
 
@@ -229,7 +229,7 @@
         wire: Wire,
     ) -> None:
         left_s = job.deadline - anyio.current_time()
-        passing = Passing(
+        passing = ForwardingContext(
             placement=placement,
             team=job.team.team,
             left_s=left_s,
@@ -247,7 +247,7 @@
         )
 
     def _get_list_age_s(self, now: float) -> float:
-        return min(self.state.get_list_age_s(now), MOST_AGE_S)
+        return min(self.state.get_list_age_s(now), MAX_AGE_S)
 
     def _note_placed(self, job: Job, placement: Placement, now: float) -> None:
         size = job.call.size
@@ -256,9 +256,9 @@
                 req=job.call.req_id,
                 peer=placement.target.incarnation,
                 helpers=tuple(one.incarnation for one in placement.helpers),
-                tickets=len(placement.tickets),
+                tickets=len(placement.reservations),
                 prompt_tokens=size.prompt_tokens if size else 0,
-                predicted_ms=round(placement.first_s * MS),
+                predicted_ms=round(placement.first_token_s * MS),
                 cost=round(placement.cost, 2),
                 waited_ms=round((now - job.call.arrived_at) * MS),
                 candidates=placement.candidates,
--- a/trestledock/entry/_settings.py
+++ b/trestledock/entry/_settings.py
@@ -8,7 +8,7 @@
 
 from dataclasses import dataclass, field
 
-from trestledock.relay import BudgetTerms
+from trestledock.relay import RetryLimits
 
 
 @dataclass(frozen=True)
@@ -33,4 +33,4 @@
     settle_s: float = 2
     revoke_s: float = 0
     grace_s: float = 8
-    budget: BudgetTerms = field(default_factory=BudgetTerms)
+    budget: RetryLimits = field(default_factory=RetryLimits)
--- a/trestledock/entry/_state.py
+++ b/trestledock/entry/_state.py
@@ -21,27 +21,27 @@
 from trestledock.entry._reply import Reply
 from trestledock.entry._settings import EntrySettings
 from trestledock.relay import (
-    Board,
+    LoadTable,
     Catalog,
     Fleet,
     Health,
-    Load,
+    RemoteLoad,
     Member,
     Notices,
     Placer,
-    Proof,
-    Reach,
-    Restores,
+    FreshnessProof,
+    Reachability,
+    RestoreTracker,
     RateLimit,
-    Rest,
+    Backoff,
     Throttle,
-    Turns,
+    WaitQueue,
 )
 
 #: Delay before a failed background task is restarted, in seconds.
 RESTART_S = 0.3
 #: Age that is sent for something that is not known, in seconds.
-MOST_AGE_S = 1_000_000
+MAX_AGE_S = 1_000_000
 #: Version while no configuration is in force.
 NO_VERSION = -1
 #: Epoch in the metrics for a store without epochs.
@@ -96,29 +96,29 @@
     catalog: Catalog | None = None
     document: str = ''
     fleet: Fleet = field(default_factory=Fleet)
-    board: Board = field(default_factory=Board)
+    board: LoadTable = field(default_factory=LoadTable)
     health: Health = field(default_factory=Health)
-    reach: Reach = field(default_factory=Reach)
-    turns: Turns = field(default_factory=Turns)
+    reach: Reachability = field(default_factory=Reachability)
+    turns: WaitQueue = field(default_factory=WaitQueue)
     ignored_notices: dict[str, dict[str, str]] = field(default_factory=dict)
-    restores: Restores = field(default_factory=Restores)
+    restores: RestoreTracker = field(default_factory=RestoreTracker)
     waits: set[Wait] = field(default_factory=set)
     unanswered: set[Unanswered] = field(default_factory=set)
-    leaving: bool = False
+    draining: bool = False
     closing: bool = False
-    ending: bool = False
+    aborting: bool = False
     in_progress: int = 0
     many_entries: bool = False
     changed: anyio.Event = field(default_factory=anyio.Event)
     own_changed: anyio.Event = field(default_factory=anyio.Event)
     restored: anyio.Event = field(default_factory=anyio.Event)
-    catch_up: Callable[[], None] = _do_nothing
-    tell_own: Callable[[], None] = _do_nothing
-    tell_notices: Callable[[str], None] = _send_nothing
-    learn_loads: Callable[[], Awaitable[None]] = _query_nothing
-    loads: dict[str, Load] = field(default_factory=dict)
+    receive_messages: Callable[[], None] = _do_nothing
+    send_own_changes: Callable[[], None] = _do_nothing
+    send_notices: Callable[[str], None] = _send_nothing
+    refresh_loads: Callable[[], Awaitable[None]] = _query_nothing
+    remote_loads: dict[str, RemoteLoad] = field(default_factory=dict)
     isolation: Isolation = field(init=False)
-    proof: Proof = field(init=False)
+    proof: FreshnessProof = field(init=False)
     placer: Placer = field(init=False)
     throttle: Throttle = field(init=False)
     budgets: Budgets = field(init=False)
@@ -126,7 +126,7 @@
     def __post_init__(self) -> None:
         """Create the parts that share others."""
         self.isolation = Isolation(self.health, self.fleet)
-        self.proof = Proof(self.settings.revoke_s)
+        self.proof = FreshnessProof(self.settings.revoke_s)
         self.placer = Placer(
             self.board,
             self.health,
@@ -183,37 +183,37 @@
         with anyio.move_on_after(limit_s):
             await self.changed.wait()
 
-    def note_silence(self, target_id: str, now: float) -> None:
+    def record_silence(self, target_id: str, now: float) -> None:
         """Record that a target was unreachable or silent.
 
         A crash during a request says nothing about the target's data centre.
         """
         data_centre = self._get_remote_data_centre(target_id)
-        if self.isolation.quarantine.was_ended(target_id):
+        if self.isolation.quarantine.has_crashed(target_id):
             data_centre = ''
         if not self.health.is_suspect(target_id, now, data_centre):
             emit(events.TargetSuspected(target_id, data_centre))
-        self.health.note_silence(target_id, now, data_centre)
+        self.health.record_silence(target_id, now, data_centre)
 
-    def note_success(self, target_id: str, now: float) -> None:
+    def record_success(self, target_id: str, now: float) -> None:
         """Record that a target answered as expected."""
-        self.health.note_success(
+        self.health.record_success(
             target_id, now, self._get_remote_data_centre(target_id)
         )
 
-    def note_early(self, target_id: str, now: float) -> None:
+    def record_early_failover(self, target_id: str, now: float) -> None:
         """Record that a request was given up early at a target."""
-        self.budgets.note_early(now)
+        self.budgets.record_early_failover(now)
         emit(events.TargetDoubted(target_id))
-        self.health.note_doubt(
+        self.health.record_early_timeout(
             target_id, now, self._get_remote_data_centre(target_id)
         )
 
-    def note_sent(self, target_id: str, now: float) -> None:
+    def record_sent(self, target_id: str, now: float) -> None:
         """Record that a request goes to a target."""
-        self.health.note_sent(self._get_remote_data_centre(target_id), now)
+        self.health.record_sent(self._get_remote_data_centre(target_id), now)
 
-    def note_heard(
+    def record_remote_entry(
         self,
         data_centre: str,
         name: str,
@@ -224,32 +224,32 @@
         """Record a message from an entry of another data centre."""
         if data_centre == self.settings.data_centre:
             return
-        self.health.note_heard(data_centre)
+        self.health.record_message(data_centre)
         if leaving:
-            self.reach.note_left(data_centre, name)
+            self.reach.remove_instance(data_centre, name)
         else:
-            self.reach.note_heard(data_centre, name, now)
+            self.reach.record_message(data_centre, name, now)
 
-    def check_reach(self, now: float) -> None:
+    def check_reachability(self, now: float) -> None:
         """Suspect the targets of data centres that have become silent."""
-        for data_centre in self.reach.look(now):
-            if self.health.note_quiet(data_centre, now):
+        for data_centre in self.reach.check(now):
+            if self.health.record_silent_data_centre(data_centre, now):
                 emit(events.DataCentreQuiet(data_centre))
                 self._cancel_waits(data_centre)
 
-    def is_cut_off(self, target_id: str, now: float) -> bool:
+    def is_unreachable(self, target_id: str, now: float) -> bool:
         """Whether all entries of a target's data centre are silent."""
-        return self._get_remote_data_centre(target_id) in self.reach.get_quiet(
+        return self._get_remote_data_centre(target_id) in self.reach.get_silent(
             now
         )
 
-    def get_loads(self, now: float) -> set[str]:
+    def get_known_remote_loads(self, now: float) -> set[str]:
         """Return the data centres with known loads; drop outdated loads."""
-        for data_centre, load in tuple(self.loads.items()):
+        for data_centre, load in tuple(self.remote_loads.items()):
             if not load.is_fresh(now):
-                self.loads.pop(data_centre)
-                self.board.set_elsewhere(data_centre, ())
-        return set(self.loads)
+                self.remote_loads.pop(data_centre)
+                self.board.set_remote_load(data_centre, ())
+        return set(self.remote_loads)
 
     def count_entries(self) -> int:
         """Return the number of entries, including this one.
@@ -258,9 +258,9 @@
         cut off.
         """
         active = self.board.count_peers() + 1
-        return max(active, self.throttle.get_members().known)
+        return max(active, self.throttle.get_members().known_count)
 
-    def note_list(
+    def record_list(
         self,
         as_of: float,
         now: float,
@@ -272,41 +272,41 @@
         It is at most as recent as `latest_at`.
         """
         watch = self.fleet.watch
-        gap_s = min(as_of - watch.read_at, MOST_AGE_S)
-        watch.note_read(as_of, now, latest_at)
+        gap_s = min(as_of - watch.read_at, MAX_AGE_S)
+        watch.record_read(as_of, now, latest_at)
         if watch.disturbed_at == now:
             emit(events.ListDisturbed(source, round(gap_s * MS)))
 
-    def note_epoch(self, epoch: int | None, now: float) -> None:
+    def record_epoch(self, epoch: int | None, now: float) -> None:
         """Record the epoch of the copy of the store that was read."""
         before = self.restores.epoch
-        if self.restores.note(epoch, now):
+        if self.restores.record_epoch(epoch, now):
             self._record_restore(STORE, before, epoch, now)
 
-    def note_told_epoch(
+    def record_reported_epoch(
         self, epoch: int | None, now: float, source: str
     ) -> None:
         """Record the epoch of the store that another entry reported."""
         before = self.restores.epoch
-        if self.restores.note_told(epoch):
+        if self.restores.record_peer_epoch(epoch):
             self._record_restore(source, before, epoch, now)
 
-    def get_news_age_s(self, now: float) -> float:
+    def get_store_age_s(self, now: float) -> float:
         """Return the age of the older of configuration and target list.
 
         A reader is only as current as the older of the two.
         """
         return max(self.proof.get_read_age_s(now), self.get_list_age_s(now))
 
-    def get_offered_age_s(self, now: float) -> float:
+    def get_advertised_age_s(self, now: float) -> float:
         """Return the age of the own copy of the store for other entries.
 
         A draining entry stops accepting connections while it still sends
         messages, so it offers nothing as soon as it drains.
         """
-        if self.leaving:
-            return MOST_AGE_S
-        return min(self.get_news_age_s(now), MOST_AGE_S)
+        if self.draining:
+            return MAX_AGE_S
+        return min(self.get_store_age_s(now), MAX_AGE_S)
 
     def get_list_age_s(self, now: float) -> float:
         """Return the age of the list of targets, in seconds."""
@@ -322,8 +322,8 @@
             'store_epoch': NO_EPOCH if epoch is None else epoch,
             'version': self.version,
             'targets': len(self.fleet.targets),
-            'targets_held': len(self.fleet.held),
-            'targets_leaving': self.fleet.count_leaving(),
+            'targets_held': len(self.fleet.retained),
+            'targets_leaving': self.fleet.count_draining(),
             'list_age_seconds': self.get_list_age_s(now),
             'peers': self.board.count_peers(),
             'targets_resting': self._count_backed_off(now),
@@ -334,7 +334,7 @@
         }
 
     @contextmanager
-    def keep_unanswered(
+    def track_unanswered(
         self,
         reply: Reply,
         scope: anyio.CancelScope,
@@ -347,21 +347,21 @@
         finally:
             self.unanswered.discard(request)
 
-    def end_requests(self) -> None:
+    def abort_requests(self) -> None:
         """Abort each request without a complete answer, with a final error."""
-        self.ending = True
+        self.aborting = True
         for request in tuple(self.unanswered):
             if not request.reply.finished:
                 request.scope.cancel()
 
-    def is_leaving(self) -> bool:
+    def is_draining(self) -> bool:
         """Whether connections should be closed after their answer."""
-        return self.leaving
+        return self.draining
 
     def is_ready(self, now: float) -> bool:
         """Whether new connections should come here."""
         known = self.catalog is not None and bool(self.fleet.targets)
-        return known and not self.leaving and self.proof.is_ready(now)
+        return known and not self.draining and self.proof.is_ready(now)
 
     def _record_restore(
         self,
@@ -371,14 +371,14 @@
         now: float,
     ) -> None:
         """Retain targets that the copy lacks, and start the repair."""
-        self.fleet.watch.note_restore(now)
-        self.isolation.note_restore()
+        self.fleet.watch.record_restore(now)
+        self.isolation.record_restore()
         emit(events.StoreRestored(source, before, epoch, self.version))
         self.restored.set()
         self.restored = anyio.Event()
 
     def _count_backed_off(self, now: float) -> int:
-        rests = self.notices.get_all(Rest).values()
+        rests = self.notices.get_all(Backoff).values()
         return sum(not rest.is_over(now) for rest in rests)
 
     def _get_quota_sum(self) -> float:
--- a/trestledock/entry/_reading.py
+++ b/trestledock/entry/_store_reader.py
@@ -13,11 +13,11 @@
 import anyio
 
 from trestledock.entry import _events as events
-from trestledock.entry._dialect import Directory, News
-from trestledock.entry._listing import Listing
+from trestledock.entry._dialect import Directory, StoreUpdate
+from trestledock.entry._target_list import TargetListUpdater
 from trestledock.entry._logger import emit
 from trestledock.entry._metrics import METRICS
-from trestledock.entry._news import NewsExchange
+from trestledock.entry._update_exchange import UpdateExchange
 from trestledock.entry._state import EntryState
 from trestledock.entry._wire import WireError
 
@@ -33,15 +33,15 @@
 EXPECTED = (WireError, DirectoryError, TimeoutError)
 
 
-class StoreReading:
+class StoreReader:
     """Reads the store for one entry; `failed_at` is the last failed read."""
 
     def __init__(
         self,
         state: EntryState,
         directory: Directory,
-        listing: Listing,
-        exchange: NewsExchange,
+        listing: TargetListUpdater,
+        exchange: UpdateExchange,
     ) -> None:
         """Take the store and the state that reads are applied to."""
         self.state = state
@@ -71,7 +71,7 @@
         if self.is_lost():
             self.failed_at = began_at
         else:
-            self.exchange.gossip.tell_fresh()
+            self.exchange.gossip.announce_read()
 
     def is_lost(self) -> bool:
         """Whether the last read of configuration or targets failed."""
@@ -81,11 +81,11 @@
         """Publish the own address; return whether the store answered."""
         return await self._try(self._announce)
 
-    async def meet_peers(self) -> bool:
+    async def update_peers(self) -> bool:
         """Read the other entries' addresses; return whether that succeeded."""
         return await self._try(self._meet_peers)
 
-    def apply(self, news: News) -> None:
+    def apply(self, news: StoreUpdate) -> None:
         """Apply a version of the configuration if it is newer."""
         catalog = news.catalog
         if catalog is None and news.document:
@@ -105,7 +105,7 @@
             with anyio.fail_after(TIMEOUT_S):
                 await read()
         except EXPECTED as exc:
-            self.state.fleet.watch.note_trouble(began_at)
+            self.state.fleet.watch.record_failure(began_at)
             self._log_failure(step, exc)
             return False
         except Exception:
@@ -120,7 +120,7 @@
         news = await self.directory.read_catalog()
         self._record_epoch()
         self.apply(news)
-        self.state.proof.note_read(asked_at)
+        self.state.proof.record_read(asked_at)
         if news.epoch == self.state.restores.epoch:
             self._last_read_at = asked_at
             self._renew_proof()
@@ -130,20 +130,20 @@
 
         The store may have lost a version that revoked a key.
         """
-        if self.state.restores.is_settled(anyio.current_time()):
+        if self.state.restores.is_complete(anyio.current_time()):
             self.state.proof.renew(self._last_read_at)
 
     def _record_epoch(self) -> None:
-        self.state.note_epoch(self.directory.epoch, anyio.current_time())
+        self.state.record_epoch(self.directory.epoch, anyio.current_time())
 
     async def _read_targets(self) -> None:
         asked_at = anyio.current_time()
         news = await self.directory.read_targets()
         self._record_epoch()
         previous_revision = self.state.fleet.revision
-        self.listing.take(replace(news, as_of=asked_at))
+        self.listing.apply(replace(news, as_of=asked_at))
         if self.state.fleet.revision != previous_revision:
-            self.exchange.forget_taken()
+            self.exchange.clear_list_source()
 
     async def _announce(self) -> None:
         settings = self.state.settings
@@ -151,10 +151,10 @@
 
     async def _meet_peers(self) -> None:
         announced = await self.directory.read_peers()
-        self.exchange.gossip.meet(announced.addresses)
+        self.exchange.gossip.add_addresses(announced.addresses)
         self._record_epoch()
         if announced.epoch == self.state.restores.epoch:
-            self.state.restores.note_recorded(announced.settled_epoch)
+            self.state.restores.set_recorded_epoch(announced.settled_epoch)
             self._renew_proof()
 
     def _log_failure(self, step: str, exc: Exception) -> None:
--- a/trestledock/entry/_restoring.py
+++ b/trestledock/entry/_store_repair.py
@@ -19,9 +19,9 @@
 from trestledock.entry._gossip import Gossip
 from trestledock.entry._isolation import STORE
 from trestledock.entry._logger import emit
-from trestledock.entry._reading import EXPECTED
+from trestledock.entry._store_reader import EXPECTED
 from trestledock.entry._state import EntryState
-from trestledock.relay import Quarantined
+from trestledock.relay import QuarantineRecord
 
 #: Maximum random delay before a repair, in seconds, so that the readers of
 #: several data centres don't repair at the same moment. It is a part of the
@@ -60,9 +60,9 @@
             with anyio.move_on_after(CHECK_INTERVAL_S):
                 await self.state.restored.wait()
             if self.is_reader() and self._is_store_available():
-                await self.look()
+                await self.repair()
 
-    async def look(self) -> None:
+    async def repair(self) -> None:
         """Do what is due; a failed step is repeated at the next check."""
         try:
             with anyio.fail_after(MAX_DELAY_S + TIMEOUT_S):
@@ -88,7 +88,7 @@
 
     async def _write_addresses(self) -> None:
         announced = await self.directory.read_peers()
-        self.gossip.meet(announced.addresses)
+        self.gossip.add_addresses(announced.addresses)
         stored = set(announced.addresses.values())
         missing = {
             name: address
@@ -118,7 +118,7 @@
         if not any(isolation.quarantine.get_records(anyio.current_time())):
             return True
         stored = await self.directory.quarantine.read_whole()
-        isolation.take_records(stored.records, STORE)
+        isolation.merge_records(stored.records, STORE)
         by_fingerprint = {
             record.fingerprint: record for record in stored.records
         }
@@ -143,14 +143,14 @@
         is_due = restores.needs_record(anyio.current_time())
         if is_due and epoch is not None:
             await self.directory.announce_settled(epoch)
-            restores.note_recorded(epoch)
+            restores.set_recorded_epoch(epoch)
 
 
-def _is_missing(record: Quarantined, stored: Quarantined | None) -> bool:
+def _is_missing(record: QuarantineRecord, stored: QuarantineRecord | None) -> bool:
     """Whether a record says more than the one in the store."""
     if stored is None:
         return True
     known = {*stored.incarnations, *stored.cleared}
     is_known = known.issuperset(record.incarnations)
     are_cleared = set(stored.cleared).issuperset(record.cleared)
-    return not is_known or not are_cleared or record.trials > stored.trials
+    return not is_known or not are_cleared or record.probes > stored.probes
--- a/trestledock/entry/_streaming.py
+++ b/trestledock/entry/_streaming.py
@@ -19,7 +19,7 @@
 from trestledock.entry._reply import Reply
 from trestledock.entry._state import EntryState
 from trestledock.entry._wire import Head
-from trestledock.relay import Ending, Placement, Sending, Splitter
+from trestledock.relay import AttemptOutcome, Placement, RelayAttempt, EventSplitter
 
 MS = 1000
 
@@ -46,7 +46,7 @@
         self.placement = placement
         self.peer = placement.target.incarnation
         self.reply = reply
-        self.splitter = Splitter()
+        self.splitter = EventSplitter()
         self.count = 0
         self.noted_at: float = 0
         self.body: AsyncIterator[bytes]
@@ -56,7 +56,7 @@
         head: Head,
         iter_body: IterBody,
         limit: Limit,
-    ) -> Sending:
+    ) -> RelayAttempt:
         """Pass on events until the stream ends."""
         self.body = iter_body()
         while True:
@@ -115,10 +115,10 @@
                 req=self.job.call.req_id,
                 peer=self.peer,
                 took_ms=round((now - flight.since) * MS) if flight else -1,
-                predicted_ms=round(self.placement.first_s * MS),
+                predicted_ms=round(self.placement.first_token_s * MS),
             ),
         )
-        self.state.board.advance(self.job.call.req_id, now)
+        self.state.board.start_decode(self.job.call.req_id, now)
         self.state.notify_own()
 
     async def _start(self, head: Head) -> None:
@@ -126,11 +126,11 @@
             headers = self.dialect.make_reply_headers(head)
             await self.reply.start(head.status, headers)
 
-    async def _finish(self, head: Head) -> Sending:
-        self.state.note_success(self.peer, anyio.current_time())
+    async def _finish(self, head: Head) -> RelayAttempt:
+        self.state.record_success(self.peer, anyio.current_time())
         await self._start(head)
-        await self.reply.finish(self.splitter.rest)
-        return Sending(Ending.answered, 'events', self.peer, f'{self.count}')
+        await self.reply.finish(self.splitter.remainder)
+        return RelayAttempt(AttemptOutcome.answered, 'events', self.peer, f'{self.count}')
 
 
 def _is_next(event_id: str, last: str) -> bool:
--- a/trestledock/entry/_listing.py
+++ b/trestledock/entry/_target_list.py
@@ -13,13 +13,13 @@
 
 import anyio
 
-from trestledock.clock import PauseWatch
+from trestledock.clock import SuspensionDetector
 from trestledock.entry import _events as events
-from trestledock.entry._dialect import News
+from trestledock.entry._dialect import StoreUpdate
 from trestledock.entry._logger import emit
 from trestledock.entry._pool import Pool
 from trestledock.entry._state import EntryState
-from trestledock.relay import BEFORE_ALL, Listed, Order
+from trestledock.relay import LOWEST_ORDER, ListedTarget, RecordOrder
 
 #: Interval of the check for expired retained targets, in seconds.
 EXPIRY_INTERVAL_S = 0.2
@@ -31,7 +31,7 @@
 MS = 1000
 
 
-class Listing:
+class TargetListUpdater:
     """Keeps the fleet of one entry equal to the newest list of targets."""
 
     def __init__(self, state: EntryState, pool: Pool) -> None:
@@ -40,52 +40,52 @@
         self.fleet = state.fleet
         self.pool = pool
 
-    def take(self, news: News) -> None:
+    def apply(self, news: StoreUpdate) -> None:
         """Apply a list that is valid as of `news.as_of`."""
         now = anyio.current_time()
-        self.state.note_list(news.as_of, now, news.source, news.latest_at)
+        self.state.record_list(news.as_of, now, news.source, news.latest_at)
         if news.whole:
             self._drop_missing(news, now)
-        records: dict[str, list[Listed | None]] = defaultdict(list)
+        records: dict[str, list[ListedTarget | None]] = defaultdict(list)
         for record in news.targets:
             records[record.target_id].append(record.listed)
         for target_id, target_records in records.items():
             before = self.fleet.get_by_id(target_id)
             self._apply_records(target_id, target_records, news, now)
             if before and self.fleet.is_superseded(before):
-                self.state.isolation.note_replaced(before.incarnation)
+                self.state.isolation.record_replaced(before.incarnation)
                 self._discard([before.incarnation], news.source)
-        if not self.fleet.watch.is_settled(now):
+        if not self.fleet.watch.is_synchronized(now):
             self._retain(news, now)
 
-    def take_past(self, news: News) -> None:
+    def apply_removals(self, news: StoreUpdate) -> None:
         """Apply another entry's knowledge of removed and draining targets."""
         now = anyio.current_time()
         for incarnation in news.leaving:
-            self.fleet.note_leaving(incarnation, now)
-        removed = self.fleet.take_gone(news.gone)
+            self.fleet.record_draining(incarnation, now)
+        removed = self.fleet.merge_removed(news.gone)
         self._discard(removed, news.source)
 
     async def run(self) -> None:
         """Remove retained targets as their time runs out, until cancelled."""
         checked_at = anyio.current_time()
-        pauses = PauseWatch()
+        pauses = SuspensionDetector()
         while True:
             await anyio.sleep(EXPIRY_INTERVAL_S)
             now = anyio.current_time()
-            pause_s = pauses.look()
+            pause_s = pauses.measure()
             if pause_s:
                 emit(events.Suspended(round(pause_s * MS)))
             if now - checked_at > EXPIRY_INTERVAL_S + MAX_LATENESS_S:
-                self.fleet.watch.note_trouble(now)
+                self.fleet.watch.record_failure(now)
             checked_at = now
-            self._discard(self.fleet.expire(now), LAPSED)
+            self._discard(self.fleet.expire_retained(now), LAPSED)
 
     def _apply_records(
         self,
         target_id: str,
-        records: list[Listed | None],
-        news: News,
+        records: list[ListedTarget | None],
+        news: StoreUpdate,
         now: float,
     ) -> None:
         """Apply the records of one target, in the order of the log.
@@ -101,14 +101,14 @@
                 self._put(listed, news)
             return
         for old in (*before_removal, *after_removal):
-            self.fleet.note_past(old)
+            self.fleet.record_outdated(old)
         self._drop(target_id, news, now)
 
     def _is_listed_again(
         self,
         target_id: str,
-        before_removal: list[Listed],
-        after_removal: list[Listed],
+        before_removal: list[ListedTarget],
+        after_removal: list[ListedTarget],
     ) -> bool:
         """Whether a target was listed again after its removal.
 
@@ -117,35 +117,35 @@
         from other entries, must not be newer than all of them.
         """
         known = self.fleet.get_last_order(target_id)
-        newest = _get_newest(after_removal, BEFORE_ALL)
+        newest = _get_newest(after_removal, LOWEST_ORDER)
         return newest >= known and newest > _get_newest(before_removal, known)
 
-    def _retain(self, news: News, now: float) -> None:
+    def _retain(self, news: StoreUpdate, now: float) -> None:
         """Retain the targets that the source retains and that are unknown here.
 
         An entry that has followed the store for long enough relies on its own
         knowledge instead.
         """
         for held in news.held:
-            if self.fleet.hold(held.listed, now + held.left_s):
+            if self.fleet.retain(held.listed, now + held.left_s):
                 self._log_retained(held.listed, news, now)
 
-    def _drop_missing(self, news: News, now: float) -> None:
+    def _drop_missing(self, news: StoreUpdate, now: float) -> None:
         present = {record.target_id for record in news.targets if record.listed}
         for target_id in set(self.fleet.newest) - present:
             self._drop(target_id, news, now)
 
-    def _put(self, listed: Listed, news: News) -> None:
-        again = listed.target_id in self.fleet.gone
+    def _put(self, listed: ListedTarget, news: StoreUpdate) -> None:
+        again = listed.target_id in self.fleet.removed
         if not self.fleet.put(listed):
             return
-        self.state.isolation.note_listed(listed)
+        self.state.isolation.record_listed(listed)
         emit(
             events.TargetListed(
                 listed.incarnation,
                 listed.service,
                 listed.standing.value,
-                self.fleet.is_leaving(listed.incarnation),
+                self.fleet.is_draining(listed.incarnation),
                 listed.sequence,
                 news.source,
                 again,
@@ -153,19 +153,19 @@
         )
         self.state.notify()
 
-    def _drop(self, target_id: str, news: News, now: float) -> None:
+    def _drop(self, target_id: str, news: StoreUpdate, now: float) -> None:
         known = self.fleet.get_by_id(target_id)
         if known is None:
             return
-        was_retained = known.incarnation in self.fleet.held
+        was_retained = known.incarnation in self.fleet.retained
         retained_until = self._get_retention_end(target_id, news, now)
-        if self.fleet.drop(target_id, retained_until, now):
+        if self.fleet.record_removal(target_id, retained_until, now):
             self._discard([known.incarnation], news.source)
         elif not was_retained:
             self._log_retained(known, news, now)
 
     def _get_retention_end(
-        self, target_id: str, news: News, now: float
+        self, target_id: str, news: StoreUpdate, now: float
     ) -> float:
         """Return until when a missing target's record may only have lapsed.
 
@@ -182,15 +182,15 @@
         )
         return next(ends, watch.grace_end)
 
-    def _log_retained(self, listed: Listed, news: News, now: float) -> None:
+    def _log_retained(self, listed: ListedTarget, news: StoreUpdate, now: float) -> None:
         name = listed.incarnation
-        left_s = self.fleet.held[name] - now
+        left_s = self.fleet.retained[name] - now
         emit(events.TargetHeld(name, news.source, round(left_s * MS)))
 
     def _discard(self, incarnations: list[str], source: str) -> None:
         for incarnation in incarnations:
             emit(events.TargetGone(incarnation, source))
-            self.pool.drop(incarnation)
+            self.pool.close_idle(incarnation)
             self.state.health.targets.pop(incarnation, None)
             self.state.throttle.forget(incarnation)
             self.state.ignored_notices.pop(incarnation, None)
@@ -199,8 +199,8 @@
 
 
 def _split_at_removal(
-    records: list[Listed | None],
-) -> tuple[list[Listed], list[Listed]]:
+    records: list[ListedTarget | None],
+) -> tuple[list[ListedTarget], list[ListedTarget]]:
     """Return the records before and after the last removal, if any.
 
     >>> first, second = Listed('t', 's', 'a'), Listed('t', 's', 'b')
@@ -214,9 +214,9 @@
     return _drop_none(records[:split_at]), _drop_none(records[split_at:])
 
 
-def _get_newest(records: list[Listed], default: Order) -> Order:
+def _get_newest(records: list[ListedTarget], default: RecordOrder) -> RecordOrder:
     return max((listed.order for listed in records), default=default)
 
 
-def _drop_none(records: Iterable[Listed | None]) -> list[Listed]:
+def _drop_none(records: Iterable[ListedTarget | None]) -> list[ListedTarget]:
     return [listed for listed in records if listed is not None]
--- a/trestledock/entry/_tickets.py
+++ b/trestledock/entry/_tickets.py
@@ -11,20 +11,20 @@
 import anyio
 
 from trestledock.entry import _events as events
-from trestledock.entry._dialect import Dialect, Order
+from trestledock.entry._dialect import Dialect, ControlRequest
 from trestledock.entry._job import Job
 from trestledock.entry._logger import emit
-from trestledock.entry._notices import note_order
+from trestledock.entry._notices import record_order_notices
 from trestledock.entry._pool import Pool
 from trestledock.entry._state import EntryState
 from trestledock.entry._wire import Head, Wire, WireError
-from trestledock.relay import Listed, Placement
+from trestledock.relay import ListedTarget, Placement
 
 #: The lease of a ticket, in seconds: below the time after which memory that
 #: nobody uses counts as leaked (4 s).
 HOLD_S = 3.5
 #: How often a ticket is renewed, in seconds.
-RENEW_S = 1.2
+RENEW_INTERVAL_S = 1.2
 #: How long an order may take, in seconds.
 ORDER_S = 0.6
 #: How long a connection that took an order is kept, in seconds.
@@ -48,7 +48,7 @@
         self.pool = pool
         self.dialect = dialect
         self._renewals: dict[str, anyio.CancelScope] = {}
-        self._holders: dict[str, Listed] = {}
+        self._holders: dict[str, ListedTarget] = {}
         self._count = 0
 
     async def reserve(
@@ -61,19 +61,19 @@
 
         What is held must be released by the caller, also after a failure.
         """
-        if not placement.tickets:
+        if not placement.reservations:
             return True
         by_name = {one.incarnation: one for one in placement.helpers}
         async with anyio.create_task_group() as group:
-            for name, tokens in placement.tickets:
+            for name, tokens in placement.reservations:
                 self._count += 1
                 ticket = f'{job.call.req_id}-{self._count}'
                 group.start_soon(
                     self._reserve_one, by_name[name], ticket, tokens, held
                 )
-        if len(held) == len(placement.tickets):
+        if len(held) == len(placement.reservations):
             return True
-        asked = len(placement.tickets)
+        asked = len(placement.reservations)
         emit(events.MemoryRefused(job.call.req_id, len(held), asked))
         return False
 
@@ -89,7 +89,7 @@
 
     async def _reserve_one(
         self,
-        holder: Listed,
+        holder: ListedTarget,
         ticket: str,
         tokens: int,
         held: dict[str, str],
@@ -112,7 +112,7 @@
     async def _renew(
         self,
         scope: anyio.CancelScope,
-        holder: Listed,
+        holder: ListedTarget,
         ticket: str,
         tokens: int,
     ) -> None:
@@ -123,7 +123,7 @@
         """
         with scope:
             while True:
-                await anyio.sleep(RENEW_S)
+                await anyio.sleep(RENEW_INTERVAL_S)
                 if self.state.fleet.is_superseded(holder):
                     return
                 order = self.dialect.make_reserve(
@@ -131,13 +131,13 @@
                 )
                 await self._order(holder, order)
 
-    async def _release_one(self, holder: Listed, ticket: str) -> None:
+    async def _release_one(self, holder: ListedTarget, ticket: str) -> None:
         for _ in range(RELEASE_TRIES):
             order = self.dialect.make_release(ticket, holder)
             if await self._order(holder, order) in DONE:
                 return
 
-    async def _order(self, holder: Listed, order: Order) -> int:
+    async def _order(self, holder: ListedTarget, order: ControlRequest) -> int:
         """Give an order; return its status, zero where none came."""
         try:
             with anyio.fail_after(ORDER_S):
@@ -147,8 +147,8 @@
             return NO_ANSWER
         return head.status
 
-    async def _exchange(self, holder: Listed, order: Order) -> Head:
-        wire = await self.pool.take(holder)
+    async def _exchange(self, holder: ListedTarget, order: ControlRequest) -> Head:
+        wire = await self.pool.acquire(holder)
         idle_s: float = 0
         asked_at = anyio.current_time()
         try:
@@ -162,14 +162,14 @@
             head = await self._read_answer(holder, wire, asked_at)
             idle_s = ORDER_IDLE_S
         finally:
-            await self.pool.give(holder, wire, idle_s)
+            await self.pool.release(holder, wire, idle_s)
         return head
 
     async def _read_answer(
-        self, holder: Listed, wire: Wire, asked_at: float
+        self, holder: ListedTarget, wire: Wire, asked_at: float
     ) -> Head:
         head = await wire.read_head()
         answer = self.dialect.read_head(head)
-        note_order(self.state, holder, head.status, answer, asked_at)
+        record_order_notices(self.state, holder, head.status, answer, asked_at)
         await wire.read_body()
         return head
--- a/trestledock/entry/_news.py
+++ b/trestledock/entry/_update_exchange.py
@@ -16,26 +16,26 @@
 import anyio
 from trestledock.entry import _events as events
 from trestledock.entry._checks import (
-    read_amount,
+    read_number,
     read_count,
-    read_flag,
+    read_bool,
     read_list,
     read_optional_count,
     read_text,
-    read_whole,
+    read_int,
 )
 from trestledock.entry._datagrams import Address
-from trestledock.entry._dialect import HeldTarget, News, TargetNews
+from trestledock.entry._dialect import RetainedTarget, StoreUpdate, TargetUpdate
 from trestledock.entry._gossip import Gossip
 from trestledock.entry._logger import emit
 from trestledock.entry._peer_calls import BAD_ANSWER, call_peer
-from trestledock.entry._state import MOST_AGE_S, NO_VERSION, EntryState
-from trestledock.entry._words import Question, Reply
+from trestledock.entry._state import MAX_AGE_S, NO_VERSION, EntryState
+from trestledock.entry._messages import Question, Reply
 from trestledock.relay import (
-    UNTOLD,
-    GoneTarget,
-    Listed,
-    Quarantined,
+    UNKNOWN_BIRTH,
+    RemovedTarget,
+    ListedTarget,
+    QuarantineRecord,
     Standing,
 )
 
@@ -47,9 +47,9 @@
         'address': read_text,
         'data_centre': read_text,
         'standing': Standing,
-        'slots': read_whole,
-        'sequence': read_whole,
-        'born': read_whole,
+        'slots': read_int,
+        'sequence': read_int,
+        'born': read_int,
     }
 )
 #: Timeout for the answer to a question, in seconds.
@@ -62,7 +62,7 @@
 NO_SOURCE = ('', -1)
 
 
-class NewsExchange:
+class UpdateExchange:
     """Asks the reader for updates, and answers the questions of others."""
 
     def __init__(self, state: EntryState, gossip: Gossip) -> None:
@@ -75,7 +75,7 @@
         gossip.handlers[Question] = self._handle_question
         gossip.handlers[Reply] = self._handle_reply
 
-    async def ask(self, reader: str) -> None:
+    async def query_reader(self, reader: str) -> None:
         """Ask an entry how current its copy is, and wait for its answer."""
         peer = self.gossip.peers.known.get(reader)
         if peer is None:
@@ -86,7 +86,7 @@
         with anyio.move_on_after(ANSWER_TIMEOUT_S):
             await self.gossip.wait_for(self._answered)
 
-    def take_proof(self, reader: str) -> bool:
+    def renew_proof(self, reader: str) -> bool:
         """Renew the proof of the configuration by the reader's last answer.
 
         Return whether the reader has something newer that must be fetched
@@ -97,18 +97,18 @@
         if reply is None or reply.sender != reader:
             return False
         now = anyio.current_time()
-        self.state.note_told_epoch(reply.epoch, now, reader)
+        self.state.record_reported_epoch(reply.epoch, now, reader)
         is_behind = reply.version > self.state.version
         if not is_behind:
             self.state.proof.renew(reply.asked_at - reply.proof_age_s)
-            self.state.proof.note_read(reply.asked_at - reply.read_age_s)
+            self.state.proof.record_read(reply.asked_at - reply.read_age_s)
         listed_at = reply.asked_at - reply.list_age_s
         if listed_at <= self.state.fleet.watch.read_at:
             return is_behind
         if self._list_source != (reader, reply.revision):
             return True
         latest_at = now - reply.list_age_s
-        self.state.note_list(listed_at, now, reader, latest_at)
+        self.state.record_list(listed_at, now, reader, latest_at)
         return is_behind
 
     async def fetch(
@@ -117,7 +117,7 @@
         timeout_s: float,
         *,
         with_removed: bool = False,
-    ) -> News | None:
+    ) -> StoreUpdate | None:
         """Fetch the reader's state; return None on failure or timeout.
 
         `with_removed` also requests the removed targets.
@@ -137,15 +137,15 @@
             emit(events.NewsLost(reader, repr(exc)))
             return None
 
-    def note_taken(self, news: News) -> None:
+    def record_list_source(self, news: StoreUpdate) -> None:
         """Record which entry's list, at which revision, the own one copies."""
         self._list_source = (news.source, news.revision)
 
-    def forget_taken(self) -> None:
+    def clear_list_source(self) -> None:
         """Record that the own list no longer copies that of another entry."""
         self._list_source = NO_SOURCE
 
-    def make_news(
+    def encode_update(
         self, version: int = NO_VERSION, *, with_removed: bool = False
     ) -> bytes:
         """Encode this entry's state for an entry that has some version.
@@ -157,42 +157,42 @@
         now = anyio.current_time()
         fleet = self.state.fleet
         retained = [
-            {'listed': write_target(listed), 'left_s': until - now}
-            for listed, until in fleet.get_held()
+            {'listed': encode_target(listed), 'left_s': until - now}
+            for listed, until in fleet.get_retained()
         ]
         quarantine = [
             _encode_quarantined(record)
             for record in self.state.isolation.quarantine.get_records(now)
         ]
         fields = {
-            'list_age_s': min(self.state.get_list_age_s(now), MOST_AGE_S),
+            'list_age_s': min(self.state.get_list_age_s(now), MAX_AGE_S),
             'revision': self.state.revision,
-            'settled': fleet.watch.is_settled(now),
+            'settled': fleet.watch.is_synchronized(now),
             'document': self._get_document(version),
-            'targets': [write_target(listed) for listed in fleet.get_listed()],
+            'targets': [encode_target(listed) for listed in fleet.get_listed()],
             'held': retained,
             'quarantine': quarantine,
             'epoch': self.state.restores.epoch,
         }
         if with_removed:
             fields['gone'] = [
-                (target.target_id, *target.order) for target in fleet.get_gone()
+                (target.target_id, *target.order) for target in fleet.get_removed()
             ]
-            fields['leaving'] = sorted(fleet.leaving)
+            fields['leaving'] = sorted(fleet.draining)
         return json.dumps(fields, separators=(',', ':')).encode()
 
     def _get_document(self, version: int) -> str:
         return '' if version == self.state.version else self.state.document
 
     def _handle_question(self, question: Question, sender: Address) -> bool:
-        self.gossip.be_attentive()
+        self.gossip.poll_more_often()
         now = anyio.current_time()
         reply = Reply(
             sender=self.state.member,
             asked_at=question.asked_at,
-            proof_age_s=min(self.state.proof.get_age_s(now), MOST_AGE_S),
-            read_age_s=min(self.state.proof.get_read_age_s(now), MOST_AGE_S),
-            list_age_s=min(self.state.get_list_age_s(now), MOST_AGE_S),
+            proof_age_s=min(self.state.proof.get_age_s(now), MAX_AGE_S),
+            read_age_s=min(self.state.proof.get_read_age_s(now), MAX_AGE_S),
+            list_age_s=min(self.state.get_list_age_s(now), MAX_AGE_S),
             version=self.state.version,
             revision=self.state.revision,
             epoch=self.state.restores.epoch,
@@ -212,51 +212,51 @@
         return await call_peer(address, f'{NEWS_PATH}?{query}')
 
 
-def write_target(listed: Listed) -> dict[str, Any]:
+def encode_target(listed: ListedTarget) -> dict[str, Any]:
     """Encode a target for another entry."""
     return {name: getattr(listed, name) for name in TARGET_FIELDS}
 
 
-def read_target(encoded: Mapping[str, Any]) -> Listed:
+def decode_target(encoded: Mapping[str, Any]) -> ListedTarget:
     """Decode a target from another entry, or raise if it is invalid.
 
     Older versions of the program send no time of birth.
     """
-    fields = {'born': UNTOLD, **encoded}
+    fields = {'born': UNKNOWN_BIRTH, **encoded}
     decoded = {
         name: decode(fields[name]) for name, decode in TARGET_FIELDS.items()
     }
-    return Listed(**decoded)
+    return ListedTarget(**decoded)
 
 
-def _decode_retained(fields: Mapping[str, Any]) -> HeldTarget:
-    return HeldTarget(
-        read_target(fields['listed']), read_amount(fields['left_s'])
+def _decode_retained(fields: Mapping[str, Any]) -> RetainedTarget:
+    return RetainedTarget(
+        decode_target(fields['listed']), read_number(fields['left_s'])
     )
 
 
-def _decode_removed(row: Any) -> GoneTarget:
+def _decode_removed(row: Any) -> RemovedTarget:
     target_id, born, sequence = read_list(row)
-    return GoneTarget(
-        read_text(target_id), (read_whole(born), read_whole(sequence))
+    return RemovedTarget(
+        read_text(target_id), (read_int(born), read_int(sequence))
     )
 
 
-def _encode_quarantined(record: Quarantined) -> dict[str, Any]:
+def _encode_quarantined(record: QuarantineRecord) -> dict[str, Any]:
     return {
         'fingerprint': record.fingerprint,
         'ends': record.incarnations,
         'age_s': record.age_s,
-        'trials': record.trials,
+        'trials': record.probes,
         'cleared': record.cleared,
     }
 
 
-def _decode_quarantined(fields: Mapping[str, Any]) -> Quarantined:
-    return Quarantined(
+def _decode_quarantined(fields: Mapping[str, Any]) -> QuarantineRecord:
+    return QuarantineRecord(
         read_text(fields['fingerprint']),
         tuple(map(read_text, read_list(fields['ends']))),
-        read_amount(fields['age_s']),
+        read_number(fields['age_s']),
         read_count(fields['trials']),
         tuple(map(read_text, read_list(fields['cleared']))),
     )
@@ -267,26 +267,26 @@
     asked_at: float,
     now: float,
     reader: str,
-) -> News:
+) -> StoreUpdate:
     """Decode another entry's state, or raise if it is invalid.
 
     Older versions send no retained targets, quarantined requests or epoch.
     """
-    listed = map(read_target, read_list(fields['targets']))
-    age_s = read_amount(fields['list_age_s'])
+    listed = map(decode_target, read_list(fields['targets']))
+    age_s = read_number(fields['list_age_s'])
     quarantined = read_list(fields.get('quarantine', []))
-    return News(
+    return StoreUpdate(
         document=read_text(fields['document']),
         targets=tuple(
-            [TargetNews(target.target_id, target) for target in listed]
+            [TargetUpdate(target.target_id, target) for target in listed]
         ),
         held=tuple(map(_decode_retained, read_list(fields.get('held', [])))),
         as_of=asked_at - age_s,
         latest_at=now - age_s,
         whole=True,
-        settled=read_flag(fields.get('settled', False)),
+        settled=read_bool(fields.get('settled', False)),
         source=reader,
-        revision=read_whole(fields['revision']),
+        revision=read_int(fields['revision']),
         quarantine=tuple(map(_decode_quarantined, quarantined)),
         epoch=read_optional_count(fields.get('epoch')),
         gone=tuple(map(_decode_removed, read_list(fields.get('gone', [])))),
--- a/trestledock/entry/_wire.py
+++ b/trestledock/entry/_wire.py
@@ -16,7 +16,7 @@
 import h11
 from anyio.abc import SocketAttribute, SocketStream
 
-from trestledock.relay import Sign, get_connect_sign, get_end_sign
+from trestledock.relay import FailureKind, classify_connect_error, classify_disconnect
 
 #: How long a target may take to accept a connection, in seconds: some hundred
 #: times the way there, and short beside the objectives of short requests.
@@ -45,13 +45,13 @@
     """A connection failed at a step."""
 
     def __init__(
-        self, step: str, detail: str, sign: Sign = Sign.garbled
+        self, step: str, detail: str, failure_kind: FailureKind = FailureKind.garbled
     ) -> None:
         """Keep the step, what went wrong, and what it was a sign of."""
         super().__init__(f'{step}: {detail}')
         self.step = step
         self.detail = detail
-        self.sign = sign
+        self.sign = failure_kind
 
 
 @dataclass(frozen=True)
@@ -94,7 +94,7 @@
                 stream = await anyio.connect_tcp(host, int(port))
         except (OSError, TimeoutError) as exc:
             raise WireError(
-                'connect', repr(exc), get_connect_sign(exc)
+                'connect', repr(exc), classify_connect_error(exc)
             ) from exc
         _set_options(stream)
         return cls(stream)
@@ -131,7 +131,7 @@
             if isinstance(event, h11.Response):
                 return Head(event.status_code, tuple(event.headers))
             if isinstance(event, h11.ConnectionClosed):
-                raise WireError('answer', 'connection closed', Sign.closed)
+                raise WireError('answer', 'connection closed', FailureKind.closed)
 
     async def iter_body(self) -> AsyncIterator[bytes]:
         """Yield the body's bytes; raise a `WireError` where it is cut."""
@@ -160,7 +160,7 @@
         self.http.start_next_cycle()
         return True
 
-    async def wait_for_surplus(self) -> None:
+    async def wait_for_unexpected_data(self) -> None:
         """Return when an idle connection closes or gets bytes unasked for."""
         with suppress(*STREAM_ENDS):
             await self.stream.receive(1)
@@ -176,7 +176,7 @@
         try:
             await self.stream.send(raw)
         except STREAM_ENDS as exc:
-            raise WireError('write', repr(exc), get_end_sign(exc)) from exc
+            raise WireError('write', repr(exc), classify_disconnect(exc)) from exc
         self.written = True
 
     async def _write_quietly(self, raw: bytes) -> None:
@@ -193,7 +193,7 @@
                 event = self.http.next_event()
         except h11.RemoteProtocolError as exc:
             self.broken = True
-            sign = Sign.closed if self._is_at_end else Sign.garbled
+            sign = FailureKind.closed if self._is_at_end else FailureKind.garbled
             raise WireError(step, repr(exc), sign) from exc
         if isinstance(event, type):
             raise WireError(step, 'answer out of turn')
@@ -207,7 +207,7 @@
             return b''
         except STREAM_ENDS as exc:
             self.broken = True
-            raise WireError(step, repr(exc), get_end_sign(exc)) from exc
+            raise WireError(step, repr(exc), classify_disconnect(exc)) from exc
 
 
 def _set_options(stream: SocketStream) -> None:
--- a/trestledock/platform/_entries.py
+++ b/trestledock/platform/_entries.py
@@ -13,9 +13,9 @@
 from types import MappingProxyType
 from typing import Any, Callable, Mapping
 
-from trestledock.entry import read_amount, read_count, read_text
+from trestledock.entry import read_number, read_count, read_text
 from trestledock.platform._fields import Field, read_fields
-from trestledock.relay import UNTOLD, Listed, Standing
+from trestledock.relay import UNKNOWN_BIRTH, ListedTarget, Standing
 
 #: What stands for the states that the platform names.
 STANDINGS: Mapping[str, Standing] = MappingProxyType(
@@ -71,13 +71,13 @@
 #: What else an entry may say; nothing here is believed, but what another writer
 #: has put there tells it apart from a target's.
 BESIDE: Mapping[str, Callable[[Any], Any]] = MappingProxyType(
-    {'version': read_text, 'coldLeftMs': read_amount, 'phase': read_text}
+    {'version': read_text, 'coldLeftMs': read_number, 'phase': read_text}
 )
 #: Platforms that give each start of a target a new id don't tell its birth.
-OPTIONAL = MappingProxyType({'born': UNTOLD})
+OPTIONAL = MappingProxyType({'born': UNKNOWN_BIRTH})
 
 
-def decode_entry(key: str, raw: bytes) -> Listed:
+def decode_entry(key: str, raw: bytes) -> ListedTarget:
     """Return the target that an entry names, or raise one of `UNREADABLE`."""
     plain = json.loads(raw)
     if not isinstance(plain, dict):
@@ -90,7 +90,7 @@
     missing = [one.wire for one in ENTRY_FIELDS if one.name not in found]
     if missing:
         raise ValueError(f'missing: {missing}')
-    return Listed(target_id=key, **found)
+    return ListedTarget(target_id=key, **found)
 
 
 def decode_address(raw: bytes) -> str:
--- a/trestledock/platform/_epochs.py
+++ b/trestledock/platform/_epochs.py
@@ -33,7 +33,7 @@
     current: Epoch = None
     doubted_at: float | None = None
 
-    def take(self, head: Head) -> Epoch:
+    def record(self, head: Head) -> Epoch:
         """Return the epoch of an answer.
 
         Raises a `DirectoryError` for one that is older than what was heard, or
--- a/trestledock/platform/_headers.py
+++ b/trestledock/platform/_headers.py
@@ -9,13 +9,13 @@
 import json
 from typing import Any, Mapping
 
-from trestledock.entry import AnswerNote, Head, Headers, Order, Passing
+from trestledock.entry import AnswerMetadata, Head, Headers, ControlRequest, ForwardingContext
 from trestledock.platform._notices import (
     read_leaving,
     read_limit,
     read_rest,
 )
-from trestledock.relay import Body, Call, Listed, PromptSize
+from trestledock.relay import Body, Call, ListedTarget, PromptSize
 
 REQUEST_ID = b'trestledock-request-id'
 #: Milliseconds that the caller will wait, or that a target may take.
@@ -52,7 +52,7 @@
     )
 )
 #: Headers of a caller that are replaced on the way to a target.
-REPLACED = HOP_BY_HOP | {
+REPLACED_HEADERS = HOP_BY_HOP | {
     AUTHORIZATION,
     DEADLINE,
     TEAM,
@@ -86,7 +86,7 @@
             path=raw_path,
             query=f'?{query}' if query else '',
             host=host.partition(':')[0],
-            headers=_drop(scope['headers'], REPLACED),
+            headers=_drop(scope['headers'], REPLACED_HEADERS),
             body=body,
             arrived_at=now,
             deadline=None if wait_ms is None else now + wait_ms / MS,
@@ -95,7 +95,7 @@
             resume_after=found.get(LAST_EVENT, b'').decode('latin-1'),
         )
 
-    def make_headers(self, call: Call, passing: Passing) -> Headers:
+    def make_headers(self, call: Call, passing: ForwardingContext) -> Headers:
         """Return the headers of a request to a target."""
         left_ms = max(1, int(passing.left_s * MS))
         added = [
@@ -115,10 +115,10 @@
             added.append((b'content-length', str(len(call.body.raw)).encode()))
         return (*call.headers, *added)
 
-    def read_head(self, head: Head) -> AnswerNote:
+    def read_head(self, head: Head) -> AnswerMetadata:
         """Read the head of a target's answer."""
         marked = bool(head.get_header(NOT_RUN))
-        return AnswerNote(
+        return AnswerMetadata(
             req_id=head.get_header(REQUEST_ID),
             sealed=bool(head.get_header(SEAL)),
             not_run=marked or head.status == MISDIRECTED,
@@ -140,24 +140,24 @@
         self,
         ticket: str,
         tokens: int,
-        hold_s: float,
-        holder: Listed,
-    ) -> Order:
+        lease_s: float,
+        holder: ListedTarget,
+    ) -> ControlRequest:
         """Return the order that reserves memory, or fails at once."""
         return _make_order(
             holder,
             operation='reserve',
             id=ticket,
             tokens=tokens,
-            holdMs=round(hold_s * MS),
+            holdMs=round(lease_s * MS),
         )
 
-    def make_release(self, ticket: str, holder: Listed) -> Order:
+    def make_release(self, ticket: str, holder: ListedTarget) -> ControlRequest:
         """Return the order that gives memory back."""
         return _make_order(holder, operation='release', id=ticket)
 
 
-def _make_order(holder: Listed, **fields: Any) -> Order:
+def _make_order(holder: ListedTarget, **fields: Any) -> ControlRequest:
     """Return an order that only one target takes, not who has its address."""
     body = json.dumps(fields).encode()
     headers = (
@@ -166,10 +166,10 @@
         (b'content-type', b'application/json'),
         (b'content-length', str(len(body)).encode()),
     )
-    return Order('POST', '/order', headers, body)
+    return ControlRequest('POST', '/order', headers, body)
 
 
-def _write_helpers(passing: Passing) -> str:
+def _write_helpers(passing: ForwardingContext) -> str:
     """Return the helpers as `IP:PORT` or `IP:PORT/TICKET`."""
     parts = []
     for helper in passing.placement.helpers:
--- a/trestledock/platform/_log.py
+++ b/trestledock/platform/_log.py
@@ -143,7 +143,7 @@
         finally:
             if not done:
                 await self._close()
-        return Answer(head.status, text, self.epochs.take(head))
+        return Answer(head.status, text, self.epochs.record(head))
 
     async def _exchange(
         self,
--- a/trestledock/platform/_notices.py
+++ b/trestledock/platform/_notices.py
@@ -11,7 +11,7 @@
 import re
 from typing import Sequence
 
-from trestledock.entry import Head, NamedLimit, NamedRest
+from trestledock.entry import Head, RateLimitHeader, BackoffHeader
 
 LIMIT = b'server-limit'
 LEAVING = b'server-leaving'
@@ -26,17 +26,17 @@
 MOST_REST_S = 86_400.0
 
 
-def read_limit(head: Head) -> NamedLimit:
+def read_limit(head: Head) -> RateLimitHeader:
     """Return the limit that an answer names.
 
     Of several numbers the lowest counts, beside others that can't be read.
     """
     texts = _read_texts(head, LIMIT)
     numbers = _read_numbers(texts, MOST_PER_S)
-    return NamedLimit(
+    return RateLimitHeader(
         per_s=min(numbers, default=None),
-        is_named=bool(texts),
-        unreadable=_join_unreadable(texts),
+        is_present=bool(texts),
+        invalid_text=_join_unreadable(texts),
     )
 
 
@@ -45,18 +45,18 @@
     return LEAVES in _read_texts(head, LEAVING)
 
 
-def read_rest(head: Head) -> NamedRest:
+def read_rest(head: Head) -> BackoffHeader:
     """Return the rest that an answer asks for.
 
     Of several numbers the highest counts.  A date is no number: it would be
     read by another machine's clock.
     """
     if head.status not in TURNED_AWAY:
-        return NamedRest()
+        return BackoffHeader()
     texts = _read_texts(head, RETRY_AFTER)
-    return NamedRest(
-        rest_s=max(_read_numbers(texts, MOST_REST_S), default=0),
-        unreadable=_join_unreadable(texts),
+    return BackoffHeader(
+        backoff_s=max(_read_numbers(texts, MOST_REST_S), default=0),
+        invalid_text=_join_unreadable(texts),
     )
 
 
--- a/trestledock/platform/_quarantine.py
+++ b/trestledock/platform/_quarantine.py
@@ -13,11 +13,11 @@
 from trestledock.clock import read_unix_ms
 from trestledock.entry import (
     DirectoryError,
-    Place,
+    LogPosition,
     RecordIgnored,
     StoredQuarantine,
     emit,
-    read_amount,
+    read_number,
     read_count,
     read_list,
     read_text,
@@ -31,7 +31,7 @@
     StoreClient,
     frame_record,
 )
-from trestledock.relay import Quarantined
+from trestledock.relay import QuarantineRecord
 
 TOPIC = 'keyed.quarantine'
 #: What the store answers where a partition has grown meanwhile.
@@ -50,7 +50,7 @@
         self._followed = KeyedTopic(StoreClient(address, epochs), TOPIC)
         self._writer = StoreClient(address, epochs)
 
-    async def read_records(self, wait_s: float) -> tuple[Quarantined, ...]:
+    async def read_records(self, wait_s: float) -> tuple[QuarantineRecord, ...]:
         """Return what is new, once there is something or the time is over."""
         batch = await self._followed.read(wait_s)
         return _read_records(batch.records)
@@ -58,13 +58,13 @@
     async def read_whole(self) -> StoredQuarantine:
         """Return all records, with the place at which the topic ends."""
         batch = await KeyedTopic(self._writer, TOPIC).read()
-        place = Place(batch.end, batch.epoch)
+        place = LogPosition(batch.end, batch.epoch)
         return StoredQuarantine(_read_records(batch.records), place)
 
     async def write_records(
         self,
-        records: Iterable[Quarantined],
-        expected: Place | None = None,
+        records: Iterable[QuarantineRecord],
+        expected: LogPosition | None = None,
     ) -> bool:
         """Write records; return whether the topic still ended at a place.
 
@@ -85,18 +85,18 @@
         return answer.status == OK
 
 
-def _write_record(record: Quarantined, now_ms: float) -> bytes:
+def _write_record(record: QuarantineRecord, now_ms: float) -> bytes:
     """Return the value of a record."""
     plain = {
         'ends': record.incarnations,
         'since_ms': round(now_ms - record.age_s * MS),
-        'trials': record.trials,
+        'trials': record.probes,
         'cleared': record.cleared,
     }
     return json.dumps(plain, separators=(',', ':')).encode()
 
 
-def _read_records(records: Iterable[Record]) -> tuple[Quarantined, ...]:
+def _read_records(records: Iterable[Record]) -> tuple[QuarantineRecord, ...]:
     """Return what records say; one that makes no sense says nothing."""
     now_ms = read_unix_ms()
     found = []
@@ -108,13 +108,13 @@
     return tuple(found)
 
 
-def _read_record(record: Record, now_ms: float) -> Quarantined:
+def _read_record(record: Record, now_ms: float) -> QuarantineRecord:
     """Return a quarantined request; times of day differ, but by seconds."""
     plain = json.loads(record.text)
     if not isinstance(plain, dict):
         raise ValueError('no object')
-    since_ms = read_amount(plain.get('since_ms'))
-    return Quarantined(
+    since_ms = read_number(plain.get('since_ms'))
+    return QuarantineRecord(
         record.key,
         tuple(map(read_text, read_list(plain.get('ends')))),
         max(0, now_ms - since_ms) / MS,
--- a/trestledock/platform/_settings.py
+++ b/trestledock/platform/_settings.py
@@ -13,7 +13,7 @@
 
 from trestledock.entry import EntrySettings
 from trestledock.platform._fields import Field, seconds_of, read_fields
-from trestledock.relay import BudgetTerms
+from trestledock.relay import RetryLimits
 
 #: The variable that holds the path of the file.
 PATH_VARIABLE = 'TRESTLEDOCK_BOOT'
@@ -74,6 +74,6 @@
         peers=f'{plain["ipAddr"]}:{plain["portRange"][0]}',
         store=plain['platform']['address'],
         metrics=f'{plain["ipAddr"]}:{METRICS_PORT}',
-        budget=BudgetTerms(**read_fields(bounds, BUDGET_FIELDS)),
+        budget=RetryLimits(**read_fields(bounds, BUDGET_FIELDS)),
         **more,
     )
--- a/trestledock/platform/_store.py
+++ b/trestledock/platform/_store.py
@@ -11,12 +11,12 @@
 from typing import Iterable, Iterator, Mapping
 
 from trestledock.entry import (
-    Announced,
+    EntryAnnouncements,
     DirectoryError,
-    News,
+    StoreUpdate,
     OldRecord,
     RecordIgnored,
-    TargetNews,
+    TargetUpdate,
     emit,
     read_count,
 )
@@ -36,7 +36,7 @@
     frame_record,
 )
 from trestledock.platform._quarantine import QuarantineTopic
-from trestledock.relay import Catalog, Listed
+from trestledock.relay import Catalog, ListedTarget
 
 CONFIG_TOPIC = 'keyed.op'
 CONFIG_KEY = 'config'
@@ -69,10 +69,10 @@
         """The newest epoch that any call has heard."""
         return self._epochs.current
 
-    async def read_catalog(self) -> News:
+    async def read_catalog(self) -> StoreUpdate:
         """Return the newest configuration among what is new."""
         batch = await self._config.read()
-        newest = News()
+        newest = StoreUpdate()
         for record in batch.records:
             if record.key == CONFIG_KEY and record.text:
                 newest = _pick_newer(newest, self._decode_record(record))
@@ -85,7 +85,7 @@
         except BAD_DOCUMENT as exc:
             raise DirectoryError(f'configuration: {exc!r}') from exc
 
-    async def read_targets(self) -> News:
+    async def read_targets(self) -> StoreUpdate:
         """Return what is new of the targets, in the order of the log.
 
         Each record counts: one that is written late is not the newest.
@@ -93,9 +93,9 @@
         batch = await self._targets.read()
         news = tuple(_read_targets(batch))
         _note_old_records(news)
-        return News(targets=news, whole=batch.whole, epoch=batch.epoch)
+        return StoreUpdate(targets=news, whole=batch.whole, epoch=batch.epoch)
 
-    async def read_peers(self) -> Announced:
+    async def read_peers(self) -> EntryAnnouncements:
         """Return what entries have announced.
 
         Of what another copy of the store held nothing counts.
@@ -109,7 +109,7 @@
                 self._take_peer(record)
             elif record.key == EPOCH_KEY:
                 self._settled_epoch = _read_settled(record)
-        return Announced(
+        return EntryAnnouncements(
             dict(self._known_peers), batch.epoch, self._settled_epoch
         )
 
@@ -143,11 +143,11 @@
         except UNREADABLE as exc:
             emit(RecordIgnored(record.key, repr(exc)))
 
-    def _decode_record(self, record: Record) -> News:
+    def _decode_record(self, record: Record) -> StoreUpdate:
         """Return a version, or have it read again: nobody may vouch for it."""
         document = record.text.decode()
         try:
-            return News(self.decode_document(document), document)
+            return StoreUpdate(self.decode_document(document), document)
         except DirectoryError:
             self._config.forget()
             raise
@@ -165,16 +165,16 @@
         return -1
 
 
-def _pick_newer(one: News, other: News) -> News:
+def _pick_newer(one: StoreUpdate, other: StoreUpdate) -> StoreUpdate:
     """Return the newer of two versions of the configuration."""
     if one.catalog is None or other.catalog is None:
         return one if other.catalog is None else other
     return one if one.catalog.version > other.catalog.version else other
 
 
-def _note_old_records(news: Iterable[TargetNews]) -> None:
+def _note_old_records(news: Iterable[TargetUpdate]) -> None:
     """Note records that were written after newer ones of the same target."""
-    newest: dict[str, Listed] = {}
+    newest: dict[str, ListedTarget] = {}
     for one in news:
         if one.listed is None:
             continue
@@ -185,17 +185,17 @@
             newest[one.target_id] = one.listed
 
 
-def _read_targets(batch: Batch) -> Iterator[TargetNews]:
+def _read_targets(batch: Batch) -> Iterator[TargetUpdate]:
     """Yield what the records say; one that makes no sense hides no other.
 
     It names no target, as little as one that was removed, until the target
     writes its entry again.
     """
     for record in batch.records:
-        yield TargetNews(record.key, _read_target(record))
+        yield TargetUpdate(record.key, _read_target(record))
 
 
-def _read_target(record: Record) -> Listed | None:
+def _read_target(record: Record) -> ListedTarget | None:
     if not record.text:
         return None
     try:
--- a/trestledock/process/__init__.py
+++ b/trestledock/process/__init__.py
@@ -10,19 +10,19 @@
     Action,
     AppendRecord,
     CallService,
-    CancelHolds,
+    CancelReservations,
     Count,
     EmitChunks,
     Finish,
     GiveOrder,
     Job,
-    Note,
+    LogEvent,
     Published,
     ResumeStream,
     StartJob,
-    ToPeer,
+    SendToPeer,
 )
-from trestledock.process._claims import ClaimTable, Grant
+from trestledock.process._claims import ClaimTable, ClaimDecision
 from trestledock.process._epoch import Epoch, Handover
 from trestledock.process._explaining import explain
 from trestledock.process._fleet import Target
@@ -33,16 +33,16 @@
     AttemptFailed,
     CacheReported,
     CallDone,
-    CallerGone,
+    CallerDisconnected,
     CancelConfirmed,
     ChunkArrived,
     InstancesListed,
     LoadReported,
     LogRead,
-    MarkLeaving,
+    MarkDraining,
     OrderAnswered,
     PeerMessage,
-    PieceDone,
+    PrefillDone,
     Publish,
     Shutdown,
     StreamDone,
@@ -50,7 +50,7 @@
 )
 from trestledock.process._node import Node
 from trestledock.process._payloads import PAYLOADS, ClaimAsk, Payload
-from trestledock.process._policy import PLAIN, Chooser, Policy
+from trestledock.process._policy import BASELINE, Chooser, Policy
 from trestledock.relay import rank_by_key
 from trestledock.process._targets import (
     CacheEvent,
@@ -61,7 +61,7 @@
 
 __all__ = (
     'PAYLOADS',
-    'PLAIN',
+    'BASELINE',
     'Action',
     'AppendRecord',
     'Arrive',
@@ -70,9 +70,9 @@
     'CacheReported',
     'CallDone',
     'CallService',
-    'CallerGone',
+    'CallerDisconnected',
     'CancelConfirmed',
-    'CancelHolds',
+    'CancelReservations',
     'Chooser',
     'ChunkArrived',
     'ClaimAsk',
@@ -82,7 +82,7 @@
     'Epoch',
     'Finish',
     'GiveOrder',
-    'Grant',
+    'ClaimDecision',
     'Handover',
     'Identity',
     'InstancesListed',
@@ -91,14 +91,14 @@
     'LoadReport',
     'LoadReported',
     'LogRead',
-    'MarkLeaving',
+    'MarkDraining',
     'Node',
-    'Note',
+    'LogEvent',
     'OrderAnswered',
     'Payload',
     'PeerInfo',
     'PeerMessage',
-    'PieceDone',
+    'PrefillDone',
     'Policy',
     'Publish',
     'Published',
@@ -110,7 +110,7 @@
     'TargetInfo',
     'Tick',
     'Timing',
-    'ToPeer',
+    'SendToPeer',
     'explain',
     'rank_by_key',
 )
--- a/trestledock/process/_actions.py
+++ b/trestledock/process/_actions.py
@@ -72,7 +72,7 @@
 
 
 @dataclass(frozen=True)
-class CancelHolds:
+class CancelReservations:
     """Cancel holds on an engine, until it confirms."""
 
     target: str
@@ -97,7 +97,7 @@
 
 
 @dataclass(frozen=True)
-class ToPeer:
+class SendToPeer:
     """Send a payload to a peer; it may be lost."""
 
     peer: str
@@ -143,7 +143,7 @@
 
 
 @dataclass(frozen=True)
-class Note:
+class LogEvent:
     """Log a change of state."""
 
     event: str
@@ -155,13 +155,13 @@
     StartJob
     | CallService
     | ResumeStream
-    | CancelHolds
+    | CancelReservations
     | EmitChunks
     | Finish
-    | ToPeer
+    | SendToPeer
     | AppendRecord
     | GiveOrder
     | Published
     | Count
-    | Note
+    | LogEvent
 )
