--- a/trestledock/process/_answers.py
+++ b/trestledock/process/_answers.py
@@ -32,7 +32,7 @@
     CallDone,
     CancelConfirmed,
     ChunkArrived,
-    PieceDone,
+    PrefillDone,
     StreamDone,
 )
 from trestledock.process._state import State
@@ -56,9 +56,9 @@
 STREAM_STEP = 'stream'
 
 
-def on_piece_done(message: PieceDone, state: State, now: float) -> None:
+def on_piece_done(message: PrefillDone, state: State, now: float) -> None:
     """Go on with the next reservation or piece."""
-    live = state.live.get(message.req_id)
+    live = state.requests.get(message.req_id)
     if live is None or live.phase is not Phase.running:
         return
     if (message.hold, message.stop) != live.awaited:
@@ -70,7 +70,7 @@
 
 def on_chunk(message: ChunkArrived, state: State, now: float) -> None:
     """Pass on what is in order."""
-    live = state.live.get(message.req_id)
+    live = state.requests.get(message.req_id)
     if live is None or live.phase is not Phase.running:
         return
     if not live.note(message.attempt, AttemptEvent.answer):
@@ -87,7 +87,7 @@
 
 def on_stream_done(message: StreamDone, state: State, now: float) -> None:
     """Take the final marker; wait a little for chunks that are missing."""
-    live = state.live.get(message.req_id)
+    live = state.requests.get(message.req_id)
     if live is None or live.phase is not Phase.running:
         return
     if not live.note(message.attempt, AttemptEvent.answer):
@@ -113,7 +113,7 @@
 
 def on_silence(message: SilenceDue, state: State, now: float) -> None:
     """Count an engine that has said nothing of a job as lost."""
-    live = state.live.get(message.req_id)
+    live = state.requests.get(message.req_id)
     if live is None or live.phase is not Phase.running:
         return
     same = live.awaited == (message.hold, message.stop)
@@ -130,7 +130,7 @@
 
 def end_silent_streams(state: State, now: float) -> None:
     """Resume, or go on elsewhere with, streams that have fallen silent."""
-    for live in tuple(state.live.values()):
+    for live in tuple(state.requests.values()):
         streaming = live.phase is Phase.running and live.heard_at > 0
         if streaming and now - live.heard_at > STREAM_SILENCE_S:
             live.heard_at = now
@@ -146,7 +146,7 @@
 
 def on_call_done(message: CallDone, state: State, now: float) -> None:
     """Give the caller the answer of a plain service."""
-    live = state.live.get(message.req_id)
+    live = state.requests.get(message.req_id)
     if live is None or not live.note(message.attempt, AttemptEvent.finish):
         return
     target = state.get_targets()[live.attempt.target]
@@ -167,7 +167,7 @@
     now: float,
 ) -> None:
     """Resume, retry elsewhere, or end the request."""
-    live = state.live.get(message.req_id)
+    live = state.requests.get(message.req_id)
     if live is None or live.phase is not Phase.running:
         return
     if message.attempt != live.attempt.number:
@@ -189,7 +189,7 @@
 
 def on_retry_due(message: RetryDue, state: State, now: float) -> None:
     """Make the next attempt."""
-    live = state.live.get(message.req_id)
+    live = state.requests.get(message.req_id)
     if live is None or live.phase is not Phase.backoff:
         return
     if live.req.kind is Kind.call:
@@ -235,7 +235,7 @@
 
 
 def _end_if_whole(state: State, live: Live, now: float) -> None:
-    if not live.assembler.is_whole:
+    if not live.assembler.is_complete:
         return
     live.note(live.attempt.number, AttemptEvent.finish)
     name = live.shares[-1].target
@@ -285,7 +285,7 @@
         refuse(state, live, Reason.quarantined, detail=message.detail)
     elif not (live.req.idempotent or message.not_started):
         refuse(state, live, reason, LOST_WAIT_S, message.detail)
-    elif state.get_budget(live.pool).spend(now, instances=1):
+    elif state.get_budget(live.pool).try_spend(now, instances=1):
         state.count('retries', reason.value)
         live.enter(Phase.backoff)
         state.get_queue(live.pool).finish(live.req.req_id)
@@ -310,7 +310,7 @@
 
 def drop_replaced(state: State, target_name: str, now: float) -> None:
     """Fail the attempts on an incarnation that has been replaced."""
-    for live in tuple(state.live.values()):
+    for live in tuple(state.requests.values()):
         held = {share.target for share in live.shares}
         if live.phase is Phase.running and target_name in held:
             live.resumed = True
--- a/trestledock/process/_applying.py
+++ b/trestledock/process/_applying.py
@@ -75,5 +75,5 @@
     state.epochs[data_centre] = epoch
     if data_centre != state.identity.data_centre:
         return
-    if state.claims.enter(epoch, now):
+    if state.claims.enter_epoch(epoch, now):
         state.note('epoch', detail=f'{accepted.offset} {list(body.members)}')
--- a/trestledock/process/_arrivals.py
+++ b/trestledock/process/_arrivals.py
@@ -25,7 +25,7 @@
 from trestledock.process._groups import get_share
 from trestledock.process._isolating import is_quarantined, try_again
 from trestledock.process._live import Live, Phase
-from trestledock.process._messages import Arrive, CallerGone
+from trestledock.process._messages import Arrive, CallerDisconnected
 from trestledock.process._queue import MAX_QUEUED
 from trestledock.process._state import State
 from trestledock.process._timers import DeadlinePassed
@@ -44,7 +44,7 @@
     """Admit a request or refuse it at once."""
     req = message.req
     live = Live(req, now, pool='')
-    state.live[req.req_id] = live
+    state.requests[req.req_id] = live
     state.set_timer(req.deadline, DeadlinePassed(req.req_id))
     state.count('requests', req.kind.value)
     reason = _check_basics(state, req, now)
@@ -53,22 +53,22 @@
         return
     try_again(state, live, now)
     if is_quarantined(state, live):
-        wait_s = state.quarantine.get_come_back_s(req.fingerprint, now)
+        wait_s = state.quarantine.get_retry_after_s(req.fingerprint, now)
         refuse(state, live, Reason.quarantined, wait_s)
         return
     _ADMITTERS[req.kind](state, live, now)
 
 
-def on_caller_gone(message: CallerGone, state: State, now: float) -> None:
+def on_caller_gone(message: CallerDisconnected, state: State, now: float) -> None:
     """End the request of a caller that has left."""
-    live = state.live.get(message.req_id)
+    live = state.requests.get(message.req_id)
     if live:
         refuse(state, live, Reason.caller_gone)
 
 
 def on_deadline(message: DeadlinePassed, state: State, now: float) -> None:
     """End a request at its deadline, whatever else has been lost."""
-    live = state.live.get(message.req_id)
+    live = state.requests.get(message.req_id)
     if live:
         reason = Reason.deadline_passed
         if live.claim and live.claim.refused:
@@ -94,7 +94,7 @@
     if _refuse_empty(state, live, field):
         return
     live.pool = field.pool.name if field.pool else ''
-    state.get_budget(live.pool).earn(now)
+    state.get_budget(live.pool).record_request(now)
     if live.req.idempotent or not live.req.idempotency_key:
         start_call(state, live, field.candidates, live.req.deadline, now)
         return
@@ -120,7 +120,7 @@
     wait_s = ahead / len(field.candidates)
     if _refuse_late(state, live, best, wait_s, now):
         return
-    state.get_budget(live.pool).earn(now)
+    state.get_budget(live.pool).record_request(now)
     live.least_s = best.prefill_s + best.decode_s
     waiting = make_waiting(state, live)
     queue.push(waiting)
@@ -188,7 +188,7 @@
     if not state.policy.admission:
         return False
     need = wait_s + best.ttft_s + best.decode_s
-    over = need * state.policy.margin - (live.req.deadline - now)
+    over = need * state.policy.deadline_margin - (live.req.deadline - now)
     if over > 0:
         refuse(state, live, Reason.deadline_unreachable, max(over, wait_s))
     return over > 0
--- a/trestledock/process/_choosing.py
+++ b/trestledock/process/_choosing.py
@@ -14,7 +14,7 @@
 from trestledock.relay import rank_by_key
 from trestledock.process._state import State
 from trestledock.request import (
-    CLASS_PRIORITY,
+    PRIORITY_BY_LENGTH,
     URGENT_PRIORITY,
     Reason,
     Request,
@@ -110,9 +110,9 @@
     """
     if not state.policy.priorities:
         return 1
-    if req.deadline - now - need < state.policy.urgent_s:
+    if req.deadline - now - need < state.policy.urgent_slack_s:
         return URGENT_PRIORITY
-    return CLASS_PRIORITY[req.length_class]
+    return PRIORITY_BY_LENGTH[req.length_class]
 
 
 def find_permitted(state: State, req: Request) -> Permits:
@@ -214,7 +214,7 @@
         (by_name[name] for name in ranked),
         key=lambda one: -one.preference,
     )
-    return tuple(ordered[: state.policy.subset])
+    return tuple(ordered[: state.policy.subset_size])
 
 
 def choose_engine(
@@ -264,10 +264,10 @@
     decode_s = req.max_tokens * report.itl_s
     priority = get_priority(state, req, now, prefill_s + decode_s)
     wait_s = target.load.predict_wait(priority, now)
-    if state.policy.pace and missing > state.policy.whole_tokens:
+    if state.policy.uses_pace and missing > state.policy.max_unchunked_tokens:
         paced_s = missing * target.load.get_pace(priority, now)
         prefill_s = max(prefill_s, paced_s - wait_s)
-    penalty_s = (best - permitted.preference) * state.policy.prefer_s
+    penalty_s = (best - permitted.preference) * state.policy.preference_penalty_s
     return Candidate(
         target,
         wait_s,
@@ -295,7 +295,7 @@
 ) -> Candidate:
     least = min(one.rank for one in candidates)
     near = [
-        one for one in candidates if one.rank <= least + state.policy.near_s
+        one for one in candidates if one.rank <= least + state.policy.tie_s
     ]
     return state.rng.choice(near)
 
--- a/trestledock/process/_claiming.py
+++ b/trestledock/process/_claiming.py
@@ -13,7 +13,7 @@
 """
 
 from trestledock.process._choosing import choose_service
-from trestledock.process._claims import Grant
+from trestledock.process._claims import ClaimDecision
 from trestledock.process._dispatching import start_call
 from trestledock.process._ending import end, refuse, send
 from trestledock.process._epoch import Epoch
@@ -69,7 +69,7 @@
 
 def on_claim_due(message: ClaimDue, state: State, now: float) -> None:
     """Ask again while there is no usable answer."""
-    live = state.live.get(message.req_id)
+    live = state.requests.get(message.req_id)
     if live and live.phase is Phase.claiming:
         ask_claim(state, live, now)
 
@@ -77,12 +77,12 @@
 def on_claim_answer(state: State, answer: ClaimAnswer, now: float) -> None:
     """Take the answer of a key's first replica."""
     req_id = answer.claim_id.removeprefix(f'{state.member}/')
-    live = state.live.get(req_id)
+    live = state.requests.get(req_id)
     if live is None or live.phase is not Phase.claiming or not live.claim:
         return
     if live.claim.claim_id == answer.claim_id:
         live.claim.heard_at = now
-        _TAKERS[Grant(answer.grant)](state, live, answer, now)
+        _TAKERS[ClaimDecision(answer.grant)](state, live, answer, now)
 
 
 def give_up_claim(
@@ -189,10 +189,10 @@
 
 
 _TAKERS = {  # noqa: WPS407 - read only by name
-    Grant.granted: _run,
-    Grant.pending: _wait,
-    Grant.done: _repeat,
-    Grant.unknown: _end_unknown,
-    Grant.blind: _be_blind,
-    Grant.stale: _ignore,
+    ClaimDecision.granted: _run,
+    ClaimDecision.pending: _wait,
+    ClaimDecision.done: _repeat,
+    ClaimDecision.unknown: _end_unknown,
+    ClaimDecision.blind: _be_blind,
+    ClaimDecision.stale: _ignore,
 }
--- a/trestledock/process/_claims.py
+++ b/trestledock/process/_claims.py
@@ -39,7 +39,7 @@
 MAX_VOUCHES = 16
 
 
-class Grant(str, Enum):
+class ClaimDecision(str, Enum):
     """The answers to a request for a claim."""
 
     granted = 'granted'
@@ -64,12 +64,12 @@
     copied: set[str] = field(default_factory=set)
     copied_epoch: int = -1
 
-    def get_grant(self, now: float) -> Grant:
+    def get_grant(self, now: float) -> ClaimDecision:
         """Return the answer to another claim on the same key."""
         if self.outcome:
-            return Grant.done
+            return ClaimDecision.done
         expired = now > self.made_at + self.ttl_s
-        return Grant.unknown if expired else Grant.pending
+        return ClaimDecision.unknown if expired else ClaimDecision.pending
 
 
 #: Payloads to send, each with the member it goes to.
@@ -91,7 +91,7 @@
     vouches: set[int] = field(default_factory=set)
     handed_to: set[str] = field(default_factory=set)
 
-    def enter(self, epoch: Epoch, now: float) -> bool:
+    def enter_epoch(self, epoch: Epoch, now: float) -> bool:
         """Enter a newer epoch; nothing is granted in older ones from here on.
 
         Returns whether the epoch was news.
@@ -131,7 +131,7 @@
             default=0,
         )
 
-    def ask(self, sender: str, message: ClaimAsk, now: float) -> Sends:
+    def handle_ask(self, sender: str, message: ClaimAsk, now: float) -> Sends:
         """Decide on a claim, as the first replica of its key."""
         grant = self._check(message, now)
         if grant:
@@ -142,7 +142,7 @@
             self.claims[message.key] = claim
         return self._spread(message, claim)
 
-    def copy(self, sender: str, message: ClaimCopy, now: float) -> Sends:
+    def handle_copy(self, sender: str, message: ClaimCopy, now: float) -> Sends:
         """Record a copy of a claim for the first replica of its key."""
         known = self.claims.get(message.key)
         current = self.epoch and self.epoch.offset == message.epoch
@@ -164,7 +164,7 @@
         )
         return [(sender, answer)]
 
-    def copied(self, sender: str, message: ClaimCopied) -> Sends:
+    def handle_copied(self, sender: str, message: ClaimCopied) -> Sends:
         """Count an acknowledged copy; grant once every replica has one."""
         claim = self.claims.get(message.key)
         epoch = self.epoch
@@ -173,13 +173,13 @@
         if claim.claim_id != message.claim_id:
             return []
         if not message.recorded:
-            return [_answer_claimant(message, claim, Grant.unknown)]
+            return [_answer_claimant(message, claim, ClaimDecision.unknown)]
         self._count_copy(claim, sender)
         if claim.copied >= set(self._get_others(message.key)):
-            return [_answer_claimant(message, claim, Grant.granted)]
+            return [_answer_claimant(message, claim, ClaimDecision.granted)]
         return []
 
-    def settle(self, message: ClaimResult) -> None:
+    def handle_result(self, message: ClaimResult) -> None:
         """Keep the outcome of a claim; `not_run` frees the key again."""
         claim = self.claims.get(message.key)
         if claim is None or claim.claim_id != message.claim_id:
@@ -259,15 +259,15 @@
         epoch = self.epoch
         key = message.key
         if epoch is None or epoch.offset != message.epoch:
-            return _make_answer(message, Grant.stale)
+            return _make_answer(message, ClaimDecision.stale)
         if epoch.get_replicas_by_key(key)[:1] != (self.member,):
-            return _make_answer(message, Grant.stale)
+            return _make_answer(message, ClaimDecision.stale)
         claim = self.claims.get(key)
         if claim and claim.claim_id != message.claim_id:
             return self._repeat(message, claim, now)
         left = self.get_blind_left(key, now)
         if left > 0:
-            grant = Grant.blind if self._is_lost(key) else Grant.stale
+            grant = ClaimDecision.blind if self._is_lost(key) else ClaimDecision.stale
             return _make_answer(message, grant, left)
         return None
 
@@ -303,7 +303,7 @@
     def _spread(self, message: ClaimAsk, claim: Claim) -> Sends:
         others = self._get_others(message.key)
         if self._is_copied(claim, others):
-            return [_answer_claimant(message, claim, Grant.granted)]
+            return [_answer_claimant(message, claim, ClaimDecision.granted)]
         return [
             (
                 name,
@@ -361,7 +361,7 @@
 
 def _make_answer(
     message: ClaimAsk | ClaimCopied,
-    grant: Grant,
+    grant: ClaimDecision,
     wait_s: float = 0,
 ) -> ClaimAnswer:
     return ClaimAnswer(
@@ -375,7 +375,7 @@
 def _answer_claimant(
     message: ClaimAsk | ClaimCopied,
     claim: Claim,
-    grant: Grant,
+    grant: ClaimDecision,
 ) -> tuple[str, ClaimAnswer]:
     return claim.claimant, _make_answer(message, grant)
 
--- a/trestledock/process/_dispatching.py
+++ b/trestledock/process/_dispatching.py
@@ -51,7 +51,7 @@
     queue = state.get_queue(pool)
     without_place: set[tuple[str, ...]] = set()
     for waiting in tuple(queue.iter_next()):
-        live = state.live.get(waiting.req.req_id)
+        live = state.requests.get(waiting.req.req_id)
         shape = get_shape(waiting.req)
         if live is None:
             queue.remove(waiting.req.req_id)
@@ -317,12 +317,12 @@
 
 def _get_piece(state: State, live: Live, target: Target) -> int:
     report = target.load.report
-    if not state.policy.piece_s or report is None:
+    if not state.policy.prefill_chunk_s or report is None:
         return live.goal
-    blocks = round(state.policy.piece_s * report.rate / PREFIX_BLOCK)
+    blocks = round(state.policy.prefill_chunk_s * report.rate / PREFIX_BLOCK)
     piece = max(1, blocks) * PREFIX_BLOCK
     rest = live.get_share().stop - live.position
-    whole = live.goal <= state.policy.whole_tokens
+    whole = live.goal <= state.policy.max_unchunked_tokens
     return rest if whole or rest < piece * 3 // 2 else piece
 
 
--- a/trestledock/process/_duties.py
+++ b/trestledock/process/_duties.py
@@ -7,7 +7,7 @@
 not been confirmed.
 """
 
-from trestledock.process._actions import AppendRecord, ToPeer
+from trestledock.process._actions import AppendRecord, SendToPeer
 from trestledock.process._answers import end_silent_streams
 from trestledock.process._dispatching import pump_all
 from trestledock.process._ending import send
@@ -108,7 +108,7 @@
         send(state, member, heartbeat)
     for info in state.fleet.get_strangers():
         if info.name != state.identity.instance:
-            state.act(ToPeer(info.member, info.address, heartbeat))
+            state.act(SendToPeer(info.member, info.address, heartbeat))
 
 
 def make_heartbeat(state: State, now: float) -> Heartbeat:
@@ -187,10 +187,10 @@
     members = state.duties.wanted_members
     if state.member not in members or not _may_append(state, now):
         return
-    if state.lease.wants(now, members.index(state.member)):
+    if state.lease.should_request(now, members.index(state.member)):
         body = LeaseBody(state.member, state.timing.lease_s)
         record_id = _append(state, LEASE_PREFIX, dump_json(body))
-        state.lease.note_asked(record_id, now)
+        state.lease.record_request(record_id, now)
 
 
 def keep_snapshot(state: State, now: float) -> None:
@@ -222,7 +222,7 @@
 
 def is_drained(state: State) -> bool:
     """Whether nothing is lost if this instance ends now."""
-    if state.live or state.guard.to_cancel:
+    if state.requests or state.guard.to_cancel:
         return False
     epoch = state.claims.epoch
     if epoch is None:
--- a/trestledock/process/_ending.py
+++ b/trestledock/process/_ending.py
@@ -7,7 +7,7 @@
 engines and its claim.
 """
 
-from trestledock.process._actions import CancelHolds, Finish, ToPeer
+from trestledock.process._actions import CancelReservations, Finish, SendToPeer
 from trestledock.process._live import Live, Phase
 from trestledock.process._payloads import ClaimResult
 from trestledock.process._state import State
@@ -56,7 +56,7 @@
     if not live.enter(Phase.done):
         return
     req = live.req
-    state.live.pop(req.req_id, None)
+    state.requests.pop(req.req_id, None)
     queue = state.get_queue(live.pool)
     queue.remove(req.req_id)
     queue.finish(req.req_id)
@@ -98,7 +98,7 @@
     state.guard.add_cancels(target_name, (hold,))
     target = state.get_targets().get(target_name)
     if target:
-        state.act(CancelHolds(target_name, target.info.address, (hold,)))
+        state.act(CancelReservations(target_name, target.info.address, (hold,)))
 
 
 def _settle_claim(state: State, live: Live, verdict: Verdict) -> None:
@@ -123,4 +123,4 @@
     """Send a payload to a member, which may be this instance itself."""
     peer = state.fleet.peers.get(member)
     address = peer.info.address if peer else ''
-    state.act(ToPeer(member, address, payload))  # type: ignore[arg-type]
+    state.act(SendToPeer(member, address, payload))  # type: ignore[arg-type]
--- a/trestledock/process/_fleet.py
+++ b/trestledock/process/_fleet.py
@@ -17,7 +17,7 @@
     PeerInfo,
     TargetInfo,
 )
-from trestledock.request import Breaker
+from trestledock.request import CircuitBreaker
 from trestledock.version import Labels
 
 #: A target that is not listed and not heard for so long gets no new work.
@@ -37,7 +37,7 @@
     listed: bool = True
     heard_at: float = 0
     load: EngineLoad = field(default_factory=EngineLoad)
-    breaker: Breaker = field(default_factory=Breaker)
+    breaker: CircuitBreaker = field(default_factory=CircuitBreaker)
     in_flight: int = 0
     polled: bool = False
     ordered_at: float = float('-inf')
@@ -165,13 +165,13 @@
         if report.leaving:
             self.leaving.add(target.info.key)
 
-    def mark_leaving(self, key: str) -> bool:
+    def mark_draining(self, key: str) -> bool:
         """Mark an incarnation as leaving; return whether that is news."""
         news = key not in self.leaving
         self.leaving.add(key)
         return news
 
-    def is_leaving(self, target: Target) -> bool:
+    def is_draining(self, target: Target) -> bool:
         """Whether a target gets no new work any more."""
         return target.info.key in self.leaving
 
@@ -179,7 +179,7 @@
         """Whether new work may be sent to a target at `now`."""
         patience_s = STALE_S if target.listed else UNSEEN_S
         seen = now - target.heard_at < patience_s
-        live = seen and not self.is_leaving(target)
+        live = seen and not self.is_draining(target)
         return live and target.breaker.allows(now)
 
     def get_labels(self, target: Target) -> Labels:
--- a/trestledock/process/_groups.py
+++ b/trestledock/process/_groups.py
@@ -78,7 +78,7 @@
 def count_giants(state: State) -> int:
     """Return how many engines are held for giants by this instance."""
     return sum(
-        len(live.shares) for live in state.live.values() if len(live.shares) > 1
+        len(live.shares) for live in state.requests.values() if len(live.shares) > 1
     )
 
 
--- a/trestledock/process/_guarding.py
+++ b/trestledock/process/_guarding.py
@@ -9,7 +9,7 @@
 
 from operator import itemgetter
 
-from trestledock.process._actions import CancelHolds
+from trestledock.process._actions import CancelReservations
 from trestledock.process._ending import send
 from trestledock.process._fleet import Peer, Target
 from trestledock.process._holds import (
@@ -136,7 +136,7 @@
             continue
         holds = tuple(sorted(state.guard.to_cancel[key]))
         address = target.info.address
-        state.act(CancelHolds(key, address, holds[:BLOCK_SIZE]))
+        state.act(CancelReservations(key, address, holds[:BLOCK_SIZE]))
 
 
 def _dismiss(state: State, block: Block, members: set[str]) -> None:
--- a/trestledock/process/_isolating.py
+++ b/trestledock/process/_isolating.py
@@ -13,7 +13,7 @@
 from trestledock.process._payloads import TargetEnds
 from trestledock.relay import rank_by_key
 from trestledock.process._state import State
-from trestledock.relay import End
+from trestledock.relay import Crash
 from trestledock.request import Request
 
 
@@ -23,8 +23,8 @@
     fingerprint = live.req.fingerprint
     if target is None or not fingerprint:
         return
-    end = End(fingerprint, target.info.key)
-    if state.quarantine.blames(end, now):
+    end = Crash(fingerprint, target.info.key)
+    if state.quarantine.is_blamed(end, now):
         ends = TargetEnds(fingerprint, (end.incarnation,))
         take_ends(state, ends, now)
         _tell_all(state, ends)
@@ -32,16 +32,16 @@
 
 def take_ends(state: State, ends: TargetEnds, now: float) -> None:
     """Note the targets that ended under a request."""
-    state.quarantine.clear_ends(ends.fingerprint, ends.cleared)
+    state.quarantine.clear_crashes(ends.fingerprint, ends.cleared)
     was_quarantined = state.quarantine.is_quarantined(ends.fingerprint)
     for incarnation in ends.targets:
-        state.quarantine.note_end(End(ends.fingerprint, incarnation), now)
+        state.quarantine.record_crash(Crash(ends.fingerprint, incarnation), now)
     if (
         state.quarantine.is_quarantined(ends.fingerprint)
         and not was_quarantined
     ):
         state.note('request_quarantined', detail=ends.fingerprint)
-    for forgotten in state.quarantine.trim():
+    for forgotten in state.quarantine.evict_excess():
         state.note('suspect_forgotten', detail=forgotten)
 
 
@@ -61,7 +61,7 @@
     """Note that a target has answered a request: it ends none."""
     if not req.fingerprint:
         return
-    cleared = state.quarantine.note_answered(req.fingerprint, now)
+    cleared = state.quarantine.record_answer(req.fingerprint, now)
     if cleared:
         state.note('request_cleared', detail=req.fingerprint)
         _tell_all(state, TargetEnds(req.fingerprint, (), cleared))
@@ -81,13 +81,13 @@
     Of all instances that hear one another the same one does.
     """
     fingerprint = live.req.fingerprint
-    is_due = state.quarantine.is_due(fingerprint, now)
+    is_due = state.quarantine.is_probe_due(fingerprint, now)
     if not is_due or not is_quarantined(state, live):
         return
     members = [state.member, *(one.info.member for one in _get_peers(state))]
     if rank_by_key(fingerprint, members)[0] == state.member:
         live.is_trial = True
-        state.quarantine.note_trial(fingerprint, now)
+        state.quarantine.record_probe(fingerprint, now)
 
 
 def _tell_all(state: State, ends: TargetEnds) -> None:
--- a/trestledock/process/_lease.py
+++ b/trestledock/process/_lease.py
@@ -29,7 +29,7 @@
     orders_from: float = 0
     _asked: dict[str, float] = field(default_factory=dict)
 
-    def note_asked(self, record_id: str, now: float) -> None:
+    def record_request(self, record_id: str, now: float) -> None:
         """Note that a lease record is about to be appended."""
         self.asked_at = now
         self._asked[record_id] = now
@@ -62,15 +62,15 @@
         """Whether this instance may still act as the holder."""
         return now < self.held_until - self.timing.lease_margin_s
 
-    def get_order_limit(self) -> float:
+    def get_order_deadline(self) -> float:
         """Return the instant after which no order may be written."""
         return self.held_until - self.timing.lease_margin_s
 
-    def may_order(self, now: float) -> bool:
+    def may_send_orders(self, now: float) -> bool:
         """Whether orders may be given: held, and the last holder's landed."""
         return self.is_held(now) and now >= self.orders_from
 
-    def wants(self, now: float, rank: int) -> bool:
+    def should_request(self, now: float, rank: int) -> bool:
         """Whether to ask for the lease; higher ranks wait longer."""
         if now - self.asked_at < self.timing.append_retry_s:
             return False
--- a/trestledock/process/_messages.py
+++ b/trestledock/process/_messages.py
@@ -27,14 +27,14 @@
 
 
 @dataclass(frozen=True)
-class CallerGone:
+class CallerDisconnected:
     """The caller closed its connection."""
 
     req_id: str
 
 
 @dataclass(frozen=True)
-class PieceDone:
+class PrefillDone:
     """An engine has prefilled an attempt's prompt up to `stop`."""
 
     req_id: str
@@ -137,7 +137,7 @@
 
 
 @dataclass(frozen=True)
-class MarkLeaving:
+class MarkDraining:
     """An operator marked a target as leaving."""
 
     target: str
--- a/trestledock/process/_node.py
+++ b/trestledock/process/_node.py
@@ -10,7 +10,7 @@
 from random import Random
 from typing import Any
 
-from trestledock.process._actions import Action, ToPeer
+from trestledock.process._actions import Action, SendToPeer
 from trestledock.process._duties import is_drained
 from trestledock.process._identity import Identity, Timing
 from trestledock.process._messages import PeerMessage
@@ -92,7 +92,7 @@
         done: list[Action] = []
         while state.out:
             action = state.out.pop(0)
-            if isinstance(action, ToPeer) and action.peer == state.member:
+            if isinstance(action, SendToPeer) and action.peer == state.member:
                 handle(PeerMessage(state.member, action.payload), state, now)
             else:
                 done.append(action)
--- a/trestledock/process/_orders.py
+++ b/trestledock/process/_orders.py
@@ -21,7 +21,7 @@
 
 def give_orders(state: State, now: float) -> None:
     """Order what is missing, a few engines at a time."""
-    if not state.lease.may_order(now):
+    if not state.lease.may_send_orders(now):
         return
     loading = 0
     for target in _get_local_engines(state):
@@ -56,7 +56,7 @@
         for name, target in sorted(state.get_targets().items())
         if target.info.labels.get('data_centre') == state.identity.data_centre
         and target.load.report
-        and not state.fleet.is_leaving(target)
+        and not state.fleet.is_draining(target)
     ]
 
 
@@ -68,6 +68,6 @@
             target.info.address,
             tuple(sorted(wanted)),
             state.lease.fencing,
-            state.lease.get_order_limit(),
+            state.lease.get_order_deadline(),
         ),
     )
--- a/trestledock/process/_peering.py
+++ b/trestledock/process/_peering.py
@@ -58,7 +58,7 @@
     tell_new_peer(state, peer, now)
     peer.demands = {one.team: one.demand for one in payload.demands}
     for key in payload.leaving_targets:
-        if state.fleet.mark_leaving(key):
+        if state.fleet.mark_draining(key):
             state.note('target_leaving', sender, key)
     for digest in payload.digests:
         _take_digest(state, digest, now)
@@ -87,7 +87,7 @@
     state: State,
     now: float,
 ) -> None:
-    state.reader.adopt(payload.snapshot)
+    state.reader.install_snapshot(payload.snapshot)
     apply_accepted(state, now)
 
 
@@ -99,7 +99,7 @@
     now: float,
 ) -> None:
     if has_support(state, now):
-        _send_all(state, state.claims.ask(sender, payload, now))
+        _send_all(state, state.claims.handle_ask(sender, payload, now))
 
 
 @take.register
@@ -110,7 +110,7 @@
     now: float,
 ) -> None:
     if has_support(state, now):
-        _send_all(state, state.claims.copy(sender, payload, now))
+        _send_all(state, state.claims.handle_copy(sender, payload, now))
 
 
 @take.register
@@ -121,7 +121,7 @@
     now: float,
 ) -> None:
     if has_support(state, now):
-        _send_all(state, state.claims.copied(sender, payload))
+        _send_all(state, state.claims.handle_copied(sender, payload))
 
 
 @take.register
@@ -141,7 +141,7 @@
     state: State,
     now: float,
 ) -> None:
-    state.claims.settle(payload)
+    state.claims.handle_result(payload)
 
 
 @take.register
@@ -153,7 +153,7 @@
 ) -> None:
     body = load_json(payload.accepted.body, EpochBody)
     epoch = Epoch(payload.accepted.offset, body)
-    state.claims.enter(epoch, now)
+    state.claims.enter_epoch(epoch, now)
     if state.claims.epoch and state.claims.epoch.offset == epoch.offset:
         send(state, sender, state.claims.seal(sender, now))
 
--- a/trestledock/process/_platform.py
+++ b/trestledock/process/_platform.py
@@ -19,7 +19,7 @@
     InstancesListed,
     LoadReported,
     LogRead,
-    MarkLeaving,
+    MarkDraining,
     OrderAnswered,
     Publish,
     Shutdown,
@@ -75,10 +75,10 @@
     pump_all(state, now)
 
 
-def on_mark_leaving(message: MarkLeaving, state: State, now: float) -> None:
+def on_mark_leaving(message: MarkDraining, state: State, now: float) -> None:
     """Mark a target as leaving on an operator's word."""
     target = state.get_targets().get(message.target)
-    if target and state.fleet.mark_leaving(target.info.key):
+    if target and state.fleet.mark_draining(target.info.key):
         state.note('target_leaving', 'operator', target.info.key)
 
 
--- a/trestledock/process/_policy.py
+++ b/trestledock/process/_policy.py
@@ -32,27 +32,27 @@
     """
 
     chooser: Chooser = Chooser.predicted
-    piece_s: float = 0.1
-    whole_tokens: int = 8_192
+    prefill_chunk_s: float = 0.1
+    max_unchunked_tokens: int = 8_192
     priorities: bool = True
     affinity: bool = True
-    near_s: float = 0.05
+    tie_s: float = 0.05
     window_s: float = 0.4
     admission: bool = True
-    margin: float = 1.15
-    prefer_s: float = 0.5
-    urgent_s: float = 1.0
-    subset: int = 24
-    pace: bool = True
+    deadline_margin: float = 1.15
+    preference_penalty_s: float = 0.5
+    urgent_slack_s: float = 1.0
+    subset_size: int = 24
+    uses_pace: bool = True
 
 
 #: Everything off: whole prompts in order of arrival, round robin.
-PLAIN = Policy(
+BASELINE = Policy(
     chooser=Chooser.round_robin,
-    piece_s=0,
+    prefill_chunk_s=0,
     priorities=False,
     affinity=False,
-    near_s=0,
+    tie_s=0,
     window_s=float('inf'),
     admission=False,
 )
--- a/trestledock/process/_registry.py
+++ b/trestledock/process/_registry.py
@@ -60,8 +60,8 @@
 HANDLERS: Mapping[type, Handler] = MappingProxyType(
     {
         messages.Arrive: on_arrive,
-        messages.CallerGone: on_caller_gone,
-        messages.PieceDone: on_piece_done,
+        messages.CallerDisconnected: on_caller_gone,
+        messages.PrefillDone: on_piece_done,
         messages.ChunkArrived: on_chunk,
         messages.StreamDone: on_stream_done,
         messages.CallDone: on_call_done,
@@ -72,7 +72,7 @@
         messages.InstancesListed: on_instances,
         messages.PeerMessage: on_peer_message,
         messages.LogRead: on_log_read,
-        messages.MarkLeaving: on_mark_leaving,
+        messages.MarkDraining: on_mark_leaving,
         messages.OrderAnswered: on_order_answered,
         messages.Publish: on_publish,
         messages.Shutdown: on_shutdown,
--- a/trestledock/process/_state.py
+++ b/trestledock/process/_state.py
@@ -10,7 +10,7 @@
 from random import Random
 from typing import Any, Mapping
 
-from trestledock.process._actions import Action, Count, Note
+from trestledock.process._actions import Action, Count, LogEvent
 from trestledock.process._claims import ClaimTable
 from trestledock.process._epoch import Epoch
 from trestledock.process._fleet import Fleet, Target
@@ -23,7 +23,7 @@
 from trestledock.process._policy import Policy
 from trestledock.process._queue import FairQueue
 from trestledock.process._timers import Timers
-from trestledock.relay import BudgetTerms, Quarantine, RetryWindow
+from trestledock.relay import RetryLimits, Quarantine, RetryBudget
 from trestledock.version import Configuration, Reader
 
 
@@ -76,8 +76,8 @@
     permits: dict[tuple[str, ...], Any] = field(default_factory=dict)
     limits: Limits = field(default_factory=Limits)
     queues: dict[str, FairQueue] = field(default_factory=dict)
-    budgets: dict[str, RetryWindow] = field(default_factory=dict)
-    live: dict[str, Live] = field(default_factory=dict)
+    budgets: dict[str, RetryBudget] = field(default_factory=dict)
+    requests: dict[str, Live] = field(default_factory=dict)
     epochs: dict[str, Epoch] = field(default_factory=dict)
     liveness: Liveness = field(default_factory=Liveness)
     guard: Guard = field(default_factory=Guard)
@@ -112,7 +112,7 @@
 
     def note(self, event: str, peer: str = '', detail: str = '') -> None:
         """Log a change of state."""
-        self.out.append(Note(event, peer, detail))
+        self.out.append(LogEvent(event, peer, detail))
 
     def set_timer(self, at: float, timer: Any) -> None:
         """Send a message to this instance for later."""
@@ -122,9 +122,9 @@
         """Return the fair queue of a pool."""
         return self.queues.setdefault(pool, FairQueue())
 
-    def get_budget(self, pool: str) -> RetryWindow:
+    def get_budget(self, pool: str) -> RetryBudget:
         """Return the retry budget of a pool at this instance."""
-        return self.budgets.setdefault(pool, RetryWindow(BudgetTerms()))
+        return self.budgets.setdefault(pool, RetryBudget(RetryLimits()))
 
     def get_targets(self) -> Mapping[str, Target]:
         """Return the targets by name."""
--- a/trestledock/proof/_performing.py
+++ b/trestledock/proof/_performing.py
@@ -16,13 +16,13 @@
     CallDone,
     CallService,
     CancelConfirmed,
-    CancelHolds,
+    CancelReservations,
     ChunkArrived,
     Count,
     EmitChunks,
     Finish,
     GiveOrder,
-    Note,
+    LogEvent,
     OrderAnswered,
     PeerMessage,
     Policy,
@@ -31,7 +31,7 @@
     StartJob,
     StreamDone,
     Timing,
-    ToPeer,
+    SendToPeer,
 )
 from trestledock.proof._feeds import feed_list, feed_loads, feed_log
 from trestledock.proof._history import EventType
@@ -216,7 +216,7 @@
 
 
 @perform.register
-def _(action: CancelHolds, world: World, host: Host) -> None:
+def _(action: CancelReservations, world: World, host: Host) -> None:
     name = action.address
     engine = world.engines.get(name)
     if engine is None or not engine.alive:
@@ -239,7 +239,7 @@
 
 
 @perform.register
-def _(action: ToPeer, world: World, host: Host) -> None:
+def _(action: SendToPeer, world: World, host: Host) -> None:
     peer = world.hosts.get(action.address)
     if peer is None or not world.can_reach(host.name, peer.name):
         return
@@ -346,5 +346,5 @@
 
 
 @perform.register
-def _(action: Note, world: World, host: Host) -> None:
+def _(action: LogEvent, world: World, host: Host) -> None:
     """Lines of the log prove nothing, so the history leaves them out."""
--- a/trestledock/proof/_world.py
+++ b/trestledock/proof/_world.py
@@ -20,13 +20,13 @@
 from trestledock.process import (
     Arrive,
     AttemptFailed,
-    CallerGone,
+    CallerDisconnected,
     ChunkArrived,
     Finish,
     Identity,
     Node,
     PeerInfo,
-    PieceDone,
+    PrefillDone,
     Policy,
     Publish,
     Shutdown,
@@ -338,7 +338,7 @@
         for req_id in tuple(host.requests):
             host.requests.pop(req_id)
             self._break(host, req_id)
-            self.tell(host, CallerGone(req_id))
+            self.tell(host, CallerDisconnected(req_id))
 
     def stall(self, host: Host, action: Any) -> bool:
         """Hold one action back, as a pause just before its write would."""
@@ -439,7 +439,7 @@
         if host.frozen and req.req_id in host.requests:
             host.requests.pop(req.req_id)
             self._break(host, req.req_id)
-            host.inbox.append(CallerGone(req.req_id))
+            host.inbox.append(CallerDisconnected(req.req_id))
 
     def _break_all(self, host: Host) -> None:
         for req_id in tuple(host.requests):
@@ -473,7 +473,7 @@
 
 def _to_message(route: Route, event: EngineEvent) -> Any:
     if event.kind is EventKind.piece_done:
-        return PieceDone(route.req_id, route.attempt, event.hold, event.stop)
+        return PrefillDone(route.req_id, route.attempt, event.hold, event.stop)
     if event.chunk is not None:
         return ChunkArrived(route.req_id, route.attempt, event.chunk)
     return StreamDone(route.req_id, route.attempt, event.count)
--- a/trestledock/relay/__init__.py
+++ b/trestledock/relay/__init__.py
@@ -10,13 +10,13 @@
 
 from trestledock.relay._arithmetic import (
     PassLoad,
-    get_read_s,
-    get_write_pass_s,
-    get_write_s,
+    get_prefill_s,
+    get_decode_pass_s,
+    get_decode_s,
 )
-from trestledock.relay._asking import Ask, NoPlace, pick_cheapest
-from trestledock.relay._board import Board, Flight, Phase
-from trestledock.relay._budget import BudgetTerms, RetryWindow
+from trestledock.relay._asking import PlacementRequest, Unplaced, pick_cheapest
+from trestledock.relay._board import LoadTable, Flight, Phase
+from trestledock.relay._budget import RetryLimits, RetryBudget
 from trestledock.relay._call import Body, Call, PromptSize
 from trestledock.relay._catalog import (
     Catalog,
@@ -28,160 +28,160 @@
     Share,
     TeamKey,
 )
-from trestledock.relay._claims import CLAIM_S, find_prior, needs_claim
+from trestledock.relay._claims import CLAIM_DELAY_S, find_prior_claim, needs_claim
 from trestledock.relay._deciding import (
-    LOOK_S,
+    PLACEMENT_RETRY_S,
     Decision,
     Timing,
     decide,
-    decide_without_place,
-    get_come_back_s,
+    decide_unplaced,
+    get_retry_after_s,
 )
-from trestledock.relay._events import Event, Splitter
-from trestledock.relay._fingerprint import Traits, get_fingerprint
+from trestledock.relay._events import StreamEvent, EventSplitter
+from trestledock.relay._fingerprint import RequestIdentity, get_fingerprint
 from trestledock.relay._elsewhere import (
-    Load,
-    is_worth_asking,
-    summarize,
+    RemoteLoad,
+    should_query_remote,
+    summarize_load,
 )
-from trestledock.relay._fleet import BEFORE_ALL, Fleet, GoneTarget
+from trestledock.relay._fleet import LOWEST_ORDER, Fleet, RemovedTarget
 from trestledock.relay._health import Health
-from trestledock.relay._listed import UNTOLD, Listed, Order, Standing
+from trestledock.relay._listed import UNKNOWN_BIRTH, ListedTarget, RecordOrder, Standing
 from trestledock.relay._notices import (
-    Change,
-    Leave,
+    NoticeChange,
+    Drain,
     Notice,
     Notices,
-    Rest,
-    RestElsewhere,
+    Backoff,
+    PeerBackoff,
 )
-from trestledock.relay._open_ends import OpenEnds
-from trestledock.relay._outcome import Ending, History, Sending
+from trestledock.relay._unconfirmed_crashes import UnconfirmedCrashes
+from trestledock.relay._outcome import AttemptOutcome, AttemptHistory, RelayAttempt
 from trestledock.relay._patience import (
-    EARLY_TERMS,
-    get_first_patience_s,
-    get_pause_patience_s,
-    is_held_up,
+    EARLY_RETRY_LIMITS,
+    get_first_event_timeout_s,
+    get_pause_timeout_s,
+    is_waiting_for_memory,
 )
 from trestledock.relay._placing import Placer
 from trestledock.relay._plain import choose_least_busy
 from trestledock.relay._problem import Placement, Work
-from trestledock.relay._proof import Proof
+from trestledock.relay._proof import FreshnessProof
 from trestledock.relay._quarantine import (
-    End,
-    Quarantined,
+    Crash,
+    QuarantineRecord,
     Quarantine,
 )
-from trestledock.relay._quotas import Member, Members
+from trestledock.relay._quotas import Member, Membership
 from trestledock.relay._rate_limits import RateLimit
-from trestledock.relay._reach import BEAT_S, Reach
+from trestledock.relay._reach import BEAT_INTERVAL_S, Reachability
 from trestledock.relay._rendezvous import rank_by_key
-from trestledock.relay._resting import get_spread_s
-from trestledock.relay._restores import REWRITE_S, Restores
+from trestledock.relay._backoff import get_jitter_s
+from trestledock.relay._restores import REWRITE_WAIT_S, RestoreTracker
 from trestledock.relay._readers import (
-    Candidate,
-    ReadPace,
+    ReaderCandidate,
+    ReadSchedule,
     choose_reader,
-    get_own_read_in_s,
-    get_retry_s,
+    get_own_read_delay_s,
+    get_read_retry_s,
 )
-from trestledock.relay._signs import Sign, get_connect_sign, get_end_sign
-from trestledock.relay._terms import TERMS, Terms
+from trestledock.relay._signs import FailureKind, classify_connect_error, classify_disconnect
+from trestledock.relay._terms import DEFAULT_POLICY, PlacementPolicy
 from trestledock.relay._throttle import Throttle
-from trestledock.relay._turns import Turn, Turns
+from trestledock.relay._turns import WaitingRequest, WaitQueue
 from trestledock.relay._worth import get_worth
 
 __all__ = (
-    'Ask',
-    'BEFORE_ALL',
-    'BEAT_S',
-    'Board',
+    'PlacementRequest',
+    'LOWEST_ORDER',
+    'BEAT_INTERVAL_S',
+    'LoadTable',
     'Body',
-    'BudgetTerms',
-    'CLAIM_S',
+    'RetryLimits',
+    'CLAIM_DELAY_S',
     'Call',
-    'Candidate',
+    'ReaderCandidate',
     'Catalog',
-    'Change',
+    'NoticeChange',
     'Decision',
-    'EARLY_TERMS',
-    'End',
-    'Ending',
+    'EARLY_RETRY_LIMITS',
+    'Crash',
+    'AttemptOutcome',
     'EngineModel',
-    'Event',
+    'StreamEvent',
     'Fleet',
     'Flight',
-    'GoneTarget',
+    'RemovedTarget',
     'Health',
-    'Quarantined',
-    'History',
-    'LOOK_S',
-    'Leave',
+    'QuarantineRecord',
+    'AttemptHistory',
+    'PLACEMENT_RETRY_S',
+    'Drain',
     'Limits',
-    'Listed',
-    'Load',
+    'ListedTarget',
+    'RemoteLoad',
     'Member',
-    'Members',
-    'NoPlace',
+    'Membership',
+    'Unplaced',
     'Notice',
     'Notices',
-    'OpenEnds',
-    'Order',
+    'UnconfirmedCrashes',
+    'RecordOrder',
     'PassLoad',
     'Phase',
     'Placement',
     'Placer',
     'PromptSize',
-    'Proof',
-    'Reach',
+    'FreshnessProof',
+    'Reachability',
     'Quarantine',
     'RateLimit',
-    'ReadPace',
-    'REWRITE_S',
-    'Rest',
-    'RestElsewhere',
-    'Restores',
-    'RetryWindow',
+    'ReadSchedule',
+    'REWRITE_WAIT_S',
+    'Backoff',
+    'PeerBackoff',
+    'RestoreTracker',
+    'RetryBudget',
     'Route',
     'RouteKind',
-    'Sending',
+    'RelayAttempt',
     'Service',
     'Share',
-    'Sign',
-    'Splitter',
+    'FailureKind',
+    'EventSplitter',
     'Standing',
-    'TERMS',
+    'DEFAULT_POLICY',
     'TeamKey',
-    'Terms',
+    'PlacementPolicy',
     'Throttle',
     'Timing',
-    'Traits',
-    'Turn',
-    'Turns',
-    'UNTOLD',
+    'RequestIdentity',
+    'WaitingRequest',
+    'WaitQueue',
+    'UNKNOWN_BIRTH',
     'Work',
     'choose_least_busy',
     'choose_reader',
     'decide',
-    'decide_without_place',
-    'find_prior',
-    'get_come_back_s',
-    'get_connect_sign',
-    'get_end_sign',
+    'decide_unplaced',
+    'find_prior_claim',
+    'get_retry_after_s',
+    'classify_connect_error',
+    'classify_disconnect',
     'get_fingerprint',
-    'get_first_patience_s',
-    'get_own_read_in_s',
-    'get_pause_patience_s',
-    'get_read_s',
-    'get_retry_s',
-    'get_spread_s',
+    'get_first_event_timeout_s',
+    'get_own_read_delay_s',
+    'get_pause_timeout_s',
+    'get_prefill_s',
+    'get_read_retry_s',
+    'get_jitter_s',
     'get_worth',
-    'get_write_pass_s',
-    'get_write_s',
-    'is_held_up',
-    'is_worth_asking',
+    'get_decode_pass_s',
+    'get_decode_s',
+    'is_waiting_for_memory',
+    'should_query_remote',
     'needs_claim',
     'pick_cheapest',
     'rank_by_key',
-    'summarize',
+    'summarize_load',
 )
--- a/trestledock/relay/_arithmetic.py
+++ b/trestledock/relay/_arithmetic.py
@@ -20,12 +20,12 @@
 class PassLoad:
     """What a pass has to do: writers, their context, reading in seconds."""
 
-    writers: int = 0
+    decoding: int = 0
     context_tokens: int = 0
-    reading_s: float = 0
+    prefill_s: float = 0
 
 
-def get_read_s(engine: EngineModel, tokens: int) -> float:
+def get_prefill_s(engine: EngineModel, tokens: int) -> float:
     """Return how long a prompt is read that an engine has to itself.
 
     >>> engine = EngineModel(8, 232_000, 0.001, 200_000, pair_s=1e-10)
@@ -36,7 +36,7 @@
     return tokens / engine.read_rate + pairs * engine.pair_s
 
 
-def get_write_pass_s(engine: EngineModel, load: PassLoad) -> float:
+def get_decode_pass_s(engine: EngineModel, load: PassLoad) -> float:
     """Return how long one pass with writers takes, reading included.
 
     A pass reads at most `stride` chunks, so a long prompt fills it and the
@@ -44,13 +44,13 @@
     """
     step_s = (
         engine.step_s
-        + engine.step_request_s * load.writers
+        + engine.step_request_s * load.decoding
         + engine.step_context_s * load.context_tokens
     )
-    return engine.stride * step_s + load.reading_s
+    return engine.stride * step_s + load.prefill_s
 
 
-def get_write_s(engine: EngineModel, size: PromptSize) -> float:
+def get_decode_s(engine: EngineModel, size: PromptSize) -> float:
     """Return how long an answer is usually written, without other work.
 
     >>> engine = EngineModel(8, 232_000, 0.001, 200_000)
--- a/trestledock/relay/_asking.py
+++ b/trestledock/relay/_asking.py
@@ -9,7 +9,7 @@
 from dataclasses import dataclass, replace
 from typing import Sequence
 
-from trestledock.relay._arithmetic import get_write_s
+from trestledock.relay._arithmetic import get_decode_s
 from trestledock.relay._board import Flight, Phase
 from trestledock.relay._call import PromptSize
 from trestledock.relay._catalog import EngineModel
@@ -18,10 +18,10 @@
     Decision,
     Timing,
     decide,
-    decide_without_place,
-    get_come_back_s,
+    decide_unplaced,
+    get_retry_after_s,
 )
-from trestledock.relay._listed import Listed
+from trestledock.relay._listed import ListedTarget
 from trestledock.relay._placing import Placer
 from trestledock.relay._problem import Placement, Work
 from trestledock.relay._worth import get_worth
@@ -33,23 +33,23 @@
 
 
 @dataclass(frozen=True)
-class NoPlace:
+class Unplaced:
     """Why a request goes nowhere now, and when its caller may come back."""
 
     decision: Decision
-    come_back_s: float = 0
+    retry_after_s: float = 0
 
 
 def pick_cheapest(
-    options: Sequence[Placement | NoPlace],
-) -> Placement | NoPlace:
+    options: Sequence[Placement | Unplaced],
+) -> Placement | Unplaced:
     """Return the placement that costs least; without any the first's word."""
     placements = [one for one in options if isinstance(one, Placement)]
     return min(placements, key=lambda one: one.cost, default=options[0])
 
 
 @dataclass(frozen=True)
-class Ask:
+class PlacementRequest:
     """One request; `pause_s` and `patience_s` are those of its route."""
 
     req_id: str
@@ -72,23 +72,23 @@
         self,
         placer: Placer,
         engine: EngineModel,
-        targets: Sequence[Listed],
+        targets: Sequence[ListedTarget],
         now: float,
-    ) -> Placement | NoPlace:
+    ) -> Placement | Unplaced:
         """Return where the request goes now, or what else is done with it."""
-        timing = replace(self.timing, write_s=get_write_s(engine, self.size))
-        if not placer.terms.departure:
+        timing = replace(self.timing, write_s=get_decode_s(engine, self.size))
+        if not placer.policy.abandonment:
             timing = replace(timing, gone=FOREVER, deadline=FOREVER)
         work = self._make_work(timing, now)
         placement = placer.place(work, engine, targets, now)
         if placement is None:
             found = bool(targets)
-            return NoPlace(decide_without_place(timing, now, any_target=found))
-        decision = decide(timing, work.worth, placement, now, placer.terms)
+            return Unplaced(decide_unplaced(timing, now, any_target=found))
+        decision = decide(timing, work.worth, placement, now, placer.policy)
         if decision is Decision.send:
             return placement
-        return NoPlace(
-            decision, get_come_back_s(timing, placement.clear_s, now)
+        return Unplaced(
+            decision, get_retry_after_s(timing, placement.clear_s, now)
         )
 
     def make_flight(
@@ -107,10 +107,10 @@
             since=now,
             pause_s=self.pause_s,
             worth=get_worth(self.size),
-            due=self.timing.due,
+            due_at=self.timing.due_at,
             helpers=tuple(one.incarnation for one in placement.helpers),
-            tickets=placement.tickets,
-            gone=self.timing.gone,
+            reservations=placement.reservations,
+            abandoned_at=self.timing.abandoned_at,
             patience_s=self.patience_s,
         )
 
@@ -121,5 +121,5 @@
             objective_s=max(objective_s, LEAST_OBJECTIVE_S),
             pause_s=self.pause_s,
             worth=get_worth(self.size),
-            gone_s=timing.get_left_s(now),
+            abandoned_after_s=timing.get_left_s(now),
         )
--- a/trestledock/relay/_resting.py
+++ b/trestledock/relay/_backoff.py
@@ -9,7 +9,7 @@
 
 from dataclasses import dataclass, field
 
-from trestledock.relay._notices import Notices, Rest
+from trestledock.relay._notices import Notices, Backoff
 
 #: By which part of it a rest is made longer at most, and by how much, in
 #: seconds: each entry draws its own.
@@ -17,10 +17,10 @@
 SPREAD_MOST_S = 1.0
 #: How long a request after a rest may be unanswered until another one may go,
 #: in seconds.
-TRIAL_S = 0.4
+PROBE_TIMEOUT_S = 0.4
 
 
-def get_spread_s(rest_s: float, drawn: float) -> float:
+def get_jitter_s(rest_s: float, drawn: float) -> float:
     """Return by how much a rest is made longer, for a draw from 0 to 1.
 
     >>> get_spread_s(2, 0.5), get_spread_s(60, 1)
@@ -30,7 +30,7 @@
 
 
 @dataclass
-class Resting:
+class BackoffGate:
     """Keeps requests from targets that asked this entry for rest.
 
     >>> resting = Resting(Notices())
@@ -45,33 +45,33 @@
     notices: Notices
     _tried_until: dict[str, float] = field(default_factory=dict)
 
-    def is_known(self, target: str) -> bool:
+    def has_backoff(self, target: str) -> bool:
         """Whether a target rests, or has not answered since it did."""
-        return self.notices.get(Rest, target) is not None
+        return self.notices.get(Backoff, target) is not None
 
-    def is_resting(self, target: str, now: float) -> bool:
+    def is_backing_off(self, target: str, now: float) -> bool:
         """Whether a target wants nothing now."""
-        rest = self.notices.get(Rest, target)
+        rest = self.notices.get(Backoff, target)
         return rest is not None and not rest.is_over(now)
 
-    def is_free(self, target: str, now: float) -> bool:
+    def can_send(self, target: str, now: float) -> bool:
         """Whether a request may go to a target now."""
         return self.get_wait_s(target, now) <= 0
 
     def get_wait_s(self, target: str, now: float) -> float:
         """Return in how many seconds the next request may go to a target."""
-        rest = self.notices.get(Rest, target)
+        rest = self.notices.get(Backoff, target)
         if rest is None:
             return 0
         tried_until = self._tried_until.get(target, rest.until)
         return max(0, max(rest.until, tried_until) - now)
 
-    def take(self, target: str, now: float) -> None:
+    def record_sent(self, target: str, now: float) -> None:
         """Have a request go to a target."""
-        if self.is_known(target):
-            self._tried_until[target] = now + TRIAL_S
+        if self.has_backoff(target):
+            self._tried_until[target] = now + PROBE_TIMEOUT_S
 
     def forget(self, target: str) -> None:
         """Forget that a target has rested."""
-        self.notices.drop(Rest, target)
+        self.notices.discard(Backoff, target)
         self._tried_until.pop(target, None)
--- a/trestledock/relay/_board.py
+++ b/trestledock/relay/_board.py
@@ -16,8 +16,8 @@
 class Phase(str, Enum):
     """Whether a request's prompt is being read, or its answer written."""
 
-    reading = 'r'
-    writing = 'w'
+    prefill = 'r'
+    decode = 'w'
 
 
 @dataclass(frozen=True)
@@ -40,34 +40,34 @@
     since: float
     pause_s: float = 0
     worth: float = 1
-    due: float = float('inf')
+    due_at: float = float('inf')
     helpers: tuple[str, ...] = ()
-    tickets: tuple[tuple[str, int], ...] = ()
-    gone: float = float('inf')
+    reservations: tuple[tuple[str, int], ...] = ()
+    abandoned_at: float = float('inf')
     patience_s: float = float('inf')
 
     @property
-    def parts(self) -> int:
+    def chunk_count(self) -> int:
         """Into how many equal parts the prompt is cut for reading."""
         return len(self.helpers) + 1
 
     @property
-    def engaged(self) -> tuple[str, ...]:
+    def engaged_targets(self) -> tuple[str, ...]:
         """The targets that have something to do for the request.
 
         Once the prompt has been read, helpers that hold none of it are free.
         """
-        if self.phase is Phase.reading:
+        if self.phase is Phase.prefill:
             return (self.target, *self.helpers)
-        return (self.target, *(name for name, _ in self.tickets))
+        return (self.target, *(name for name, _ in self.reservations))
 
     def get_held_tokens(self, target: str) -> int:
         """Return the KV tokens that the request takes at one target."""
-        ticketed = dict(self.tickets)
+        ticketed = dict(self.reservations)
         if target != self.target:
             return ticketed.get(target, 0)
         elsewhere = sum(
-            tokens for name, tokens in self.tickets if name != target
+            tokens for name, tokens in self.reservations if name != target
         )
         total = self.prompt_tokens + self.output_tokens
         return max(total - elsewhere, 0)
@@ -84,7 +84,7 @@
 OWN = ''
 
 
-class Board:
+class LoadTable:
     """Flights by target, of this instance and of its peers.
 
     >>> board = Board()
@@ -110,11 +110,11 @@
         self._set(OWN, flight)
         self.changed[flight.flight_id] = flight
 
-    def advance(self, flight_id: str, now: float) -> None:
+    def start_decode(self, flight_id: str, now: float) -> None:
         """Note that the first part of an answer has come."""
         flight = self.own.get(flight_id)
-        if flight and flight.phase is Phase.reading:
-            self.put(replace(flight, phase=Phase.writing, since=now))
+        if flight and flight.phase is Phase.prefill:
+            self.put(replace(flight, phase=Phase.decode, since=now))
 
     def remove(self, flight_id: str) -> None:
         """Drop a flight of this instance."""
@@ -122,13 +122,13 @@
             self._unset(OWN, flight_id)
             self.changed[flight_id] = None
 
-    def take_changes(self) -> dict[str, Flight | None]:
+    def pop_changes(self) -> dict[str, Flight | None]:
         """Return what changed among the own flights since the last call."""
         changed = self.changed
         self.changed = {}
         return changed
 
-    def hear(
+    def apply_update(
         self,
         sender: str,
         sequence: int,
@@ -175,13 +175,13 @@
         ]
         return iter((*self._by_target.get(target, {}).values(), *told))
 
-    def get_beside(self, flight: Flight) -> list[Flight]:
+    def get_colocated(self, flight: Flight) -> list[Flight]:
         """Return what the targets of a flight have to do, itself included."""
         return [
-            one for name in flight.engaged for one in self.get_flights(name)
+            one for name in flight.engaged_targets for one in self.get_flights(name)
         ]
 
-    def set_elsewhere(self, place: str, flights: Iterable[Flight]) -> None:
+    def set_remote_load(self, data_centre: str, flights: Iterable[Flight]) -> None:
         """Take what instances elsewhere have at the targets of a data centre.
 
         It replaces what was told before; nothing of it is from senders that
@@ -190,9 +190,9 @@
         by_target: dict[str, list[Flight]] = defaultdict(list)
         for flight in flights:
             by_target[flight.target].append(flight)
-        self._elsewhere[place] = by_target
+        self._elsewhere[data_centre] = by_target
 
-    def get_all_but(self, senders: Container[str]) -> Iterator[Flight]:
+    def get_flights_except(self, senders: Container[str]) -> Iterator[Flight]:
         """Yield the flights of this instance and of all but some peers."""
         for sender, peer in self._senders.items():
             if sender not in senders:
@@ -201,12 +201,12 @@
     def _set(self, sender: str, flight: Flight) -> None:
         self._unset(sender, flight.flight_id)
         self._senders[sender].flights[flight.flight_id] = flight
-        for target in flight.engaged:
+        for target in flight.engaged_targets:
             self._by_target[target][sender + flight.flight_id] = flight
 
     def _unset(self, sender: str, flight_id: str) -> None:
         flight = self._senders[sender].flights.pop(flight_id, None)
         if flight is None:
             return
-        for target in flight.engaged:
+        for target in flight.engaged_targets:
             self._by_target[target].pop(sender + flight_id, None)
--- a/trestledock/relay/_budget.py
+++ b/trestledock/relay/_budget.py
@@ -16,7 +16,7 @@
 
 
 @dataclass(frozen=True)
-class BudgetTerms:
+class RetryLimits:
     """The bound: `ratio` x requests + `slack` in any `window_s` seconds."""
 
     ratio: float = 0.2
@@ -25,7 +25,7 @@
 
 
 @dataclass
-class RetryWindow:
+class RetryBudget:
     """The requests and repeats of one service in the last window.
 
     >>> window = RetryWindow(BudgetTerms(ratio=0, slack=2))
@@ -33,27 +33,27 @@
     [True, False]
     """
 
-    terms: BudgetTerms
+    limits: RetryLimits
     _requests: deque[float] = field(default_factory=deque)
     _repeats: deque[float] = field(default_factory=deque)
 
-    def earn(self, now: float) -> None:
+    def record_request(self, now: float) -> None:
         """Count a first sending."""
         self._requests.append(now)
 
-    def spend(self, now: float, instances: int) -> bool:
+    def try_spend(self, now: float, instances: int) -> bool:
         """Take one repeat from the budget; False where it is spent."""
-        if not self.is_left(now, instances):
+        if not self.has_budget(now, instances):
             return False
         self._repeats.append(now)
         return True
 
-    def is_left(self, now: float, instances: int) -> bool:
+    def has_budget(self, now: float, instances: int) -> bool:
         """Whether one more repeat may be taken."""
-        start = now - self.terms.window_s
+        start = now - self.limits.window_s
         for times in (self._requests, self._repeats):
             while times and times[0] <= start:
                 times.popleft()
-        slack = self.terms.slack / max(1, instances)
-        bound = (slack + self.terms.ratio * len(self._requests)) * MARGIN
+        slack = self.limits.slack / max(1, instances)
+        bound = (slack + self.limits.ratio * len(self._requests)) * MARGIN
         return len(self._repeats) + 1 <= bound
--- a/trestledock/relay/_call.py
+++ b/trestledock/relay/_call.py
@@ -34,7 +34,7 @@
     digest: bytes = sha256().digest()
 
     @classmethod
-    def of(cls, raw: bytes) -> 'Body':
+    def from_bytes(cls, raw: bytes) -> 'Body':
         """Return a body that is there already."""
         return cls(raw, sha256(raw).digest())
 
--- a/trestledock/relay/_claims.py
+++ b/trestledock/relay/_claims.py
@@ -18,18 +18,18 @@
 #: engines the second one did so up to 35 ms after the first: its choice took
 #: some ms on half a core, and the word queued behind the prompt's own bytes (30
 #: KB take 12 ms at 20 Mbit/s), which it goes ahead of now.
-CLAIM_S = 0.03
+CLAIM_DELAY_S = 0.03
 #: Only what takes so many times as long is worth the wait.
 LEAST_TURNS = 10
 
 
 def needs_claim(placement: Placement, worth: float) -> bool:
     """Whether a prompt is told to others before it is sent."""
-    is_long = placement.first_s >= CLAIM_S * LEAST_TURNS
+    is_long = placement.first_token_s >= CLAIM_DELAY_S * LEAST_TURNS
     return is_long and worth > SMALL_WORTH
 
 
-def find_prior(
+def find_prior_claim(
     own: Flight,
     others: Iterable[Flight],
     known: Container[str],
@@ -42,13 +42,13 @@
     """
     for other in others:
         is_new = other.flight_id not in known and other != own
-        is_long = other.phase is Phase.reading and other.worth > SMALL_WORTH
+        is_long = other.phase is Phase.prefill and other.worth > SMALL_WORTH
         if is_new and is_long and _goes_before(other, own):
             return other
     return None
 
 
 def _goes_before(other: Flight, own: Flight) -> bool:
-    if abs(other.since - own.since) > CLAIM_S:
+    if abs(other.since - own.since) > CLAIM_DELAY_S:
         return other.since < own.since
     return other.flight_id < own.flight_id
--- a/trestledock/relay/_deciding.py
+++ b/trestledock/relay/_deciding.py
@@ -12,7 +12,7 @@
 from enum import Enum
 
 from trestledock.relay._problem import GONE_SHARE, Placement
-from trestledock.relay._terms import TERMS, Terms
+from trestledock.relay._terms import DEFAULT_POLICY, PlacementPolicy
 
 #: The part of its objective that a request may wait for a better place.
 PATIENCE_SHARE = 0.3
@@ -37,7 +37,7 @@
 #: The cost, as a part of a request's worth, for which it is worth waiting.
 WAIT_COST_SHARE = 0.3
 #: How often a waiting request is placed anew without any news, in seconds.
-LOOK_S = 0.03
+PLACEMENT_RETRY_S = 0.03
 #: How long to look for any target at all, in seconds.
 TARGET_PATIENCE_S = 0.2
 
@@ -64,11 +64,11 @@
     """
 
     arrived_at: float
-    due: float
-    gone: float
+    due_at: float
+    abandoned_at: float
     deadline: float
     write_s: float = 0
-    begun: bool = False
+    started: bool = False
 
     def get_waited_s(self, now: float) -> float:
         """Return how long the request has been waiting."""
@@ -76,11 +76,11 @@
 
     def get_objective_left_s(self, now: float) -> float:
         """Return what is left until the first event would be late."""
-        return self.due - now
+        return self.due_at - now
 
     def get_left_s(self, now: float) -> float:
         """Return how long the first event may take to be of any use."""
-        return min(self.gone, self.deadline - self.write_s) - now
+        return min(self.abandoned_at, self.deadline - self.write_s) - now
 
 
 def decide(
@@ -88,7 +88,7 @@
     worth: float,
     placement: Placement,
     now: float,
-    terms: Terms = TERMS,
+    terms: PlacementPolicy = DEFAULT_POLICY,
 ) -> Decision:
     """Return what to do where `placement` is the best that there is."""
     if terms.waiting and is_worth_waiting(timing, worth, placement, now):
@@ -107,17 +107,17 @@
     timing: Timing,
     placement: Placement,
     now: float,
-    terms: Terms,
+    terms: PlacementPolicy,
 ) -> Decision | None:
     """Return why a placement is worse than none, if so.
 
     What has begun goes on: its caller has waited, and engines have worked.
     """
-    if placement.first_s > timing.get_left_s(now) * GONE_SHARE:
+    if placement.first_token_s > timing.get_left_s(now) * GONE_SHARE:
         return Decision.no_time
-    if timing.begun:
+    if timing.started:
         return None
-    too_dear = placement.harm > placement.gain * terms.harm_limit
+    too_dear = placement.cost_to_others > placement.gain * terms.max_cost_to_others
     return Decision.no_room if too_dear else None
 
 
@@ -128,8 +128,8 @@
     now: float,
 ) -> bool:
     """Whether a request that will be late should let others finish first."""
-    is_late = placement.first_s > timing.get_objective_left_s(now)
-    return is_late and placement.harm > worth * LATE_HARM_SHARE
+    is_late = placement.first_token_s > timing.get_objective_left_s(now)
+    return is_late and placement.cost_to_others > worth * LATE_HARM_SHARE
 
 
 def is_worth_waiting(
@@ -143,15 +143,15 @@
     A placement that harms others is put off until it would soon be late, one
     that is late already as long as an idle fleet could still be in time.
     """
-    objective_s = timing.due - timing.arrived_at
+    objective_s = timing.due_at - timing.arrived_at
     if timing.get_waited_s(now) > objective_s * PATIENCE_SHARE:
         return False
     if placement.cost <= worth * WAIT_COST_SHARE:
         return False
     left_s = timing.get_objective_left_s(now)
-    soon_s = left_s * OBJECTIVE_SHARE - LOOK_S
-    is_late = placement.first_s > left_s
-    hoped_s = placement.ideal_s if is_late else placement.first_s
+    soon_s = left_s * OBJECTIVE_SHARE - PLACEMENT_RETRY_S
+    is_late = placement.first_token_s > left_s
+    hoped_s = placement.ideal_s if is_late else placement.first_token_s
     return hoped_s < soon_s
 
 
@@ -165,7 +165,7 @@
         timing.get_objective_left_s(now) * OBJECTIVE_SHARE,
         timing.get_left_s(now) * GONE_SHARE,
     )
-    return placement.ideal_s < left_s - LOOK_S
+    return placement.ideal_s < left_s - PLACEMENT_RETRY_S
 
 
 def _has_time_to_queue(
@@ -174,13 +174,13 @@
     now: float,
 ) -> bool:
     """Whether a late request should wait for others to finish."""
-    whole_s = timing.gone - timing.arrived_at
+    whole_s = timing.abandoned_at - timing.arrived_at
     if timing.get_waited_s(now) > whole_s * LATE_PATIENCE_SHARE:
         return False
     return placement.ideal_s <= timing.get_left_s(now) * IDEAL_SHARE
 
 
-def get_come_back_s(timing: Timing, clear_s: float, now: float) -> float:
+def get_retry_after_s(timing: Timing, clear_s: float, now: float) -> float:
     """Return when a refused caller should come back, in seconds.
 
     That is when the reading that is in its way will have ended, but early
@@ -190,7 +190,7 @@
     return max(0, min(clear_s, most_s))
 
 
-def decide_without_place(
+def decide_unplaced(
     timing: Timing,
     now: float,
     *,
--- a/trestledock/relay/_elsewhere.py
+++ b/trestledock/relay/_elsewhere.py
@@ -26,7 +26,7 @@
 ELSEWHERE = ''
 
 
-def is_worth_asking(worth: float, cost: float | None) -> bool:
+def should_query_remote(worth: float, cost: float | None) -> bool:
     """Whether a request should see the targets of other data centres, too.
 
     `cost` is that of its best place nearby, None where it can't go there now.
@@ -42,7 +42,7 @@
 
 
 @dataclass(frozen=True)
-class Load:
+class RemoteLoad:
     """What the targets of a data centre had to do at the instant `as_of`."""
 
     as_of: float
@@ -53,7 +53,7 @@
         return now - self.as_of <= USED_S
 
 
-def summarize(
+def summarize_load(
     flights: Iterable[Flight],
     targets: Container[str],
     now: float,
@@ -66,10 +66,10 @@
     """
     writing: dict[str, list[Flight]] = {}
     for flight in flights:
-        for name in flight.engaged:
+        for name in flight.engaged_targets:
             if name not in targets:
                 continue
-            if flight.phase is Phase.reading:
+            if flight.phase is Phase.prefill:
                 yield _take_part(flight, name)
             else:
                 writing.setdefault(name, []).append(flight)
@@ -97,7 +97,7 @@
         target=name,
         prompt_tokens=sum(one.get_held_tokens(name) for one in found),
         output_tokens=0,
-        phase=Phase.writing,
+        phase=Phase.decode,
         since=now,
         pause_s=min(one.pause_s for one in found),
         worth=sum(one.worth for one in found),
--- a/trestledock/relay/_events.py
+++ b/trestledock/relay/_events.py
@@ -14,7 +14,7 @@
 
 
 @dataclass(frozen=True)
-class Event:
+class StreamEvent:
     """One whole event: its bytes as they came, and its id if it has one."""
 
     raw: bytes
@@ -22,25 +22,25 @@
 
 
 @dataclass
-class Splitter:
+class EventSplitter:
     """Collects bytes and gives out whole events.
 
     >>> Splitter().push(b'id: 1')
     []
     """
 
-    rest: bytes = b''
+    remainder: bytes = b''
 
-    def push(self, raw: bytes) -> list[Event]:
+    def push(self, raw: bytes) -> list[StreamEvent]:
         """Take bytes; return the events that are whole now."""
-        buffered = b''.join((self.rest, raw))
+        buffered = b''.join((self.remainder, raw))
         end = END_CRLF if b'\r' in buffered else END
-        *whole, self.rest = buffered.split(end)
+        *whole, self.remainder = buffered.split(end)
         return [_make_event(b''.join((one, end))) for one in whole]
 
 
-def _make_event(raw: bytes) -> Event:
+def _make_event(raw: bytes) -> StreamEvent:
     for line in raw.splitlines():
         if line.lower().startswith(ID_FIELD):
-            return Event(raw, line[len(ID_FIELD) :].strip().decode('latin-1'))
-    return Event(raw)
+            return StreamEvent(raw, line[len(ID_FIELD) :].strip().decode('latin-1'))
+    return StreamEvent(raw)
--- a/trestledock/relay/_fingerprint.py
+++ b/trestledock/relay/_fingerprint.py
@@ -14,7 +14,7 @@
 DIGITS = 24
 
 
-class Traits(NamedTuple):
+class RequestIdentity(NamedTuple):
     """What a target works by, beside the body.
 
     The team stands for the caller, whose key may be replaced meanwhile.
@@ -27,7 +27,7 @@
     team: str
 
 
-def get_fingerprint(traits: Traits, body_digest: bytes) -> str:
+def get_fingerprint(traits: RequestIdentity, body_digest: bytes) -> str:
     """Return what a request shares with its repeats, whoever takes them.
 
     Each part counts with its length, so that no two different requests read
--- a/trestledock/relay/_health.py
+++ b/trestledock/relay/_health.py
@@ -53,7 +53,7 @@
 
 
 @dataclass
-class PlaceHealth:
+class DataCentreHealth:
     """The silence of a data centre.
 
     Several silent targets within a short time, or the silence of all instances
@@ -66,7 +66,7 @@
     suspect_until: float = float('-inf')
     probed_until: float = float('-inf')
     times: int = 0
-    quiet: bool = False
+    instances_silent: bool = False
 
     def note_silence(self, target_id: str, now: float) -> None:
         """Note a silent target there."""
@@ -87,7 +87,7 @@
 
     def note_quiet(self, now: float) -> None:
         """Have the data centre left alone until its instances are heard."""
-        self.quiet = True
+        self.instances_silent = True
         self.times += 1
         self.suspect_until = now + QUIET_MOST_S
 
@@ -116,26 +116,26 @@
     """
 
     targets: dict[str, TargetHealth] = field(default_factory=dict)
-    places: dict[str, PlaceHealth] = field(default_factory=dict)
+    data_centres: dict[str, DataCentreHealth] = field(default_factory=dict)
 
     def get(self, target_id: str) -> TargetHealth:
         """Return what is known of a target."""
         return self.targets.setdefault(target_id, TargetHealth())
 
-    def note_success(self, target_id: str, now: float, place: str = '') -> None:
+    def record_success(self, target_id: str, now: float, data_centre: str = '') -> None:
         """Note an answer as it should be."""
-        self.places.pop(place, None)
+        self.data_centres.pop(data_centre, None)
         self._learn(target_id, 0, now)
         one = self.get(target_id)
         one.silences = 0
         one.doubts = 0
         one.suspect_until = float('-inf')
 
-    def note_failure(self, target_id: str, now: float) -> None:
+    def record_failure(self, target_id: str, now: float) -> None:
         """Note an answer that failed, was cut short or made no sense."""
         self._learn(target_id, 1, now)
 
-    def note_doubt(self, target_id: str, now: float, place: str = '') -> None:
+    def record_early_timeout(self, target_id: str, now: float, data_centre: str = '') -> None:
         """Note that a target was left early, though it may only be busy.
 
         Again without an answer in between, it counts as silent.
@@ -144,12 +144,12 @@
         one = self.get(target_id)
         one.doubts += 1
         if one.doubts >= DOUBTS:
-            self.note_silence(target_id, now, place)
+            self.record_silence(target_id, now, data_centre)
 
-    def note_silence(self, target_id: str, now: float, place: str = '') -> None:
+    def record_silence(self, target_id: str, now: float, data_centre: str = '') -> None:
         """Note that nothing came, or that no connection could be made."""
-        if place:
-            known = self.places.setdefault(place, PlaceHealth())
+        if data_centre:
+            known = self.data_centres.setdefault(data_centre, DataCentreHealth())
             known.note_silence(target_id, now)
         one = self.get(target_id)
         if now < one.suspect_until:
@@ -162,7 +162,7 @@
         self,
         target_id: str,
         now: float,
-        place: str = '',
+        data_centre: str = '',
         *,
         small: bool = True,
     ) -> bool:
@@ -170,7 +170,7 @@
 
         A `small` request is no great loss where it finds that out.
         """
-        around = self.places.get(place)
+        around = self.data_centres.get(data_centre)
         if around is not None and around.is_suspect(now, small=small):
             return True
         known = self.targets.get(target_id)
@@ -181,30 +181,30 @@
         known = self.targets.get(target_id)
         return known is not None and known.silences > 0
 
-    def note_quiet(self, place: str, now: float) -> bool:
+    def record_silent_data_centre(self, data_centre: str, now: float) -> bool:
         """Note that all instances of a data centre are silent.
 
         Return whether that is news.
         """
-        known = self.places.setdefault(place, PlaceHealth())
-        if known.quiet:
+        known = self.data_centres.setdefault(data_centre, DataCentreHealth())
+        if known.instances_silent:
             return False
         known.note_quiet(now)
         return True
 
-    def note_heard(self, place: str) -> None:
+    def record_message(self, data_centre: str) -> None:
         """Note that an instance of a data centre has spoken.
 
         That ends the suspicion only where silence of the instances was its
         cause: words may come through where requests don't.
         """
-        known = self.places.get(place)
-        if known and known.quiet:
-            self.places.pop(place)
+        known = self.data_centres.get(data_centre)
+        if known and known.instances_silent:
+            self.data_centres.pop(data_centre)
 
-    def note_sent(self, place: str, now: float) -> None:
+    def record_sent(self, data_centre: str, now: float) -> None:
         """Note that a request goes to a target of a data centre."""
-        known = self.places.get(place)
+        known = self.data_centres.get(data_centre)
         if known:
             known.note_sent(now)
 
--- a/trestledock/relay/_listed.py
+++ b/trestledock/relay/_listed.py
@@ -13,9 +13,9 @@
 
 #: What orders the words on one id: the birth of the incarnation that says
 #: them, then its own count.
-Order = tuple[int, int]
+RecordOrder = tuple[int, int]
 #: What stands for the birth where a target does not tell it.
-UNTOLD = 0
+UNKNOWN_BIRTH = 0
 
 
 class Standing(str, Enum):
@@ -26,7 +26,7 @@
 
 
 @dataclass(frozen=True)
-class Listed:
+class ListedTarget:
     """One incarnation of a target, as listed.
 
     `born` is the Unix time of its start in milliseconds; `sequence` counts its
@@ -45,12 +45,12 @@
     standing: Standing = Standing.ready
     slots: int = 1
     sequence: int = 0
-    born: int = UNTOLD
+    born: int = UNKNOWN_BIRTH
 
     @cached_property
     def incarnation(self) -> str:
         """The name that all that is believed of this incarnation goes by."""
-        if self.born == UNTOLD:
+        if self.born == UNKNOWN_BIRTH:
             return self.target_id
         return f'{self.target_id}@{self.born}'
 
@@ -59,6 +59,6 @@
         return name in (self.target_id, self.address)
 
     @property
-    def order(self) -> Order:
+    def order(self) -> RecordOrder:
         """The place of this word among all words on the same id."""
         return self.born, self.sequence
--- a/trestledock/relay/_notices.py
+++ b/trestledock/relay/_notices.py
@@ -13,7 +13,7 @@
 from typing import Any, Protocol, TypeVar
 
 
-class Change(str, Enum):
+class NoticeChange(str, Enum):
     """What a notice changed of what is believed."""
 
     nothing = 'nothing'
@@ -38,11 +38,11 @@
         """The instant at which the answer came."""
 
     @property
-    def is_told(self) -> bool:
+    def is_shared(self) -> bool:
         """Whether the other entries hear it without this one."""
 
     @property
-    def asks_for(self) -> float | None:
+    def requested(self) -> float | None:
         """What is asked for as a number, None where nothing is any more."""
 
 
@@ -50,41 +50,41 @@
 
 
 @singledispatch
-def believe(notice: Any, before: Any) -> Any:
+def resolve(notice: Any, before: Any) -> Any:
     """Return what to believe of a notice and the one before it."""
     raise TypeError(f'no notice: {notice!r}')
 
 
 @dataclass(frozen=True)
-class Leave:
+class Drain:
     """A target takes nothing new; that is final for its incarnation."""
 
     asked_at: float
     heard_at: float
-    is_told: bool = False
+    is_shared: bool = False
 
     @property
-    def asks_for(self) -> float:
+    def requested(self) -> float:
         """Nothing beside the notice itself."""
         return 0
 
 
-@believe.register
-def _(notice: Leave, before: Leave) -> Leave:
+@resolve.register
+def _(notice: Drain, before: Drain) -> Drain:
     return before
 
 
 @dataclass(frozen=True)
-class Rest:
+class Backoff:
     """A target wants nothing from this entry until an instant."""
 
     until: float
     asked_at: float
     heard_at: float
-    is_told: bool = False
+    is_shared: bool = False
 
     @property
-    def asks_for(self) -> float:
+    def requested(self) -> float:
         """The instant until which nothing is wanted."""
         return self.until
 
@@ -93,13 +93,13 @@
         return now >= self.until
 
 
-@believe.register
-def _(notice: Rest, before: Rest) -> Rest:
+@resolve.register
+def _(notice: Backoff, before: Backoff) -> Backoff:
     return max(notice, before, key=lambda one: one.until)
 
 
 @dataclass(frozen=True)
-class RestElsewhere(Rest):
+class PeerBackoff(Backoff):
     """A target wants nothing from another entry until an instant."""
 
 
@@ -116,52 +116,52 @@
     4
     """
 
-    known: dict[type, dict[str, Any]] = field(default_factory=dict)
+    by_kind: dict[type, dict[str, Any]] = field(default_factory=dict)
 
-    def note(self, target: str, notice: Notice) -> Change:
+    def record(self, target: str, notice: Notice) -> NoticeChange:
         """Take a notice of a target; return what it changed."""
-        of_kind = self.known.setdefault(type(notice), {})
+        of_kind = self.by_kind.setdefault(type(notice), {})
         before = of_kind.get(target)
-        if before is None and notice.asks_for is None:
-            return Change.nothing
-        after = notice if before is None else believe(notice, before)
+        if before is None and notice.requested is None:
+            return NoticeChange.nothing
+        after = notice if before is None else resolve(notice, before)
         of_kind[target] = after
         return _get_change(before, after)
 
     def get(self, kind: type[Kind], target: str) -> Kind | None:
         """Return what a target asks for, if it asks for anything."""
-        found = self.known.get(kind, {}).get(target)
+        found = self.by_kind.get(kind, {}).get(target)
         return found if found and found.asks_for is not None else None
 
     def get_all(self, kind: type[Kind]) -> dict[str, Kind]:
         """Return the newest notices of a kind, by target."""
-        return self.known.get(kind, {})
+        return self.by_kind.get(kind, {})
 
     def get_in_force(self, kind: type[Kind]) -> dict[str, Kind]:
         """Return what targets ask for, by target."""
         return {
             target: notice
             for target, notice in self.get_all(kind).items()
-            if notice.asks_for is not None
+            if notice.requested is not None
         }
 
-    def drop(self, kind: type[Notice], target: str) -> None:
+    def discard(self, kind: type[Notice], target: str) -> None:
         """Believe a notice no more."""
-        self.known.get(kind, {}).pop(target, None)
+        self.by_kind.get(kind, {}).pop(target, None)
 
     def forget(self, target: str) -> None:
         """Forget a target that is gone, but not that it leaves.
 
         A record of it that is written late must not bring it back.
         """
-        for kind in self.known.keys() - {Leave}:
-            self.drop(kind, target)
+        for kind in self.by_kind.keys() - {Drain}:
+            self.discard(kind, target)
 
 
-def _get_change(before: Notice | None, after: Notice) -> Change:
-    asked = None if before is None else before.asks_for
-    if asked == after.asks_for:
-        return Change.nothing
+def _get_change(before: Notice | None, after: Notice) -> NoticeChange:
+    asked = None if before is None else before.requested
+    if asked == after.requested:
+        return NoticeChange.nothing
     if asked is None:
-        return Change.learnt
-    return Change.lifted if after.asks_for is None else Change.changed
+        return NoticeChange.learnt
+    return NoticeChange.lifted if after.requested is None else NoticeChange.changed
--- a/trestledock/relay/_outcome.py
+++ b/trestledock/relay/_outcome.py
@@ -11,10 +11,10 @@
 from enum import Enum
 
 from trestledock.relay._catalog import Route
-from trestledock.relay._signs import Sign
+from trestledock.relay._signs import FailureKind
 
 
-class Ending(str, Enum):
+class AttemptOutcome(str, Enum):
     """How a sending ended."""
 
     answered = 'answered'
@@ -25,51 +25,51 @@
 
 
 #: Endings after which the target has certainly not run the request.
-NOT_RUN = frozenset((Ending.not_sent, Ending.rejected))
+NOT_RUN = frozenset((AttemptOutcome.not_sent, AttemptOutcome.rejected))
 
 
 @dataclass(frozen=True)
-class Sending:
+class RelayAttempt:
     """One sending with the step and the peer at which it ended."""
 
-    ending: Ending
+    outcome: AttemptOutcome
     step: str
     peer: str
     detail: str = ''
-    sign: Sign = Sign.none
+    failure_kind: FailureKind = FailureKind.none
 
     @property
     def may_have_run(self) -> bool:
         """Whether the target may have begun to work on the request."""
-        return self.ending not in NOT_RUN
+        return self.outcome not in NOT_RUN
 
 
 @dataclass(frozen=True)
-class History:
+class AttemptHistory:
     """All sendings of one request, oldest first."""
 
-    sendings: tuple[Sending, ...] = ()
+    attempts: tuple[RelayAttempt, ...] = ()
 
     @property
     def may_have_run(self) -> bool:
         """Whether any target may have begun to work on the request."""
-        return any(one.may_have_run for one in self.sendings)
+        return any(one.may_have_run for one in self.attempts)
 
     @property
-    def runs(self) -> int:
+    def run_count(self) -> int:
         """How many targets may have run it."""
-        return sum(one.may_have_run for one in self.sendings)
+        return sum(one.may_have_run for one in self.attempts)
 
-    def add(self, sending: Sending) -> 'History':
+    def add(self, sending: RelayAttempt) -> 'AttemptHistory':
         """Return the history with one more sending."""
-        return History((*self.sendings, sending))
+        return AttemptHistory((*self.attempts, sending))
 
     def may_repeat(self, route: Route) -> bool:
         """Whether another target may get the request.
 
         What may have run is repeated only where the route allows it.
         """
-        if len(self.sendings) >= MAX_SENDINGS:
+        if len(self.attempts) >= MAX_SENDINGS:
             return False
         return self.may_run_again(route)
 
@@ -77,14 +77,14 @@
         """Whether another target may run the request, as its route allows."""
         if not self.may_have_run:
             return True
-        return route.repeatable and self.runs < route.max_attempts
+        return route.repeatable and self.run_count < route.max_attempts
 
-    def is_last_run(self, route: Route) -> bool:
+    def is_last_attempt(self, route: Route) -> bool:
         """Whether no other target may go on with what one works on now."""
         return not self.add(_LOST_NOW).may_repeat(route)
 
 
 #: What the sending under way would end as if its target were left.
-_LOST_NOW = Sending(Ending.lost, 'answer', '')
+_LOST_NOW = RelayAttempt(AttemptOutcome.lost, 'answer', '')
 #: Bound on sendings of one request, those that were not run included.
 MAX_SENDINGS = 6
--- a/trestledock/relay/_parts.py
+++ b/trestledock/relay/_parts.py
@@ -51,9 +51,9 @@
     return Placement(
         first.listed,
         tuple(view.listed for view in helpers),
-        first_s=last_s,
+        first_token_s=last_s,
         cost=cost + HELPER_COST * len(helpers),
-        harm=problem.get_harm(first, part_s) + helpers_harm,
+        cost_to_others=problem.get_harm(first, part_s) + helpers_harm,
         gain=problem.get_gain(last_s),
     )
 
--- a/trestledock/relay/_patience.py
+++ b/trestledock/relay/_patience.py
@@ -15,7 +15,7 @@
 from typing import Iterable
 
 from trestledock.relay._board import Flight
-from trestledock.relay._budget import BudgetTerms
+from trestledock.relay._budget import RetryLimits
 from trestledock.relay._catalog import Route, RouteKind
 
 #: How many times the predicted time to its first token a target may take, and
@@ -27,7 +27,7 @@
 #: seconds, and some besides, over all instances.  With 1 in 4 repeated, crowded
 #: targets did not recover for ten seconds (answers lost at half of the targets
 #: while the traffic doubles).
-EARLY_TERMS = BudgetTerms(ratio=0.1, window_s=10, slack=10)
+EARLY_RETRY_LIMITS = RetryLimits(ratio=0.1, window_s=10, slack=10)
 #: The same for the last target that may be asked, and for all others.
 LATE_FACTOR = 2.0
 LATE_LEAST_S = 0.8
@@ -46,7 +46,7 @@
 FOREVER_S = float('inf')
 
 
-def get_first_patience_s(
+def get_first_event_timeout_s(
     route: Route,
     predicted_s: float,
     *,
@@ -75,7 +75,7 @@
     return min(early_s, late_s) if early else late_s
 
 
-def is_held_up(
+def is_waiting_for_memory(
     own: Flight,
     flights: Iterable[Flight],
     capacity_tokens: int,
@@ -95,7 +95,7 @@
     return held + own.get_held_tokens(name) > capacity_tokens
 
 
-def get_pause_patience_s(route: Route) -> float:
+def get_pause_timeout_s(route: Route) -> float:
     """Return how long a stream may be silent between events."""
     if not route.repeatable:
         return FOREVER_S
--- a/trestledock/relay/_placing.py
+++ b/trestledock/relay/_placing.py
@@ -15,12 +15,12 @@
 
 from trestledock.relay._arithmetic import (
     PassLoad,
-    get_read_s,
-    get_write_pass_s,
+    get_prefill_s,
+    get_decode_pass_s,
 )
-from trestledock.relay._board import Board
+from trestledock.relay._board import LoadTable
 from trestledock.relay._catalog import EngineModel
-from trestledock.relay._listed import Listed
+from trestledock.relay._listed import ListedTarget
 from trestledock.relay._giants import place_giant
 from trestledock.relay._health import Health
 from trestledock.relay._parts import HELPER_COUNTS, plan_parts
@@ -30,7 +30,7 @@
     Problem,
     Work,
 )
-from trestledock.relay._terms import TERMS, Terms
+from trestledock.relay._terms import DEFAULT_POLICY, PlacementPolicy
 from trestledock.relay._view import MEMORY_SHARE, View, Viewer
 
 #: A prompt that an engine reads in less is short: it may be read in the
@@ -51,14 +51,14 @@
 
     def __init__(
         self,
-        board: Board,
+        board: LoadTable,
         health: Health,
         member: str = '',
         data_centre: str = '',
-        terms: Terms = TERMS,
+        policy: PlacementPolicy = DEFAULT_POLICY,
     ) -> None:
         """Keep what the choice is made from."""
-        self.terms = terms
+        self.policy = policy
         self.viewer = Viewer(board, health, data_centre)
         self.member = member
 
@@ -66,7 +66,7 @@
         self,
         work: Work,
         engine: EngineModel,
-        targets: Sequence[Listed],
+        targets: Sequence[ListedTarget],
         now: float,
     ) -> Placement | None:
         """Return the best placement; None where nothing can take the work."""
@@ -77,8 +77,8 @@
             work=work,
             engine=engine,
             views=tuple(self.viewer.view(engine, one, now) for one in ordered),
-            read_s=get_read_s(engine, work.size.prompt_tokens),
-            terms=self.terms,
+            read_s=get_prefill_s(engine, work.size.prompt_tokens),
+            terms=self.policy,
         )
         placement = _get_planner(problem)(problem)
         if placement is None:
@@ -90,7 +90,7 @@
             candidates=len(ordered),
         )
 
-    def _get_order(self, listed: Listed) -> int:
+    def _get_order(self, listed: ListedTarget) -> int:
         return crc32(f'{self.member}{listed.incarnation}'.encode())
 
 
@@ -104,7 +104,7 @@
 def _get_ideal_s(problem: Problem) -> float:
     """Return when the first token would come on an idle fleet."""
     parts = min(len(problem.views), HELPER_COUNTS[-1] + 1)
-    return problem.read_s / parts + get_write_pass_s(
+    return problem.read_s / parts + get_decode_pass_s(
         problem.engine, PassLoad(1)
     )
 
@@ -134,9 +134,9 @@
     first_s = best.predict_first_s(read_s)
     return Placement(
         best.listed,
-        first_s=first_s,
+        first_token_s=first_s,
         cost=cost_of(best),
-        harm=problem.get_harm(best, read_s),
+        cost_to_others=problem.get_harm(best, read_s),
         gain=problem.get_gain(first_s),
     )
 
--- a/trestledock/relay/_plain.py
+++ b/trestledock/relay/_plain.py
@@ -8,8 +8,8 @@
 
 from typing import Callable, Sequence
 
-from trestledock.relay._board import Board
-from trestledock.relay._listed import Listed
+from trestledock.relay._board import LoadTable
+from trestledock.relay._listed import ListedTarget
 from trestledock.relay._health import Health
 
 #: How many slots' share of work a failing and a remote plain target seem to
@@ -19,20 +19,20 @@
 
 
 def choose_least_busy(
-    board: Board,
+    board: LoadTable,
     health: Health,
-    targets: Sequence[Listed],
+    targets: Sequence[ListedTarget],
     now: float,
     draw: Callable[[], float],
     data_centre: str = '',
-) -> Listed | None:
+) -> ListedTarget | None:
     """Return the plain target with the fewest requests per slot.
 
     A target that fails or is in another data centre counts as busier; equals
     are drawn among.
     """
 
-    def load_of(listed: Listed) -> tuple[float, float]:  # noqa: WPS430
+    def load_of(listed: ListedTarget) -> tuple[float, float]:  # noqa: WPS430
         count = sum(1 for _ in board.get_flights(listed.incarnation))
         known = health.get(listed.incarnation)
         busy = (count + 1) / max(1, listed.slots)
--- a/trestledock/relay/_problem.py
+++ b/trestledock/relay/_problem.py
@@ -12,8 +12,8 @@
 
 from trestledock.relay._call import PromptSize
 from trestledock.relay._catalog import EngineModel
-from trestledock.relay._listed import Listed
-from trestledock.relay._terms import TERMS, Terms
+from trestledock.relay._listed import ListedTarget
+from trestledock.relay._terms import DEFAULT_POLICY, PlacementPolicy
 from trestledock.relay._view import LATE_LOSS, PAUSE_SHARE, View
 
 #: Places of an engine that are left free where others have room.
@@ -50,7 +50,7 @@
     objective_s: float
     pause_s: float
     worth: float
-    gone_s: float = float('inf')
+    abandoned_after_s: float = float('inf')
 
 
 @dataclass(frozen=True)
@@ -65,19 +65,19 @@
     `tickets` are the tokens to be reserved at helpers, by their ids.
     """
 
-    target: Listed
-    helpers: tuple[Listed, ...] = ()
-    tickets: tuple[tuple[str, int], ...] = ()
-    first_s: float = 0
+    target: ListedTarget
+    helpers: tuple[ListedTarget, ...] = ()
+    reservations: tuple[tuple[str, int], ...] = ()
+    first_token_s: float = 0
     cost: float = 0
-    harm: float = 0
+    cost_to_others: float = 0
     gain: float = 0
     ideal_s: float = 0
     clear_s: float = 0
     candidates: int = 1
 
     @property
-    def engaged(self) -> tuple[Listed, ...]:
+    def engaged_targets(self) -> tuple[ListedTarget, ...]:
         """The target and those that help it to read the prompt."""
         return (self.target, *self.helpers)
 
@@ -90,7 +90,7 @@
     engine: EngineModel
     views: tuple[View, ...]
     read_s: float
-    terms: Terms = TERMS
+    terms: PlacementPolicy = DEFAULT_POLICY
 
     def get_lateness(self, first_s: float) -> float:
         """Return what the work loses by a first token after `first_s`.
@@ -104,7 +104,7 @@
             return 0
         over = (first_s - limit_s) / max(limit_s, LEAST_OBJECTIVE_S)
         share = LATE_LOSS * min(1, LATE_AT_LEAST + over)
-        left_s = max(self.work.gone_s * GONE_SHARE, LEAST_OBJECTIVE_S)
+        left_s = max(self.work.abandoned_after_s * GONE_SHARE, LEAST_OBJECTIVE_S)
         if first_s > left_s:
             return self.work.worth * LOST_SHARE
         return self.work.worth * (share + (1 - LATE_LOSS) * first_s / left_s)
@@ -115,11 +115,11 @@
 
     def get_harm(self, view: View, part_s: float) -> float:
         """Return what others lose when an engine reads `part_s` more."""
-        return view.get_harm(part_s) if self.terms.harm else 0
+        return view.get_harm(part_s) if self.terms.weigh_cost_to_others else 0
 
     def get_remoteness(self, view: View) -> float:
         """Return the cost of an engine in another data centre."""
-        return REMOTE_COST * (view.remote and self.terms.near_first)
+        return REMOTE_COST * (view.remote and self.terms.prefer_local)
 
     def get_cost(self, view: View, part_s: float) -> float:
         """Return what all lose when an engine reads `part_s` and writes."""
@@ -159,7 +159,7 @@
         taken = sum(not view.flights for view in engines)
         shares = [(busy + 1 + place) / total for place in range(taken)]
         return (
-            self.terms.engine_cost * part_s * sum(share**2 for share in shares)
+            self.terms.idle_engine_cost * part_s * sum(share**2 for share in shares)
         )
 
     def get_whole_cost(self, view: View, part_s: float) -> float:
--- a/trestledock/relay/_proof.py
+++ b/trestledock/relay/_proof.py
@@ -18,7 +18,7 @@
 
 
 @dataclass
-class Proof:
+class FreshnessProof:
     """The newest proof; `bound_s` of zero asks for none.
 
     `read_at` is when the configuration was read for the last time, by this
@@ -31,16 +31,16 @@
     (True, False)
     """
 
-    bound_s: float = 0
+    max_age_s: float = 0
     proven_at: float = float('-inf')
     read_at: float = float('-inf')
 
     def renew(self, asked_at: float) -> None:
         """Take an answer to a question that was sent at `asked_at`."""
         self.proven_at = max(self.proven_at, asked_at)
-        self.note_read(asked_at)
+        self.record_read(asked_at)
 
-    def note_read(self, asked_at: float) -> None:
+    def record_read(self, asked_at: float) -> None:
         """Take an answer that may lack something newer."""
         self.read_at = max(self.read_at, asked_at)
 
@@ -54,12 +54,12 @@
 
     def is_fresh(self, now: float) -> bool:
         """Whether requests with keys may be served."""
-        return not self.bound_s or (
-            self.get_age_s(now) <= self.bound_s * PROOF_SHARE
+        return not self.max_age_s or (
+            self.get_age_s(now) <= self.max_age_s * PROOF_SHARE
         )
 
     def is_ready(self, now: float) -> bool:
         """Whether new connections should come here."""
-        return not self.bound_s or (
-            self.get_age_s(now) <= self.bound_s * READY_SHARE
+        return not self.max_age_s or (
+            self.get_age_s(now) <= self.max_age_s * READY_SHARE
         )
--- a/trestledock/relay/_quarantine.py
+++ b/trestledock/relay/_quarantine.py
@@ -13,7 +13,7 @@
 from dataclasses import dataclass, field
 from typing import Iterable, Iterator
 
-from trestledock.relay._proven import Proven
+from trestledock.relay._recent_answers import RecentAnswers
 
 #: So many targets have to end under a request before no other one gets it.  An
 #: end says little, since it is shared by all that the target ran, some seven
@@ -23,7 +23,7 @@
 #: (simulated: 18 targets, 300 times each).  To put ends down to whichever
 #: request was at more of them halves that, but let one in two deadly ones go on
 #: beside crashes of a third of the targets.
-MOST_ENDS = 3
+MIN_CRASHES = 3
 #: A quarantined request is given to one target again so long after the last
 #: target that ended under it, or after the last such trial, in seconds, and
 #: each time later.  Whoever is quarantined by mistake, as what many ask for may
@@ -31,16 +31,16 @@
 #: or after the second where targets still end.  A deadly request costs two
 #: targets more on its first day and one on each day after, in case they were
 #: mended.
-TRIALS_S = (10.0, 300.0, 86_400.0)
+PROBE_DELAYS_S = (10.0, 300.0, 86_400.0)
 #: When a caller should come back with a quarantined request at the earliest, in
 #: seconds: after the first trial of it, which somebody else may make.
-COME_BACK_S = 15.0
+MIN_RETRY_AFTER_S = 15.0
 #: How many requests are kept of which a target ended, some 300 bytes each.  A
 #: flood of different ones pushes out those with the fewest ends first.
-MOST_KNOWN = 1_000
+MAX_SUSPECTS = 1_000
 #: How many cleared ends of a request are kept, the newest: words of them come
 #: late by seconds, and what many ask for is cleared of some with each crash.
-MOST_CLEARED = 50
+MAX_CLEARED = 50
 
 
 def get_trial_s(trials: int) -> float:
@@ -49,11 +49,11 @@
     >>> [get_trial_s(trials) for trials in (0, 1, 2, 9)]
     [10.0, 300.0, 86400.0, 86400.0]
     """
-    return TRIALS_S[min(trials, len(TRIALS_S) - 1)]
+    return PROBE_DELAYS_S[min(trials, len(PROBE_DELAYS_S) - 1)]
 
 
 @dataclass(frozen=True)
-class End:
+class Crash:
     """A target's incarnation that ended while it ran a request."""
 
     fingerprint: str
@@ -61,7 +61,7 @@
 
 
 @dataclass(frozen=True)
-class Quarantined:
+class QuarantineRecord:
     """A request in quarantine, as it is kept and handed on.
 
     `age_s` is the time since its last end or trial: instants are told as ages,
@@ -71,13 +71,13 @@
     fingerprint: str
     incarnations: tuple[str, ...]
     age_s: float = 0
-    trials: int = 0
+    probes: int = 0
     cleared: tuple[str, ...] = ()
 
     @property
-    def is_due(self) -> bool:
+    def is_probe_due(self) -> bool:
         """Whether it may be tried again."""
-        return self.age_s >= get_trial_s(self.trials)
+        return self.age_s >= get_trial_s(self.probes)
 
 
 @dataclass
@@ -93,11 +93,11 @@
     incarnations: set[str] = field(default_factory=set)
     cleared: dict[str, None] = field(default_factory=dict)
     since: float = float('-inf')
-    trials: int = 0
+    probes: int = 0
 
-    def get_due_in_s(self, now: float) -> float:
+    def get_probe_delay_s(self, now: float) -> float:
         """Return after how many seconds it may be tried again."""
-        return max(0, self.since + get_trial_s(self.trials) - now)
+        return max(0, self.since + get_trial_s(self.probes) - now)
 
 
 class Quarantine:
@@ -116,13 +116,13 @@
         """Begin with no end."""
         self.suspects: dict[str, Suspect] = {}
         self._ended: Counter[str] = Counter()
-        self._proven = Proven()
+        self._proven = RecentAnswers()
 
-    def blames(self, end: End, now: float) -> bool:
+    def is_blamed(self, end: Crash, now: float) -> bool:
         """Whether an end that was seen here is put down to its request."""
         return not self._proven.excuses(end.fingerprint, now)
 
-    def note_end(self, end: End, now: float) -> bool:
+    def record_crash(self, end: Crash, now: float) -> bool:
         """Note an end; return whether it was new."""
         suspect = self.suspects.setdefault(end.fingerprint, Suspect())
         if end.incarnation in suspect.incarnations:
@@ -134,46 +134,46 @@
         self._ended[end.incarnation] += 1
         return True
 
-    def count_ends(self, fingerprint: str) -> int:
+    def count_crashes(self, fingerprint: str) -> int:
         """Return how many targets have ended under a request."""
         suspect = self.suspects.get(fingerprint)
         return len(suspect.incarnations) if suspect else 0
 
     def is_quarantined(self, fingerprint: str) -> bool:
         """Whether a request is known for ending its targets."""
-        return self.count_ends(fingerprint) >= MOST_ENDS
+        return self.count_crashes(fingerprint) >= MIN_CRASHES
 
-    def is_due(self, fingerprint: str, now: float) -> bool:
+    def is_probe_due(self, fingerprint: str, now: float) -> bool:
         """Whether a quarantined request may be given to one target again."""
-        return not self.get_due_in_s(fingerprint, now)
+        return not self.get_probe_delay_s(fingerprint, now)
 
-    def get_due_in_s(self, fingerprint: str, now: float) -> float:
+    def get_probe_delay_s(self, fingerprint: str, now: float) -> float:
         """Return after how many seconds a request may be tried again."""
         suspect = self.suspects.get(fingerprint, Suspect())
-        return suspect.get_due_in_s(now)
+        return suspect.get_probe_delay_s(now)
 
-    def get_come_back_s(self, fingerprint: str, now: float) -> float:
+    def get_retry_after_s(self, fingerprint: str, now: float) -> float:
         """Return when a refused caller should come back, in seconds."""
-        return max(COME_BACK_S, self.get_due_in_s(fingerprint, now))
+        return max(MIN_RETRY_AFTER_S, self.get_probe_delay_s(fingerprint, now))
 
-    def note_trial(self, fingerprint: str, now: float) -> None:
+    def record_probe(self, fingerprint: str, now: float) -> None:
         """Note that a quarantined request is given to one target."""
         suspect = self.suspects[fingerprint]
-        suspect.trials += 1
+        suspect.probes += 1
         suspect.since = now
 
-    def note_answered(self, fingerprint: str, now: float) -> tuple[str, ...]:
+    def record_answer(self, fingerprint: str, now: float) -> tuple[str, ...]:
         """Clear a request that was answered here; return the ends it had.
 
         What a target has run to its end does not end targets.
         """
-        self._proven.note_answered(fingerprint, now)
+        self._proven.record_answer(fingerprint, now)
         suspect = self.suspects.get(fingerprint, Suspect())
         ends = tuple(sorted(suspect.incarnations))
-        self.clear_ends(fingerprint, ends)
+        self.clear_crashes(fingerprint, ends)
         return ends
 
-    def clear_ends(self, fingerprint: str, ends: Iterable[str]) -> int:
+    def clear_crashes(self, fingerprint: str, ends: Iterable[str]) -> int:
         """Clear a request of some ends; return how many were known."""
         if not ends:
             return 0
@@ -181,48 +181,48 @@
         known = suspect.incarnations.intersection(ends)
         suspect.incarnations -= known
         suspect.cleared.update(dict.fromkeys(ends))
-        while len(suspect.cleared) > MOST_CLEARED:
+        while len(suspect.cleared) > MAX_CLEARED:
             suspect.cleared.pop(next(iter(suspect.cleared)))
-        suspect.trials = 0
+        suspect.probes = 0
         self._forget_ends(known)
         return len(known)
 
-    def take(self, record: Quarantined, now: float) -> None:
+    def merge(self, record: QuarantineRecord, now: float) -> None:
         """Take what another instance knows of a request."""
-        self.clear_ends(record.fingerprint, record.cleared)
+        self.clear_crashes(record.fingerprint, record.cleared)
         since = now - record.age_s
         for incarnation in record.incarnations:
-            self.note_end(End(record.fingerprint, incarnation), since)
+            self.record_crash(Crash(record.fingerprint, incarnation), since)
         suspect = self.suspects.get(record.fingerprint)
         if suspect and suspect.incarnations:
             suspect.since = max(suspect.since, since)
-            suspect.trials = max(suspect.trials, record.trials)
+            suspect.probes = max(suspect.probes, record.probes)
 
-    def get_records(self, now: float) -> Iterator[Quarantined]:
+    def get_records(self, now: float) -> Iterator[QuarantineRecord]:
         """Yield what is in quarantine or was, to be handed on."""
         for fingerprint, suspect in self.suspects.items():
             known = max(len(suspect.incarnations), len(suspect.cleared))
-            if known >= MOST_ENDS:
+            if known >= MIN_CRASHES:
                 yield self.make_record(fingerprint, now)
 
-    def make_record(self, fingerprint: str, now: float) -> Quarantined:
+    def make_record(self, fingerprint: str, now: float) -> QuarantineRecord:
         """Return a request with its ends, to be kept or handed on."""
         suspect = self.suspects[fingerprint]
-        return Quarantined(
+        return QuarantineRecord(
             fingerprint,
             tuple(sorted(suspect.incarnations)),
             max(0, now - suspect.since),
-            suspect.trials,
+            suspect.probes,
             tuple(suspect.cleared),
         )
 
-    def was_ended(self, incarnation: str) -> bool:
+    def has_crashed(self, incarnation: str) -> bool:
         """Whether a target ended while it ran a request."""
         return incarnation in self._ended
 
-    def trim(self) -> list[str]:
+    def evict_excess(self) -> list[str]:
         """Forget what is too much, least ends first; return fingerprints."""
-        surplus = len(self.suspects) - MOST_KNOWN
+        surplus = len(self.suspects) - MAX_SUSPECTS
         if surplus <= 0:
             return []
         least = sorted(self.suspects, key=self._get_rank)[:surplus]
--- a/trestledock/relay/_quotas.py
+++ b/trestledock/relay/_quotas.py
@@ -15,11 +15,11 @@
 
 #: A target that takes less than this is treated as if it took as much, in
 #: requests a second: nobody would hear that it takes more again.
-LEAST_PER_S = 0.1
+MIN_RATE_PER_S = 0.1
 #: So many entries hold a quota beside one for each request a second.  More use
 #: a small limit better, since each has its own callers, and each may be one
 #: request early.
-SPARE_HOLDERS = 2
+EXTRA_HOLDERS = 2
 
 
 @dataclass(frozen=True)
@@ -31,7 +31,7 @@
 
 
 @dataclass(frozen=True)
-class Members:
+class Membership:
     """An entry and the others that it hears; `known` counts the unheard, too.
 
     >>> own, other = Member('a', 'dc'), Member('b', 'dc')
@@ -41,13 +41,13 @@
 
     own: Member
     others: tuple[Member, ...] = ()
-    known: int = 1
+    known_count: int = 1
 
     @property
     def heard_share(self) -> float:
         """The part of all entries that this one hears, itself included."""
         heard = len(self.others) + 1
-        return heard / max(heard, self.known)
+        return heard / max(heard, self.known_count)
 
     def rank(self, target: str, data_centre: str) -> tuple[str, ...]:
         """Return the entries that are heard in the order of their right.
@@ -61,7 +61,7 @@
 
 
 @dataclass(frozen=True)
-class Demand:
+class TargetRate:
     """What a target in a data centre takes from all entries, per second."""
 
     target: str
@@ -69,34 +69,34 @@
     per_s: float
 
 
-def get_quota(members: Members, demand: Demand) -> float:
+def get_quota(members: Membership, demand: TargetRate) -> float:
     """Return how many requests a second an entry may send to a target.
 
     >>> alone = Members(Member('a', 'dc'))
     >>> get_quota(alone, Demand('t', 'dc', per_s=3))
     3.0
     """
-    shared = max(demand.per_s, LEAST_PER_S) * members.heard_share
+    shared = max(demand.per_s, MIN_RATE_PER_S) * members.heard_share
     heard = len(members.others) + 1
-    count = min(heard, int(shared) + SPARE_HOLDERS)
+    count = min(heard, int(shared) + EXTRA_HOLDERS)
     holders = members.rank(demand.target, demand.data_centre)[:count]
     return shared / count if members.own.name in holders else 0
 
 
 @dataclass
-class Quotas:
+class QuotaCache:
     """The quotas of one entry, kept until what they rest on changes."""
 
-    members: Members
-    _kept: dict[Demand, float] = field(default_factory=dict)
+    members: Membership
+    _kept: dict[TargetRate, float] = field(default_factory=dict)
 
-    def set_members(self, members: Members) -> None:
+    def set_members(self, members: Membership) -> None:
         """Take who is heard now."""
         if members != self.members:
             self.members = members
             self._kept.clear()
 
-    def get(self, demand: Demand) -> float:
+    def get(self, demand: TargetRate) -> float:
         """Return how many requests a second the entry may send to a target."""
         if demand not in self._kept:
             self._kept[demand] = get_quota(self.members, demand)
--- a/trestledock/relay/_rate_limits.py
+++ b/trestledock/relay/_rate_limits.py
@@ -10,7 +10,7 @@
 
 from dataclasses import dataclass, replace
 
-from trestledock.relay._notices import believe
+from trestledock.relay._notices import resolve
 
 
 @dataclass(frozen=True)
@@ -33,10 +33,10 @@
     per_s: float | None
     asked_at: float
     heard_at: float
-    is_told: bool = False
+    is_shared: bool = False
 
     @property
-    def asks_for(self) -> float | None:
+    def requested(self) -> float | None:
         """The number of requests a second."""
         return self.per_s
 
@@ -51,7 +51,7 @@
         return other.per_s is None or self.per_s < other.per_s
 
 
-@believe.register
+@resolve.register
 def _(notice: RateLimit, before: RateLimit) -> RateLimit:
     """Of those whose order nobody can tell the lowest limit counts."""
     if notice.follows(before):
--- a/trestledock/relay/_reach.py
+++ b/trestledock/relay/_reach.py
@@ -14,7 +14,7 @@
 
 #: How often an instance lets those elsewhere hear it, in seconds; sixty bytes
 #: each.
-BEAT_S = 0.2
+BEAT_INTERVAL_S = 0.2
 #: For how long all instances of a data centre must be silent, in seconds: two
 #: beats that are lost and half a beat of delay.
 QUIET_S = 0.5
@@ -27,7 +27,7 @@
 
 
 @dataclass
-class Reach:
+class Reachability:
     """When each instance of another data centre was last heard.
 
     >>> reach = Reach()
@@ -36,28 +36,28 @@
     (set(), {'dc-2'})
     """
 
-    heard: dict[str, dict[str, float]] = field(default_factory=dict)
-    looked_at: float = float('-inf')
+    last_heard: dict[str, dict[str, float]] = field(default_factory=dict)
+    checked_at: float = float('-inf')
 
-    def note_heard(self, place: str, name: str, now: float) -> None:
+    def record_message(self, data_centre: str, name: str, now: float) -> None:
         """Note that an instance of a data centre has spoken."""
-        self.heard.setdefault(place, {})[name] = now
+        self.last_heard.setdefault(data_centre, {})[name] = now
 
-    def note_left(self, place: str, name: str) -> None:
+    def remove_instance(self, data_centre: str, name: str) -> None:
         """Note that an instance is ending, and will be silent as planned."""
-        self.heard.get(place, {}).pop(name, None)
+        self.last_heard.get(data_centre, {}).pop(name, None)
 
-    def look(self, now: float) -> set[str]:
+    def check(self, now: float) -> set[str]:
         """Return the data centres that are silent; to be asked each beat."""
-        is_late = now - self.looked_at > LATE_LOOK_S
-        self.looked_at = now
-        return set() if is_late else self.get_quiet(now)
+        is_late = now - self.checked_at > LATE_LOOK_S
+        self.checked_at = now
+        return set() if is_late else self.get_silent(now)
 
-    def get_quiet(self, now: float) -> set[str]:
+    def get_silent(self, now: float) -> set[str]:
         """Return the data centres whose instances have all fallen silent."""
         return {
             place
-            for place, names in self.heard.items()
+            for place, names in self.last_heard.items()
             if _is_quiet(names.values(), now)
         }
 
--- a/trestledock/relay/_readers.py
+++ b/trestledock/relay/_readers.py
@@ -34,11 +34,11 @@
 #: calls are priced, refused ones too; whoever is served first tells the others.
 RETRY_FIRST_S = 0.45
 RETRY_PLACE_S = 0.4
-RETRY_MOST_S = 6.0
+MAX_RETRY_S = 6.0
 
 
 @dataclass(frozen=True)
-class ReadPace:
+class ReadSchedule:
     """How often one instance reads for all.
 
     `settle_s` is the time within which a change must be in force everywhere,
@@ -51,32 +51,32 @@
     settle_s: float = 2
 
     @property
-    def read_s(self) -> float:
+    def read_interval_s(self) -> float:
         """The pause between two reads in seconds."""
         return self.settle_s * READ_SHARE
 
     @property
-    def ask_s(self) -> float:
+    def ask_interval_s(self) -> float:
         """The pause between two questions to the reader in seconds."""
         return min(ASK_MOST_S, self.settle_s * ASK_SHARE)
 
     @property
     def fresh_s(self) -> float:
         """Up to what age of its proof an instance is fit to be asked."""
-        return self.read_s * FRESH_PAUSES
+        return self.read_interval_s * FRESH_PAUSES
 
     @property
     def self_s(self) -> float:
         """Above what age of its proof the first in order reads itself."""
-        return self.read_s * SELF_PAUSES
+        return self.read_interval_s * SELF_PAUSES
 
 
 #: The pace for a bound of two seconds.
-DEFAULT_PACE = ReadPace()
+DEFAULT_PACE = ReadSchedule()
 
 
 @dataclass(frozen=True)
-class Candidate:
+class ReaderCandidate:
     """An instance with the age of what it knows of the store, in seconds."""
 
     name: str
@@ -84,8 +84,8 @@
 
 
 def choose_reader(
-    candidates: Iterable[Candidate],
-    pace: ReadPace = DEFAULT_PACE,
+    candidates: Iterable[ReaderCandidate],
+    pace: ReadSchedule = DEFAULT_PACE,
 ) -> str:
     """Return the name of the instance that reads for all.
 
@@ -97,11 +97,11 @@
     return min(fresh or [one.name for one in known])
 
 
-def get_own_read_in_s(
+def get_own_read_delay_s(
     me: str,
     names: Iterable[str],
     age_s: float,
-    pace: ReadPace = DEFAULT_PACE,
+    pace: ReadSchedule = DEFAULT_PACE,
 ) -> float:
     """Return in how many seconds an instance should read itself.
 
@@ -114,11 +114,11 @@
     return pace.self_s + min(SELF_MOST_S, SELF_PLACE_S * place) - age_s
 
 
-def get_retry_s(me: str, names: Iterable[str]) -> float:
+def get_read_retry_s(me: str, names: Iterable[str]) -> float:
     """Return how long an instance waits between tries when all are stale.
 
     >>> get_retry_s('b', ['a', 'b', 'c'])
     0.85
     """
     place = sum(name < me for name in names)
-    return min(RETRY_MOST_S, RETRY_FIRST_S + RETRY_PLACE_S * place)
+    return min(MAX_RETRY_S, RETRY_FIRST_S + RETRY_PLACE_S * place)
--- a/trestledock/relay/_proven.py
+++ b/trestledock/relay/_recent_answers.py
@@ -11,13 +11,13 @@
 
 #: For how long an answer speaks for a request, in seconds: what has become
 #: deadly since, by another version of its targets, is known after that.
-PROVEN_S = 60.0
+ANSWER_TTL_S = 60.0
 #: How many ends it outweighs at most, until there is another answer: as many as
 #: hold a request that nobody has answered.
-MOST_EXCUSED = 3
+MAX_EXCUSED = 3
 #: How many requests are known by their answers, some 150 bytes each; the oldest
 #: answers are forgotten first.
-MOST_ANSWERED = 2_000
+MAX_ANSWERS = 2_000
 
 
 @dataclass
@@ -28,7 +28,7 @@
     excused: int = 0
 
 
-class Proven:
+class RecentAnswers:
     """The requests that were answered here lately.
 
     >>> proven = Proven()
@@ -41,17 +41,17 @@
         """Begin with no answer."""
         self._answers: dict[str, _Answer] = {}
 
-    def note_answered(self, fingerprint: str, now: float) -> None:
+    def record_answer(self, fingerprint: str, now: float) -> None:
         """Note that a target has answered a request."""
         self._answers.pop(fingerprint, None)
         self._answers[fingerprint] = _Answer(now)
-        if len(self._answers) > MOST_ANSWERED:
+        if len(self._answers) > MAX_ANSWERS:
             self._answers.pop(next(iter(self._answers)))
 
     def excuses(self, fingerprint: str, now: float) -> bool:
         """Whether the end of a target is not put down to a request."""
         answer = self._answers.get(fingerprint)
-        if answer is None or now - answer.answered_at > PROVEN_S:
+        if answer is None or now - answer.answered_at > ANSWER_TTL_S:
             return False
         answer.excused += 1
-        return answer.excused <= MOST_EXCUSED
+        return answer.excused <= MAX_EXCUSED
--- a/trestledock/relay/_restores.py
+++ b/trestledock/relay/_restores.py
@@ -12,13 +12,13 @@
 #: For how long after the first word of an epoch its copy may still lack what
 #: was lost, in seconds: targets write again within two seconds of the store's
 #: return, and the operator is taken to be no slower.
-REWRITE_S = 2.2
+REWRITE_WAIT_S = 2.2
 #: The epoch of a store that was never restored, at most.
 FIRST_EPOCH = 1
 
 
 @dataclass
-class Restores:
+class RestoreTracker:
     """Which copy of the store this instance knows, and what its word is worth.
 
     An `epoch` is the number of one copy; a store without any is never restored.
@@ -37,58 +37,58 @@
     """
 
     epoch: int | None = None
-    told: int | None = None
-    recorded: int | None = None
-    settled_epoch: int | None = None
-    noted_at: float = float('-inf')
+    peer_epoch: int | None = None
+    recorded_epoch: int | None = None
+    complete_epoch: int | None = None
+    epoch_seen_at: float = float('-inf')
     has_lived_through: bool = False
 
-    def note(self, epoch: int | None, now: float) -> bool:
+    def record_epoch(self, epoch: int | None, now: float) -> bool:
         """Take the epoch of what was read; return whether it is another one."""
         if epoch == self.epoch:
             return False
         is_restored = self.epoch is not None
         self.has_lived_through = is_restored
         self.epoch = epoch
-        self.noted_at = now
-        return is_restored and epoch != self.told
+        self.epoch_seen_at = now
+        return is_restored and epoch != self.peer_epoch
 
-    def note_told(self, epoch: int | None) -> bool:
+    def record_peer_epoch(self, epoch: int | None) -> bool:
         """Take what another instance knows; return whether that is newer.
 
         It never keeps this one from serving: only what was read does.
         """
-        known = max(_rank(self.epoch), _rank(self.told))
+        known = max(_rank(self.epoch), _rank(self.peer_epoch))
         if known < 0 or _rank(epoch) <= known:
             return False
-        self.told = epoch
+        self.peer_epoch = epoch
         return True
 
-    def note_recorded(self, recorded: int | None) -> None:
+    def set_recorded_epoch(self, recorded: int | None) -> None:
         """Take the store's record of the newest epoch that was waited in.
 
         Where there is none nobody has ever waited: in the first epoch that is
         the first start, and nothing was lost.  In a later one the record itself
         may be among what was lost.
         """
-        self.recorded = recorded
+        self.recorded_epoch = recorded
         if recorded is not None:
-            self.settled_epoch = recorded
+            self.complete_epoch = recorded
         elif _rank(self.epoch) <= FIRST_EPOCH and not self.has_lived_through:
-            self.settled_epoch = self.epoch
+            self.complete_epoch = self.epoch
 
     def needs_record(self, now: float) -> bool:
         """Whether the store is to know that this epoch was waited in."""
-        is_recorded = _rank(self.recorded) >= _rank(self.epoch)
-        return not is_recorded and self.is_settled(now)
+        is_recorded = _rank(self.recorded_epoch) >= _rank(self.epoch)
+        return not is_recorded and self.is_complete(now)
 
-    def is_settled(self, now: float) -> bool:
+    def is_complete(self, now: float) -> bool:
         """Whether the copy's word is whole again."""
         if self.epoch is None:
             return True
-        if _rank(self.settled_epoch) >= self.epoch:
+        if _rank(self.complete_epoch) >= self.epoch:
             return True
-        return now - self.noted_at >= REWRITE_S
+        return now - self.epoch_seen_at >= REWRITE_WAIT_S
 
 
 def _rank(epoch: int | None) -> int:
--- a/trestledock/relay/_signs.py
+++ b/trestledock/relay/_signs.py
@@ -8,7 +8,7 @@
 from enum import Enum
 
 
-class Sign(str, Enum):
+class FailureKind(str, Enum):
     """How the way to a target ended.
 
     `closed` is a close or a reset by the other side, `silent` a wait that was
@@ -28,13 +28,13 @@
 ENDED_BY_PEER = (ConnectionResetError, BrokenPipeError)
 
 
-def get_connect_sign(exc: Exception) -> Sign:
+def classify_connect_error(exc: Exception) -> FailureKind:
     """Tell a port where nobody listens from an address that is not reached."""
     is_refused = isinstance(exc.__cause__, ConnectionRefusedError)
-    return Sign.refused if is_refused else Sign.unreachable
+    return FailureKind.refused if is_refused else FailureKind.unreachable
 
 
-def get_end_sign(exc: Exception) -> Sign:
+def classify_disconnect(exc: Exception) -> FailureKind:
     """Tell the end by the other side from one by our own time-outs."""
     is_ended = isinstance(exc.__cause__, ENDED_BY_PEER)
-    return Sign.closed if is_ended else Sign.silent
+    return FailureKind.closed if is_ended else FailureKind.silent
--- a/trestledock/relay/_terms.py
+++ b/trestledock/relay/_terms.py
@@ -11,7 +11,7 @@
 
 
 @dataclass(frozen=True)
-class Terms:
+class PlacementPolicy:
     """What placements are chosen and decided by.
 
     `packing`: short requests share few engines, so that others stay free for
@@ -38,16 +38,16 @@
 
     packing: bool = True
     helpers: bool = True
-    near_first: bool = True
-    harm: bool = True
-    departure: bool = True
+    prefer_local: bool = True
+    weigh_cost_to_others: bool = True
+    abandonment: bool = True
     waiting: bool = True
     queueing: bool = True
-    elsewhere: bool = True
+    remote_targets: bool = True
     claims: bool = True
-    engine_cost: float = 3.0
-    harm_limit: float = 0.7
+    idle_engine_cost: float = 3.0
+    max_cost_to_others: float = 0.7
 
 
 #: What runs.
-TERMS = Terms()
+DEFAULT_POLICY = PlacementPolicy()
--- a/trestledock/relay/_pacing.py
+++ b/trestledock/relay/_token_bucket.py
@@ -14,7 +14,7 @@
 
 
 @dataclass
-class Bucket:
+class TokenBucket:
     """A token bucket; `tokens` is what it held at the instant `filled_at`.
 
     >>> bucket = Bucket(tokens=1, filled_at=0)
@@ -32,13 +32,13 @@
         gained = max(0, now - self.filled_at) * per_s
         return min(self.tokens + gained, 1 + per_s * BURST_S)
 
-    def is_free(self, now: float, per_s: float) -> bool:
+    def has_token(self, now: float, per_s: float) -> bool:
         """Whether a request may leave now."""
         return per_s > 0 and self.get_tokens(now, per_s) >= 1
 
-    def take(self, now: float, per_s: float) -> bool:
+    def try_take(self, now: float, per_s: float) -> bool:
         """Have a request leave now; return whether it may."""
-        if not self.is_free(now, per_s):
+        if not self.has_token(now, per_s):
             return False
         self.tokens = self.get_tokens(now, per_s) - 1
         self.filled_at = now
--- a/trestledock/relay/_turns.py
+++ b/trestledock/relay/_turns.py
@@ -15,7 +15,7 @@
 
 
 @dataclass(frozen=True)
-class Turn:
+class WaitingRequest:
     """A request that waits for a service."""
 
     req_id: str
@@ -31,25 +31,25 @@
 
 
 @dataclass
-class Turns:
+class WaitQueue:
     """The requests that wait, and when each team had its last turn."""
 
-    waiting: dict[str, Turn] = field(default_factory=dict)
-    served_at: dict[tuple[str, str], float] = field(default_factory=dict)
+    waiting: dict[str, WaitingRequest] = field(default_factory=dict)
+    last_served_at: dict[tuple[str, str], float] = field(default_factory=dict)
 
-    def join(self, turn: Turn) -> None:
+    def add(self, turn: WaitingRequest) -> None:
         """Have a request wait."""
         self.waiting[turn.req_id] = turn
 
-    def leave(self, req_id: str) -> None:
+    def remove(self, req_id: str) -> None:
         """Have a request wait no more."""
         self.waiting.pop(req_id, None)
 
-    def note_served(self, turn: Turn, now: float) -> None:
+    def record_served(self, turn: WaitingRequest, now: float) -> None:
         """Note that a request has had its turn."""
-        self.served_at[(turn.service, turn.team)] = now
+        self.last_served_at[(turn.service, turn.team)] = now
 
-    def count_ahead(self, turn: Turn) -> int:
+    def count_ahead(self, turn: WaitingRequest) -> int:
         """Return how many of those that wait go before a request."""
         others = [
             one
@@ -69,17 +69,17 @@
             )
         )
 
-    def _goes_first(self, team: str, turn: Turn) -> bool:
+    def _goes_first(self, team: str, turn: WaitingRequest) -> bool:
         """Whether another team's turn comes before that of a request's team."""
         return self._get_order(turn.service, team) < self._get_order(
             turn.service, turn.team
         )
 
     def _get_order(self, service: str, team: str) -> tuple[float, str]:
-        return self.served_at.get((service, team), -inf), team
+        return self.last_served_at.get((service, team), -inf), team
 
 
-def _is_earlier_mate(one: Turn, turn: Turn) -> bool:
+def _is_earlier_mate(one: WaitingRequest, turn: WaitingRequest) -> bool:
     """Whether a request of the same team came before another."""
     if one.team != turn.team:
         return False
--- a/trestledock/relay/_open_ends.py
+++ b/trestledock/relay/_unconfirmed_crashes.py
@@ -9,26 +9,26 @@
 
 from dataclasses import dataclass
 
-from trestledock.relay._listed import Listed
-from trestledock.relay._quarantine import End
+from trestledock.relay._listed import ListedTarget
+from trestledock.relay._quarantine import Crash
 
 #: For how long it may be told by a list that a target had ended, in seconds:
 #: three heartbeats, and the time that a process takes to start.
-OPEN_S = 10.0
+UNCONFIRMED_TTL_S = 10.0
 #: Targets whose end may be open at once.
-MOST_OPEN = 500
+MAX_UNCONFIRMED = 500
 
 
 @dataclass(frozen=True)
 class _Open:
     """An end that may be one, with the address of its target."""
 
-    end: End
+    end: Crash
     address: str
     until: float
 
 
-class OpenEnds:
+class UnconfirmedCrashes:
     """What may have been the end of a target.
 
     >>> found = OpenEnds()
@@ -41,21 +41,21 @@
         """Begin with none."""
         self._by_target: dict[str, list[_Open]] = {}
 
-    def keep(self, fingerprint: str, target: Listed, now: float) -> None:
+    def add(self, fingerprint: str, target: ListedTarget, now: float) -> None:
         """Keep that a target may have ended under a request."""
         self._drop_old(now)
-        if len(self._by_target) >= MOST_OPEN:
+        if len(self._by_target) >= MAX_UNCONFIRMED:
             return
-        end = End(fingerprint, target.incarnation)
+        end = Crash(fingerprint, target.incarnation)
         found = self._by_target.setdefault(target.incarnation, [])
-        found.append(_Open(end, target.address, now + OPEN_S))
+        found.append(_Open(end, target.address, now + UNCONFIRMED_TTL_S))
 
-    def take(self, incarnation: str, now: float) -> list[End]:
+    def pop_confirmed(self, incarnation: str, now: float) -> list[Crash]:
         """Return the ends of a target that is known to have ended."""
         found = self._by_target.pop(incarnation, [])
         return [one.end for one in found if now < one.until]
 
-    def take_replaced_by(self, listed: Listed, now: float) -> list[End]:
+    def pop_replaced_by(self, listed: ListedTarget, now: float) -> list[Crash]:
         """Return the ends of what had the address of a target before it."""
         before = [
             incarnation
@@ -63,7 +63,7 @@
             if found[0].address == listed.address
             and incarnation != listed.incarnation
         ]
-        return [end for one in before for end in self.take(one, now)]
+        return [end for one in before for end in self.pop_confirmed(one, now)]
 
     def _drop_old(self, now: float) -> None:
         self._by_target = {
--- a/trestledock/relay/_view.py
+++ b/trestledock/relay/_view.py
@@ -11,12 +11,12 @@
 
 from trestledock.relay._arithmetic import (
     PassLoad,
-    get_read_s,
-    get_write_pass_s,
+    get_prefill_s,
+    get_decode_pass_s,
 )
-from trestledock.relay._board import Board, Flight, Phase
+from trestledock.relay._board import LoadTable, Flight, Phase
 from trestledock.relay._catalog import EngineModel
-from trestledock.relay._listed import Listed
+from trestledock.relay._listed import ListedTarget
 from trestledock.relay._health import Health
 
 #: What a late answer loses of its worth, as callers value it.
@@ -42,7 +42,7 @@
     that is left, `count` the requests of which it is the first target.
     """
 
-    listed: Listed
+    listed: ListedTarget
     count: int
     writers: int
     base_s: float
@@ -81,31 +81,31 @@
         ) + sum(
             one.worth * LATE_LOSS * READER_LOSS * min(1, part_s)
             for one in self.flights
-            if one.phase is Phase.reading
+            if one.phase is Phase.prefill
         )
 
 
 class Viewer:
     """Makes views from the board and the health of targets."""
 
-    def __init__(self, board: Board, health: Health, data_centre: str) -> None:
+    def __init__(self, board: LoadTable, health: Health, data_centre: str) -> None:
         """Keep what views are made from."""
         self.board = board
         self.health = health
         self.data_centre = data_centre
 
-    def view(self, engine: EngineModel, listed: Listed, now: float) -> View:
+    def view(self, engine: EngineModel, listed: ListedTarget, now: float) -> View:
         """Return what an engine has to do now."""
         name = listed.incarnation
         flights = tuple(self.board.get_flights(name))
         own = [one for one in flights if one.target == name]
         held = sum(one.get_held_tokens(name) for one in flights)
         health = self.health.get(name)
-        base_s = get_write_pass_s(engine, PassLoad(len(own) + 1, held))
+        base_s = get_decode_pass_s(engine, PassLoad(len(own) + 1, held))
         return View(
             listed=listed,
             count=len(own),
-            writers=sum(one.phase is Phase.writing for one in own),
+            writers=sum(one.phase is Phase.decode for one in own),
             base_s=base_s,
             pending_s=_get_pending_s(engine, flights, now),
             free_tokens=engine.capacity_tokens * MEMORY_SHARE - held,
@@ -124,9 +124,9 @@
     """Return the seconds of reading that an engine still has to do."""
     left_s: float = 0
     at = now
-    reading = [one for one in flights if one.phase is Phase.reading]
+    reading = [one for one in flights if one.phase is Phase.prefill]
     for flight in sorted(reading, key=lambda one: one.since):
-        part_s = get_read_s(engine, flight.prompt_tokens) / flight.parts
+        part_s = get_prefill_s(engine, flight.prompt_tokens) / flight.chunk_count
         left_s = max(0, left_s - max(0, flight.since - at)) + part_s
         at = flight.since
     return max(0, left_s - max(0, now - at))
@@ -138,12 +138,12 @@
     To a writer that is a pause, to a reader its first token: newer parts go
     before older ones.
     """
-    if flight.phase is Phase.writing:
+    if flight.phase is Phase.decode:
         late: float = pass_s > flight.pause_s * PAUSE_SHARE
         gone_s = flight.patience_s
     else:
-        late = _get_late_share(pass_s, flight.due - now)
-        gone_s = flight.gone - now
+        late = _get_late_share(pass_s, flight.due_at - now)
+        gone_s = flight.abandoned_at - now
     share = late * LATE_LOSS
     if pass_s > gone_s:
         share = 1
--- a/trestledock/relay/_watch.py
+++ b/trestledock/relay/_watch.py
@@ -25,7 +25,7 @@
 
 
 @dataclass
-class Watch:
+class ListWatch:
     """When the list was read, and when a gap between two reads ended.
 
     A gap alone is no disturbance: whoever reads for all may have stood still,
@@ -49,12 +49,12 @@
 
     read_at: float = float('-inf')
     latest_at: float = float('-inf')
-    troubled_at: float = float('-inf')
+    last_failure_at: float = float('-inf')
     resumed_at: float = float('-inf')
     disturbed_at: float = float('-inf')
     grace_end: float = float('-inf')
 
-    def note_read(
+    def record_read(
         self,
         as_of: float,
         now: float,
@@ -68,14 +68,14 @@
         self.latest_at = max(self.latest_at, youngest_at)
         if as_of - self.read_at > GAP_S:
             self.resumed_at = now
-            if self.troubled_at > self.read_at:
+            if self.last_failure_at > self.read_at:
                 self.disturbed_at = now
                 self.grace_end = min(
-                    now + LAPSE_GRACE_S, self.troubled_at + RETURN_GRACE_S
+                    now + LAPSE_GRACE_S, self.last_failure_at + RETURN_GRACE_S
                 )
         self.read_at = max(self.read_at, as_of)
 
-    def note_restore(self, now: float) -> None:
+    def record_restore(self, now: float) -> None:
         """Note that the directory came back from an older copy.
 
         What came since is missing there until it is written again.
@@ -84,14 +84,14 @@
         self.disturbed_at = now
         self.grace_end = now + LAPSE_GRACE_S
 
-    def note_trouble(self, began_at: float) -> None:
+    def record_failure(self, began_at: float) -> None:
         """Note a read that failed, or the end of a time without any."""
-        self.troubled_at = began_at
+        self.last_failure_at = began_at
 
     def is_disturbed(self, now: float) -> bool:
         """Whether live targets may still be missing after a disturbance."""
         return now - self.disturbed_at < LAPSE_GRACE_S
 
-    def is_settled(self, now: float) -> bool:
+    def is_synchronized(self, now: float) -> bool:
         """Whether what is missing from this list is missing for good."""
         return now - self.resumed_at >= LAPSE_GRACE_S
--- a/trestledock/request/__init__.py
+++ b/trestledock/request/__init__.py
@@ -14,25 +14,25 @@
     derive_outcome,
 )
 from trestledock.request._request import (
-    CLASS_PRIORITY,
+    PRIORITY_BY_LENGTH,
     URGENT_PRIORITY,
     Kind,
     LengthClass,
     Model,
     Request,
-    get_class_by_tokens,
+    get_length_class_by_tokens,
 )
-from trestledock.request._retry import Breaker, draw_backoff
+from trestledock.request._retry import CircuitBreaker, draw_backoff
 from trestledock.request._stream import Assembler, Chunk
 
 __all__ = (
-    'CLASS_PRIORITY',
+    'PRIORITY_BY_LENGTH',
     'URGENT_PRIORITY',
     'Assembler',
     'Attempt',
     'AttemptEvent',
     'AttemptState',
-    'Breaker',
+    'CircuitBreaker',
     'Chunk',
     'Kind',
     'LengthClass',
@@ -43,5 +43,5 @@
     'Verdict',
     'derive_outcome',
     'draw_backoff',
-    'get_class_by_tokens',
+    'get_length_class_by_tokens',
 )
--- a/trestledock/request/_request.py
+++ b/trestledock/request/_request.py
@@ -44,7 +44,7 @@
 )
 
 #: The priority that an engine is asked for, per class (lower runs first).
-CLASS_PRIORITY: Mapping[LengthClass, int] = MappingProxyType(
+PRIORITY_BY_LENGTH: Mapping[LengthClass, int] = MappingProxyType(
     {
         LengthClass.short: 1,
         LengthClass.medium: 2,
@@ -57,7 +57,7 @@
 URGENT_PRIORITY = 0
 
 
-def get_class_by_tokens(tokens: int) -> LengthClass:
+def get_length_class_by_tokens(tokens: int) -> LengthClass:
     """Return the length class of a prompt of `tokens` tokens.
 
     >>> get_class_by_tokens(1_000).value
@@ -112,7 +112,7 @@
     @cached_property
     def length_class(self) -> LengthClass:
         """The prompt's length class."""
-        return get_class_by_tokens(self.prompt_tokens)
+        return get_length_class_by_tokens(self.prompt_tokens)
 
     @property
     def total_tokens(self) -> int:
--- a/trestledock/request/_retry.py
+++ b/trestledock/request/_retry.py
@@ -27,7 +27,7 @@
     return rng.uniform(0, ceiling)
 
 
-class BreakerState(str, Enum):
+class CircuitState(str, Enum):
     """Whether a target gets traffic."""
 
     closed = 'closed'
@@ -36,7 +36,7 @@
 
 
 @dataclass
-class Breaker:
+class CircuitBreaker:
     """A breaker of one target, with one probe while half open.
 
     >>> breaker = Breaker()
@@ -50,25 +50,25 @@
     opened_at: float = 0
     probing: bool = False
 
-    def get_state(self, now: float) -> BreakerState:
+    def get_state(self, now: float) -> CircuitState:
         """Return the state at `now`."""
         if self.failures < BREAKER_FAILURES:
-            return BreakerState.closed
+            return CircuitState.closed
         probes = min(self.failures - BREAKER_FAILURES, MAX_DOUBLINGS)
         if now - self.opened_at >= BREAKER_OPEN_S * 2**probes:
-            return BreakerState.half_open
-        return BreakerState.opened
+            return CircuitState.half_open
+        return CircuitState.opened
 
     def allows(self, now: float) -> bool:
         """Whether an attempt may be sent at `now`."""
         state = self.get_state(now)
-        if state is BreakerState.half_open:
+        if state is CircuitState.half_open:
             return not self.probing
-        return state is BreakerState.closed
+        return state is CircuitState.closed
 
     def start(self, now: float) -> None:
         """Note that an attempt was sent."""
-        self.probing = self.get_state(now) is BreakerState.half_open
+        self.probing = self.get_state(now) is CircuitState.half_open
 
     def succeed(self) -> None:
         """Note an answer: the target is well."""
--- a/trestledock/request/_stream.py
+++ b/trestledock/request/_stream.py
@@ -39,7 +39,7 @@
     _early: dict[int, Chunk] = field(default_factory=dict)
 
     @property
-    def is_whole(self) -> bool:
+    def is_complete(self) -> bool:
         """Whether every token up to the final marker has been passed on."""
         return self.expected is not None and self.next_index >= self.expected
 
--- a/trestledock/version/__init__.py
+++ b/trestledock/version/__init__.py
@@ -9,7 +9,7 @@
 from trestledock.version._bodies import EpochBody, LeaseBody
 from trestledock.version._check import (
     CONVERTER,
-    OptionError,
+    ValidationError,
     check_configuration,
     load_document,
 )
@@ -79,7 +79,7 @@
     'Labels',
     'LeaseBody',
     'Op',
-    'OptionError',
+    'ValidationError',
     'Permission',
     'Pool',
     'Reader',
--- a/trestledock/version/_check.py
+++ b/trestledock/version/_check.py
@@ -33,7 +33,7 @@
 _EXTRA = re.compile(r'extra fields found \((.+)\) @ (.*)')
 
 
-class OptionError(Exception):
+class ValidationError(Exception):
     """A document that does not fit its data class, with all its errors."""
 
     def __init__(self, errors: tuple[str, ...]) -> None:
@@ -110,7 +110,7 @@
 def load_document(
     text: str,
     kind: type[Document],
-) -> Result[Document, OptionError]:
+) -> Result[Document, ValidationError]:
     """Read a YAML (or JSON) text into the data class `kind`.
 
     The failure holds an `OptionError` with a line for each error.
@@ -118,15 +118,15 @@
     try:
         raw = yaml.safe_load(text)
     except yaml.YAMLError as exc:
-        return Failure(OptionError((f'not YAML: {exc}',)))
+        return Failure(ValidationError((f'not YAML: {exc}',)))
     if not isinstance(raw, dict):
-        return Failure(OptionError(('a mapping is expected @ $',)))
+        return Failure(ValidationError(('a mapping is expected @ $',)))
     try:
         return Success(CONVERTER.structure(raw, kind))
     except Exception as exc:
         lines = cattrs.transform_error(exc, '$', _describe)
         return Failure(
-            OptionError(tuple(_explain(line, kind) for line in lines)),
+            ValidationError(tuple(_explain(line, kind) for line in lines)),
         )
 
 
@@ -196,11 +196,11 @@
 _CHECKS = (_check_names, _check_teams, _check_pools, _check_claims)
 
 
-def check_configuration(text: str) -> Result[Configuration, OptionError]:
+def check_configuration(text: str) -> Result[Configuration, ValidationError]:
     """Read and check a configuration: its shape, then its sense."""
     return load_document(text, Configuration).bind(_check_sense)
 
 
-def _check_sense(cfg: Configuration) -> Result[Configuration, OptionError]:
+def _check_sense(cfg: Configuration) -> Result[Configuration, ValidationError]:
     errors = tuple(line for check in _CHECKS for line in check(cfg))
-    return Failure(OptionError(errors)) if errors else Success(cfg)
+    return Failure(ValidationError(errors)) if errors else Success(cfg)
--- a/trestledock/version/_fold.py
+++ b/trestledock/version/_fold.py
@@ -142,7 +142,7 @@
         self._remember(record.record_id, verdict)
         return verdict
 
-    def rebase(self, snapshot: Snapshot) -> bool:
+    def install_snapshot(self, snapshot: Snapshot) -> bool:
         """Take the state of a snapshot that is ahead of this reader."""
         if snapshot.as_of <= self.next_offset:
             return False
--- a/trestledock/version/_reader.py
+++ b/trestledock/version/_reader.py
@@ -102,13 +102,13 @@
         self.at_tail = self.next_read >= batch.tail and not self.has_gap
         return accepted
 
-    def adopt(self, snapshot: Snapshot) -> list[Entry]:
+    def install_snapshot(self, snapshot: Snapshot) -> list[Entry]:
         """Take a snapshot from the log or from a peer.
 
         Returns the waiting entries that were accepted on top of it.
         """
         covers = not self.has_gap or snapshot.as_of >= self._gap_start
-        if not covers or not self.fold.rebase(snapshot):
+        if not covers or not self.fold.install_snapshot(snapshot):
             return []
         self.next_read = max(self.next_read, self.fold.next_offset)
         self.has_gap = False
@@ -139,7 +139,7 @@
             snapshot = load_json(entry.record.body, Snapshot)
         except DecodeError:
             return ()
-        return self.adopt(snapshot)
+        return self.install_snapshot(snapshot)
 
     def _fold(self, entry: Entry) -> bool:
         if entry.offset < self.fold.next_offset:
