--- a/tests/crashing.py
+++ b/tests/crashing.py
@@ -196,7 +196,7 @@
         world.gossip = gossip
         self.entries.append(world)
         for one in self.entries:
-            one.gossip.meet(
+            one.gossip.add_addresses(
                 {
                     other.state.member: f'127.0.0.1:{port}'
                     for port, other in enumerate(self.entries)
@@ -243,7 +243,9 @@
         def send(word, where):
             raw = encode_message(word, anyio.current_time())
             for _, port in where:
-                self.entries[port].gossip.take(raw, ('127.0.0.1', number))
+                self.entries[port].gossip.handle_datagram(
+                    raw, ('127.0.0.1', number)
+                )
 
         return send
 
--- a/tests/following.py
+++ b/tests/following.py
@@ -119,17 +119,17 @@
             target.target_id for target in self.state.fleet.get_usable('svc')
         }
 
-    def _send(self, word, where):
-        raw = encode_message(word, anyio.current_time())
-        for address in where:
-            self.network[address].take(raw, self.address)
+    def _send(self, message, addresses):
+        raw = encode_message(message, anyio.current_time())
+        for address in addresses:
+            self.network[address].receive(raw, self.address)
 
-    def take(self, raw, sender):
+    def receive(self, raw, sender):
         """Handle a datagram."""
         self.gossip.handle_datagram(raw, sender)
 
     async def _get(self, address, asked):
-        return json.loads(self.network[address].exchange.make_news())
+        return json.loads(self.network[address].exchange.encode_update())
 
 
 async def _sleep(wait_s):
--- a/tests/living.py
+++ b/tests/living.py
@@ -61,19 +61,19 @@
         await anyio.sleep(wait_s * self.rng.uniform(0.9, 1.1))
         await self.running.wait()
 
-    def _send(self, word, where):
-        self.state.spawn(self._deliver, word, where)
+    def _send(self, message, addresses):
+        self.state.spawn(self._deliver, message, addresses)
 
-    async def _deliver(self, word, where):
+    async def _deliver(self, message, addresses):
         await self.running.wait()
-        raw = encode_message(word, anyio.current_time())
+        raw = encode_message(message, anyio.current_time())
         await anyio.sleep(WAY_S)
-        for address in where:
+        for address in addresses:
             self.state.spawn(self._arrive, raw, self.network[address])
 
     async def _arrive(self, raw, other):
         await other.running.wait()
-        other.take(raw, self.address)
+        other.receive(raw, self.address)
 
     async def _get(self, address, asked):
         await anyio.sleep(WAY_S)
@@ -124,8 +124,8 @@
                 for entry, (_, port) in zip(life.entries, network, strict=True)
             }
             for entry in life.entries:
-                entry.gossip.neighbours.own = entry.address
-                entry.gossip.meet(addresses)
+                entry.gossip.addresses.own = entry.address
+                entry.gossip.add_addresses(addresses)
                 group.start_soon(entry.live)
             found = await scenario(life)
             group.cancel_scope.cancel()
--- a/tests/restoring.py
+++ b/tests/restoring.py
@@ -136,23 +136,23 @@
             target.target_id for target in self.state.fleet.get_usable('svc')
         }
 
-    def _send(self, word, where):
-        raw = encode_message(word, anyio.current_time())
-        for address in where:
+    def _send(self, message, addresses):
+        raw = encode_message(message, anyio.current_time())
+        for address in addresses:
             self.state.group.start_soon(self._deliver, raw, address)
 
     async def _deliver(self, raw, address):
         await anyio.sleep(WAY_S)
         other = self.network.get(address)
         if other and self.network.get(self.address) is self:
-            other.gossip.take(raw, self.address)
+            other.gossip.handle_datagram(raw, self.address)
 
     async def _get(self, address, asked):
         await anyio.sleep(WAY_S)
         other = self.network.get(address)
         if other is None:
             raise WireError('connect', 'refused')
-        news = other.exchange.make_news(
+        news = other.exchange.encode_update(
             self.state.version, with_removed=bool(asked)
         )
         await anyio.sleep(WAY_S)
--- a/tests/test_bench_sharing.py
+++ b/tests/test_bench_sharing.py
@@ -124,7 +124,7 @@
     def test_engines_elsewhere(self):
         """All are in time with them, and hardly any without."""
         found = get_share(self.play())
-        without = get_share(self.play(elsewhere=False))
+        without = get_share(self.play(remote_targets=False))
         self.assertGreater(found, without + 0.2)
 
     def test_two_at_the_same_moment(self):
--- a/tests/test_entry_anew.py
+++ b/tests/test_entry_anew.py
@@ -47,7 +47,7 @@
     }
     entry.gossip.addresses.own = entry.address
     for member in everybody:
-        member.gossip.meet(addresses)
+        member.gossip.add_addresses(addresses)
     life.entries.append(entry)
     await entry.live()
 
--- a/tests/test_entry_gossip.py
+++ b/tests/test_entry_gossip.py
@@ -18,27 +18,27 @@
 from trestledock.relay import Flight, Phase
 
 
-def make_message(name, place, **fields):
-    plain = {
+def make_message(name, data_centre, **fields):
+    message = {
         'kind': 'flights',
         'from': name,
         'sequence': 1,
         'whole': True,
-        'data_centre': place,
+        'data_centre': data_centre,
         'news_age_ms': 100,
         'flights': [],
     }
-    return json.dumps({**plain, **fields}).encode()
+    return json.dumps({**message, **fields}).encode()
 
 
 def make_gossip(near, far, far_again_ms=500):
     """Return a gossip that has received messages from near and far entries."""
     gossip = Gossip(EntryState(SETTINGS, 'e#a', Random(1), None))
-    places = [*repeat('dc', near), *repeat('other', far)]
-    for number, place in enumerate(places):
+    data_centres = [*repeat('dc', near), *repeat('other', far)]
+    for number, data_centre in enumerate(data_centres):
         name = f'p{number:03}'
-        again_ms = 500 if place == 'dc' else far_again_ms
-        raw = make_message(name, place, again_ms=again_ms)
+        again_ms = 500 if data_centre == 'dc' else far_again_ms
+        raw = make_message(name, data_centre, again_ms=again_ms)
         gossip.handle_datagram(raw, ('10.0.0.1', number))
     return gossip
 
@@ -82,11 +82,13 @@
             ]
             sent = []
 
-            def tell(changes, where, *, whole, again_s):
-                sent.append(([name for name, _ in changes], len(where), whole))
+            def send_flights(changes, addresses, *, whole, again_s):
+                sent.append(
+                    ([name for name, _ in changes], len(addresses), whole)
+                )
 
             gossip.state.board.own.update(own)
-            gossip._send_flights = tell
+            gossip._send_flights = send_flights
             gossip._send_remote_states()
             self.assertEqual(sent, [(['b'], MAX_FULL_MESH, True)])
 
@@ -128,10 +130,10 @@
 
     def test_heartbeats_go_to_other_data_centres_only(self):
         """With few entries heartbeats go to other data centres only."""
-        told = []
+        sent = []
 
-        def send(word, where):
-            told.append((type(word), tuple(where)))
+        def send(message, addresses):
+            sent.append((type(message), tuple(addresses)))
 
         async def main():
             gossip = make_gossip(near=2, far=2)
@@ -140,10 +142,10 @@
                 await gossip._exchange_heartbeats()
             far = [
                 address
-                for address, place in gossip.addresses.data_centres.items()
-                if place == 'other'
+                for address, centre in gossip.addresses.data_centres.items()
+                if centre == 'other'
             ]
-            self.assertEqual(set(told), {(Beat, tuple(far))})
+            self.assertEqual(set(sent), {(Beat, tuple(far))})
 
         anyio.run(main)
 
--- a/tests/test_entry_incarnations.py
+++ b/tests/test_entry_incarnations.py
@@ -35,9 +35,9 @@
     return replace(listed, born=born, sequence=sequence, **fields)
 
 
-def write(store, *words):
+def write(store, *records):
     """Append records of target 1 to the store; None is its removal."""
-    store.records.extend(TargetUpdate('t1', word) for word in words)
+    store.records.extend(TargetUpdate('t1', record) for record in records)
 
 
 def get_births(entry):
@@ -49,10 +49,10 @@
 class ListTest(unittest.TestCase):
     """Lists from the store and from another entry."""
 
-    def play(self, scenario, *words):
+    def play(self, scenario, *records):
         """Run two entries that have read some records of target 1."""
         store = Store()
-        write(store, *words)
+        write(store, *records)
         store.records.append(
             TargetUpdate('t2', replace(make_listed(2, 80), born=OLD))
         )
@@ -86,7 +86,7 @@
 
     def test_both_within_one_read(self):
         """Start times decide, not the order in the log."""
-        words = [make_born(OLD, 90), None, make_born(NEW)]
+        records = [make_born(OLD, 90), None, make_born(NEW)]
         late = make_born(OLD, 91, standing=Standing.leaving)
 
         async def scenario(store, reader, _):
@@ -94,7 +94,7 @@
             await reader.read()
             return get_births(reader)
 
-        self.assertEqual(self.play(scenario, *words), [NEW])
+        self.assertEqual(self.play(scenario, *records), [NEW])
 
     def test_old_incarnation_is_retained(self):
         """The old incarnation's retention ends; the new one is not retained."""
@@ -103,11 +103,13 @@
             reader.stand_still(3)
             write(store, None)
             await reader.read()
-            held = set(reader.state.fleet.held)
+            retained = set(reader.state.fleet.retained)
             write(store, make_born(NEW))
             await reader.read()
-            gone = reader.state.fleet.expire(anyio.current_time() + 60)
-            return held, gone, get_births(reader)
+            expired = reader.state.fleet.expire_retained(
+                anyio.current_time() + 60
+            )
+            return retained, expired, get_births(reader)
 
         found = self.play(scenario, make_born(OLD, 90))
         self.assertEqual(found, ({f't1@{OLD}'}, [], [NEW]))
@@ -136,7 +138,7 @@
         async def scenario(store, reader, _):
             health = reader.state.health
             now = anyio.current_time()
-            health.note_silence(f't1@{OLD}', now)
+            health.record_silence(f't1@{OLD}', now)
             write(store, make_born(NEW))
             await reader.read()
             suspect = health.is_suspect(f't1@{NEW}', now)
--- a/tests/test_entry_isolation.py
+++ b/tests/test_entry_isolation.py
@@ -8,7 +8,13 @@
 from tests.relaying import SETTINGS, make_listed
 from tests.virtual_loop import run_virtually
 from trestledock.entry._state import EntryState
-from trestledock.relay import Crash, ListedTarget, QuarantineRecord, FailureKind, Standing
+from trestledock.relay import (
+    Crash,
+    ListedTarget,
+    QuarantineRecord,
+    FailureKind,
+    Standing,
+)
 from trestledock.relay._unconfirmed_crashes import UNCONFIRMED_TTL_S
 from trestledock.relay._recent_answers import ANSWER_TTL_S
 
@@ -18,7 +24,7 @@
 def run_isolation(scenario, seen=FailureKind.refused):
     """Run `scenario(isolation)`; each new connection yields `seen`."""
 
-    async def look(target):
+    async def reconnect(target):
         isolation.looks.append(target.incarnation)
         return seen
 
@@ -28,7 +34,7 @@
     isolation = EntryState(SETTINGS, 'e#a', Random(1), None).isolation
     isolation.looks = []
     isolation.told = []
-    isolation.hooks.reconnect = look
+    isolation.hooks.reconnect = reconnect
     isolation.hooks.send_crashes = isolation.told.extend
     run_virtually(main)
     return isolation
@@ -42,32 +48,44 @@
 
         async def scenario(isolation):
             for target in TARGETS[:3]:
-                await isolation.note_lost('f', sign, [target])
+                await isolation.investigate_failure('f', sign, [target])
 
         isolation = run_isolation(scenario, seen)
         return isolation.quarantine.count_crashes('f'), len(isolation.looks)
 
     def test_closed_and_connection_refused(self):
-        self.assertEqual(self.count(FailureKind.closed, FailureKind.refused), (3, 3))
+        self.assertEqual(
+            self.count(FailureKind.closed, FailureKind.refused), (3, 3)
+        )
 
     def test_closed_by_live_target(self):
         """Reset connections say nothing about the request."""
-        self.assertEqual(self.count(FailureKind.closed, FailureKind.none), (0, 3))
+        self.assertEqual(
+            self.count(FailureKind.closed, FailureKind.none), (0, 3)
+        )
 
     def test_closed_by_unreachable_target(self):
         """The target may be cut off."""
-        self.assertEqual(self.count(FailureKind.closed, FailureKind.unreachable), (0, 3))
+        self.assertEqual(
+            self.count(FailureKind.closed, FailureKind.unreachable), (0, 3)
+        )
 
     def test_silence_and_invalid_bytes(self):
         """Neither leads to a new connection."""
-        self.assertEqual(self.count(FailureKind.silent, FailureKind.refused), (0, 0))
-        self.assertEqual(self.count(FailureKind.garbled, FailureKind.refused), (0, 0))
+        self.assertEqual(
+            self.count(FailureKind.silent, FailureKind.refused), (0, 0)
+        )
+        self.assertEqual(
+            self.count(FailureKind.garbled, FailureKind.refused), (0, 0)
+        )
 
     def test_one_crash_per_attempt(self):
         """The engine of a prompt and its helpers may crash together."""
 
         async def scenario(isolation):
-            await isolation.note_lost('f', FailureKind.closed, TARGETS)
+            await isolation.investigate_failure(
+                'f', FailureKind.closed, TARGETS
+            )
 
         isolation = run_isolation(scenario)
         self.assertEqual(isolation.quarantine.count_crashes('f'), 1)
@@ -76,12 +94,14 @@
         """A target may close its connection because its helper has crashed."""
 
         async def scenario(isolation):
-            async def look(target):
+            async def reconnect(target):
                 is_first = target is TARGETS[0]
                 return FailureKind.none if is_first else FailureKind.refused
 
-            isolation.ways.look = look
-            await isolation.note_lost('f', FailureKind.closed, TARGETS)
+            isolation.hooks.reconnect = reconnect
+            await isolation.investigate_failure(
+                'f', FailureKind.closed, TARGETS
+            )
 
         isolation = run_isolation(scenario)
         self.assertEqual(isolation.told, [Crash('f', TARGETS[1].incarnation)])
@@ -92,9 +112,11 @@
 
     def test_answered_request_is_not_quarantined(self):
         async def scenario(isolation):
-            isolation.note_answered('f')
+            isolation.record_answered('f')
             for target in TARGETS[:3]:
-                await isolation.note_lost('f', FailureKind.closed, [target])
+                await isolation.investigate_failure(
+                    'f', FailureKind.closed, [target]
+                )
 
         isolation = run_isolation(scenario)
         self.assertFalse(isolation.is_quarantined('f'))
@@ -104,18 +126,22 @@
         """The targets may have been updated since it was answered."""
 
         async def scenario(isolation):
-            isolation.note_answered('f')
+            isolation.record_answered('f')
             for target in TARGETS:
-                await isolation.note_lost('f', FailureKind.closed, [target])
+                await isolation.investigate_failure(
+                    'f', FailureKind.closed, [target]
+                )
 
         self.assertTrue(run_isolation(scenario).is_quarantined('f'))
 
     def test_answer_expires_as_evidence(self):
         async def scenario(isolation):
-            isolation.note_answered('f')
+            isolation.record_answered('f')
             await anyio.sleep(ANSWER_TTL_S + 1)
             for target in TARGETS[:3]:
-                await isolation.note_lost('f', FailureKind.closed, [target])
+                await isolation.investigate_failure(
+                    'f', FailureKind.closed, [target]
+                )
 
         self.assertTrue(run_isolation(scenario).is_quarantined('f'))
 
@@ -127,7 +153,7 @@
         """One attempt fails, and a list is read after a while."""
 
         async def scenario(isolation):
-            await isolation.note_lost('f', sign, [TARGETS[0]])
+            await isolation.investigate_failure('f', sign, [TARGETS[0]])
             await anyio.sleep(after_s)
             step(isolation)
 
@@ -136,7 +162,7 @@
 
     def test_restart_under_same_id(self):
         def step(isolation):
-            isolation.note_replaced(TARGETS[0].incarnation)
+            isolation.record_replaced(TARGETS[0].incarnation)
 
         self.check(1, step)
         self.check(1, step, FailureKind.garbled)
@@ -147,10 +173,10 @@
         listed = ListedTarget(
             'new', 'svc', TARGETS[0].address, 'dc', Standing.ready, 8
         )
-        self.check(1, lambda isolation: isolation.note_listed(listed))
+        self.check(1, lambda isolation: isolation.record_listed(listed))
 
     def test_own_record_changes(self):
-        self.check(0, lambda isolation: isolation.note_listed(TARGETS[0]))
+        self.check(0, lambda isolation: isolation.record_listed(TARGETS[0]))
 
 
 class SharingTest(unittest.TestCase):
@@ -158,13 +184,15 @@
 
     def test_witness_of_a_crash_saves_quarantine(self):
         async def scenario(isolation):
-            await isolation.note_lost('f', FailureKind.closed, [TARGETS[0]])
+            await isolation.investigate_failure(
+                'f', FailureKind.closed, [TARGETS[0]]
+            )
             others = [
                 (Crash(name, f'o{number}'), 0)
                 for name in 'fg'
                 for number in '123'
             ]
-            isolation.take_ends(others, 'e#b')
+            isolation.merge_crashes(others, 'e#b')
 
         isolation = run_isolation(scenario)
         self.assertTrue(isolation.is_quarantined('f'))
@@ -173,7 +201,9 @@
 
     def test_records_from_store_are_not_saved(self):
         async def scenario(isolation):
-            isolation.take_records([QuarantineRecord('f', ('a', 'b', 'c'))], 'store')
+            isolation.merge_records(
+                [QuarantineRecord('f', ('a', 'b', 'c'))], 'store'
+            )
 
         isolation = run_isolation(scenario)
         self.assertTrue(isolation.is_quarantined('f'))
@@ -183,12 +213,14 @@
         told = []
 
         async def scenario(isolation):
-            isolation.ways.tell_cleared = lambda name, _: told.append(name)
-            isolation.take_ends([(Crash('one', 'a'), 0)], 'e#b')
-            isolation.take_ends([(Crash('two', x), 0) for x in 'ab'], 'e#b')
-            isolation.take_ends([(Crash('held', x), 0) for x in 'abc'], 'e#b')
+            isolation.hooks.send_cleared = lambda name, _: told.append(name)
+            isolation.merge_crashes([(Crash('one', 'a'), 0)], 'e#b')
+            isolation.merge_crashes([(Crash('two', x), 0) for x in 'ab'], 'e#b')
+            isolation.merge_crashes(
+                [(Crash('held', x), 0) for x in 'abc'], 'e#b'
+            )
             for name in ('none', 'one', 'two', 'held'):
-                isolation.note_answered(name)
+                isolation.record_answered(name)
 
         isolation = run_isolation(scenario)
         self.assertEqual(told, ['two', 'held'])
@@ -207,8 +239,10 @@
         async def scenario(isolation):
             for number in range(2):
                 isolation.fleet.put(make_listed(number, 80))
-            isolation.take_ends([(Crash('f', 't9'), 0)], 'b')
-            isolation.take_ends([(Crash('f', 't0'), 0), (Crash('f', 't1'), 9)], 'b')
+            isolation.merge_crashes([(Crash('f', 't9'), 0)], 'b')
+            isolation.merge_crashes(
+                [(Crash('f', 't0'), 0), (Crash('f', 't1'), 9)], 'b'
+            )
             now = anyio.current_time()
             isolation.found = [
                 isolation.health.is_suspect(name, now) for name in ('t0', 't1')
@@ -227,7 +261,9 @@
             for number in range(3):
                 listed = ListedTarget(f't{number}', 'svc', 'a:1', 'far')
                 state.fleet.put(listed)
-                state.isolation.merge_crashes([(Crash('f', f't{number}'), 9)], 'b')
+                state.isolation.merge_crashes(
+                    [(Crash('f', f't{number}'), 9)], 'b'
+                )
                 state.record_silence(f't{number}', anyio.current_time())
             found.extend(state.health.data_centres)
 
@@ -248,12 +284,12 @@
 
         async def scenario(isolation):
             async def ask():
-                found.append(await isolation.may_try('f'))
+                found.append(await isolation.may_probe('f'))
 
-            isolation.ways.claim = claim
-            isolation.take_ends([(Crash('f', x), 0) for x in 'abc'], 'e#b')
+            isolation.hooks.claim = claim
+            isolation.merge_crashes([(Crash('f', x), 0) for x in 'abc'], 'e#b')
             await ask()
-            await anyio.sleep(isolation.get_come_back_s('f'))
+            await anyio.sleep(isolation.get_retry_after_s('f'))
             async with anyio.create_task_group() as group:
                 group.start_soon(ask)
                 group.start_soon(ask)
@@ -271,13 +307,13 @@
 
         async def scenario(isolation):
             async def claim(_):
-                isolation.take_cleared('f', ('a', 'b', 'c'), 'e#b')
+                isolation.merge_cleared('f', ('a', 'b', 'c'), 'e#b')
                 return True
 
-            isolation.ways.claim = claim
-            isolation.take_ends([(Crash('f', x), 0) for x in 'abc'], 'e#b')
-            await anyio.sleep(isolation.get_come_back_s('f'))
-            found.append(await isolation.may_try('f'))
+            isolation.hooks.claim = claim
+            isolation.merge_crashes([(Crash('f', x), 0) for x in 'abc'], 'e#b')
+            await anyio.sleep(isolation.get_retry_after_s('f'))
+            found.append(await isolation.may_probe('f'))
             found.append(isolation.is_quarantined('f'))
 
         run_isolation(scenario)
--- a/tests/test_entry_keeping.py
+++ b/tests/test_entry_keeping.py
@@ -65,7 +65,9 @@
     async def observe_crashes(self, count):
         """Observe crashes of several targets during a request."""
         for target in TARGETS[:count]:
-            await self.isolation.investigate_failure('f', FailureKind.closed, [target])
+            await self.isolation.investigate_failure(
+                'f', FailureKind.closed, [target]
+            )
 
     async def _look(self, _):
         return FailureKind.refused
@@ -137,14 +139,14 @@
     def test_no_probe_while_store_is_unavailable(self):
         async def scenario(topic, one):
             await one.observe_crashes(3)
-            await anyio.sleep(one.isolation.get_come_back_s('f'))
+            await anyio.sleep(one.isolation.get_retry_after_s('f'))
             topic.down = True
             calls = topic.calls
             for _ in range(100):
-                self.assertFalse(await one.isolation.may_try('f'))
+                self.assertFalse(await one.isolation.may_probe('f'))
             self.assertEqual(topic.calls - calls, 1)
             topic.down = False
             await anyio.sleep(MIN_CLAIM_INTERVAL_S)
-            self.assertTrue(await one.isolation.may_try('f'))
+            self.assertTrue(await one.isolation.may_probe('f'))
 
         run_entries(scenario, False)
--- a/tests/test_entry_notices_exchange.py
+++ b/tests/test_entry_notices_exchange.py
@@ -212,7 +212,8 @@
                 await fleet.ask_for(0.3, 20, entries=[1])
             told_at = target.told[fleet.entries[1].name]
             return sum(
-                arrival.entry == entry.name and arrival.at > told_at + NOTICE_LATENCY_S
+                arrival.entry == entry.name
+                and arrival.at > told_at + NOTICE_LATENCY_S
                 for arrival in target.arrivals
             )
 
--- a/tests/test_entry_peers.py
+++ b/tests/test_entry_peers.py
@@ -7,10 +7,10 @@
 from trestledock.entry._messages import Flights
 
 
-def hear(peers, name, *, place='dc', now=0.0, port=1):
+def hear(peers, name, *, data_centre='dc', now=0.0, port=1):
     """Record a message of an entry."""
-    word = Flights(name, 1, True, place, False, 0.1, 0.5, ())
-    return peers.hear(word, ('10.0.0.1', port), now)
+    message = Flights(name, 1, True, data_centre, False, 0.1, 0.5, ())
+    return peers.update(message, ('10.0.0.1', port), now)
 
 
 class PeersTest(unittest.TestCase):
@@ -20,7 +20,7 @@
         """Among many only the entries of the own data centre are near."""
         peers = Peers('dc')
         for number in range(MAX_FULL_MESH + 1):
-            hear(peers, f'p{number}', place='other', port=number)
+            hear(peers, f'p{number}', data_centre='other', port=number)
         hear(peers, 'near', port=99)
         self.assertEqual(peers.get_near(), ['near'])
         self.assertTrue(peers.is_near('near'))
--- a/tests/test_entry_restoring.py
+++ b/tests/test_entry_restoring.py
@@ -284,7 +284,7 @@
     def test_quarantine_is_written_again(self):
         async def scenario(world, *entries):
             for entry in entries:
-                entry.state.isolation.take_records([RECORD], 'test')
+                entry.state.isolation.merge_records([RECORD], 'test')
             world.store.go_back(5)
             await anyio.sleep(READ_S + AGAIN_S)
             late = await entries[0].directory.quarantine.read_whole()
@@ -295,13 +295,13 @@
     def test_probes_are_written_again(self):
         async def scenario(world, *entries):
             for entry in entries:
-                entry.state.isolation.take_records([RECORD], 'test')
-            granted = await entries[2].state.isolation.may_try('f')
+                entry.state.isolation.merge_records([RECORD], 'test')
+            granted = await entries[2].state.isolation.may_probe('f')
             world.store.go_back(5)
             await anyio.sleep(READ_S + AGAIN_S)
             stored = await entries[0].directory.quarantine.read_whole()
             return granted, [
-                (record.fingerprint, record.trials) for record in stored.records
+                (record.fingerprint, record.probes) for record in stored.records
             ]
 
         self.assertEqual(run_world(3, scenario), (True, [('f', 1)]))
@@ -311,9 +311,9 @@
 
         async def scenario(world, *entries):
             for entry in entries:
-                entry.state.isolation.take_records([RECORD], 'test')
+                entry.state.isolation.merge_records([RECORD], 'test')
             world.store.go_back(5)
-            return await entries[2].state.isolation.may_try('f')
+            return await entries[2].state.isolation.may_probe('f')
 
         self.assertFalse(run_world(3, scenario))
 
--- a/tests/test_entry_words.py
+++ b/tests/test_entry_words.py
@@ -88,10 +88,10 @@
 SENDER = ('10.0.0.1', 9)
 
 
-def replace_field(word, name, plain):
+def replace_field(message, name, value):
     """Return an encoded message with another value for a field."""
-    told = json.loads(encode_message(word, now=2))
-    return json.dumps({**told, name: plain}).encode()
+    fields = json.loads(encode_message(message, now=2))
+    return json.dumps({**fields, name: value}).encode()
 
 
 class EncodingTest(unittest.TestCase):
@@ -99,12 +99,14 @@
 
     def test_round_trip(self):
         """Instants are relative to the clock of the receiver."""
-        for word in MESSAGES:
-            self.assertEqual(decode_message(encode_message(word, now=2), now=2), word)
+        for message in MESSAGES:
+            self.assertEqual(
+                decode_message(encode_message(message, now=2), now=2), message
+            )
 
     def test_backoff_is_decoded_as_elsewhere(self):
-        told = ToldNotices('e', (TargetNotice('t', Backoff(9, 0, 1)),))
-        found = decode_message(encode_message(told, now=2), now=2)
+        message = ToldNotices('e', (TargetNotice('t', Backoff(9, 0, 1)),))
+        found = decode_message(encode_message(message, now=2), now=2)
         self.assertEqual(
             found.notices,
             (TargetNotice('t', PeerBackoff(9, 0, 1, is_shared=True)),),
@@ -120,9 +122,11 @@
 
     def test_older_version(self):
         """Older versions don't send the time until the next full state."""
-        told = json.loads(encode_message(MESSAGES[0], now=2))
-        told.pop('again_ms')
-        self.assertEqual(decode_message(json.dumps(told).encode(), 2).again_s, 0.5)
+        fields = json.loads(encode_message(MESSAGES[0], now=2))
+        fields.pop('again_ms')
+        self.assertEqual(
+            decode_message(json.dumps(fields).encode(), 2).again_s, 0.5
+        )
 
     @given(st.binary(max_size=80) | ANY_JSON.map(json.dumps))
     def test_arbitrary_data(self, text):
@@ -132,12 +136,12 @@
             decode_message(raw, now=0)
 
     @given(st.sampled_from(MESSAGES), st.data())
-    def test_arbitrary_field(self, word, draw):
+    def test_arbitrary_field(self, message, draw):
         """A field of another type makes the message invalid, or is valid."""
         name = draw.draw(
-            st.sampled_from(sorted(json.loads(encode_message(word, 2))))
+            st.sampled_from(sorted(json.loads(encode_message(message, 2))))
         )
-        raw = replace_field(word, name, draw.draw(ANY_JSON))
+        raw = replace_field(message, name, draw.draw(ANY_JSON))
         try:
             found = decode_message(raw, now=2)
         except InvalidMessage:
@@ -148,8 +152,8 @@
         """Each field of an in-flight request is checked."""
         row = json.loads(encode_message(MESSAGES[0], now=2))['flights'][0]
         for at, _ in enumerate(row):
-            for plain in ({}, True, [[1]]):
-                rows = [[*row[:at], plain, *row[at + 1 :]]]
+            for value in ({}, True, [[1]]):
+                rows = [[*row[:at], value, *row[at + 1 :]]]
                 with self.assertRaises(InvalidMessage):
                     decode_message(
                         replace_field(MESSAGES[0], 'flights', rows), now=2
@@ -171,9 +175,11 @@
             state = EntryState(SETTINGS, 'entry-1#a', Random(1), None)
             gossip = Gossip(state)
             exchange = UpdateExchange(state, gossip)
-            for word in MESSAGES:
-                for name in json.loads(encode_message(word, now=2)):
-                    gossip.handle_datagram(replace_field(word, name, {}), SENDER)
+            for message in MESSAGES:
+                for name in json.loads(encode_message(message, now=2)):
+                    gossip.handle_datagram(
+                        replace_field(message, name, {}), SENDER
+                    )
             self.assertEqual(
                 (gossip.peers.known, state.board.count_peers()), ({}, 0)
             )
--- a/trestledock/entry/_checks.py
+++ b/trestledock/entry/_checks.py
@@ -51,7 +51,7 @@
 def read_number(plain: Any) -> float:
     """Return a finite number.
 
-    >>> read_amount(5), read_amount(0.5)
+    >>> read_number(5), read_number(0.5)
     (5, 0.5)
     """
     if isinstance(plain, float) and math.isfinite(plain):
--- a/trestledock/entry/_isolation.py
+++ b/trestledock/entry/_isolation.py
@@ -198,7 +198,9 @@
     def record_replaced(self, incarnation: str) -> None:
         """Record another incarnation of a target: the given one crashed."""
         now = anyio.current_time()
-        self._record_own(self._suspected.pop_confirmed(incarnation, now), FailureKind.none)
+        self._record_own(
+            self._suspected.pop_confirmed(incarnation, now), FailureKind.none
+        )
 
     def record_listed(self, listed: ListedTarget) -> None:
         """Record a listed target: its predecessor at the address crashed."""
@@ -268,7 +270,10 @@
 
     def needs_resending(self, crash: Crash) -> bool:
         """Whether the loss of a message about a crash would matter."""
-        return self.quarantine.count_crashes(crash.fingerprint) >= MIN_SHARED_CRASHES
+        return (
+            self.quarantine.count_crashes(crash.fingerprint)
+            >= MIN_SHARED_CRASHES
+        )
 
     def record_restore(self) -> None:
         """Save the probes again that a restored store may have lost.
--- a/trestledock/entry/_limits.py
+++ b/trestledock/entry/_limits.py
@@ -135,8 +135,12 @@
         else:
             self.state.record_silence(peer, now)
         if self.state.is_unreachable(peer, now):
-            return WireError(step, 'its data centre is silent', FailureKind.silent)
-        return WireError(step, f'silent for {limit.wait_s:.2f} s', FailureKind.silent)
+            return WireError(
+                step, 'its data centre is silent', FailureKind.silent
+            )
+        return WireError(
+            step, f'silent for {limit.wait_s:.2f} s', FailureKind.silent
+        )
 
     def _claim(self, job: Job) -> bool:
         now = anyio.current_time()
--- a/trestledock/entry/_message_codec.py
+++ b/trestledock/entry/_message_codec.py
@@ -201,17 +201,19 @@
     return ToldNotices(sender, decode_notices(fields, now))
 
 
-DECODERS: Mapping[str, Callable[[Fields, str, float], Message]] = MappingProxyType(
-    {
-        'flights': _decode_flights,
-        'beat': _decode_beat,
-        'fresh': _decode_fresh,
-        'ask': _decode_question,
-        'reply': _decode_reply,
-        'ends': _decode_ends,
-        'cleared': _decode_cleared,
-        'limits': _decode_notices,
-    }
+DECODERS: Mapping[str, Callable[[Fields, str, float], Message]] = (
+    MappingProxyType(
+        {
+            'flights': _decode_flights,
+            'beat': _decode_beat,
+            'fresh': _decode_fresh,
+            'ask': _decode_question,
+            'reply': _decode_reply,
+            'ends': _decode_ends,
+            'cleared': _decode_cleared,
+            'limits': _decode_notices,
+        }
+    )
 )
 
 
--- a/trestledock/entry/_notice_codec.py
+++ b/trestledock/entry/_notice_codec.py
@@ -83,7 +83,7 @@
         *encoding.decode(now, *fields),
         asked_at=now - read_count(asked_ms) / MS,
         heard_at=now - read_count(heard_ms) / MS,
-        is_told=True,
+        is_shared=True,
     )
     return notice
 
--- a/trestledock/entry/_notices.py
+++ b/trestledock/entry/_notices.py
@@ -58,7 +58,9 @@
         _record_backoff(state, target, answer.rest.backoff_s, status, asked_at)
         helper = find_helper(placement, answer.at_fault)
         if helper:
-            _record_backoff(state, helper, answer.rest.backoff_s, status, asked_at)
+            _record_backoff(
+                state, helper, answer.rest.backoff_s, status, asked_at
+            )
     else:
         _log_ignored(state, peer, 'rest', 'not its own answer')
 
@@ -118,16 +120,16 @@
 
 
 def _record_backoff(
-    state: EntryState, peer: str, rest_s: float, status: int, asked_at: float
+    state: EntryState, peer: str, backoff_s: float, status: int, asked_at: float
 ) -> None:
     """Record for how long a target refuses requests of this entry."""
     now = anyio.current_time()
     left_ms = _get_left_ms(state.notices.get(Backoff, peer))
-    until = now + rest_s + get_jitter_s(rest_s, state.rng.random())
+    until = now + backoff_s + get_jitter_s(backoff_s, state.rng.random())
     change = state.notices.record(peer, Backoff(until, asked_at, now))
     if change is not NoticeChange.nothing:
-        rest_ms = round(rest_s * MS)
-        emit(events.RestHeard(peer, rest_ms, left_ms, status, OWN))
+        backoff_ms = round(backoff_s * MS)
+        emit(events.RestHeard(peer, backoff_ms, left_ms, status, OWN))
         state.send_notices(peer)
 
 
@@ -213,7 +215,9 @@
     return events.RestHeard(peer, _get_left_ms(notice), left_ms, 0, source)
 
 
-def log_send_against_notices(state: EntryState, req: str, placement: Placement) -> None:
+def log_send_against_notices(
+    state: EntryState, req: str, placement: Placement
+) -> None:
     """Log that a request goes to targets with a notice in force."""
     for target in placement.engaged_targets:
         peer = target.incarnation
--- a/trestledock/entry/_peer_addresses.py
+++ b/trestledock/entry/_peer_addresses.py
@@ -33,7 +33,9 @@
         self._seen_at: dict[Address, float] = {}
         self._near: list[Address] | None = None
 
-    def add_addresses(self, addresses: Iterable[Address], now: float) -> list[Address]:
+    def add_addresses(
+        self, addresses: Iterable[Address], now: float
+    ) -> list[Address]:
         """Add addresses; return those that are new."""
         new = [
             address
@@ -44,7 +46,9 @@
             self.record_address(address, UNKNOWN, now)
         return new
 
-    def record_address(self, address: Address, data_centre: str, now: float) -> None:
+    def record_address(
+        self, address: Address, data_centre: str, now: float
+    ) -> None:
         """Record the data centre of an entry."""
         self._seen_at[address] = now
         if self.data_centres.get(address) != data_centre:
--- a/trestledock/entry/_pool.py
+++ b/trestledock/entry/_pool.py
@@ -73,13 +73,15 @@
             try:
                 wire = await Wire.connect(target.address)
             except WireError as exc:
-                return exc.sign
+                return exc.failure_kind
             if await self._is_settled(wire):
                 self._keep(target, wire, IDLE_S)
                 return FailureKind.none
         return FailureKind.closed
 
-    async def release(self, target: ListedTarget, wire: Wire, idle_s: float) -> None:
+    async def release(
+        self, target: ListedTarget, wire: Wire, idle_s: float
+    ) -> None:
         """Take a connection back after an answer.
 
         It is closed where `idle_s` is zero, or where something is left on it.
--- a/trestledock/entry/_quarantine_sync.py
+++ b/trestledock/entry/_quarantine_sync.py
@@ -94,7 +94,7 @@
                 and not stored_record.is_probe_due
             ):
                 return False
-        probed = replace(record, age_s=0, trials=record.probes + 1)
+        probed = replace(record, age_s=0, probes=record.probes + 1)
         return await self.store.write_records([probed], stored.end)
 
     async def _follow(self) -> None:
--- a/trestledock/entry/_relaying.py
+++ b/trestledock/entry/_relaying.py
@@ -120,7 +120,10 @@
 
     async def _may_repeat(self, job: Job) -> bool:
         """Whether to go on elsewhere; an answer that has begun waits for it."""
-        if job.begun and job.history.attempts[-1].outcome is AttemptOutcome.not_sent:
+        if (
+            job.begun
+            and job.history.attempts[-1].outcome is AttemptOutcome.not_sent
+        ):
             return await self._may_try_again(job)
         if not job.history.may_repeat(job.route):
             return False
@@ -147,9 +150,7 @@
         if job.has_repeat:
             job.has_repeat = False
             return True
-        return self.state.budgets.spend_retry(
-            job.service, anyio.current_time()
-        )
+        return self.state.budgets.spend_retry(job.service, anyio.current_time())
 
     async def _give_up(self, job: Job, reply: Reply, reason: Refusal) -> None:
         """End a request that no target answered."""
@@ -266,7 +267,9 @@
     )
 
 
-def _make_answered(job: Job, sending: RelayAttempt, took_ms: int) -> events.Answered:
+def _make_answered(
+    job: Job, sending: RelayAttempt, took_ms: int
+) -> events.Answered:
     arrived_at = job.call.arrived_at
     first_s = (job.first_event_at or arrived_at) - arrived_at
     return events.Answered(
--- a/trestledock/entry/_state.py
+++ b/trestledock/entry/_state.py
@@ -360,8 +360,8 @@
 
     def is_ready(self, now: float) -> bool:
         """Whether new connections should come here."""
-        known = self.catalog is not None and bool(self.fleet.targets)
-        return known and not self.draining and self.proof.is_ready(now)
+        is_configured = self.catalog is not None and bool(self.fleet.targets)
+        return is_configured and not self.draining and self.proof.is_ready(now)
 
     def _record_restore(
         self,
--- a/trestledock/entry/_store_repair.py
+++ b/trestledock/entry/_store_repair.py
@@ -146,7 +146,9 @@
             restores.set_recorded_epoch(epoch)
 
 
-def _is_missing(record: QuarantineRecord, stored: QuarantineRecord | None) -> bool:
+def _is_missing(
+    record: QuarantineRecord, stored: QuarantineRecord | None
+) -> bool:
     """Whether a record says more than the one in the store."""
     if stored is None:
         return True
--- a/trestledock/entry/_target_list.py
+++ b/trestledock/entry/_target_list.py
@@ -126,9 +126,9 @@
         An entry that has followed the store for long enough relies on its own
         knowledge instead.
         """
-        for held in news.held:
-            if self.fleet.retain(held.listed, now + held.left_s):
-                self._log_retained(held.listed, news, now)
+        for retained in news.held:
+            if self.fleet.retain(retained.listed, now + retained.left_s):
+                self._log_retained(retained.listed, news, now)
 
     def _drop_missing(self, news: StoreUpdate, now: float) -> None:
         present = {record.target_id for record in news.targets if record.listed}
@@ -175,14 +175,16 @@
         watch = self.fleet.watch
         if news.settled or not watch.is_disturbed(now):
             return now
-        ends = (
-            now + held.left_s
-            for held in news.held
-            if held.listed.target_id == target_id
+        end_times = (
+            now + retained.left_s
+            for retained in news.held
+            if retained.listed.target_id == target_id
         )
-        return next(ends, watch.grace_end)
+        return next(end_times, watch.grace_end)
 
-    def _log_retained(self, listed: ListedTarget, news: StoreUpdate, now: float) -> None:
+    def _log_retained(
+        self, listed: ListedTarget, news: StoreUpdate, now: float
+    ) -> None:
         name = listed.incarnation
         left_s = self.fleet.retained[name] - now
         emit(events.TargetHeld(name, news.source, round(left_s * MS)))
@@ -214,7 +216,9 @@
     return _drop_none(records[:split_at]), _drop_none(records[split_at:])
 
 
-def _get_newest(records: list[ListedTarget], default: RecordOrder) -> RecordOrder:
+def _get_newest(
+    records: list[ListedTarget], default: RecordOrder
+) -> RecordOrder:
     return max((listed.order for listed in records), default=default)
 
 
--- a/trestledock/entry/_update_exchange.py
+++ b/trestledock/entry/_update_exchange.py
@@ -176,7 +176,8 @@
         }
         if with_removed:
             fields['gone'] = [
-                (target.target_id, *target.order) for target in fleet.get_removed()
+                (target.target_id, *target.order)
+                for target in fleet.get_removed()
             ]
             fields['leaving'] = sorted(fleet.draining)
         return json.dumps(fields, separators=(',', ':')).encode()
--- a/trestledock/process/_policy.py
+++ b/trestledock/process/_policy.py
@@ -3,7 +3,7 @@
 ======
 
 The knobs of placement and admission, with the values that the replay spoke
-for (docs/MEASUREMENTS.md).  `PLAIN` is the baseline without the mechanisms.
+for (docs/MEASUREMENTS.md).  `BASELINE` is the baseline without the mechanisms.
 """
 
 from dataclasses import dataclass
@@ -22,13 +22,14 @@
 class Policy:
     """One set of decisions.
 
-    `piece_s` is the length of a prefill piece in engine seconds, zero for
-    whole prompts; a prompt of up to `whole_tokens` is never cut, since another
-    prompt's piece would get in between.  `window_s` is how much prefill may
-    wait at an engine before the rest waits in the fair queue.  `near_s` is
-    the band of predictions that count as equal and among which one is drawn.
-    `pace` says whether the pace of own pieces counts for cut prompts,
-    `subset` is how many of the permitted engines an instance looks at.
+    `prefill_chunk_s` is the length of a prefill piece in engine seconds, zero
+    for whole prompts; a prompt of up to `max_unchunked_tokens` is never cut,
+    since another prompt's piece would get in between.  `window_s` is how much
+    prefill may wait at an engine before the rest waits in the fair queue.
+    `tie_s` is the band of predictions that count as equal and among which one
+    is drawn.  `uses_pace` says whether the pace of own pieces counts for cut
+    prompts, `subset_size` is how many of the permitted engines an instance
+    looks at.
     """
 
     chooser: Chooser = Chooser.predicted
--- a/trestledock/relay/_budget.py
+++ b/trestledock/relay/_budget.py
@@ -28,8 +28,8 @@
 class RetryBudget:
     """The requests and repeats of one service in the last window.
 
-    >>> window = RetryWindow(BudgetTerms(ratio=0, slack=2))
-    >>> [window.spend(now=1.0, instances=1) for _ in range(2)]
+    >>> window = RetryBudget(RetryLimits(ratio=0, slack=2))
+    >>> [window.try_spend(now=1.0, instances=1) for _ in range(2)]
     [True, False]
     """
 
--- a/trestledock/relay/_deciding.py
+++ b/trestledock/relay/_deciding.py
@@ -57,10 +57,10 @@
 class Timing:
     """The instants that a request is judged by.
 
-    Its first event is late after `due`; at `gone` its caller has left, and at
-    `deadline` it must be answered whole.  `write_s` is what its answer takes
-    after the first event.  One that has `begun` may have been run, or answered
-    in part.
+    Its first event is late after `due_at`; at `abandoned_at` its caller has
+    left, and at `deadline` it must be answered whole.  `write_s` is what its
+    answer takes after the first event.  One that has `started` may have been
+    run, or answered in part.
     """
 
     arrived_at: float
@@ -117,7 +117,9 @@
         return Decision.no_time
     if timing.started:
         return None
-    too_dear = placement.cost_to_others > placement.gain * terms.max_cost_to_others
+    too_dear = (
+        placement.cost_to_others > placement.gain * terms.max_cost_to_others
+    )
     return Decision.no_room if too_dear else None
 
 
--- a/trestledock/relay/_events.py
+++ b/trestledock/relay/_events.py
@@ -25,7 +25,7 @@
 class EventSplitter:
     """Collects bytes and gives out whole events.
 
-    >>> Splitter().push(b'id: 1')
+    >>> EventSplitter().push(b'id: 1')
     []
     """
 
@@ -42,5 +42,7 @@
 def _make_event(raw: bytes) -> StreamEvent:
     for line in raw.splitlines():
         if line.lower().startswith(ID_FIELD):
-            return StreamEvent(raw, line[len(ID_FIELD) :].strip().decode('latin-1'))
+            return StreamEvent(
+                raw, line[len(ID_FIELD) :].strip().decode('latin-1')
+            )
     return StreamEvent(raw)
--- a/trestledock/relay/_notices.py
+++ b/trestledock/relay/_notices.py
@@ -26,7 +26,7 @@
     """What a target said between two instants, whatever it is about.
 
     The request that it answers left at `asked_at`, the answer came at
-    `heard_at`; with `is_told` the other entries hear it without this one.
+    `heard_at`; with `is_shared` the other entries hear it without this one.
     """
 
     @property
@@ -108,11 +108,11 @@
     """What is believed of each kind of notice, by incarnation.
 
     >>> notices = Notices()
-    >>> notices.note('t1', Rest(until=4, asked_at=0, heard_at=1)).value
+    >>> notices.record('t1', Backoff(until=4, asked_at=0, heard_at=1)).value
     'learnt'
-    >>> notices.note('t1', Rest(until=3, asked_at=0, heard_at=2)).value
+    >>> notices.record('t1', Backoff(until=3, asked_at=0, heard_at=2)).value
     'nothing'
-    >>> notices.get(Rest, 't1').until
+    >>> notices.get(Backoff, 't1').until
     4
     """
 
@@ -131,7 +131,7 @@
     def get(self, kind: type[Kind], target: str) -> Kind | None:
         """Return what a target asks for, if it asks for anything."""
         found = self.by_kind.get(kind, {}).get(target)
-        return found if found and found.asks_for is not None else None
+        return found if found and found.requested is not None else None
 
     def get_all(self, kind: type[Kind]) -> dict[str, Kind]:
         """Return the newest notices of a kind, by target."""
@@ -164,4 +164,6 @@
         return NoticeChange.nothing
     if asked is None:
         return NoticeChange.learnt
-    return NoticeChange.lifted if after.requested is None else NoticeChange.changed
+    return (
+        NoticeChange.lifted if after.requested is None else NoticeChange.changed
+    )
--- a/trestledock/relay/_problem.py
+++ b/trestledock/relay/_problem.py
@@ -43,7 +43,7 @@
     """What is to be placed: sizes, times left, and what it is worth.
 
     Its first token is late after `objective_s`, and nobody waits for it any
-    more after `gone_s`.
+    more after `abandoned_after_s`.
     """
 
     size: PromptSize
@@ -57,12 +57,12 @@
 class Placement:
     """Where a request goes; `cost` is what all are expected to lose.
 
-    `harm` is the part of it that others lose who are at the engines already,
-    and `gain` what the request itself is expected to earn.
+    `cost_to_others` is the part of it that others lose who are at the engines
+    already, and `gain` what the request itself is expected to earn.
 
-    `first_s` predicts the first token, `ideal_s` what an idle fleet would do;
-    after `clear_s` everything that is being read now will have been.
-    `tickets` are the tokens to be reserved at helpers, by their ids.
+    `first_token_s` predicts the first token, `ideal_s` what an idle fleet would
+    do; after `clear_s` everything that is being read now will have been.
+    `reservations` are the tokens to be reserved at helpers, by their ids.
     """
 
     target: ListedTarget
@@ -104,7 +104,9 @@
             return 0
         over = (first_s - limit_s) / max(limit_s, LEAST_OBJECTIVE_S)
         share = LATE_LOSS * min(1, LATE_AT_LEAST + over)
-        left_s = max(self.work.abandoned_after_s * GONE_SHARE, LEAST_OBJECTIVE_S)
+        left_s = max(
+            self.work.abandoned_after_s * GONE_SHARE, LEAST_OBJECTIVE_S
+        )
         if first_s > left_s:
             return self.work.worth * LOST_SHARE
         return self.work.worth * (share + (1 - LATE_LOSS) * first_s / left_s)
@@ -159,7 +161,9 @@
         taken = sum(not view.flights for view in engines)
         shares = [(busy + 1 + place) / total for place in range(taken)]
         return (
-            self.terms.idle_engine_cost * part_s * sum(share**2 for share in shares)
+            self.terms.idle_engine_cost
+            * part_s
+            * sum(share**2 for share in shares)
         )
 
     def get_whole_cost(self, view: View, part_s: float) -> float:
--- a/trestledock/relay/_quotas.py
+++ b/trestledock/relay/_quotas.py
@@ -32,10 +32,10 @@
 
 @dataclass(frozen=True)
 class Membership:
-    """An entry and the others that it hears; `known` counts the unheard, too.
+    """An entry and others that it hears; `known_count` counts the unheard, too.
 
     >>> own, other = Member('a', 'dc'), Member('b', 'dc')
-    >>> Members(own, (other,), known=4).heard_share
+    >>> Membership(own, (other,), known_count=4).heard_share
     0.5
     """
 
@@ -72,8 +72,8 @@
 def get_quota(members: Membership, demand: TargetRate) -> float:
     """Return how many requests a second an entry may send to a target.
 
-    >>> alone = Members(Member('a', 'dc'))
-    >>> get_quota(alone, Demand('t', 'dc', per_s=3))
+    >>> alone = Membership(Member('a', 'dc'))
+    >>> get_quota(alone, TargetRate('t', 'dc', per_s=3))
     3.0
     """
     shared = max(demand.per_s, MIN_RATE_PER_S) * members.heard_share
--- a/trestledock/request/_retry.py
+++ b/trestledock/request/_retry.py
@@ -39,7 +39,7 @@
 class CircuitBreaker:
     """A breaker of one target, with one probe while half open.
 
-    >>> breaker = Breaker()
+    >>> breaker = CircuitBreaker()
     >>> for _ in range(BREAKER_FAILURES):
     ...     breaker.fail(now=0)
     >>> breaker.get_state(now=1).value
