--- a/tests/following.py
+++ b/tests/following.py
@@ -98,7 +98,7 @@
     async def read(self):
         """Read the store after a step."""
         await anyio.sleep(STEP_S)
-        await self.follower.reading.read()
+        await self.follower.store_reader.read()
 
     async def ask(self, reader):
         """Ask another entry after a step, as the follower does periodically."""
--- a/tests/living.py
+++ b/tests/living.py
@@ -36,7 +36,7 @@
         """Follow the store and send the full state periodically."""
         async with anyio.create_task_group() as group:
             group.start_soon(self.follower._follow)
-            group.start_soon(self.follower.listing.run)
+            group.start_soon(self.follower.target_list.run)
             group.start_soon(self.gossip._send_periodically)
 
     async def stand_still_for(self, pause_s):
--- a/tests/test_entry_anew.py
+++ b/tests/test_entry_anew.py
@@ -39,7 +39,7 @@
     first = life.entries[0]
     number = len(life.entries)
     entry = LivingEntry(number, life.store, first.network, first.state.group)
-    entry.follower.reading.directory = NewestReading(life.store)
+    entry.follower.store_reader.directory = NewestReading(life.store)
     entry.disturbed_until = anyio.current_time()
     everybody = [*life.entries, entry]
     addresses = {
--- a/tests/test_entry_following.py
+++ b/tests/test_entry_following.py
@@ -63,10 +63,10 @@
 
         async def scenario(follower, directory):
             directory.down = {'catalog': True, 'targets': True}
-            await follower.reading.read()
+            await follower.store_reader.read()
             directory.calls.clear()
             for _ in range(4):
-                await follower.reading.read()
+                await follower.store_reader.read()
             self.assertEqual(len(directory.calls), 4)
 
         self.run_follower(scenario)
@@ -77,11 +77,11 @@
 
             async def scenario(follower, directory, part=part):
                 directory.down = {'catalog': True, 'targets': True}
-                await follower.reading.read()
+                await follower.store_reader.read()
                 directory.down[part] = False
                 directory.calls.clear()
                 for _ in range(2):
-                    await follower.reading.read()
+                    await follower.store_reader.read()
                 self.assertIn(part, directory.calls)
 
             self.run_follower(scenario)
@@ -91,9 +91,9 @@
 
         async def scenario(follower, directory):
             directory.down = {'catalog': True, 'targets': True}
-            await follower.reading.read()
+            await follower.store_reader.read()
             directory.down = {'catalog': False, 'targets': False}
-            await follower.reading.read()
+            await follower.store_reader.read()
             self.assertEqual(follower.state.version, 1)
             self.assertIn('t0', follower.state.fleet.targets)
 
@@ -121,7 +121,7 @@
             follower = Follower(
                 state, StubDirectory(), Pool(state.spawn), exchange
             )
-            await follower.reading.read()
+            await follower.store_reader.read()
             state.fleet.watch.read_at -= age_s
             await scenario(follower)
 
@@ -145,8 +145,11 @@
         """While the store is unavailable, later entries wait longer."""
 
         async def scenario(follower):
-            follower.reading.directory.down = {'catalog': True, 'targets': True}
-            await follower.reading.read()
+            follower.store_reader.directory.down = {
+                'catalog': True,
+                'targets': True,
+            }
+            await follower.store_reader.read()
             now = anyio.current_time()
             self.assertFalse(follower._is_own_read_due(now))
 
@@ -163,8 +166,11 @@
 
     def test_long_fetch_while_store_is_unavailable(self):
         async def scenario(follower):
-            follower.reading.directory.down = {'catalog': True, 'targets': True}
-            await follower.reading.read()
+            follower.store_reader.directory.down = {
+                'catalog': True,
+                'targets': True,
+            }
+            await follower.store_reader.read()
             found_s = follower._get_fetch_timeout_s(anyio.current_time())
             self.assertEqual(found_s, FETCH_TIMEOUT_S)
 
--- a/trestledock/entry/_crash_exchange.py
+++ b/trestledock/entry/_crash_exchange.py
@@ -32,7 +32,7 @@
         self.isolation = gossip.state.isolation
         self.isolation.hooks.send_crashes = self.send_crashes
         self.isolation.hooks.send_cleared = self._send_cleared
-        gossip.handlers[Ends] = self._handle_ends
+        gossip.handlers[Ends] = self._handle_crashes
         gossip.handlers[Cleared] = self._handle_cleared
         gossip.on_new_peer.append(self._send_known)
 
@@ -63,7 +63,7 @@
         )
         self.gossip.send(message, self._get_all())
 
-    def _handle_ends(self, message: Ends, _: Address) -> bool:
+    def _handle_crashes(self, message: Ends, _: Address) -> bool:
         self.isolation.merge_crashes(message.ends, message.sender)
         return True
 
--- a/trestledock/entry/_exposition.py
+++ b/trestledock/entry/_exposition.py
@@ -34,7 +34,7 @@
 
 PREFIX = 'trestledock'
 #: Upper bound of the last bucket of a histogram.
-LAST_BOUND = float('inf')
+INFINITY = float('inf')
 
 
 class _MetricsCollector(Collector):
@@ -84,7 +84,7 @@
 def _make_histogram(
     name: str, help_text: str, histogram: HistogramCounts
 ) -> Metric:
-    bounds = [floatToGoString(bound) for bound in (*BOUNDS_S, LAST_BOUND)]
+    bounds = [floatToGoString(bound) for bound in (*BOUNDS_S, INFINITY)]
     buckets = list(zip(bounds, accumulate(histogram.counts), strict=True))
     return HistogramMetricFamily(
         f'{PREFIX}_{name}_seconds', help_text, buckets, histogram.total_s
--- a/trestledock/entry/_follower.py
+++ b/trestledock/entry/_follower.py
@@ -63,8 +63,10 @@
     ) -> None:
         """Take the source of updates and the state they are applied to."""
         self.state = state
-        self.listing = TargetListUpdater(state, pool)
-        self.reading = StoreReader(state, directory, self.listing, exchange)
+        self.target_list = TargetListUpdater(state, pool)
+        self.store_reader = StoreReader(
+            state, directory, self.target_list, exchange
+        )
         self.gossip = exchange.gossip
         self.exchange = exchange
         self._reader = ''
@@ -77,7 +79,7 @@
         async with anyio.create_task_group() as group:
             group.start_soon(self._follow)
             group.start_soon(self._follow_peers)
-            group.start_soon(self.listing.run)
+            group.start_soon(self.target_list.run)
 
     def is_reader(self) -> bool:
         """Whether this entry reads the store for itself and for others."""
@@ -100,7 +102,7 @@
             reader = choose_reader(self._get_candidates(now), self._pace)
             self._set_reader(reader)
             if reader == self.state.member:
-                await self.reading.read()
+                await self.store_reader.read()
                 await self._sleep(self._get_pause_s(now))
             else:
                 await self._ask(reader)
@@ -111,18 +113,18 @@
         if self.exchange.renew_proof(reader):
             await self._fetch(reader)
         if self._is_own_read_due(anyio.current_time()):
-            await self.reading.read()
+            await self.store_reader.read()
         await self._sleep(self._get_ask_pause_s(anyio.current_time()))
 
     async def _fetch(self, reader: str, *, with_removed: bool = False) -> None:
         now = anyio.current_time()
-        news = await self.exchange.fetch(
+        update = await self.exchange.fetch(
             reader, self._get_fetch_timeout_s(now), with_removed=with_removed
         )
-        if news and self._apply_configuration(news):
+        if update and self._apply_configuration(update):
             self._fetch_failures = 0
-            self._apply_list(news)
-            self.state.isolation.merge_records(news.quarantine, reader)
+            self._apply_list(update)
+            self.state.isolation.merge_records(update.quarantine, reader)
             self.exchange.renew_proof(reader)
             return
         self._fetch_failures += 1
@@ -130,12 +132,12 @@
             self._fetch_failures = 0
             self._excluded_until[reader] = now + EXCLUSION_S
 
-    def _apply_configuration(self, news: StoreUpdate) -> bool:
+    def _apply_configuration(self, update: StoreUpdate) -> bool:
         """Apply another entry's configuration; return whether it was valid."""
         try:
-            self.reading.apply(news)
+            self.store_reader.apply(update)
         except DirectoryError as exc:
-            emit(events.NewsLost(news.source, repr(exc)))
+            emit(events.NewsLost(update.source, repr(exc)))
             return False
         return True
 
@@ -146,7 +148,7 @@
         answering. While the store is unavailable other entries are the only
         source.
         """
-        if self.reading.is_lost():
+        if self.store_reader.is_lost():
             return FETCH_TIMEOUT_S
         return min(
             FETCH_TIMEOUT_S,
@@ -159,20 +161,20 @@
         pause_s = self._pace.ask_interval_s
         return min(pause_s, due_in_s) if due_in_s > 0 else pause_s
 
-    def _apply_list(self, news: StoreUpdate) -> None:
+    def _apply_list(self, update: StoreUpdate) -> None:
         """Apply another entry's list if it is certainly newer than the own one.
 
         Its knowledge of removed targets applies in any case.
         """
         now = anyio.current_time()
-        self.state.record_reported_epoch(news.epoch, now, news.source)
-        self.listing.apply_removals(news)
-        if news.as_of > self.state.fleet.watch.latest_at:
-            self.listing.apply(news)
-            self.exchange.record_list_source(news)
+        self.state.record_reported_epoch(update.epoch, now, update.source)
+        self.target_list.apply_removals(update)
+        if update.as_of > self.state.fleet.watch.latest_at:
+            self.target_list.apply(update)
+            self.exchange.record_list_source(update)
 
     def _is_own_read_due(self, now: float) -> bool:
-        if now - self.reading.failed_at < self._get_retry_s(now):
+        if now - self.store_reader.failed_at < self._get_retry_s(now):
             return False
         return self._get_own_read_in_s(now) <= 0
 
@@ -220,11 +222,14 @@
         await anyio.sleep(wait_s * self.state.rng.uniform(*JITTER))
 
     async def _follow_peers(self) -> None:
-        for step in (self.reading.announce, self.reading.update_peers):
+        for step in (
+            self.store_reader.announce,
+            self.store_reader.update_peers,
+        ):
             while not await step():
                 await self._sleep(PEERS_RETRY_S)
         if not self.state.restores.is_complete(anyio.current_time()):
             await self.consult()
         while True:
             await self._sleep(PEERS_INTERVAL_S)
-            await self.reading.update_peers()
+            await self.store_reader.update_peers()
--- a/trestledock/entry/_gossip.py
+++ b/trestledock/entry/_gossip.py
@@ -30,20 +30,20 @@
 
 #: How long changes are collected before they are sent, in seconds.
 BATCH_S = 0.004
-#: Minimum period of the full state, in seconds: within the near group, and to
-#: other data centres.
+#: Minimum interval of full states, in seconds: to near entries, and to those of
+#: other data centres if there are many.
 FULL_STATE_INTERVAL_S = 0.5
 REMOTE_INTERVAL_S = 3.0
-#: Maximum number of full-state messages that an entry receives in a second,
-#: from the near group and from other data centres: the period grows with the
+#: Maximum number of full states that an entry receives in a second, from near
+#: entries and from those of other data centres: the intervals grow with the
 #: number of entries.
 MAX_FULL_STATES_PER_S = 20
 MAX_REMOTE_STATES_PER_S = 13
-#: Polling interval for datagrams, in seconds: where heartbeats count or an
-#: answer is awaited, and otherwise. Choosing a target polls as well.
+#: Polling interval for datagrams, in seconds: while heartbeats are checked or
+#: answers are awaited, and otherwise. The choice of a target polls as well.
 POLL_INTERVAL_S = 0.02
 SLOW_POLL_INTERVAL_S = 0.1
-#: For how long after a question more are expected, in seconds.
+#: How long polling is fast after a question, in seconds, as more may follow.
 FAST_POLL_S = 1.0
 #: Maximum number of in-flight requests, or of other rows, in one datagram.
 MAX_FLIGHTS = 100
@@ -56,8 +56,8 @@
 class Gossip:
     """Exchange of datagrams with the other entries.
 
-    The callbacks in `on_met` get the address of each new entry, those in
-    `on_told` the addresses that the full state was just sent to.
+    The callbacks in `on_new_peer` get the address of each new entry, those in
+    `on_full_state_sent` the addresses that the full state was just sent to.
     """
 
     def __init__(self, state: EntryState) -> None:
@@ -204,7 +204,7 @@
 
     def _record_sender(self, message: Flights | Beat, now: float) -> None:
         self.state.record_remote_entry(
-            message.data_centre, message.sender, now, leaving=message.leaving
+            message.data_centre, message.sender, now, draining=message.leaving
         )
 
     def _add_peer(self, name: str, address: Address) -> None:
@@ -350,7 +350,7 @@
 
     def _drop(self, name: str) -> None:
         peer = self.peers.known.pop(name)
-        if peer.leaving:
+        if peer.draining:
             self.addresses.record_shutdown(peer.address)
         self.state.board.drop_sender(name)
         emit(events.PeerLost(name))
--- a/trestledock/entry/_isolation.py
+++ b/trestledock/entry/_isolation.py
@@ -50,7 +50,7 @@
     reconnect = 'reconnect'
 
 
-#: Inquiry by failure evidence. A crashing process closes its connections, and
+#: Inquiry by kind of failure. A crashing process closes its connections, and
 #: may write bytes that are no valid answer first. Silence proves nothing: a
 #: target given up for silence is not known to have run the request, and network
 #: partitions and overload cause more silence than crashes do.
@@ -64,9 +64,9 @@
         FailureKind.garbled: Inquiry.listing,
     }
 )
-#: Evidence at a new connection that the process is gone. Anything else waits
-#: for a listing: a process that listens may be the next incarnation, and an
-#: unreachable address may be that of a live one.
+#: Failure of a new connection that proves that the process is gone. Any other
+#: result waits for a listing: a process that listens may be the next
+#: incarnation, and an unreachable address may be that of a live one.
 GONE = FailureKind.refused
 #: Maximum age of a crash reported by another entry, in seconds, at which this
 #: entry stops using the target: the next incarnation has another name.
@@ -75,8 +75,8 @@
 #: and its answer is announced: one crash says little, and each message goes to
 #: every entry.
 MIN_SHARED_CRASHES = 2
+#: Sources in log events: this entry, and the platform's store.
 SELF = 'self'
-#: Source in log events for what the platform's store said.
 STORE = 'store'
 
 Reconnect = Callable[[ListedTarget], Awaitable[FailureKind]]
@@ -85,8 +85,8 @@
 SendCleared = Callable[[str, Sequence[str]], None]
 
 
-async def _find_unreachable(_: ListedTarget) -> FailureKind:
-    """Default for `look`, without connections."""
+async def _report_unreachable(_: ListedTarget) -> FailureKind:
+    """Default for `reconnect`, without connections."""
     return FailureKind.unreachable
 
 
@@ -103,12 +103,12 @@
 class IsolationHooks:
     """Callbacks of the isolation.
 
-    `look` connects to a target again; `claim` reserves the right to probe a
+    `reconnect` connects to a target again; `claim` reserves the right to probe a
     quarantined request among all entries; the others send to all entries at
     once.
     """
 
-    reconnect: Reconnect = _find_unreachable
+    reconnect: Reconnect = _report_unreachable
     claim: Claim = _refuse_claim
     send_crashes: SendCrashes = _send_nothing
     send_cleared: SendCleared = _send_nothing
@@ -117,8 +117,9 @@
 class Isolation:
     """Keeps requests that crash targets away from them.
 
-    `to_keep` has the requests to save in the store, and `wants_keeping` is set
-    when one is added; `revision` grows with each change of the quarantine.
+    `unsaved` has the fingerprints of requests to save in the store, and
+    `unsaved_added` is set when one is added; `revision` grows with each change
+    of the quarantine.
     """
 
     def __init__(self, health: Health, fleet: Fleet) -> None:
@@ -151,7 +152,8 @@
     async def may_probe(self, fingerprint: str) -> bool:
         """Whether a quarantined request may go to one target as a probe now.
 
-        Of all such requests at all entries one may; the others don't wait.
+        At any time one request with this fingerprint may, among all entries;
+        the others don't wait.
         """
         now = anyio.current_time()
         is_due = self.quarantine.is_probe_due(fingerprint, now)
@@ -164,7 +166,7 @@
             )
         finally:
             self._claiming.discard(fingerprint)
-        # Another entry may have got an answer to it during the claim.
+        # Another entry may have got an answer during the claim.
         if not is_granted or not self.is_quarantined(fingerprint):
             return False
         self.quarantine.record_probe(fingerprint, now)
@@ -176,7 +178,7 @@
     async def investigate_failure(
         self,
         fingerprint: str,
-        evidence: FailureKind,
+        failure_kind: FailureKind,
         targets: Iterable[ListedTarget],
     ) -> None:
         """Find out whether a target has crashed during a request.
@@ -184,7 +186,7 @@
         Only one crash counts among all targets that work on a request: its
         engine and the helpers may have crashed together.
         """
-        inquiry = INQUIRIES[evidence]
+        inquiry = INQUIRIES[failure_kind]
         if inquiry is Inquiry.none:
             return
         for target in targets:
@@ -299,7 +301,9 @@
         for record in records:
             self._mark_unsaved(record.fingerprint)
 
-    def _record_own(self, crashes: list[Crash], evidence: FailureKind) -> None:
+    def _record_own(
+        self, crashes: list[Crash], failure_kind: FailureKind
+    ) -> None:
         now = anyio.current_time()
         for crash in crashes:
             self._avoid(crash.incarnation, now)
@@ -314,7 +318,7 @@
                     events.TargetEnded(
                         crash.incarnation,
                         crash.fingerprint,
-                        evidence.value,
+                        failure_kind.value,
                         count,
                     )
                 )
--- a/trestledock/entry/_notices.py
+++ b/trestledock/entry/_notices.py
@@ -124,7 +124,7 @@
 ) -> None:
     """Record for how long a target refuses requests of this entry."""
     now = anyio.current_time()
-    left_ms = _get_left_ms(state.notices.get(Backoff, peer))
+    left_ms = _get_remaining_ms(state.notices.get(Backoff, peer))
     until = now + backoff_s + get_jitter_s(backoff_s, state.rng.random())
     change = state.notices.record(peer, Backoff(until, asked_at, now))
     if change is not NoticeChange.nothing:
@@ -211,8 +211,8 @@
     change: NoticeChange,
     source: str,
 ) -> events.Event:
-    left_ms = _get_left_ms(before)
-    return events.RestHeard(peer, _get_left_ms(notice), left_ms, 0, source)
+    left_ms = _get_remaining_ms(before)
+    return events.RestHeard(peer, _get_remaining_ms(notice), left_ms, 0, source)
 
 
 def log_send_against_notices(
@@ -248,7 +248,7 @@
         emit(events.SentAgainstNotice(req, peer, 'rest', age_ms))
 
 
-def _get_left_ms(backoff: Backoff | None) -> int:
+def _get_remaining_ms(backoff: Backoff | None) -> int:
     """Return the remaining time of a back-off, or 0."""
     left_s = backoff.until - anyio.current_time() if backoff else 0
     return round(max(0, left_s) * MS)
--- a/trestledock/entry/_peers.py
+++ b/trestledock/entry/_peers.py
@@ -30,7 +30,7 @@
     news_age_s: float
     data_centre: str = ''
     again_s: float = 0
-    leaving: bool = False
+    draining: bool = False
 
     def get_store_age_s(self, now: float) -> float:
         """Return the age of its copy if it has not been updated since."""
--- a/trestledock/entry/_state.py
+++ b/trestledock/entry/_state.py
@@ -81,12 +81,13 @@
 class EntryState:
     """State of one entry process.
 
-    It is `leaving` (draining) once it was asked to stop, `closing` once idle
-    connections are being closed, and `ending` once the remaining requests are
-    aborted. `catch_up` handles the messages that have arrived from other
-    entries, `tell_own` sends them the own changes at once, and `tell_notices`
-    the notices of a target; `learn_loads` asks other data centres for the loads
-    of their targets, and `loads` has the answers.
+    It is `draining` once it was asked to stop, `closing` once idle connections
+    are being closed, and `aborting` once the remaining requests are aborted.
+
+    `receive_messages` handles the messages that have arrived from other
+    entries, `send_own_changes` sends them the own changes at once, and
+    `send_notices` the notices of a target. `refresh_loads` asks other data
+    centres for the loads of their targets, and `remote_loads` has the answers.
     """
 
     settings: EntrySettings
@@ -178,9 +179,9 @@
         await self.own_changed.wait()
         self.own_changed = anyio.Event()
 
-    async def wait_for_change(self, limit_s: float) -> None:
-        """Wait for a change, for at most `limit_s` seconds."""
-        with anyio.move_on_after(limit_s):
+    async def wait_for_change(self, timeout_s: float) -> None:
+        """Wait for a change, for at most `timeout_s` seconds."""
+        with anyio.move_on_after(timeout_s):
             await self.changed.wait()
 
     def record_silence(self, target_id: str, now: float) -> None:
@@ -219,13 +220,13 @@
         name: str,
         now: float,
         *,
-        leaving: bool = False,
+        draining: bool = False,
     ) -> None:
         """Record a message from an entry of another data centre."""
         if data_centre == self.settings.data_centre:
             return
         self.health.record_message(data_centre)
-        if leaving:
+        if draining:
             self.reach.remove_instance(data_centre, name)
         else:
             self.reach.record_message(data_centre, name, now)
--- a/trestledock/entry/_store_reader.py
+++ b/trestledock/entry/_store_reader.py
@@ -40,13 +40,13 @@
         self,
         state: EntryState,
         directory: Directory,
-        listing: TargetListUpdater,
+        target_list: TargetListUpdater,
         exchange: UpdateExchange,
     ) -> None:
         """Take the store and the state that reads are applied to."""
         self.state = state
         self.directory = directory
-        self.listing = listing
+        self.target_list = target_list
         self.exchange = exchange
         self.failed_at = float('-inf')
         self._failed_steps: set[str] = set()
@@ -85,16 +85,16 @@
         """Read the other entries' addresses; return whether that succeeded."""
         return await self._try(self._meet_peers)
 
-    def apply(self, news: StoreUpdate) -> None:
+    def apply(self, update: StoreUpdate) -> None:
         """Apply a version of the configuration if it is newer."""
-        catalog = news.catalog
-        if catalog is None and news.document:
-            catalog = self.directory.decode_document(news.document)
+        catalog = update.catalog
+        if catalog is None and update.document:
+            catalog = self.directory.decode_document(update.document)
         current = self.state.catalog
         if catalog and (current is None or catalog.version > current.version):
             self.state.catalog = catalog
-            self.state.document = news.document
-            source = 'store' if news.catalog else 'peer'
+            self.state.document = update.document
+            source = 'store' if update.catalog else 'peer'
             emit(events.VersionApplied(catalog.version, source))
 
     async def _try(self, read: Callable[[], Awaitable[None]]) -> bool:
@@ -117,11 +117,11 @@
 
     async def _read_catalog(self) -> None:
         asked_at = anyio.current_time()
-        news = await self.directory.read_catalog()
+        update = await self.directory.read_catalog()
         self._record_epoch()
-        self.apply(news)
+        self.apply(update)
         self.state.proof.record_read(asked_at)
-        if news.epoch == self.state.restores.epoch:
+        if update.epoch == self.state.restores.epoch:
             self._last_read_at = asked_at
             self._renew_proof()
 
@@ -138,10 +138,10 @@
 
     async def _read_targets(self) -> None:
         asked_at = anyio.current_time()
-        news = await self.directory.read_targets()
+        update = await self.directory.read_targets()
         self._record_epoch()
         previous_revision = self.state.fleet.revision
-        self.listing.apply(replace(news, as_of=asked_at))
+        self.target_list.apply(replace(update, as_of=asked_at))
         if self.state.fleet.revision != previous_revision:
             self.exchange.clear_list_source()
 
--- a/trestledock/entry/_target_list.py
+++ b/trestledock/entry/_target_list.py
@@ -40,31 +40,33 @@
         self.fleet = state.fleet
         self.pool = pool
 
-    def apply(self, news: StoreUpdate) -> None:
+    def apply(self, update: StoreUpdate) -> None:
         """Apply a list that is valid as of `news.as_of`."""
         now = anyio.current_time()
-        self.state.record_list(news.as_of, now, news.source, news.latest_at)
-        if news.whole:
-            self._drop_missing(news, now)
+        self.state.record_list(
+            update.as_of, now, update.source, update.latest_at
+        )
+        if update.whole:
+            self._drop_missing(update, now)
         records: dict[str, list[ListedTarget | None]] = defaultdict(list)
-        for record in news.targets:
+        for record in update.targets:
             records[record.target_id].append(record.listed)
         for target_id, target_records in records.items():
             before = self.fleet.get_by_id(target_id)
-            self._apply_records(target_id, target_records, news, now)
+            self._apply_records(target_id, target_records, update, now)
             if before and self.fleet.is_superseded(before):
                 self.state.isolation.record_replaced(before.incarnation)
-                self._discard([before.incarnation], news.source)
+                self._discard([before.incarnation], update.source)
         if not self.fleet.watch.is_synchronized(now):
-            self._retain(news, now)
+            self._retain(update, now)
 
-    def apply_removals(self, news: StoreUpdate) -> None:
+    def apply_removals(self, update: StoreUpdate) -> None:
         """Apply another entry's knowledge of removed and draining targets."""
         now = anyio.current_time()
-        for incarnation in news.leaving:
+        for incarnation in update.leaving:
             self.fleet.record_draining(incarnation, now)
-        removed = self.fleet.merge_removed(news.gone)
-        self._discard(removed, news.source)
+        removed = self.fleet.merge_removed(update.gone)
+        self._discard(removed, update.source)
 
     async def run(self) -> None:
         """Remove retained targets as their time runs out, until cancelled."""
@@ -85,7 +87,7 @@
         self,
         target_id: str,
         records: list[ListedTarget | None],
-        news: StoreUpdate,
+        update: StoreUpdate,
         now: float,
     ) -> None:
         """Apply the records of one target, in the order of the log.
@@ -98,11 +100,11 @@
             target_id, before_removal, after_removal
         ):
             for listed in after_removal:
-                self._put(listed, news)
+                self._put(listed, update)
             return
         for old in (*before_removal, *after_removal):
             self.fleet.record_outdated(old)
-        self._drop(target_id, news, now)
+        self._drop(target_id, update, now)
 
     def _is_listed_again(
         self,
@@ -120,22 +122,24 @@
         newest = _get_newest(after_removal, LOWEST_ORDER)
         return newest >= known and newest > _get_newest(before_removal, known)
 
-    def _retain(self, news: StoreUpdate, now: float) -> None:
+    def _retain(self, update: StoreUpdate, now: float) -> None:
         """Retain the targets that the source retains and that are unknown here.
 
         An entry that has followed the store for long enough relies on its own
         knowledge instead.
         """
-        for retained in news.held:
+        for retained in update.held:
             if self.fleet.retain(retained.listed, now + retained.left_s):
-                self._log_retained(retained.listed, news, now)
+                self._log_retained(retained.listed, update, now)
 
-    def _drop_missing(self, news: StoreUpdate, now: float) -> None:
-        present = {record.target_id for record in news.targets if record.listed}
+    def _drop_missing(self, update: StoreUpdate, now: float) -> None:
+        present = {
+            record.target_id for record in update.targets if record.listed
+        }
         for target_id in set(self.fleet.newest) - present:
-            self._drop(target_id, news, now)
+            self._drop(target_id, update, now)
 
-    def _put(self, listed: ListedTarget, news: StoreUpdate) -> None:
+    def _put(self, listed: ListedTarget, update: StoreUpdate) -> None:
         again = listed.target_id in self.fleet.removed
         if not self.fleet.put(listed):
             return
@@ -147,25 +151,25 @@
                 listed.standing.value,
                 self.fleet.is_draining(listed.incarnation),
                 listed.sequence,
-                news.source,
+                update.source,
                 again,
             ),
         )
         self.state.notify()
 
-    def _drop(self, target_id: str, news: StoreUpdate, now: float) -> None:
+    def _drop(self, target_id: str, update: StoreUpdate, now: float) -> None:
         known = self.fleet.get_by_id(target_id)
         if known is None:
             return
         was_retained = known.incarnation in self.fleet.retained
-        retained_until = self._get_retention_end(target_id, news, now)
+        retained_until = self._get_retention_end(target_id, update, now)
         if self.fleet.record_removal(target_id, retained_until, now):
-            self._discard([known.incarnation], news.source)
+            self._discard([known.incarnation], update.source)
         elif not was_retained:
-            self._log_retained(known, news, now)
+            self._log_retained(known, update, now)
 
     def _get_retention_end(
-        self, target_id: str, news: StoreUpdate, now: float
+        self, target_id: str, update: StoreUpdate, now: float
     ) -> float:
         """Return until when a missing target's record may only have lapsed.
 
@@ -173,21 +177,21 @@
         the store was back, or that it never failed.
         """
         watch = self.fleet.watch
-        if news.settled or not watch.is_disturbed(now):
+        if update.settled or not watch.is_disturbed(now):
             return now
         end_times = (
             now + retained.left_s
-            for retained in news.held
+            for retained in update.held
             if retained.listed.target_id == target_id
         )
         return next(end_times, watch.grace_end)
 
     def _log_retained(
-        self, listed: ListedTarget, news: StoreUpdate, now: float
+        self, listed: ListedTarget, update: StoreUpdate, now: float
     ) -> None:
         name = listed.incarnation
         left_s = self.fleet.retained[name] - now
-        emit(events.TargetHeld(name, news.source, round(left_s * MS)))
+        emit(events.TargetHeld(name, update.source, round(left_s * MS)))
 
     def _discard(self, incarnations: list[str], source: str) -> None:
         for incarnation in incarnations:
--- a/trestledock/entry/_update_exchange.py
+++ b/trestledock/entry/_update_exchange.py
@@ -137,9 +137,9 @@
             emit(events.NewsLost(reader, repr(exc)))
             return None
 
-    def record_list_source(self, news: StoreUpdate) -> None:
+    def record_list_source(self, update: StoreUpdate) -> None:
         """Record which entry's list, at which revision, the own one copies."""
-        self._list_source = (news.source, news.revision)
+        self._list_source = (update.source, update.revision)
 
     def clear_list_source(self) -> None:
         """Record that the own list no longer copies that of another entry."""
