--- a/tests/test_entry_following.py
+++ b/tests/test_entry_following.py
@@ -181,7 +181,7 @@
 
         async def scenario(follower):
             pause_s = follower._get_ask_pause_s(anyio.current_time())
-            self.assertLess(pause_s, follower._pace.ask_interval_s)
+            self.assertLess(pause_s, follower._schedule.ask_interval_s)
 
         self.run_stale(scenario, age_s=1.0)
 
--- a/trestledock/entry/_datagrams.py
+++ b/trestledock/entry/_datagrams.py
@@ -31,7 +31,7 @@
         self._socket.bind(address)
 
     def send(self, raw: bytes, addresses: Iterable[Address]) -> None:
-        """Send to some addresses, without any guarantee of delivery."""
+        """Send to some addresses, without guaranteed delivery."""
         for address in addresses:
             try:
                 self._socket.sendto(raw, address)
--- a/trestledock/entry/_follower.py
+++ b/trestledock/entry/_follower.py
@@ -41,7 +41,7 @@
 #: Delay before the first list of peers is read again after a failure, in
 #: seconds.
 PEERS_RETRY_S = 1.0
-#: Maximum number of neighbours asked by an entry that starts after a restore of
+#: Maximum number of near peers asked by an entry that starts after a restore of
 #: the store: some of them may have just started too, and know no more.
 MAX_CONSULTED = 3
 #: How long such an entry first waits for answers to its first messages, in
@@ -72,7 +72,7 @@
         self._reader = ''
         self._fetch_failures = 0
         self._excluded_until: dict[str, float] = {}
-        self._pace = ReadSchedule(state.settings.settle_s)
+        self._schedule = ReadSchedule(state.settings.settle_s)
 
     async def run(self) -> None:
         """Follow the store until cancelled."""
@@ -86,7 +86,7 @@
         return self._reader == self.state.member
 
     async def consult(self) -> None:
-        """Ask neighbours for what a restored store may lack.
+        """Ask near peers for what a restored store may lack.
 
         They may have a newer configuration, and know of removed targets. What
         they proved by the store before the restore also counts for this entry.
@@ -99,7 +99,7 @@
     async def _follow(self) -> None:
         while True:
             now = anyio.current_time()
-            reader = choose_reader(self._get_candidates(now), self._pace)
+            reader = choose_reader(self._get_candidates(now), self._schedule)
             self._set_reader(reader)
             if reader == self.state.member:
                 await self.store_reader.read()
@@ -148,7 +148,7 @@
         answering. While the store is unavailable other entries are the only
         source.
         """
-        if self.store_reader.is_lost():
+        if self.store_reader.is_unavailable():
             return FETCH_TIMEOUT_S
         return min(
             FETCH_TIMEOUT_S,
@@ -158,7 +158,7 @@
     def _get_ask_pause_s(self, now: float) -> float:
         """Return the time until the next question or, if sooner, own read."""
         due_in_s = self._get_own_read_in_s(now)
-        pause_s = self._pace.ask_interval_s
+        pause_s = self._schedule.ask_interval_s
         return min(pause_s, due_in_s) if due_in_s > 0 else pause_s
 
     def _apply_list(self, update: StoreUpdate) -> None:
@@ -181,7 +181,9 @@
     def _get_own_read_in_s(self, now: float) -> float:
         age_s = self.state.get_store_age_s(now)
         names = self._get_names(now)
-        return get_own_read_delay_s(self.state.member, names, age_s, self._pace)
+        return get_own_read_delay_s(
+            self.state.member, names, age_s, self._schedule
+        )
 
     def _set_reader(self, reader: str) -> None:
         if reader != self._reader:
@@ -191,7 +193,7 @@
     def _get_pause_s(self, now: float) -> float:
         if self._get_own_read_in_s(now) <= 0:
             return self._get_retry_s(now)
-        return self._pace.read_interval_s
+        return self._schedule.read_interval_s
 
     def _get_retry_s(self, now: float) -> float:
         return get_read_retry_s(self.state.member, self._get_names(now))
--- a/trestledock/entry/_isolation.py
+++ b/trestledock/entry/_isolation.py
@@ -103,8 +103,8 @@
 class IsolationHooks:
     """Callbacks of the isolation.
 
-    `reconnect` connects to a target again; `claim` reserves the right to probe a
-    quarantined request among all entries; the others send to all entries at
+    `reconnect` connects to a target again; `claim` reserves the right to probe
+    a quarantined request among all entries; the others send to all entries at
     once.
     """
 
--- a/trestledock/entry/_message_codec.py
+++ b/trestledock/entry/_message_codec.py
@@ -38,7 +38,7 @@
 
 MS = 1000
 #: Period of the full state in older versions, in milliseconds.
-OLD_VERSION_AGAIN_MS = 500
+DEFAULT_AGAIN_MS = 500
 
 #: Exceptions that decoding an invalid message raises.
 DECODE_ERRORS = (ValueError, LookupError, TypeError, RecursionError)
@@ -142,7 +142,7 @@
         data_centre=read_text(fields['data_centre']),
         leaving=read_bool(fields.get('leaving', False)),
         news_age_s=read_number(fields['news_age_ms']) / MS,
-        again_s=read_number(fields.get('again_ms', OLD_VERSION_AGAIN_MS)) / MS,
+        again_s=read_number(fields.get('again_ms', DEFAULT_AGAIN_MS)) / MS,
         changes=tuple([decode_change(row, now) for row in rows]),
     )
 
--- a/trestledock/entry/_notices.py
+++ b/trestledock/entry/_notices.py
@@ -112,10 +112,10 @@
     may_withdraw = answer.sealed and status < HTTPStatus.BAD_REQUEST
     if limit.per_s is None and (limit.is_present or not may_withdraw):
         return
-    before = state.notices.get(RateLimit, peer)
+    previous = state.notices.get(RateLimit, peer)
     notice = RateLimit(limit.per_s, asked_at, anyio.current_time())
     change = apply_notice(state, peer, notice, OWN)
-    if change is not NoticeChange.nothing and _is_urgent(before, notice):
+    if change is not NoticeChange.nothing and _is_urgent(previous, notice):
         state.send_notices(peer)
 
 
--- a/trestledock/entry/_quarantine_sync.py
+++ b/trestledock/entry/_quarantine_sync.py
@@ -18,7 +18,7 @@
 from trestledock.entry._dialect import QuarantineStore
 from trestledock.entry._isolation import STORE
 from trestledock.entry._logger import emit
-from trestledock.entry._store_reader import EXPECTED
+from trestledock.entry._store_reader import STORE_ERRORS
 from trestledock.entry._state import EntryState
 from trestledock.relay import QuarantineRecord
 
@@ -71,7 +71,7 @@
         try:
             with anyio.fail_after(TIMEOUT_S):
                 return await self._claim(record)
-        except EXPECTED as exc:
+        except STORE_ERRORS as exc:
             emit(events.StoreLost('claim_trial', repr(exc)))
             return False
 
@@ -108,7 +108,7 @@
         try:
             with anyio.fail_after(POLL_TIMEOUT_S + TIMEOUT_S):
                 records = await self.store.read_records(POLL_TIMEOUT_S)
-        except EXPECTED as exc:
+        except STORE_ERRORS as exc:
             await self._pause('read_records', exc)
             return
         self._failures = 0
@@ -121,7 +121,7 @@
             try:
                 with anyio.fail_after(TIMEOUT_S):
                     await self.store.write_records(records)
-            except EXPECTED as exc:
+            except STORE_ERRORS as exc:
                 self.isolation.requeue_unsaved(records)
                 await self._pause('write_records', exc)
 
--- a/trestledock/entry/_store_reader.py
+++ b/trestledock/entry/_store_reader.py
@@ -30,7 +30,7 @@
 
 
 #: Exceptions that a read raises while the store is unavailable.
-EXPECTED = (WireError, DirectoryError, TimeoutError)
+STORE_ERRORS = (WireError, DirectoryError, TimeoutError)
 
 
 class StoreReader:
@@ -60,7 +60,7 @@
         first.
         """
         began_at = anyio.current_time()
-        if self.is_lost():
+        if self.is_unavailable():
             self._steps.reverse()
             if await self._try(self._steps[0]):
                 await self._try(self._steps[1])
@@ -68,12 +68,12 @@
             async with anyio.create_task_group() as group:
                 for step in self._steps:
                     group.start_soon(self._try, step)
-        if self.is_lost():
+        if self.is_unavailable():
             self.failed_at = began_at
         else:
             self.exchange.gossip.announce_read()
 
-    def is_lost(self) -> bool:
+    def is_unavailable(self) -> bool:
         """Whether the last read of configuration or targets failed."""
         return any(step.__name__ in self._failed_steps for step in self._steps)
 
@@ -104,7 +104,7 @@
         try:
             with anyio.fail_after(TIMEOUT_S):
                 await read()
-        except EXPECTED as exc:
+        except STORE_ERRORS as exc:
             self.state.fleet.watch.record_failure(began_at)
             self._log_failure(step, exc)
             return False
--- a/trestledock/entry/_store_repair.py
+++ b/trestledock/entry/_store_repair.py
@@ -19,7 +19,7 @@
 from trestledock.entry._gossip import Gossip
 from trestledock.entry._isolation import STORE
 from trestledock.entry._logger import emit
-from trestledock.entry._store_reader import EXPECTED
+from trestledock.entry._store_reader import STORE_ERRORS
 from trestledock.entry._state import EntryState
 from trestledock.relay import QuarantineRecord
 
@@ -68,7 +68,7 @@
             with anyio.fail_after(MAX_DELAY_S + TIMEOUT_S):
                 await self._repair_store()
                 await self._record_settled()
-        except EXPECTED as exc:
+        except STORE_ERRORS as exc:
             emit(events.StoreLost('write_again', repr(exc)))
 
     def _is_store_available(self) -> bool:
--- a/trestledock/entry/_target_list.py
+++ b/trestledock/entry/_target_list.py
@@ -41,7 +41,7 @@
         self.pool = pool
 
     def apply(self, update: StoreUpdate) -> None:
-        """Apply a list that is valid as of `news.as_of`."""
+        """Apply a list that is valid as of `update.as_of`."""
         now = anyio.current_time()
         self.state.record_list(
             update.as_of, now, update.source, update.latest_at
@@ -52,11 +52,11 @@
         for record in update.targets:
             records[record.target_id].append(record.listed)
         for target_id, target_records in records.items():
-            before = self.fleet.get_by_id(target_id)
+            previous = self.fleet.get_by_id(target_id)
             self._apply_records(target_id, target_records, update, now)
-            if before and self.fleet.is_superseded(before):
-                self.state.isolation.record_replaced(before.incarnation)
-                self._discard([before.incarnation], update.source)
+            if previous and self.fleet.is_superseded(previous):
+                self.state.isolation.record_replaced(previous.incarnation)
+                self._discard([previous.incarnation], update.source)
         if not self.fleet.watch.is_synchronized(now):
             self._retain(update, now)
 
@@ -71,11 +71,11 @@
     async def run(self) -> None:
         """Remove retained targets as their time runs out, until cancelled."""
         checked_at = anyio.current_time()
-        pauses = SuspensionDetector()
+        suspensions = SuspensionDetector()
         while True:
             await anyio.sleep(EXPIRY_INTERVAL_S)
             now = anyio.current_time()
-            pause_s = pauses.measure()
+            pause_s = suspensions.measure()
             if pause_s:
                 emit(events.Suspended(round(pause_s * MS)))
             if now - checked_at > EXPIRY_INTERVAL_S + MAX_LATENESS_S:
--- a/trestledock/entry/_update_exchange.py
+++ b/trestledock/entry/_update_exchange.py
@@ -2,10 +2,11 @@
 Store updates from other entries
 ================================
 
-One entry reads the store, and the others ask it. A question is a datagram with
-its time of sending. The answer returns that time with the age of the reader's
-proof, so that an answer that is delayed, or that waits while the process is
-stopped, proves no more than it should. Changes are then fetched over HTTP.
+One entry reads the store, and the others ask it how current its copy is. A
+question is a datagram with its time of sending. The answer returns that time
+with the age of the last proof that the reader's configuration is current, so
+that an answer that is delayed, or that waits while the process is stopped,
+proves no more than it should. Changes are then fetched over HTTP.
 """
 
 import json
@@ -58,7 +59,7 @@
 VERSION_FIELD = 'version'
 #: Query parameter that also requests the removed targets.
 REMOVED_FIELD = 'past'
-#: Source and revision of the own list while it was copied from no entry.
+#: Value of the source and revision of the own list if it is no copy.
 NO_SOURCE = ('', -1)
 
 
