--- a/trestledock/entry/_events.py
+++ b/trestledock/entry/_events.py
@@ -74,7 +74,10 @@
 
 
 class Placed(Event):
-    """A target was chosen; the other fields are what the choice depended on."""
+    """A target was chosen; the other fields are what the choice depended on.
+
+    `tickets` is the number of memory reservations at helpers.
+    """
 
     req: str
     peer: str
@@ -108,8 +111,8 @@
 class SendingEnded(Event):
     """An attempt ended without an answer that can be passed on.
 
-    `sign` is the evidence of how the connection to its target failed, if it
-    did.
+    `ending` and `step` say how and at which step, `sign` is the kind of failure
+    of the connection, if it failed.
     """
 
     req: str
@@ -153,7 +156,10 @@
 
 
 class Refused(Event):
-    """A request was given up; status 503 says that nothing has run."""
+    """A request was given up after `sendings` attempts.
+
+    Status 503 says that nothing has run.
+    """
 
     req: str
     reason: str
@@ -186,7 +192,7 @@
 class TargetListed(Event):
     """A target is new or its record has changed; `again` after a removal.
 
-    `leaves` says that the target is draining, whatever the source of that.
+    `leaves` says that it is known to be draining, by its record or a notice.
     """
 
     peer: str
@@ -206,7 +212,7 @@
 
 
 class TargetHeld(Event):
-    """A target's record is missing, but may only have lapsed."""
+    """A target is retained: its record is missing, but may only have lapsed."""
 
     peer: str
     source: str
@@ -337,8 +343,8 @@
 class TargetEnded(Event):
     """A target crashed while it ran a request.
 
-    `sign` is the evidence at a new connection, or none if another incarnation
-    of the target was listed; `ends` is the number of crashes attributed to the
+    `sign` is the failure of a new connection, or none if another incarnation of
+    the target was listed; `ends` is the number of crashes attributed to the
     request so far.
     """
 
@@ -351,8 +357,8 @@
 class RequestQuarantined(Event):
     """A request goes to no target from now on, after too many crashes.
 
-    `source` is the origin of the last crash: this entry, another one or the
-    store.
+    `ends` is their number, and `source` the origin of the last one: this entry,
+    another one or the store.
     """
 
     fingerprint: str
@@ -361,7 +367,7 @@
 
 
 class RequestCleared(Event):
-    """A request that had crashed targets was answered by one."""
+    """A request with `ends` crashes was answered by a target."""
 
     fingerprint: str
     ends: int
@@ -418,7 +424,7 @@
 
 
 class NewsLost(Event):
-    """An update could not be fetched from another entry."""
+    """A store update could not be fetched from another entry."""
 
     peer: str
     detail: str
--- a/trestledock/entry/_messages.py
+++ b/trestledock/entry/_messages.py
@@ -13,7 +13,7 @@
 
 @dataclass(frozen=True)
 class Flights:
-    """In-flight requests of an entry: changes, or all of them with `whole`.
+    """In-flight requests of an entry: changes, or the full state with `whole`.
 
     `news_age_s` is the age of its copy of the store, `again_s` the longest time
     until its next full state. An entry that is `leaving` is draining, so that
@@ -88,7 +88,10 @@
 
 @dataclass(frozen=True)
 class Cleared:
-    """Notification that a target answered a request that had crashed others."""
+    """Notification that a request was answered; `ends` are cleared.
+
+    These are the incarnations of targets that had crashed during it.
+    """
 
     sender: str
     fingerprint: str
