--- a/trestledock/entry/_target_list.py
+++ b/trestledock/entry/_target_list.py
@@ -209,7 +209,8 @@
 ) -> tuple[list[ListedTarget], list[ListedTarget]]:
     """Return the records before and after the last removal, if any.
 
-    >>> first, second = Listed('t', 's', 'a'), Listed('t', 's', 'b')
+    >>> first = ListedTarget('t', 's', 'a')
+    >>> second = ListedTarget('t', 's', 'b')
     >>> _split_at_removal([first, None, second]) == ([first], [second])
     True
     """
