--- a/trestledock/entry/_metrics.py
+++ b/trestledock/entry/_metrics.py
@@ -117,8 +117,8 @@
 HISTOGRAMS: Mapping[str, str] = MappingProxyType(
     {
         **{
-            timing.name: timing.help_text
-            for timing in EVENT_HISTOGRAMS.values()
+            histogram.name: histogram.help_text
+            for histogram in EVENT_HISTOGRAMS.values()
         },
         **OTHER_HISTOGRAMS,
     }
