--- a/trestledock/entry/_events.py
+++ b/trestledock/entry/_events.py
@@ -257,9 +257,10 @@
 class LimitHeard(Event):
     """The rate limit that a target reported has changed.
 
-    `change` is learnt, changed or lifted; the rates are None without a limit.
-    `source` is the entry that received the notice, this one (`self`) or
-    another, and `age_ms` the maximum age of the notice.
+    It is in requests a second from all entries together. `change` is learnt,
+    changed or lifted; the rates are None without a limit. `source` is the entry
+    that received the notice, this one (`self`) or another, and `age_ms` the
+    maximum age of the notice.
     """
 
     peer: str
