--- a/tests/test_entry_following.py
+++ b/tests/test_entry_following.py
@@ -1,4 +1,4 @@
-"""How an entry reads the store, and how rarely while that is away."""
+"""How an entry reads the store, and how rarely while it is unavailable."""
 
 import unittest
 from random import Random
@@ -8,8 +8,8 @@
 from tests.relaying import SETTINGS, make_listed
 from trestledock.entry import DirectoryError, StoreUpdate, TargetUpdate
 from trestledock.entry._follower import (
-    FETCH_LEAST_S,
-    FETCH_S,
+    MIN_FETCH_TIMEOUT_S,
+    FETCH_TIMEOUT_S,
     Follower,
 )
 from trestledock.entry._gossip import Gossip
@@ -22,7 +22,7 @@
 
 
 class StubDirectory:
-    """A store whose parts answer or fail, and that counts its calls."""
+    """Store whose parts answer or fail, with a record of the calls."""
 
     epoch = None
 
@@ -45,7 +45,7 @@
 
 
 class ReadingTest(unittest.TestCase):
-    """The calls of one entry."""
+    """Calls of one entry."""
 
     def run_follower(self, scenario):
         async def main():
@@ -58,42 +58,42 @@
 
         anyio.run(main)
 
-    def test_one_call_while_the_store_is_away(self):
-        """Calls are priced, refused ones too."""
+    def test_single_call_while_store_is_unavailable(self):
+        """Calls are charged, including refused ones."""
 
         async def scenario(follower, directory):
             directory.down = {'catalog': True, 'targets': True}
-            await follower.reading.read()
+            await follower.store_reader.read()
             directory.calls.clear()
             for _ in range(4):
-                await follower.reading.read()
+                await follower.store_reader.read()
             self.assertEqual(len(directory.calls), 4)
 
         self.run_follower(scenario)
 
-    def test_part_of_the_store_is_back(self):
-        """What can be read is read, whichever part it is."""
+    def test_part_of_the_store_recovers(self):
+        """Each part is read as soon as it is back."""
         for part in ('catalog', 'targets'):
 
             async def scenario(follower, directory, part=part):
                 directory.down = {'catalog': True, 'targets': True}
-                await follower.reading.read()
+                await follower.store_reader.read()
                 directory.down[part] = False
                 directory.calls.clear()
                 for _ in range(2):
-                    await follower.reading.read()
+                    await follower.store_reader.read()
                 self.assertIn(part, directory.calls)
 
             self.run_follower(scenario)
 
-    def test_all_back(self):
-        """The first call that is answered is followed by the other."""
+    def test_whole_store_recovers(self):
+        """After the first successful call the other one follows."""
 
         async def scenario(follower, directory):
             directory.down = {'catalog': True, 'targets': True}
-            await follower.reading.read()
+            await follower.store_reader.read()
             directory.down = {'catalog': False, 'targets': False}
-            await follower.reading.read()
+            await follower.store_reader.read()
             self.assertEqual(follower.state.version, 1)
             self.assertIn('t0', follower.state.fleet.targets)
 
@@ -104,7 +104,7 @@
     """When an entry reads for itself, and what must not delay that."""
 
     def run_stale(self, scenario, age_s):
-        """Run `scenario` with an entry whose news has reached an age.
+        """Run `scenario` with an entry whose state has reached an age.
 
         Many entries come before it in the order of names.
         """
@@ -121,18 +121,18 @@
             follower = Follower(
                 state, StubDirectory(), Pool(state.spawn), exchange
             )
-            await follower.reading.read()
+            await follower.store_reader.read()
             state.fleet.watch.read_at -= age_s
             await scenario(follower)
 
         anyio.run(main)
 
-    def test_success_delays_nothing(self):
-        """An entry that has just read must read again where its news is old.
+    def test_successful_read_does_not_delay_the_next(self):
+        """An entry that has just read reads again if its state is outdated.
 
-        Two readers that stand still one after the other were answered by a
-        pause that is meant for a store that is away: seconds, for the last in
-        the order.
+        After two readers had been paused one after the other, entries waited
+        for a retry delay that is meant for an unavailable store: seconds, for
+        the last in order.
         """
 
         async def scenario(follower):
@@ -141,50 +141,56 @@
 
         self.run_stale(scenario, age_s=1.5)
 
-    def test_failure_delays(self):
-        """While the store is away, those that come later wait for longer."""
+    def test_failed_read_delays_the_next(self):
+        """While the store is unavailable, later entries wait longer."""
 
         async def scenario(follower):
-            follower.reading.directory.down = {'catalog': True, 'targets': True}
-            await follower.reading.read()
+            follower.store_reader.directory.down = {
+                'catalog': True,
+                'targets': True,
+            }
+            await follower.store_reader.read()
             now = anyio.current_time()
             self.assertFalse(follower._is_own_read_due(now))
 
         self.run_stale(scenario, age_s=1.5)
 
-    def test_fetch_ends_when_an_own_read_is_due(self):
-        """A reader that takes the connection and says nothing costs little."""
+    def test_fetch_times_out_when_own_read_is_due(self):
+        """A reader that accepts a connection but never answers costs little."""
 
         async def scenario(follower):
-            found_s = follower._get_fetch_s(anyio.current_time())
-            self.assertEqual(found_s, FETCH_LEAST_S)
+            found_s = follower._get_fetch_timeout_s(anyio.current_time())
+            self.assertEqual(found_s, MIN_FETCH_TIMEOUT_S)
 
         self.run_stale(scenario, age_s=1.0)
 
-    def test_fetch_may_last_while_the_store_is_away(self):
+    def test_long_fetch_while_store_is_unavailable(self):
         async def scenario(follower):
-            follower.reading.directory.down = {'catalog': True, 'targets': True}
-            await follower.reading.read()
-            found_s = follower._get_fetch_s(anyio.current_time())
-            self.assertEqual(found_s, FETCH_S)
+            follower.store_reader.directory.down = {
+                'catalog': True,
+                'targets': True,
+            }
+            await follower.store_reader.read()
+            found_s = follower._get_fetch_timeout_s(anyio.current_time())
+            self.assertEqual(found_s, FETCH_TIMEOUT_S)
 
         self.run_stale(scenario, age_s=1.5)
 
-    def test_next_question_comes_before_an_own_read(self):
-        """The pause between two questions is cut where a read is due sooner."""
+    def test_next_question_is_not_after_own_read(self):
+        """The pause between two questions ends when an own read is due."""
 
         async def scenario(follower):
             pause_s = follower._get_ask_pause_s(anyio.current_time())
-            self.assertLess(pause_s, follower._pace.ask_interval_s)
+            self.assertLess(pause_s, follower._schedule.ask_interval_s)
 
         self.run_stale(scenario, age_s=1.0)
 
 
 class PaceTest(unittest.TestCase):
-    """How often the store is read follows from the settings."""
+    """The reading interval follows from the settings."""
 
-    def test_bound_by_the_stricter_of_both(self):
-        """The least of the bounds on versions and on drains counts."""
+    def test_smaller_bound_applies(self):
+        """The smaller of the bounds on versions and on draining applies."""
         plain = {
             'nodeName': 'a',
             'zone': 'dc',
--- a/tests/test_entry_keeping.py
+++ b/tests/test_entry_keeping.py
@@ -1,4 +1,4 @@
-"""What is quarantined outlives the entries that have seen it."""
+"""The quarantine outlives the entries that observed the crashes."""
 
 import unittest
 from random import Random
@@ -8,7 +8,11 @@
 from tests.relaying import SETTINGS, make_listed
 from tests.virtual_loop import run_virtually
 from trestledock.entry import DirectoryError, LogPosition, StoredQuarantine
-from trestledock.entry._quarantine_sync import CLAIM_S, WAIT_S, Keeping
+from trestledock.entry._quarantine_sync import (
+    MIN_CLAIM_INTERVAL_S,
+    POLL_TIMEOUT_S,
+    Keeping,
+)
 from trestledock.entry._state import EntryState
 from trestledock.relay import FailureKind
 
@@ -16,7 +20,7 @@
 
 
 class Topic:
-    """The store's part that holds requests, in memory."""
+    """The store's quarantine topic, in memory."""
 
     def __init__(self):
         self.records = {}
@@ -50,7 +54,7 @@
 
 
 class Entry:
-    """The part of an entry that keeps requests from targets."""
+    """The part of an entry that isolates requests."""
 
     def __init__(self, topic, *, reads):
         state = EntryState(SETTINGS, 'entry-1#a', Random(1), None)
@@ -58,8 +62,8 @@
         self.isolation.hooks.reconnect = self._look
         self.keeping = Keeping(state, topic, lambda: reads)
 
-    async def see_ends(self, count):
-        """See so many targets end under a request."""
+    async def observe_crashes(self, count):
+        """Observe crashes of several targets during a request."""
         for target in TARGETS[:count]:
             await self.isolation.investigate_failure(
                 'f', FailureKind.closed, [target]
@@ -74,7 +78,7 @@
 
     async def main():
         topic = Topic()
-        entries = [Entry(topic, reads=one) for one in reads]
+        entries = [Entry(topic, reads=is_reader) for is_reader in reads]
         async with anyio.create_task_group() as group:
             for entry in entries:
                 group.start_soon(entry.keeping.run)
@@ -85,23 +89,23 @@
 
 
 class KeepingTest(unittest.TestCase):
-    """Writing once, reading by who reads, and a store that is away."""
+    """Single writes, reads by the reader, and an unavailable store."""
 
-    def test_who_starts_later_knows(self):
+    def test_quarantine_reaches_later_entry(self):
         async def scenario(topic, one, other):
-            await one.see_ends(2)
+            await one.observe_crashes(2)
             await anyio.sleep(1)
             self.assertEqual(topic.records, {})
-            await one.see_ends(3)
+            await one.observe_crashes(3)
             await anyio.sleep(1)
             self.assertTrue(other.isolation.is_quarantined('f'))
 
         run_entries(scenario, False, True)
 
-    def test_store_that_is_away_is_told_later(self):
+    def test_records_are_saved_when_store_is_back(self):
         async def scenario(topic, one):
             topic.down = True
-            await one.see_ends(3)
+            await one.observe_crashes(3)
             await anyio.sleep(20)
             calls = topic.calls
             self.assertLess(calls, 10)
@@ -111,30 +115,30 @@
 
         run_entries(scenario, False)
 
-    def test_reader_that_finds_the_store_away(self):
-        """It asks ever more rarely, and reads as the store is back."""
+    def test_reader_while_store_is_unavailable(self):
+        """It backs off exponentially, and reads once the store is back."""
 
         async def scenario(topic, one, other):
             topic.down = True
             await anyio.sleep(60)
             self.assertLess(topic.calls, 20)
             topic.down = False
-            await other.see_ends(3)
+            await other.observe_crashes(3)
             await anyio.sleep(10)
             self.assertTrue(one.isolation.is_quarantined('f'))
 
         run_entries(scenario, True, False)
 
-    def test_one_call_in_a_long_while(self):
+    def test_long_polls_are_few(self):
         async def scenario(topic, one):
-            await anyio.sleep(WAIT_S * 10.5)
+            await anyio.sleep(POLL_TIMEOUT_S * 10.5)
             self.assertLessEqual(topic.calls, 22)
 
         run_entries(scenario, True)
 
-    def test_no_trial_while_the_store_is_away(self):
+    def test_no_probe_while_store_is_unavailable(self):
         async def scenario(topic, one):
-            await one.see_ends(3)
+            await one.observe_crashes(3)
             await anyio.sleep(one.isolation.get_retry_after_s('f'))
             topic.down = True
             calls = topic.calls
@@ -142,7 +146,7 @@
                 self.assertFalse(await one.isolation.may_probe('f'))
             self.assertEqual(topic.calls - calls, 1)
             topic.down = False
-            await anyio.sleep(CLAIM_S)
+            await anyio.sleep(MIN_CLAIM_INTERVAL_S)
             self.assertTrue(await one.isolation.may_probe('f'))
 
         run_entries(scenario, False)
--- a/tests/test_entry_loads.py
+++ b/tests/test_entry_loads.py
@@ -151,10 +151,10 @@
             entry.sent.clear()
             board.put(make_flight('a', target))
             changes = list(board.pop_changes().items())
-            entry.gossip._tell_changes_far(changes)
+            entry.gossip._send_remote_changes(changes)
             board.remove('a')
             changes = list(board.pop_changes().items())
-            entry.gossip._tell_changes_far(changes)
+            entry.gossip._send_remote_changes(changes)
             places = entry.gossip.addresses.data_centres
             return [
                 (
--- a/tests/test_entry_news.py
+++ b/tests/test_entry_news.py
@@ -1,4 +1,4 @@
-"""News between entries: what a peer's answer proves, and what it does not."""
+"""Updates between entries: what a reader's answer proves."""
 
 import json
 import unittest
@@ -18,7 +18,7 @@
 
 
 def make_exchange():
-    """Return an exchange without sockets, with one peer that is heard."""
+    """Return an exchange without sockets, with one known peer."""
     state = EntryState(SETTINGS, 'entry-1#a', Random(1), None)
     gossip = Gossip(state)
     gossip.peers.known[READER] = Peer(('127.0.0.1', 9), 0, 0)
@@ -30,10 +30,10 @@
 
 
 class AgeTest(unittest.TestCase):
-    """What counts as the age of an entry's news."""
+    """The age of an entry's copy of the store."""
 
     def test_older_of_both_counts(self):
-        """A fresh configuration does not hide an old list of targets."""
+        """A recent configuration does not hide an outdated list of targets."""
 
         async def main():
             state = make_exchange().state
@@ -45,7 +45,7 @@
 
 
 class ProofTest(unittest.TestCase):
-    """Answers of a reader, fresh and stale."""
+    """Recent and outdated answers of a reader."""
 
     def run_async(self, scenario):
         async def main():
@@ -55,38 +55,38 @@
 
         anyio.run(main)
 
-    def test_late_answer_proves_its_question(self):
-        """An answer that waited counts from when it was asked for."""
+    def test_late_answer_counts_from_its_question(self):
+        """A delayed answer counts as of the time of its question."""
 
         async def scenario(exchange):
             now = anyio.current_time()
-            exchange._take_reply(make_reply(now - 9, age_s=0.5), None)
+            exchange._handle_reply(make_reply(now - 9, age_s=0.5), None)
             exchange.renew_proof(READER)
             age_s = exchange.state.proof.get_age_s(now)
             self.assertAlmostEqual(age_s, 9.5)
 
         self.run_async(scenario)
 
-    def test_newer_version_is_fetched_before_it_counts(self):
-        """A reader with a newer version proves nothing of the older one."""
+    def test_newer_version_is_fetched_first(self):
+        """A reader with a newer version proves nothing about the older one."""
 
         async def scenario(exchange):
             now = anyio.current_time()
-            exchange._take_reply(make_reply(now, version=2), None)
+            exchange._handle_reply(make_reply(now, version=2), None)
             self.assertTrue(exchange.renew_proof(READER))
             self.assertFalse(exchange.state.proof.is_fresh(now))
 
         self.run_async(scenario)
 
-    def test_stale_list_brings_nothing_back(self):
-        """A reader cut off from the store does not undo what is known."""
+    def test_outdated_list_is_ignored(self):
+        """A reader that is cut off from the store does not undo newer state."""
 
         async def scenario(exchange):
             state = exchange.state
             now = anyio.current_time()
             state.fleet.put(make_listed(1, 80))
             state.fleet.watch.record_read(now - 0.2, now)
-            exchange._take_reply(make_reply(now, age_s=3), None)
+            exchange._handle_reply(make_reply(now, age_s=3), None)
             self.assertFalse(exchange.renew_proof(READER))
 
             async def get(address, asked):
@@ -99,14 +99,14 @@
 
         self.run_async(scenario)
 
-    def test_newer_list_is_taken(self):
-        """A reader that has read since then is believed."""
+    def test_newer_list_is_applied(self):
+        """The list of a reader that has read since then is applied."""
 
         async def scenario(exchange):
             state = exchange.state
             now = anyio.current_time()
             state.fleet.watch.record_read(now - 2, now - 2)
-            exchange._take_reply(make_reply(now), None)
+            exchange._handle_reply(make_reply(now), None)
             self.assertTrue(exchange.renew_proof(READER))
 
             async def get(address, asked):
@@ -119,8 +119,8 @@
 
         self.run_async(scenario)
 
-    def test_document_that_is_known_is_left_out(self):
-        """Who has the version is spared its text."""
+    def test_known_document_is_omitted(self):
+        """The document is not sent to an entry that has the version."""
 
         async def scenario(exchange):
             exchange.state.document = 'text'
@@ -130,20 +130,20 @@
 
         self.run_async(scenario)
 
-    def test_news_of_an_older_version(self):
-        """It says nothing of held targets, so it vouches for nothing."""
+    def test_update_of_older_program_version(self):
+        """Without retained targets an update is no evidence of removals."""
         news = self.fetch(held=None, settled=None)
         self.assertTrue(news.whole)
         self.assertFalse(news.settled)
         self.assertEqual(news.held, ())
 
-    def test_news_that_makes_no_sense(self):
-        """It is as if nothing had come."""
+    def test_invalid_update(self):
+        """An invalid update counts as none."""
         self.assertIsNone(self.fetch(targets=[{'service': 1}]))
         self.assertIsNone(self.fetch(revision=None))
 
     def fetch(self, **changes):
-        """Fetch news with some fields changed, or left out where None."""
+        """Fetch an update with some fields changed, or omitted if None."""
         found = []
 
         async def scenario(exchange):
--- a/tests/test_entry_peers.py
+++ b/tests/test_entry_peers.py
@@ -1,4 +1,4 @@
-"""Who of the other entries is heard, and what is known of them."""
+"""Which entries are known as peers, and their recorded state."""
 
 import unittest
 
@@ -7,27 +7,27 @@
 from trestledock.entry._messages import Flights
 
 
-def hear(peers, name, *, place='dc', now=0.0, port=1):
-    """Have an entry be heard."""
-    word = Flights(name, 1, True, place, False, 0.1, 0.5, ())
-    return peers.update(word, ('10.0.0.1', port), now)
+def hear(peers, name, *, data_centre='dc', now=0.0, port=1):
+    """Record a message of an entry."""
+    message = Flights(name, 1, True, data_centre, False, 0.1, 0.5, ())
+    return peers.update(message, ('10.0.0.1', port), now)
 
 
 class PeersTest(unittest.TestCase):
-    """The entries that are heard."""
+    """Entries that messages have come from."""
 
     def test_near_among_many(self):
-        """Of many only those of the own data centre are near."""
+        """Among many only the entries of the own data centre are near."""
         peers = Peers('dc')
         for number in range(MAX_FULL_MESH + 1):
-            hear(peers, f'p{number}', place='other', port=number)
+            hear(peers, f'p{number}', data_centre='other', port=number)
         hear(peers, 'near', port=99)
         self.assertEqual(peers.get_near(), ['near'])
         self.assertTrue(peers.is_near('near'))
         self.assertFalse(peers.is_near('p0'))
 
-    def test_news_grow_old(self):
-        """What was told is as old as it was, and older since."""
+    def test_age_of_peer_state(self):
+        """The age of a peer's state grows until its next message."""
         peers = Peers('dc')
         hear(peers, 'a')
         found = next(peers.get_candidates(now=2))
@@ -35,8 +35,8 @@
         peers.record_read('a', 0, now=3)
         self.assertEqual(next(peers.get_candidates(now=3)).age_s, 0)
 
-    def test_next_process_at_an_address(self):
-        """It takes the place of the one before it."""
+    def test_new_process_at_known_address(self):
+        """A new process replaces the earlier one at its address."""
         peers = Peers('dc')
         hear(peers, 'a#1')
         hear(peers, 'b#1', port=2)
--- a/tests/test_entry_signs.py
+++ b/tests/test_entry_signs.py
@@ -1,4 +1,4 @@
-"""What is seen of a target where a sending ends without its answer."""
+"""Evidence of how an attempt without an answer failed."""
 
 import unittest
 
@@ -23,11 +23,11 @@
 BEGUN = make_stream(1, 2, end=b'')
 
 
-class SignTest(unittest.TestCase):
-    """Each way in which a sending ends has a sign of its own."""
+class EvidenceTest(unittest.TestCase):
+    """Each kind of failure has its own evidence."""
 
     def check(self, answer, sign):
-        """The first sending to a target ends with a sign."""
+        """Check the evidence of the first attempt at a target."""
         found = []
 
         async def scenario(world):
@@ -59,17 +59,17 @@
     def test_silent(self):
         self.check(Hang, FailureKind.silent)
 
-    def test_no_answer_in_the_protocol(self):
+    def test_invalid_answer(self):
         self.check(b'what?\r\n\r\n', FailureKind.garbled)
 
-    def test_an_answer_has_none(self):
+    def test_answer_is_no_failure(self):
         self.check(make_answer(status=500), FailureKind.none)
 
 
 class ConnectTest(unittest.TestCase):
-    """Where no connection comes about."""
+    """Failures to connect."""
 
-    def test_nobody_listens(self):
+    def test_connection_refused(self):
         async def main():
             listener = await anyio.create_tcp_listener(local_host='127.0.0.1')
             port = listener.extra(anyio.abc.SocketAttribute.local_port)
--- a/tests/test_entry_words.py
+++ b/tests/test_entry_words.py
@@ -1,8 +1,9 @@
-"""Words between entries: what is told comes through, and nothing else.
+"""Messages between entries: valid ones arrive, and others are rejected.
 
-Anything may come to the port.  One reply without its fields ended the loop that
-asks for news; a flight with a text in the place of a number got onto the board
-and failed every choice of a target after that.
+Anything may arrive at the port. Guards against two faults: a reply without its
+fields ended the loop that follows the reader, and a request with a text in
+place of a number was added to the load table and made each choice of a target
+fail.
 """
 
 import json
@@ -18,7 +19,7 @@
 from trestledock.entry._update_exchange import UpdateExchange
 from trestledock.entry._state import EntryState
 from trestledock.entry._message_codec import (
-    READERS,
+    DECODERS,
     InvalidMessage,
     decode_message,
     encode_message,
@@ -59,7 +60,7 @@
     abandoned_at=9,
     patience_s=2,
 )
-WORDS = (
+MESSAGES = (
     Flights('e', 3, True, 'dc', False, 0.5, 2, (('r1', FLIGHT), ('r2', None))),
     Beat('e', 'dc', leaving=True),
     Ends('e', ((Crash('f', 't1@5'), 0.25), (Crash('g', 't2'), 0))),
@@ -87,98 +88,103 @@
 SENDER = ('10.0.0.1', 9)
 
 
-def spoil(word, name, plain):
-    """Return a word with another value in the place of a field."""
-    told = json.loads(encode_message(word, now=2))
-    return json.dumps({**told, name: plain}).encode()
+def replace_field(message, name, value):
+    """Return an encoded message with another value for a field."""
+    fields = json.loads(encode_message(message, now=2))
+    return json.dumps({**fields, name: value}).encode()
 
 
-class WordsTest(unittest.TestCase):
-    """From one entry to another."""
+class EncodingTest(unittest.TestCase):
+    """Encoding and decoding."""
 
-    def test_there_and_back(self):
-        """Instants move with the clock of whoever reads."""
-        for word in WORDS:
+    def test_round_trip(self):
+        """Instants are relative to the clock of the receiver."""
+        for message in MESSAGES:
             self.assertEqual(
-                decode_message(encode_message(word, now=2), now=2), word
+                decode_message(encode_message(message, now=2), now=2), message
             )
 
-    def test_rest_is_elsewhere_for_who_is_told(self):
-        told = ToldNotices('e', (TargetNotice('t', Backoff(9, 0, 1)),))
-        found = decode_message(encode_message(told, now=2), now=2)
+    def test_backoff_is_decoded_as_elsewhere(self):
+        message = ToldNotices('e', (TargetNotice('t', Backoff(9, 0, 1)),))
+        found = decode_message(encode_message(message, now=2), now=2)
         self.assertEqual(
             found.notices,
             (TargetNotice('t', PeerBackoff(9, 0, 1, is_shared=True)),),
         )
 
-    def test_each_kind_is_written(self):
-        """What can be read is what can be written."""
+    def test_each_kind_is_encoded(self):
+        """Every decodable kind can be encoded."""
         kinds = {
-            json.loads(encode_message(one, now=0))['kind'] for one in WORDS
+            json.loads(encode_message(message, now=0))['kind']
+            for message in MESSAGES
         }
-        self.assertEqual(kinds, set(READERS))
+        self.assertEqual(kinds, set(DECODERS))
 
     def test_older_version(self):
-        """It does not say when it tells everything again."""
-        told = json.loads(encode_message(WORDS[0], now=2))
-        told.pop('again_ms')
+        """Older versions don't send the time until the next full state."""
+        fields = json.loads(encode_message(MESSAGES[0], now=2))
+        fields.pop('again_ms')
         self.assertEqual(
-            decode_message(json.dumps(told).encode(), 2).again_s, 0.5
+            decode_message(json.dumps(fields).encode(), 2).again_s, 0.5
         )
 
     @given(st.binary(max_size=80) | ANY_JSON.map(json.dumps))
-    def test_anything(self, text):
-        """What makes no sense raises one error."""
+    def test_arbitrary_data(self, text):
+        """Invalid data raises one type of error."""
         raw = text if isinstance(text, bytes) else text.encode()
         with self.assertRaises(InvalidMessage):
             decode_message(raw, now=0)
 
-    @given(st.sampled_from(WORDS), st.data())
-    def test_any_field(self, word, draw):
-        """A field of another kind spoils the word, or makes sense."""
+    @given(st.sampled_from(MESSAGES), st.data())
+    def test_arbitrary_field(self, message, draw):
+        """A field of another type makes the message invalid, or is valid."""
         name = draw.draw(
-            st.sampled_from(sorted(json.loads(encode_message(word, 2))))
+            st.sampled_from(sorted(json.loads(encode_message(message, 2))))
         )
-        raw = spoil(word, name, draw.draw(ANY_JSON))
+        raw = replace_field(message, name, draw.draw(ANY_JSON))
         try:
             found = decode_message(raw, now=2)
         except InvalidMessage:
             return
         self.assertIsInstance(encode_message(found, now=2), bytes)
 
-    def test_rows_of_other_kinds(self):
-        """No part of a flight is taken as it comes."""
-        row = json.loads(encode_message(WORDS[0], now=2))['flights'][0]
+    def test_invalid_fields_of_requests(self):
+        """Each field of an in-flight request is checked."""
+        row = json.loads(encode_message(MESSAGES[0], now=2))['flights'][0]
         for at, _ in enumerate(row):
-            for plain in ({}, True, [[1]]):
-                rows = [[*row[:at], plain, *row[at + 1 :]]]
+            for value in ({}, True, [[1]]):
+                rows = [[*row[:at], value, *row[at + 1 :]]]
                 with self.assertRaises(InvalidMessage):
-                    decode_message(spoil(WORDS[0], 'flights', rows), now=2)
+                    decode_message(
+                        replace_field(MESSAGES[0], 'flights', rows), now=2
+                    )
 
-    def test_too_deep(self):
-        """Nesting that the decoder gives up is no sense either."""
+    def test_deep_nesting(self):
+        """Nesting too deep for the JSON decoder is invalid as well."""
         with self.assertRaises(InvalidMessage):
             decode_message(b'[' * 60_000, now=0)
 
 
-class TakeTest(unittest.TestCase):
-    """What strange words do to an entry."""
+class ReceiveTest(unittest.TestCase):
+    """Effects of invalid messages on an entry."""
 
-    def test_nothing_changes(self):
-        """The words beside them count."""
+    def test_invalid_messages_are_ignored(self):
+        """Invalid messages are ignored, and valid ones still count."""
 
         async def main():
             state = EntryState(SETTINGS, 'entry-1#a', Random(1), None)
             gossip = Gossip(state)
             exchange = UpdateExchange(state, gossip)
-            for word in WORDS:
-                for name in json.loads(encode_message(word, now=2)):
-                    gossip.handle_datagram(spoil(word, name, {}), SENDER)
+            for message in MESSAGES:
+                for name in json.loads(encode_message(message, now=2)):
+                    gossip.handle_datagram(
+                        replace_field(message, name, {}), SENDER
+                    )
             self.assertEqual(
                 (gossip.peers.known, state.board.count_peers()), ({}, 0)
             )
             self.assertFalse(exchange.renew_proof('e'))
-            gossip.handle_datagram(encode_message(WORDS[0], now=2), SENDER)
+            gossip.handle_datagram(encode_message(MESSAGES[0], now=2), SENDER)
             self.assertEqual(set(gossip.peers.known), {'e'})
             self.assertEqual(len(list(state.board.get_flights('t1@5'))), 1)
 
--- a/trestledock/entry/_app.py
+++ b/trestledock/entry/_app.py
@@ -20,7 +20,7 @@
 from trestledock.entry._logger import emit
 from trestledock.entry._metrics import METRICS
 from trestledock.entry._update_exchange import (
-    PAST_FIELD,
+    REMOVED_FIELD,
     VERSION_FIELD,
     UpdateExchange,
 )
@@ -111,7 +111,8 @@
                 _read_field(query, DATA_CENTRE_FIELD)
             )
         return self.update_exchange.encode_update(
-            _read_version(query), with_past=bool(_read_field(query, PAST_FIELD))
+            _read_version(query),
+            with_removed=bool(_read_field(query, REMOVED_FIELD)),
         )
 
     async def _serve(
--- a/trestledock/entry/_crash_exchange.py
+++ b/trestledock/entry/_crash_exchange.py
@@ -1,9 +1,9 @@
 """
-Ends between entries
-====================
+Exchange of crashes between entries
+===================================
 
-Tells the other entries at once which targets have ended under which requests,
-and which such requests were answered after all.
+Sends the other entries each crash of a target during a request at once
+(`Ends`), and each answer to a request that had crashed targets (`Cleared`).
 """
 
 from typing import Iterable, Sequence
@@ -15,60 +15,68 @@
 from trestledock.entry._messages import Cleared, Ends
 from trestledock.relay import Crash
 
-#: When an end is told again that others must not miss, in seconds after it was
-#: told last: words may be lost, or an entry be cut off for a while.
-AGAIN_S = (0.3, 0.7, 2.0)
+#: Delays between repetitions of an important crash message, in seconds:
+#: messages may be lost, or an entry be cut off for a while.
+RESEND_DELAYS_S = (0.3, 0.7, 2.0)
 
-#: An end with its age, in seconds.
-AgedEnd = tuple[Crash, float]
+#: Crash with its age, in seconds.
+AgedCrash = tuple[Crash, float]
 
 
 class EndsExchange:
-    """Tells and hears of ends for one entry."""
+    """Sends and receives `Ends` and `Cleared` messages for one entry."""
 
     def __init__(self, gossip: Gossip) -> None:
-        """Take part in the gossip."""
+        """Register the handlers with the gossip and the isolation."""
         self.gossip = gossip
         self.isolation = gossip.state.isolation
-        self.isolation.hooks.send_crashes = self.tell
-        self.isolation.hooks.send_cleared = self._tell_cleared
-        gossip.handlers[Ends] = self._take
-        gossip.handlers[Cleared] = self._take_cleared
-        gossip.on_new_peer.append(self._tell_known)
-
-    def tell(self, ends: Sequence[Crash]) -> None:
-        """Have all others know of targets that have just ended."""
-        if not ends:
+        self.isolation.hooks.send_crashes = self.send_crashes
+        self.isolation.hooks.send_cleared = self._send_cleared
+        gossip.handlers[Ends] = self._handle_crashes
+        gossip.handlers[Cleared] = self._handle_cleared
+        gossip.on_new_peer.append(self._send_known)
+
+    def send_crashes(self, crashes: Sequence[Crash]) -> None:
+        """Send all other entries an `Ends` message about new crashes."""
+        if not crashes:
             return
-        self._send([(end, 0) for end in ends], self._get_all())
-        if any(map(self.isolation.needs_resending, ends)):
-            self.gossip.state.spawn(self._tell_again, ends)
+        self._send([(crash, 0) for crash in crashes], self._get_all())
+        if any(map(self.isolation.needs_resending, crashes)):
+            self.gossip.state.spawn(self._tell_again, crashes)
 
-    async def _tell_again(self, ends: Iterable[Crash]) -> None:
+    async def _tell_again(self, crashes: Iterable[Crash]) -> None:
         age_s: float = 0
-        for wait_s in AGAIN_S:
+        for wait_s in RESEND_DELAYS_S:
             await anyio.sleep(wait_s)
             age_s += wait_s
-            self._send([(end, age_s) for end in ends], self._get_all())
+            self._send([(crash, age_s) for crash in crashes], self._get_all())
 
-    def _tell_known(self, address: Address) -> None:
-        """Have an entry that is new know what matters of what is known."""
+    def _send_known(self, address: Address) -> None:
+        """Send the known crashes that matter to a new entry."""
         self._send(list(self.isolation.get_known()), [address])
 
-    def _tell_cleared(self, fingerprint: str, ends: Sequence[str]) -> None:
-        word = Cleared(self.gossip.state.member, fingerprint, tuple(ends))
-        self.gossip.send(word, self._get_all())
+    def _send_cleared(
+        self, fingerprint: str, incarnations: Sequence[str]
+    ) -> None:
+        message = Cleared(
+            self.gossip.state.member, fingerprint, tuple(incarnations)
+        )
+        self.gossip.send(message, self._get_all())
 
-    def _take(self, word: Ends, _: Address) -> bool:
-        self.isolation.merge_crashes(word.ends, word.sender)
+    def _handle_crashes(self, message: Ends, _: Address) -> bool:
+        self.isolation.merge_crashes(message.ends, message.sender)
         return True
 
-    def _take_cleared(self, word: Cleared, _: Address) -> bool:
-        self.isolation.merge_cleared(word.fingerprint, word.ends, word.sender)
+    def _handle_cleared(self, message: Cleared, _: Address) -> bool:
+        self.isolation.merge_cleared(
+            message.fingerprint, message.ends, message.sender
+        )
         return False
 
-    def _send(self, ends: Sequence[AgedEnd], where: Sequence[Address]) -> None:
-        self.gossip.send_rows(Ends, ends, where)
+    def _send(
+        self, crashes: Sequence[AgedCrash], addresses: Sequence[Address]
+    ) -> None:
+        self.gossip.send_rows(Ends, crashes, addresses)
 
     def _get_all(self) -> list[Address]:
         return self.gossip.addresses.get_all()
--- a/trestledock/entry/_isolation.py
+++ b/trestledock/entry/_isolation.py
@@ -1,12 +1,12 @@
 """
-Isolation of deadly requests
-============================
-
-Finds out why a connection to a target ended in the middle of a request, puts it
-down to the request where the target ended with it, and has the other entries
-and the store know.  A target that merely closes its connections takes new ones
-at once; where one has ended nobody listens, and another start of it is listed
-later.
+Isolation of requests that crash targets
+========================================
+
+Finds out why a connection to a target was closed in the middle of a request,
+attributes a crash of the target to the request, and informs the other entries
+and the store. A target that merely closes connections accepts new ones at once.
+After a crash nothing listens at the address, and another incarnation of the
+target is listed later.
 """
 
 from dataclasses import dataclass
@@ -39,87 +39,91 @@
 
 
 class Inquiry(Enum):
-    """How it is found out whether a target has ended with a request.
+    """How to find out whether a target crashed during a request.
 
-    `look` connects to it once more, `listing` waits for another start of it.
+    `reconnect` connects to it again, `listing` waits until another
+    incarnation of it is listed.
     """
 
     none = 'none'
     listing = 'listing'
-    look = 'look'
+    reconnect = 'reconnect'
 
 
-#: What is done by how a sending ended.  A process closes its connections as it
-#: ends, and may write bytes that are no answer in its last moment.  Silence
-#: says nothing: whoever was left for it is not known to have run the request,
-#: and cuts and crowds make more of it than ends.
+#: Inquiry by kind of failure. A crashing process closes its connections, and
+#: may write bytes that are no valid answer first. Silence proves nothing: a
+#: target given up for silence is not known to have run the request, and network
+#: partitions and overload cause more silence than crashes do.
 INQUIRIES: Mapping[FailureKind, Inquiry] = MappingProxyType(
     {
         FailureKind.none: Inquiry.none,
-        FailureKind.closed: Inquiry.look,
+        FailureKind.closed: Inquiry.reconnect,
         FailureKind.silent: Inquiry.none,
         FailureKind.refused: Inquiry.none,
         FailureKind.unreachable: Inquiry.none,
         FailureKind.garbled: Inquiry.listing,
     }
 )
-#: What shows at a look that a process has gone.  All else waits for a listing:
-#: one that listens may be its next start, and an address that isn't reached may
-#: be that of one that lives.
-ENDED = FailureKind.refused
-#: An end of which another entry tells keeps this one from a target where it is
-#: no older than this, in seconds: its next start has another name.
-FRESH_S = 1.0
-#: Requests with so many ends are told of again, and when they are answered: one
-#: end says little, and each word goes to everybody.
+#: Failure of a new connection that proves that the process is gone. Any other
+#: result waits for a listing: a process that listens may be the next
+#: incarnation, and an unreachable address may be that of a live one.
+GONE = FailureKind.refused
+#: Maximum age of a crash reported by another entry, in seconds, at which this
+#: entry stops using the target: the next incarnation has another name.
+RECENT_S = 1.0
+#: Minimum number of crashes of a request for which crash messages are repeated
+#: and its answer is announced: one crash says little, and each message goes to
+#: every entry.
 MIN_SHARED_CRASHES = 2
+#: Sources in log events: this entry, and the platform's store.
 SELF = 'self'
-#: Who says something where that is the platform's store.
 STORE = 'store'
 
-Look = Callable[[ListedTarget], Awaitable[FailureKind]]
+Reconnect = Callable[[ListedTarget], Awaitable[FailureKind]]
 Claim = Callable[[QuarantineRecord], Awaitable[bool]]
-TellEnds = Callable[[Sequence[Crash]], None]
-TellCleared = Callable[[str, Sequence[str]], None]
+SendCrashes = Callable[[Sequence[Crash]], None]
+SendCleared = Callable[[str, Sequence[str]], None]
 
 
-async def _see_nothing(_: ListedTarget) -> FailureKind:
-    """Stand for a look at a target where nobody can."""
+async def _report_unreachable(_: ListedTarget) -> FailureKind:
+    """Default for `reconnect`, without connections."""
     return FailureKind.unreachable
 
 
-async def _grant_nothing(_: QuarantineRecord) -> bool:
-    """Stand for a claim where there is no store."""
+async def _refuse_claim(_: QuarantineRecord) -> bool:
+    """Default for `claim`, without a store."""
     return False
 
 
-def _tell_nobody(*_: Any) -> None:
-    """Stand for telling where nobody speaks."""
+def _send_nothing(*_: Any) -> None:
+    """Default for sending, without other entries."""
 
 
 @dataclass
 class IsolationHooks:
-    """How an isolation learns and tells.
+    """Callbacks of the isolation.
 
-    `reconnect` connects to a target once more; `claim` takes the right to try a
-    quarantined request from all other entries; the others tell these at once.
+    `reconnect` connects to a target again; `claim` reserves the right to probe
+    a quarantined request among all entries; the others send to all entries at
+    once.
     """
 
-    reconnect: Look = _see_nothing
-    claim: Claim = _grant_nothing
-    send_crashes: TellEnds = _tell_nobody
-    send_cleared: TellCleared = _tell_nobody
+    reconnect: Reconnect = _report_unreachable
+    claim: Claim = _refuse_claim
+    send_crashes: SendCrashes = _send_nothing
+    send_cleared: SendCleared = _send_nothing
 
 
 class Isolation:
-    """Keeps requests from targets that would end under them.
+    """Keeps requests that crash targets away from them.
 
-    `unsaved` has what the store is to know, and `unsaved_added` is set with it;
-    `revision` grows with each change of what is quarantined.
+    `unsaved` has the fingerprints of requests to save in the store, and
+    `unsaved_added` is set when one is added; `revision` grows with each change
+    of the quarantine.
     """
 
     def __init__(self, health: Health, fleet: Fleet) -> None:
-        """Begin with no end."""
+        """Start without any crashes."""
         self.health = health
         self.fleet = fleet
         self.quarantine = Quarantine()
@@ -127,28 +131,29 @@
         self.unsaved: set[str] = set()
         self.unsaved_added = anyio.Event()
         self.revision = 0
-        self._open = UnconfirmedCrashes()
+        self._suspected = UnconfirmedCrashes()
         self._witnessed: set[str] = set()
         self._claiming: set[str] = set()
-        self._tried: set[str] = set()
+        self._probed: set[str] = set()
 
     def is_quarantined(self, fingerprint: str) -> bool:
-        """Whether a request goes to no target."""
+        """Whether a request must not go to any target."""
         return self.quarantine.is_quarantined(fingerprint)
 
     def count_quarantined(self) -> int:
-        """Return how many requests go to no target."""
+        """Return the number of quarantined requests."""
         return sum(map(self.is_quarantined, self.quarantine.suspects))
 
     def get_retry_after_s(self, fingerprint: str) -> float:
-        """Return when to come back with a quarantined request, in seconds."""
+        """Return the Retry-After of a quarantined request, in seconds."""
         now = anyio.current_time()
         return self.quarantine.get_retry_after_s(fingerprint, now)
 
     async def may_probe(self, fingerprint: str) -> bool:
-        """Whether a quarantined request may be given to one target now.
+        """Whether a quarantined request may go to one target as a probe now.
 
-        Of all such requests at all entries one may; the others don't wait.
+        At any time one request with this fingerprint may, among all entries;
+        the others don't wait.
         """
         now = anyio.current_time()
         is_due = self.quarantine.is_probe_due(fingerprint, now)
@@ -156,16 +161,16 @@
             return False
         self._claiming.add(fingerprint)
         try:
-            granted = await self.hooks.claim(
+            is_granted = await self.hooks.claim(
                 self.quarantine.make_record(fingerprint, now)
             )
         finally:
             self._claiming.discard(fingerprint)
-        # It may have been answered elsewhere while the store was asked.
-        if not granted or not self.is_quarantined(fingerprint):
+        # Another entry may have got an answer during the claim.
+        if not is_granted or not self.is_quarantined(fingerprint):
             return False
         self.quarantine.record_probe(fingerprint, now)
-        self._tried.add(fingerprint)
+        self._probed.add(fingerprint)
         self.revision += 1
         emit(events.TrialGranted(fingerprint))
         return True
@@ -173,88 +178,90 @@
     async def investigate_failure(
         self,
         fingerprint: str,
-        sign: FailureKind,
+        failure_kind: FailureKind,
         targets: Iterable[ListedTarget],
     ) -> None:
-        """Find out whether a target has ended with a request.
+        """Find out whether a target has crashed during a request.
 
-        Of all that work on a request one end counts: its reader and its
-        helpers may have ended together.
+        Only one crash counts among all targets that work on a request: its
+        engine and the helpers may have crashed together.
         """
-        inquiry = INQUIRIES[sign]
+        inquiry = INQUIRIES[failure_kind]
         if inquiry is Inquiry.none:
             return
         for target in targets:
-            looks = inquiry is Inquiry.look
-            if looks and await self.hooks.reconnect(target) is ENDED:
-                end = Crash(fingerprint, target.incarnation)
-                self._note_own([end], ENDED)
+            reconnects = inquiry is Inquiry.reconnect
+            if reconnects and await self.hooks.reconnect(target) is GONE:
+                crash = Crash(fingerprint, target.incarnation)
+                self._record_own([crash], GONE)
                 return
-            self._open.add(fingerprint, target, anyio.current_time())
+            self._suspected.add(fingerprint, target, anyio.current_time())
 
     def record_replaced(self, incarnation: str) -> None:
-        """Note that another start of a target is known: this one has ended."""
+        """Record another incarnation of a target: the given one crashed."""
         now = anyio.current_time()
-        self._note_own(
-            self._open.pop_confirmed(incarnation, now), FailureKind.none
+        self._record_own(
+            self._suspected.pop_confirmed(incarnation, now), FailureKind.none
         )
 
     def record_listed(self, listed: ListedTarget) -> None:
-        """Note a target: what had its address before has ended."""
+        """Record a listed target: its predecessor at the address crashed."""
         now = anyio.current_time()
-        self._note_own(
-            self._open.pop_replaced_by(listed, now), FailureKind.none
+        self._record_own(
+            self._suspected.pop_replaced_by(listed, now), FailureKind.none
         )
 
     def record_answered(self, fingerprint: str) -> None:
-        """Note that a target has answered a request: it ends none."""
+        """Record that a target has answered a request without a crash."""
         was_quarantined = self.is_quarantined(fingerprint)
         now = anyio.current_time()
-        ends = self.quarantine.record_answer(fingerprint, now)
-        self._note_cleared(fingerprint, len(ends), SELF)
-        if len(ends) >= MIN_SHARED_CRASHES:
-            self.hooks.send_cleared(fingerprint, ends)
+        incarnations = self.quarantine.record_answer(fingerprint, now)
+        self._log_cleared(fingerprint, len(incarnations), SELF)
+        if len(incarnations) >= MIN_SHARED_CRASHES:
+            self.hooks.send_cleared(fingerprint, incarnations)
         if was_quarantined:
-            self._keep(fingerprint)
+            self._mark_unsaved(fingerprint)
 
     def merge_crashes(
         self,
-        ends: Iterable[tuple[Crash, float]],
+        crashes: Iterable[tuple[Crash, float]],
         source: str,
     ) -> None:
-        """Take ends that another entry knows, with their ages in seconds."""
+        """Add crashes reported by another entry, with ages in seconds."""
         now = anyio.current_time()
-        for end, age_s in ends:
-            self._add(end, now - age_s, source)
-            if age_s < FRESH_S:
-                self._avoid(end.incarnation, now)
+        for crash, age_s in crashes:
+            self._add(crash, now - age_s, source)
+            if age_s < RECENT_S:
+                self._avoid(crash.incarnation, now)
 
     def merge_cleared(
         self,
         fingerprint: str,
-        ends: Iterable[str],
+        incarnations: Iterable[str],
         source: str,
     ) -> None:
-        """Take another's word that a request with some ends was answered."""
-        count = self.quarantine.clear_crashes(fingerprint, ends)
-        self._note_cleared(fingerprint, count, source)
+        """Remove crashes of a request that was answered at another entry."""
+        count = self.quarantine.clear_crashes(fingerprint, incarnations)
+        self._log_cleared(fingerprint, count, source)
 
     def merge_records(
         self,
         records: Iterable[QuarantineRecord],
         source: str,
     ) -> None:
-        """Take what the store, or the list of another entry, has."""
+        """Add records of the store, or from another entry's update."""
         now = anyio.current_time()
         for record in records:
             fingerprint = record.fingerprint
             self.merge_cleared(fingerprint, record.cleared, source)
             was_quarantined = self.is_quarantined(fingerprint)
             self.quarantine.merge(record, now)
-            self._look_at(fingerprint, source, was_quarantined=was_quarantined)
+            self._check_quarantined(
+                fingerprint, source, was_quarantined=was_quarantined
+            )
 
     def get_known(self) -> Iterator[tuple[Crash, float]]:
-        """Yield what an entry is told that is new, with ages."""
+        """Yield the crashes that a new entry is sent, with their ages."""
         now = anyio.current_time()
         for fingerprint, suspect in self.quarantine.suspects.items():
             if len(suspect.incarnations) < MIN_SHARED_CRASHES:
@@ -263,88 +270,100 @@
             for incarnation in suspect.incarnations:
                 yield Crash(fingerprint, incarnation), age_s
 
-    def needs_resending(self, end: Crash) -> bool:
-        """Whether a lost word of an end would matter."""
+    def needs_resending(self, crash: Crash) -> bool:
+        """Whether the loss of a message about a crash would matter."""
         return (
-            self.quarantine.count_crashes(end.fingerprint) >= MIN_SHARED_CRASHES
+            self.quarantine.count_crashes(crash.fingerprint)
+            >= MIN_SHARED_CRASHES
         )
 
     def record_restore(self) -> None:
-        """Have the store know again of trials that it may have lost.
+        """Save the probes again that a restored store may have lost.
 
-        Others need not have heard of them yet, and would try once more.
+        Other entries may not know of them yet, and would probe once more.
         """
-        for fingerprint in filter(self.is_quarantined, self._tried):
-            self._keep(fingerprint)
+        for fingerprint in filter(self.is_quarantined, self._probed):
+            self._mark_unsaved(fingerprint)
 
     def pop_unsaved(self) -> list[QuarantineRecord]:
-        """Return what the store is to know; nothing waits any more."""
+        """Return and clear the records that are to be saved."""
         now = anyio.current_time()
-        found = sorted(self.unsaved & self.quarantine.suspects.keys())
+        fingerprints = sorted(self.unsaved & self.quarantine.suspects.keys())
         self.unsaved = set()
         self.unsaved_added = anyio.Event()
-        return [self.quarantine.make_record(one, now) for one in found]
+        return [
+            self.quarantine.make_record(fingerprint, now)
+            for fingerprint in fingerprints
+        ]
 
     def requeue_unsaved(self, records: Iterable[QuarantineRecord]) -> None:
-        """Have the store know later what it did not take."""
+        """Mark records for saving again after a failure."""
         for record in records:
-            self._keep(record.fingerprint)
+            self._mark_unsaved(record.fingerprint)
 
-    def _note_own(self, ends: list[Crash], sign: FailureKind) -> None:
+    def _record_own(
+        self, crashes: list[Crash], failure_kind: FailureKind
+    ) -> None:
         now = anyio.current_time()
-        for one in ends:
-            self._avoid(one.incarnation, now)
-        blamed = [one for one in ends if self.quarantine.is_blamed(one, now)]
-        for end in blamed:
-            self._witnessed.add(end.fingerprint)
-            if self._add(end, now, SELF):
-                count = self.quarantine.count_crashes(end.fingerprint)
+        for crash in crashes:
+            self._avoid(crash.incarnation, now)
+        attributed = [
+            crash for crash in crashes if self.quarantine.is_blamed(crash, now)
+        ]
+        for crash in attributed:
+            self._witnessed.add(crash.fingerprint)
+            if self._add(crash, now, SELF):
+                count = self.quarantine.count_crashes(crash.fingerprint)
                 emit(
                     events.TargetEnded(
-                        end.incarnation, end.fingerprint, sign.value, count
+                        crash.incarnation,
+                        crash.fingerprint,
+                        failure_kind.value,
+                        count,
                     )
                 )
-        self.hooks.send_crashes(blamed)
+        self.hooks.send_crashes(attributed)
 
     def _avoid(self, incarnation: str, now: float) -> None:
-        """Leave a target alone that has ended, until its entry goes."""
+        """Stop using a crashed target until its record is removed."""
         if incarnation in self.fleet.targets:
             self.health.record_silence(incarnation, now)
 
-    def _add(self, end: Crash, ended_at: float, source: str) -> bool:
-        was_quarantined = self.is_quarantined(end.fingerprint)
-        is_new = self.quarantine.record_crash(end, ended_at)
+    def _add(self, crash: Crash, crashed_at: float, source: str) -> bool:
+        was_quarantined = self.is_quarantined(crash.fingerprint)
+        is_new = self.quarantine.record_crash(crash, crashed_at)
         if is_new:
-            self._look_at(
-                end.fingerprint, source, was_quarantined=was_quarantined
+            self._check_quarantined(
+                crash.fingerprint, source, was_quarantined=was_quarantined
             )
         return is_new
 
-    def _look_at(
+    def _check_quarantined(
         self, fingerprint: str, source: str, *, was_quarantined: bool
     ) -> None:
-        """Note whether a request is quarantined from now on.
+        """Log and save a request that has become quarantined.
 
-        An entry that has seen one of its ends has the store know, for those
-        that start later.  So up to three do, as any of them may be gone.
+        An entry that observed one of its crashes saves it in the store, for
+        entries that start later. So up to three entries do, as any of them may
+        have stopped.
         """
         if self.is_quarantined(fingerprint) and not was_quarantined:
             count = self.quarantine.count_crashes(fingerprint)
             self.revision += 1
             emit(events.RequestQuarantined(fingerprint, count, source))
             if source != STORE and fingerprint in self._witnessed:
-                self._keep(fingerprint)
+                self._mark_unsaved(fingerprint)
         for forgotten in self.quarantine.evict_excess():
             self._witnessed.discard(forgotten)
             emit(events.SuspectForgotten(forgotten))
 
-    def _note_cleared(self, fingerprint: str, count: int, source: str) -> None:
+    def _log_cleared(self, fingerprint: str, count: int, source: str) -> None:
         if not count:
             return
         self.revision += 1
         self._witnessed.discard(fingerprint)
         emit(events.RequestCleared(fingerprint, count, source))
 
-    def _keep(self, fingerprint: str) -> None:
+    def _mark_unsaved(self, fingerprint: str) -> None:
         self.unsaved.add(fingerprint)
         self.unsaved_added.set()
--- a/trestledock/entry/_message_codec.py
+++ b/trestledock/entry/_message_codec.py
@@ -1,10 +1,10 @@
 """
-The wire form of words
-======================
+Encoding of messages between entries
+====================================
 
-Words between entries as JSON.  What makes no sense is refused whole: other
-versions of the program, and others altogether, may speak here.  Instants are
-told as the time since or until, since clocks differ.
+Messages as JSON. An invalid message is rejected as a whole, since other
+versions of the program and unrelated senders may use the port. Instants are
+sent as the time since or until them, because clocks differ between machines.
 """
 
 import json
@@ -37,192 +37,194 @@
 from trestledock.relay import Crash
 
 MS = 1000
-#: How often an entry of an older version tells everything, in milliseconds.
-OLDER_AGAIN_MS = 500
+#: Period of the full state in older versions, in milliseconds.
+DEFAULT_AGAIN_MS = 500
 
-#: What decoding raises where a word makes no sense.
-UNREADABLE = (ValueError, LookupError, TypeError, RecursionError)
+#: Exceptions that decoding an invalid message raises.
+DECODE_ERRORS = (ValueError, LookupError, TypeError, RecursionError)
 
-Plain = Mapping[str, Any]
+Fields = Mapping[str, Any]
 
 
 class InvalidMessage(ValueError):
-    """A datagram that makes no sense."""
+    """Raised for an invalid datagram."""
 
 
 @singledispatch
-def _write(word: Message, now: float) -> dict[str, Any]:
-    """Return the fields of a word beside its sender."""
-    raise TypeError(f'no word: {word!r}')
+def _get_fields(message: Message, now: float) -> dict[str, Any]:
+    """Return the fields of a message other than its sender."""
+    raise TypeError(f'unknown message type: {message!r}')
 
 
-@_write.register
-def _(word: Flights, now: float) -> dict[str, Any]:
+@_get_fields.register
+def _(message: Flights, now: float) -> dict[str, Any]:
     return {
         'kind': 'flights',
-        'sequence': word.sequence,
-        'whole': word.whole,
-        'data_centre': word.data_centre,
-        'leaving': word.leaving,
-        'news_age_ms': round(word.news_age_s * MS),
-        'again_ms': round(word.again_s * MS),
-        'flights': [encode_change(*one, now) for one in word.changes],
+        'sequence': message.sequence,
+        'whole': message.whole,
+        'data_centre': message.data_centre,
+        'leaving': message.leaving,
+        'news_age_ms': round(message.news_age_s * MS),
+        'again_ms': round(message.again_s * MS),
+        'flights': [encode_change(*change, now) for change in message.changes],
     }
 
 
-@_write.register
-def _(word: Beat, now: float) -> dict[str, Any]:
+@_get_fields.register
+def _(message: Beat, now: float) -> dict[str, Any]:
     return {
         'kind': 'beat',
-        'data_centre': word.data_centre,
-        'leaving': word.leaving,
+        'data_centre': message.data_centre,
+        'leaving': message.leaving,
     }
 
 
-@_write.register
-def _(word: Fresh, now: float) -> dict[str, Any]:
-    return {'kind': 'fresh', 'news_age_ms': round(word.news_age_s * MS)}
+@_get_fields.register
+def _(message: Fresh, now: float) -> dict[str, Any]:
+    return {'kind': 'fresh', 'news_age_ms': round(message.news_age_s * MS)}
 
 
-@_write.register
-def _(word: Question, now: float) -> dict[str, Any]:
-    return {'kind': 'ask', 'asked_at': word.asked_at}
+@_get_fields.register
+def _(message: Question, now: float) -> dict[str, Any]:
+    return {'kind': 'ask', 'asked_at': message.asked_at}
 
 
-@_write.register
-def _(word: Reply, now: float) -> dict[str, Any]:
+@_get_fields.register
+def _(message: Reply, now: float) -> dict[str, Any]:
     return {
         'kind': 'reply',
-        'asked_at': word.asked_at,
-        'proof_age_s': word.proof_age_s,
-        'read_age_s': word.read_age_s,
-        'list_age_s': word.list_age_s,
-        'version': word.version,
-        'revision': word.revision,
-        'epoch': word.epoch,
+        'asked_at': message.asked_at,
+        'proof_age_s': message.proof_age_s,
+        'read_age_s': message.read_age_s,
+        'list_age_s': message.list_age_s,
+        'version': message.version,
+        'revision': message.revision,
+        'epoch': message.epoch,
     }
 
 
-@_write.register
-def _(word: Ends, now: float) -> dict[str, Any]:
+@_get_fields.register
+def _(message: Ends, now: float) -> dict[str, Any]:
     rows = [
         (end.fingerprint, end.incarnation, round(age_s * MS))
-        for end, age_s in word.ends
+        for end, age_s in message.ends
     ]
     return {'kind': 'ends', 'ends': rows}
 
 
-@_write.register
-def _(word: Cleared, now: float) -> dict[str, Any]:
+@_get_fields.register
+def _(message: Cleared, now: float) -> dict[str, Any]:
     return {
         'kind': 'cleared',
-        'fingerprint': word.fingerprint,
-        'ends': word.ends,
+        'fingerprint': message.fingerprint,
+        'ends': message.ends,
     }
 
 
-@_write.register
-def _(word: ToldNotices, now: float) -> dict[str, Any]:
-    return {'kind': 'limits', **encode_notices(word.notices, now)}
+@_get_fields.register
+def _(message: ToldNotices, now: float) -> dict[str, Any]:
+    return {'kind': 'limits', **encode_notices(message.notices, now)}
 
 
-def encode_message(word: Message, now: float) -> bytes:
-    """Return a word as it is sent."""
-    plain = _write(word, now)
-    plain['from'] = word.sender
-    return json.dumps(plain, separators=(',', ':')).encode()
+def encode_message(message: Message, now: float) -> bytes:
+    """Return the encoded message."""
+    fields = _get_fields(message, now)
+    fields['from'] = message.sender
+    return json.dumps(fields, separators=(',', ':')).encode()
 
 
-def _read_flights(plain: Plain, sender: str, now: float) -> Flights:
-    rows = read_list(plain['flights'])
+def _decode_flights(fields: Fields, sender: str, now: float) -> Flights:
+    rows = read_list(fields['flights'])
     return Flights(
         sender=sender,
-        sequence=read_int(plain['sequence']),
-        whole=read_bool(plain['whole']),
-        data_centre=read_text(plain['data_centre']),
-        leaving=read_bool(plain.get('leaving', False)),
-        news_age_s=read_number(plain['news_age_ms']) / MS,
-        again_s=read_number(plain.get('again_ms', OLDER_AGAIN_MS)) / MS,
+        sequence=read_int(fields['sequence']),
+        whole=read_bool(fields['whole']),
+        data_centre=read_text(fields['data_centre']),
+        leaving=read_bool(fields.get('leaving', False)),
+        news_age_s=read_number(fields['news_age_ms']) / MS,
+        again_s=read_number(fields.get('again_ms', DEFAULT_AGAIN_MS)) / MS,
         changes=tuple([decode_change(row, now) for row in rows]),
     )
 
 
-def _read_beat(plain: Plain, sender: str, now: float) -> Beat:
+def _decode_beat(fields: Fields, sender: str, now: float) -> Beat:
     return Beat(
         sender,
-        read_text(plain['data_centre']),
-        read_bool(plain.get('leaving', False)),
+        read_text(fields['data_centre']),
+        read_bool(fields.get('leaving', False)),
     )
 
 
-def _read_fresh(plain: Plain, sender: str, now: float) -> Fresh:
-    return Fresh(sender, read_number(plain['news_age_ms']) / MS)
+def _decode_fresh(fields: Fields, sender: str, now: float) -> Fresh:
+    return Fresh(sender, read_number(fields['news_age_ms']) / MS)
 
 
-def _read_question(plain: Plain, sender: str, now: float) -> Question:
-    return Question(sender, read_number(plain['asked_at']))
+def _decode_question(fields: Fields, sender: str, now: float) -> Question:
+    return Question(sender, read_number(fields['asked_at']))
 
 
-def _read_reply(plain: Plain, sender: str, now: float) -> Reply:
-    """Read an answer; for older versions each read is a proof."""
-    proof_age_s = read_number(plain['proof_age_s'])
+def _decode_reply(fields: Fields, sender: str, now: float) -> Reply:
+    """Decode a reply; in older versions each read is a proof."""
+    proof_age_s = read_number(fields['proof_age_s'])
     return Reply(
         sender=sender,
-        asked_at=read_number(plain['asked_at']),
+        asked_at=read_number(fields['asked_at']),
         proof_age_s=proof_age_s,
-        read_age_s=read_number(plain.get('read_age_s', proof_age_s)),
-        list_age_s=read_number(plain['list_age_s']),
-        version=read_int(plain['version']),
-        revision=read_int(plain['revision']),
-        epoch=read_optional_count(plain.get('epoch')),
+        read_age_s=read_number(fields.get('read_age_s', proof_age_s)),
+        list_age_s=read_number(fields['list_age_s']),
+        version=read_int(fields['version']),
+        revision=read_int(fields['revision']),
+        epoch=read_optional_count(fields.get('epoch')),
     )
 
 
-def _read_ends(plain: Plain, sender: str, now: float) -> Ends:
-    rows = map(read_list, read_list(plain['ends']))
-    return Ends(sender, tuple([_read_end(*row) for row in rows]))
+def _decode_ends(fields: Fields, sender: str, now: float) -> Ends:
+    rows = map(read_list, read_list(fields['ends']))
+    return Ends(sender, tuple([_decode_crash(*row) for row in rows]))
 
 
-def _read_end(
+def _decode_crash(
     fingerprint: Any, incarnation: Any, age_ms: Any
 ) -> tuple[Crash, float]:
-    end = Crash(read_text(fingerprint), read_text(incarnation))
-    return end, read_count(age_ms) / MS
+    crash = Crash(read_text(fingerprint), read_text(incarnation))
+    return crash, read_count(age_ms) / MS
 
 
-def _read_cleared(plain: Plain, sender: str, now: float) -> Cleared:
-    ends = map(read_text, read_list(plain['ends']))
-    return Cleared(sender, read_text(plain['fingerprint']), tuple(ends))
+def _decode_cleared(fields: Fields, sender: str, now: float) -> Cleared:
+    incarnations = map(read_text, read_list(fields['ends']))
+    return Cleared(
+        sender, read_text(fields['fingerprint']), tuple(incarnations)
+    )
 
 
-def _read_notices(plain: Plain, sender: str, now: float) -> ToldNotices:
-    return ToldNotices(sender, decode_notices(plain, now))
+def _decode_notices(fields: Fields, sender: str, now: float) -> ToldNotices:
+    return ToldNotices(sender, decode_notices(fields, now))
 
 
-READERS: Mapping[str, Callable[[Plain, str, float], Message]] = (
+DECODERS: Mapping[str, Callable[[Fields, str, float], Message]] = (
     MappingProxyType(
         {
-            'flights': _read_flights,
-            'beat': _read_beat,
-            'fresh': _read_fresh,
-            'ask': _read_question,
-            'reply': _read_reply,
-            'ends': _read_ends,
-            'cleared': _read_cleared,
-            'limits': _read_notices,
+            'flights': _decode_flights,
+            'beat': _decode_beat,
+            'fresh': _decode_fresh,
+            'ask': _decode_question,
+            'reply': _decode_reply,
+            'ends': _decode_ends,
+            'cleared': _decode_cleared,
+            'limits': _decode_notices,
         }
     )
 )
 
 
 def decode_message(raw: bytes, now: float) -> Message:
-    """Return a word that came in, or raise `InvalidMessage`.
+    """Decode a message, or raise `BadWord`.
 
     >>> decode_message(b'{"kind":"fresh","from":"e","news_age_ms":250}', now=0)
     Fresh(sender='e', news_age_s=0.25)
     """
     try:
-        plain = json.loads(raw)
-        return READERS[plain['kind']](plain, read_text(plain['from']), now)
-    except UNREADABLE as exc:
+        fields = json.loads(raw)
+        return DECODERS[fields['kind']](fields, read_text(fields['from']), now)
+    except DECODE_ERRORS as exc:
         raise InvalidMessage(repr(exc)) from exc
--- a/trestledock/entry/_notices_exchange.py
+++ b/trestledock/entry/_notices_exchange.py
@@ -1,10 +1,10 @@
 """
-Notices between entries
-=======================
+Exchange of notices between entries
+===================================
 
-Tells the other entries what targets have said of themselves: each change that
-matters at once, what was heard here with every whole word, and all to an entry
-that is met.  It also says which entries share a target's rate limit.
+Sends the other entries the notices of targets: each important change at once,
+those received here with each full state, and all of them to a new entry. Also
+determines which entries share a target's rate limit.
 """
 
 from typing import Sequence
@@ -26,41 +26,44 @@
 
 #: The kinds of notices that concern all entries.
 SHARED = (RateLimit, Drain, Backoff)
-#: For how long it is told again that something was taken back, in seconds.
-LIFTED_S = 30.0
-#: How often is looked which entries there are, in seconds, while their number
-#: stays: that takes half a millisecond among 195.
-LOOK_S = 5.0
+#: For how long a withdrawn notice is sent again, in seconds.
+RESEND_WITHDRAWN_S = 30.0
+#: Interval of refreshing the list of entries while their number is constant, in
+#: seconds: a refresh takes half a millisecond with 195 entries.
+REFRESH_INTERVAL_S = 5.0
 
 
 class NoticesExchange:
-    """Tells and hears of notices for one entry."""
+    """Sends and receives notices for one entry."""
 
     def __init__(self, gossip: Gossip) -> None:
-        """Take part in the gossip."""
+        """Register the handlers with the gossip and the state."""
         self.gossip = gossip
         self.state = gossip.state
         self._members: Membership | None = None
         self._counts = (0, 0)
-        self._looked_at = float('-inf')
+        self._refreshed_at = float('-inf')
         self.state.throttle.get_members = self.get_members
-        self.state.send_notices = self._tell
-        gossip.handlers[ToldNotices] = self._take
-        gossip.on_new_peer.append(self._tell_known)
-        gossip.on_full_state_sent.append(self._tell_again)
+        self.state.send_notices = self._send_of_target
+        gossip.handlers[ToldNotices] = self._handle_notices
+        gossip.on_new_peer.append(self._send_known)
+        gossip.on_full_state_sent.append(self._resend_own)
 
     def get_members(self) -> Membership:
-        """Return the entries that are heard, and how many there are."""
+        """Return the entries that are heard from, and the number of all."""
         now = anyio.current_time()
         counts = (
             len(self.gossip.peers.known),
             len(self.gossip.addresses.data_centres),
         )
-        is_old = counts != self._counts or now - self._looked_at > LOOK_S
+        is_old = (
+            counts != self._counts
+            or now - self._refreshed_at > REFRESH_INTERVAL_S
+        )
         if self._members is None or is_old:
             self._members = self._find_members(now)
             self._counts = counts
-            self._looked_at = now
+            self._refreshed_at = now
         return self._members
 
     def _find_members(self, now: float) -> Membership:
@@ -71,32 +74,37 @@
         ]
         return Membership(
             Member(settings.peers, settings.data_centre),
-            tuple(sorted(others, key=lambda one: one.name)),
+            tuple(sorted(others, key=lambda member: member.name)),
             self.gossip.addresses.count(now) + 1,
         )
 
-    def _tell(self, target: str) -> None:
-        """Have all others know what a target has just said."""
-        known = [one for one in self._get_known() if one.target == target]
-        self._send(known, self.gossip.addresses.get_all())
+    def _send_of_target(self, target: str) -> None:
+        """Send the notices of a target to all other entries."""
+        notices = [
+            notice for notice in self._get_known() if notice.target == target
+        ]
+        self._send(notices, self.gossip.addresses.get_all())
 
-    def _tell_known(self, address: Address) -> None:
-        """Have an entry that is new know what is in force, and what is not."""
+    def _send_known(self, address: Address) -> None:
+        """Send all notices, including withdrawn ones, to a new entry."""
         self._send(self._get_known(), [address])
 
-    def _tell_again(self, where: Sequence[Address]) -> None:
-        """Tell what this entry heard itself: what is, or was, in force.
+    def _resend_own(self, addresses: Sequence[Address]) -> None:
+        """Send again what this entry received itself and what still matters.
 
-        If those that were told told it on, each would hear it from everyone.
+        If receivers forwarded notices, each entry would get them from every
+        other.
         """
         now = anyio.current_time()
-        matters = [
-            one for one in self._get_known() if _is_told_again(one.notice, now)
+        notices = [
+            known
+            for known in self._get_known()
+            if _needs_resending(known.notice, now)
         ]
-        self._send(matters, where)
+        self._send(notices, addresses)
 
     def _get_known(self) -> list[TargetNotice]:
-        """Return what targets have said that are still there."""
+        """Return the notices of targets that are still listed."""
         return [
             TargetNotice(target, notice)
             for kind in SHARED
@@ -105,18 +113,26 @@
         ]
 
     def _send(
-        self, notices: Sequence[TargetNotice], where: Sequence[Address]
+        self, notices: Sequence[TargetNotice], addresses: Sequence[Address]
     ) -> None:
-        self.gossip.send_rows(ToldNotices, notices, where)
+        self.gossip.send_rows(ToldNotices, notices, addresses)
 
-    def _take(self, word: ToldNotices, _: Address) -> bool:
-        for one in word.notices:
-            apply_notice(self.state, one.target, one.notice, word.sender)
+    def _handle_notices(self, message: ToldNotices, _: Address) -> bool:
+        for received in message.notices:
+            apply_notice(
+                self.state, received.target, received.notice, message.sender
+            )
         return False
 
 
-def _is_told_again(notice: Notice, now: float) -> bool:
-    """Whether to make good for lost words; a rest is over soon anyway."""
+def _needs_resending(notice: Notice, now: float) -> bool:
+    """Whether to repeat a notice in case its message was lost.
+
+    A back-off is not repeated, as it ends soon.
+    """
     if notice.is_shared or isinstance(notice, Backoff):
         return False
-    return notice.requested is not None or now - notice.heard_at <= LIFTED_S
+    return (
+        notice.requested is not None
+        or now - notice.heard_at <= RESEND_WITHDRAWN_S
+    )
--- a/trestledock/entry/_peer_addresses.py
+++ b/trestledock/entry/_peer_addresses.py
@@ -2,9 +2,10 @@
 Addresses of the other entries
 ==============================
 
-Whom to tell what.  Up to some number of entries are all told everything; with
-more of them those of other data centres are told more rarely, and only of what
-concerns their targets: what all tell all grows with the square of the entries.
+Which entries receive which messages. Up to a number of entries all exchange
+everything. Above it, entries of other data centres receive less, and only what
+concerns their targets, because the traffic of a full mesh grows with the square
+of the number of entries.
 """
 
 from collections import defaultdict
@@ -12,20 +13,20 @@
 
 from trestledock.entry._datagrams import Address
 
-#: Up to so many other entries are all told at once.
+#: Maximum number of other entries that form a full mesh.
 MAX_FULL_MESH = 16
-#: What stands for the data centre of an entry that was not heard yet.
+#: Data centre of an entry that no message has come from yet.
 UNKNOWN = ''
-#: For how long an entry that is not heard counts as one of all, in seconds: it
-#: may be cut off, or start again.
-FORGET_S = 600
+#: How long a silent entry still counts, in seconds: it may be cut off or
+#: restarting.
+FORGET_AFTER_S = 600
 
 
 class PeerAddresses:
-    """The addresses of the other entries, with their data centres."""
+    """Addresses of the other entries, with their data centres."""
 
     def __init__(self, own: Address, data_centre: str) -> None:
-        """Begin without any but the own one."""
+        """Start with the own address only."""
         self.own = own
         self.data_centre = data_centre
         self.data_centres: dict[Address, str] = {}
@@ -35,61 +36,70 @@
     def add_addresses(
         self, addresses: Iterable[Address], now: float
     ) -> list[Address]:
-        """Take addresses; return those that are new."""
+        """Add addresses; return those that are new."""
         new = [
-            one
-            for one in addresses
-            if one not in self.data_centres and one != self.own
+            address
+            for address in addresses
+            if address not in self.data_centres and address != self.own
         ]
-        for one in new:
-            self.record_address(one, UNKNOWN, now)
+        for address in new:
+            self.record_address(address, UNKNOWN, now)
         return new
 
-    def record_address(self, address: Address, place: str, now: float) -> None:
-        """Note in which data centre an entry is that is heard or met."""
+    def record_address(
+        self, address: Address, data_centre: str, now: float
+    ) -> None:
+        """Record the data centre of an entry."""
         self._seen_at[address] = now
-        if self.data_centres.get(address) != place:
-            self.data_centres[address] = place
+        if self.data_centres.get(address) != data_centre:
+            self.data_centres[address] = data_centre
             self._near = None
 
     def record_shutdown(self, address: Address) -> None:
-        """Note that an entry has ended as planned."""
+        """Record that an entry has shut down as planned."""
         self._seen_at.pop(address, None)
 
     def count(self, now: float) -> int:
-        """Return how many others there are, heard or not."""
+        """Return the number of other entries, including silent ones."""
         return sum(
-            now - seen_at <= FORGET_S for seen_at in self._seen_at.values()
+            now - seen_at <= FORGET_AFTER_S
+            for seen_at in self._seen_at.values()
         )
 
     def get_all(self) -> list[Address]:
-        """Return the addresses of all others."""
+        """Return the addresses of all other entries."""
         return list(self.data_centres)
 
     def get_near(self, *, many: bool) -> list[Address]:
-        """Return who is told at once: all, if there are not many."""
+        """Return the entries that get the full state often.
+
+        These are all if there are not `many`, otherwise those that are in this
+        data centre or in an unknown one.
+        """
         if not many:
             return self.get_all()
         if self._near is None:
             near = (self.data_centre, UNKNOWN)
             self._near = [
-                one for one, place in self.data_centres.items() if place in near
+                address
+                for address, data_centre in self.data_centres.items()
+                if data_centre in near
             ]
         return self._near
 
     def get_far(self, *, many: bool) -> Mapping[str, list[Address]]:
-        """Return the others by data centre: none, if there are not many."""
-        far: dict[str, list[Address]] = defaultdict(list)
+        """Return the entries elsewhere by data centre, if there are `many`."""
+        by_data_centre: dict[str, list[Address]] = defaultdict(list)
         if many:
-            for address, place in self.data_centres.items():
-                if place not in (self.data_centre, UNKNOWN):
-                    far[place].append(address)
-        return far
+            for address, data_centre in self.data_centres.items():
+                if data_centre not in (self.data_centre, UNKNOWN):
+                    by_data_centre[data_centre].append(address)
+        return by_data_centre
 
     def get_remote(self) -> list[Address]:
-        """Return the addresses that are not known to be in this one."""
+        """Return the addresses that are not known to be in this data centre."""
         return [
             address
-            for address, place in self.data_centres.items()
-            if place != self.data_centre
+            for address, data_centre in self.data_centres.items()
+            if data_centre != self.data_centre
         ]
--- a/trestledock/entry/_quarantine_sync.py
+++ b/trestledock/entry/_quarantine_sync.py
@@ -1,12 +1,12 @@
 """
-Keeping the quarantine
-======================
+Synchronization of the quarantine
+=================================
 
 The platform's store remembers which requests are quarantined, for entries that
-start later, or when all have ended at the same moment.  Nothing else is
-written: some records for each such request, and one for each trial.  Whoever
-reads the store for others waits in one long call for what is new, which costs a
-call each few seconds; the others are told with the list of targets.
+start later, or if all entries stop at once. Only a few records for each such
+request and one for each probe are written. The entry that reads the store for
+others waits for new records in a long poll, which costs a call every few
+seconds; the others get them with the list of targets.
 """
 
 from dataclasses import replace
@@ -18,24 +18,24 @@
 from trestledock.entry._dialect import QuarantineStore
 from trestledock.entry._isolation import STORE
 from trestledock.entry._logger import emit
-from trestledock.entry._store_reader import EXPECTED
+from trestledock.entry._store_reader import STORE_ERRORS
 from trestledock.entry._state import EntryState
 from trestledock.relay import QuarantineRecord
 
-#: How long one read waits for something new, in seconds: an open connection may
-#: fall silent for good, and its time-out ends another two seconds later.
-WAIT_S = 5.0
-#: How long a call may take beside that, in seconds.
+#: Duration of one long poll, in seconds: an open connection may go silent for
+#: good, and its timeout ends two seconds later.
+POLL_TIMEOUT_S = 5.0
+#: Time allowed for a call in addition to its wait, in seconds.
 TIMEOUT_S = 1.0
-#: After a call in vain the next one comes so much later, in seconds: at first,
-#: and at most as that doubles.  Each call has a price, a refused one too.
-RETRY_S = 1.0
-RETRY_MOST_S = 8.0
-#: How often an entry asks for the right to a trial at most, in seconds: what is
-#: quarantined may come many times a second, and each call has a price.
-CLAIM_S = 2.0
-#: How often is looked whether this entry reads the store by now, in seconds.
-LOOK_S = 0.5
+#: Delay after a failed call, in seconds: the initial one, which doubles with
+#: each failure, and the maximum. Each call is charged, including refused ones.
+MIN_RETRY_S = 1.0
+MAX_RETRY_S = 8.0
+#: Minimum interval between claims of the right to probe, in seconds: a
+#: quarantined request may arrive many times a second, and each call is charged.
+MIN_CLAIM_INTERVAL_S = 2.0
+#: Interval of checking whether this entry has become the reader, in seconds.
+CHECK_INTERVAL_S = 0.5
 
 
 class Keeping:
@@ -47,13 +47,13 @@
         store: QuarantineStore,
         is_reader: Callable[[], bool],
     ) -> None:
-        """Keep the store; `is_reader` says whether others are told by it."""
+        """Take the store; `is_reader` tells if this entry reads for others."""
         self.state = state
         self.isolation = state.isolation
         self.store = store
         self.is_reader = is_reader
-        self._vain = 0
-        self._claim_at = float('-inf')
+        self._failures = 0
+        self._next_claim_at = float('-inf')
         self.isolation.hooks.claim = self.claim
 
     async def run(self) -> None:
@@ -63,54 +63,55 @@
             group.start_soon(self._write)
 
     async def claim(self, record: QuarantineRecord) -> bool:
-        """Take the right to try a request; nobody has it without the store."""
+        """Claim the right to probe a request; refused without the store."""
         now = anyio.current_time()
-        if now < self._claim_at:
+        if now < self._next_claim_at:
             return False
-        self._claim_at = now + CLAIM_S
+        self._next_claim_at = now + MIN_CLAIM_INTERVAL_S
         try:
             with anyio.fail_after(TIMEOUT_S):
                 return await self._claim(record)
-        except EXPECTED as exc:
+        except STORE_ERRORS as exc:
             emit(events.StoreLost('claim_trial', repr(exc)))
             return False
 
     async def _claim(self, record: QuarantineRecord) -> bool:
-        """Write that a request is tried now, unless somebody else wrote.
+        """Write that a request is probed now, unless another entry wrote first.
 
-        Of several claims one succeeds: each holds only where the records still
-        end where they were read to.  After a restore of the store there is none
-        until others have had the time to write again what they tried.
+        Of several claims one succeeds, because each is valid only if the
+        records still end where they were read to. After a restore of the store
+        no claim succeeds until the other entries have had time to save their
+        probes again.
         """
         stored = await self.store.read_whole()
         now = anyio.current_time()
         self.state.record_epoch(stored.end.epoch, now)
         if not self.state.restores.is_complete(now):
             return False
-        for known in stored.records:
+        for stored_record in stored.records:
             if (
-                known.fingerprint == record.fingerprint
-                and not known.is_probe_due
+                stored_record.fingerprint == record.fingerprint
+                and not stored_record.is_probe_due
             ):
                 return False
-        tried = replace(record, age_s=0, probes=record.probes + 1)
-        return await self.store.write_records([tried], stored.end)
+        probed = replace(record, age_s=0, probes=record.probes + 1)
+        return await self.store.write_records([probed], stored.end)
 
     async def _follow(self) -> None:
         while True:
             if self.is_reader():
                 await self._read()
             else:
-                await anyio.sleep(LOOK_S)
+                await anyio.sleep(CHECK_INTERVAL_S)
 
     async def _read(self) -> None:
         try:
-            with anyio.fail_after(WAIT_S + TIMEOUT_S):
-                records = await self.store.read_records(WAIT_S)
-        except EXPECTED as exc:
+            with anyio.fail_after(POLL_TIMEOUT_S + TIMEOUT_S):
+                records = await self.store.read_records(POLL_TIMEOUT_S)
+        except STORE_ERRORS as exc:
             await self._pause('read_records', exc)
             return
-        self._vain = 0
+        self._failures = 0
         self.isolation.merge_records(records, STORE)
 
     async def _write(self) -> None:
@@ -120,13 +121,13 @@
             try:
                 with anyio.fail_after(TIMEOUT_S):
                     await self.store.write_records(records)
-            except EXPECTED as exc:
+            except STORE_ERRORS as exc:
                 self.isolation.requeue_unsaved(records)
                 await self._pause('write_records', exc)
 
     async def _pause(self, step: str, exc: Exception) -> None:
-        if not self._vain:
+        if not self._failures:
             emit(events.StoreLost(step, repr(exc)))
-        wait_s = min(RETRY_MOST_S, RETRY_S * 2**self._vain)
-        self._vain = min(self._vain + 1, 10)
+        wait_s = min(MAX_RETRY_S, MIN_RETRY_S * 2**self._failures)
+        self._failures = min(self._failures + 1, 10)
         await anyio.sleep(wait_s)
--- a/trestledock/entry/_store_reader.py
+++ b/trestledock/entry/_store_reader.py
@@ -1,10 +1,10 @@
 """
-Reading the store
-=================
+Store reader
+============
 
-Reads configuration, targets and peers from the platform's store and puts them
-in force.  While the store is away one call tells whether it is back; each call
-is priced, a refused one too.
+Reads configuration, targets and peers from the platform's store and applies
+them. While the store is unavailable a single call checks whether it is back, as
+each call is charged, including refused ones.
 """
 
 from dataclasses import replace
@@ -21,45 +21,46 @@
 from trestledock.entry._state import EntryState
 from trestledock.entry._wire import WireError
 
-#: How long one read may take, in seconds.
+#: Timeout of one read, in seconds.
 TIMEOUT_S = 0.8
 
 
 class DirectoryError(Exception):
-    """The store did not answer as it should, at a step."""
+    """Raised for an invalid answer of the store."""
 
 
-#: What a read may raise when the store is away.
-EXPECTED = (WireError, DirectoryError, TimeoutError)
+#: Exceptions that a read raises while the store is unavailable.
+STORE_ERRORS = (WireError, DirectoryError, TimeoutError)
 
 
 class StoreReader:
-    """Reads the store for one entry; `failed_at` is its last vain read."""
+    """Reads the store for one entry; `failed_at` is the last failed read."""
 
     def __init__(
         self,
         state: EntryState,
         directory: Directory,
-        listing: TargetListUpdater,
+        target_list: TargetListUpdater,
         exchange: UpdateExchange,
     ) -> None:
-        """Keep what is read and where it goes."""
+        """Take the store and the state that reads are applied to."""
         self.state = state
         self.directory = directory
-        self.listing = listing
+        self.target_list = target_list
         self.exchange = exchange
         self.failed_at = float('-inf')
-        self._lost: set[str] = set()
-        self._unproven_at = float('-inf')
+        self._failed_steps: set[str] = set()
+        self._last_read_at = float('-inf')
         self._steps = [self._read_targets, self._read_catalog]
 
     async def read(self) -> None:
-        """Read all; while the store is lost, one call tells if it is back.
+        """Read all or, while the store is unavailable, try a single call.
 
-        That call takes turns, since a part of the store may be back first.
+        The kind of that call alternates, since a part of the store may be back
+        first.
         """
         began_at = anyio.current_time()
-        if self.is_lost():
+        if self.is_unavailable():
             self._steps.reverse()
             if await self._try(self._steps[0]):
                 await self._try(self._steps[1])
@@ -67,33 +68,33 @@
             async with anyio.create_task_group() as group:
                 for step in self._steps:
                     group.start_soon(self._try, step)
-        if self.is_lost():
+        if self.is_unavailable():
             self.failed_at = began_at
         else:
             self.exchange.gossip.announce_read()
 
-    def is_lost(self) -> bool:
+    def is_unavailable(self) -> bool:
         """Whether the last read of configuration or targets failed."""
-        return any(step.__name__ in self._lost for step in self._steps)
+        return any(step.__name__ in self._failed_steps for step in self._steps)
 
     async def announce(self) -> bool:
         """Publish the own address; return whether the store answered."""
         return await self._try(self._announce)
 
     async def update_peers(self) -> bool:
-        """Learn of the other entries; return whether the store answered."""
+        """Read the other entries' addresses; return whether that succeeded."""
         return await self._try(self._meet_peers)
 
-    def apply(self, news: StoreUpdate) -> None:
-        """Put a version of the configuration in force if it is newer."""
-        catalog = news.catalog
-        if catalog is None and news.document:
-            catalog = self.directory.decode_document(news.document)
+    def apply(self, update: StoreUpdate) -> None:
+        """Apply a version of the configuration if it is newer."""
+        catalog = update.catalog
+        if catalog is None and update.document:
+            catalog = self.directory.decode_document(update.document)
         current = self.state.catalog
         if catalog and (current is None or catalog.version > current.version):
             self.state.catalog = catalog
-            self.state.document = news.document
-            source = 'store' if news.catalog else 'peer'
+            self.state.document = update.document
+            source = 'store' if update.catalog else 'peer'
             emit(events.VersionApplied(catalog.version, source))
 
     async def _try(self, read: Callable[[], Awaitable[None]]) -> bool:
@@ -103,45 +104,45 @@
         try:
             with anyio.fail_after(TIMEOUT_S):
                 await read()
-        except EXPECTED as exc:
+        except STORE_ERRORS as exc:
             self.state.fleet.watch.record_failure(began_at)
-            self._note_lost(step, exc)
+            self._log_failure(step, exc)
             return False
         except Exception:
             emit(events.Failed(step), failed=True)
             return False
         METRICS.observe('store_read', anyio.current_time() - began_at)
-        self._note_regained(step)
+        self._log_recovery(step)
         return True
 
     async def _read_catalog(self) -> None:
         asked_at = anyio.current_time()
-        news = await self.directory.read_catalog()
-        self._note_epoch()
-        self.apply(news)
+        update = await self.directory.read_catalog()
+        self._record_epoch()
+        self.apply(update)
         self.state.proof.record_read(asked_at)
-        if news.epoch == self.state.restores.epoch:
-            self._unproven_at = asked_at
-            self._prove()
+        if update.epoch == self.state.restores.epoch:
+            self._last_read_at = asked_at
+            self._renew_proof()
 
-    def _prove(self) -> None:
+    def _renew_proof(self) -> None:
         """Renew the proof by the last read, unless its copy may lack something.
 
-        A key may have been taken away by a version that the store has lost.
+        The store may have lost a version that revoked a key.
         """
         if self.state.restores.is_complete(anyio.current_time()):
-            self.state.proof.renew(self._unproven_at)
+            self.state.proof.renew(self._last_read_at)
 
-    def _note_epoch(self) -> None:
+    def _record_epoch(self) -> None:
         self.state.record_epoch(self.directory.epoch, anyio.current_time())
 
     async def _read_targets(self) -> None:
         asked_at = anyio.current_time()
-        news = await self.directory.read_targets()
-        self._note_epoch()
-        known = self.state.fleet.revision
-        self.listing.apply(replace(news, as_of=asked_at))
-        if self.state.fleet.revision != known:
+        update = await self.directory.read_targets()
+        self._record_epoch()
+        previous_revision = self.state.fleet.revision
+        self.target_list.apply(replace(update, as_of=asked_at))
+        if self.state.fleet.revision != previous_revision:
             self.exchange.clear_list_source()
 
     async def _announce(self) -> None:
@@ -151,17 +152,17 @@
     async def _meet_peers(self) -> None:
         announced = await self.directory.read_peers()
         self.exchange.gossip.add_addresses(announced.addresses)
-        self._note_epoch()
+        self._record_epoch()
         if announced.epoch == self.state.restores.epoch:
             self.state.restores.set_recorded_epoch(announced.settled_epoch)
-            self._prove()
+            self._renew_proof()
 
-    def _note_lost(self, step: str, exc: Exception) -> None:
-        if step not in self._lost:
-            self._lost.add(step)
+    def _log_failure(self, step: str, exc: Exception) -> None:
+        if step not in self._failed_steps:
+            self._failed_steps.add(step)
             emit(events.StoreLost(step, repr(exc)))
 
-    def _note_regained(self, step: str) -> None:
-        if step in self._lost:
-            self._lost.discard(step)
+    def _log_recovery(self, step: str) -> None:
+        if step in self._failed_steps:
+            self._failed_steps.discard(step)
             emit(events.StoreRegained(step))
--- a/trestledock/entry/_store_repair.py
+++ b/trestledock/entry/_store_repair.py
@@ -1,11 +1,12 @@
 """
-Writing again what the store has lost
-=====================================
-
-After the store came back from an older copy, the entry that reads it for others
-looks once for what entries had written there, and writes what is missing:
-addresses of entries, quarantined requests with their trials.  Later it records
-that this epoch of the store has been waited in, for entries that start then.
+Repair of a restored store
+==========================
+
+After the store was restored from an older copy, the entry that reads it for
+others checks once which data of the entries it lacks, and writes that again:
+addresses of entries, and quarantined requests with their probes. Later it
+records that entries have waited in this epoch of the store, for entries that
+start then.
 """
 
 from typing import Callable
@@ -18,24 +19,26 @@
 from trestledock.entry._gossip import Gossip
 from trestledock.entry._isolation import STORE
 from trestledock.entry._logger import emit
-from trestledock.entry._store_reader import EXPECTED
+from trestledock.entry._store_reader import STORE_ERRORS
 from trestledock.entry._state import EntryState
 from trestledock.relay import QuarantineRecord
 
-#: The readers of several data centres don't look at the same moment: each waits
-#: up to so long, in seconds, of the second in which all is to be there again.
-SPREAD_S = 0.4
-#: How often is looked whether this entry has become the reader, in seconds.
-LOOK_S = 0.5
-#: How long all calls for one thing may take, in seconds.
+#: Maximum random delay before a repair, in seconds, so that the readers of
+#: several data centres don't repair at the same moment. It is a part of the
+#: second in which all data must be back.
+MAX_DELAY_S = 0.4
+#: Interval of checking whether this entry has become the reader, in seconds.
+CHECK_INTERVAL_S = 0.5
+#: Timeout of all calls for one repair, in seconds.
 TIMEOUT_S = 1.0
-#: Up to what age of its last read the store counts as there, in seconds: some
-#: three pauses between reads.  Calls are priced, those in vain too.
-THERE_S = 1.8
+#: Maximum age of the last read at which the store counts as available, in
+#: seconds: some three pauses between reads. Calls are charged, including failed
+#: ones.
+MAX_READ_AGE_S = 1.8
 
 
 class Restoring:
-    """Writes for one entry what a restored store lacks."""
+    """Writes the data that a restored store lacks, for one entry."""
 
     def __init__(
         self,
@@ -44,60 +47,60 @@
         gossip: Gossip,
         is_reader: Callable[[], bool],
     ) -> None:
-        """Keep the store; `is_reader` says whether others rely on this one."""
+        """Take the store; `is_reader` tells if other entries rely on this."""
         self.state = state
         self.directory = directory
         self.gossip = gossip
         self.is_reader = is_reader
-        self._written: int | None = None
+        self._repaired_epoch: int | None = None
 
     async def run(self) -> None:
-        """Look after each restore, and now and then, until cancelled."""
+        """Repair after each restore, and periodically, until cancelled."""
         while True:
-            with anyio.move_on_after(LOOK_S):
+            with anyio.move_on_after(CHECK_INTERVAL_S):
                 await self.state.restored.wait()
-            if self.is_reader() and self._is_store_there():
+            if self.is_reader() and self._is_store_available():
                 await self.repair()
 
     async def repair(self) -> None:
-        """Do what is due; what fails is done at the next look."""
+        """Do what is due; a failed step is repeated at the next check."""
         try:
-            with anyio.fail_after(SPREAD_S + TIMEOUT_S):
-                await self._write_again()
-                await self._record()
-        except EXPECTED as exc:
+            with anyio.fail_after(MAX_DELAY_S + TIMEOUT_S):
+                await self._repair_store()
+                await self._record_settled()
+        except STORE_ERRORS as exc:
             emit(events.StoreLost('write_again', repr(exc)))
 
-    def _is_store_there(self) -> bool:
+    def _is_store_available(self) -> bool:
         now = anyio.current_time()
-        return self.state.proof.get_read_age_s(now) <= THERE_S
+        return self.state.proof.get_read_age_s(now) <= MAX_READ_AGE_S
 
-    async def _write_again(self) -> None:
-        """Write once in each epoch what its copy lacks."""
+    async def _repair_store(self) -> None:
+        """Write the data that the copy lacks, once in each epoch."""
         restores = self.state.restores
         epoch = restores.epoch
-        if not restores.has_lived_through or epoch == self._written:
+        if not restores.has_lived_through or epoch == self._repaired_epoch:
             return
-        await anyio.sleep(self.state.rng.uniform(0, SPREAD_S))
+        await anyio.sleep(self.state.rng.uniform(0, MAX_DELAY_S))
         await self._write_addresses()
         if await self._write_quarantine():
-            self._written = epoch
+            self._repaired_epoch = epoch
 
     async def _write_addresses(self) -> None:
         announced = await self.directory.read_peers()
         self.gossip.add_addresses(announced.addresses)
-        there = set(announced.addresses.values())
+        stored = set(announced.addresses.values())
         missing = {
             name: address
             for name, address in self._get_addresses().items()
-            if address not in there
+            if address not in stored
         }
         if missing:
             await self.directory.announce(missing)
             emit(events.WrittenAgain('addresses', sorted(missing)))
 
     def _get_addresses(self) -> dict[str, str]:
-        """Return the entries that are heard, and this one, by their names."""
+        """Return the addresses of the known entries and this one, by name."""
         known = {
             member.partition('#')[0]: join_address(peer.address)
             for member, peer in self.gossip.peers.known.items()
@@ -106,33 +109,35 @@
         return {**known, settings.instance: settings.peers}
 
     async def _write_quarantine(self) -> bool:
-        """Write what the store does not know of requests, in one call.
+        """Write the quarantine records that the store lacks, in one call.
 
-        Return whether it knows all now: others may write at the same moment,
-        and what they know more must not be written over.
+        Return whether it has them all now: other entries may write at the same
+        moment, and their additional knowledge must not be overwritten.
         """
         isolation = self.state.isolation
         if not any(isolation.quarantine.get_records(anyio.current_time())):
             return True
         stored = await self.directory.quarantine.read_whole()
         isolation.merge_records(stored.records, STORE)
-        there = {one.fingerprint: one for one in stored.records}
+        by_fingerprint = {
+            record.fingerprint: record for record in stored.records
+        }
         missing = [
-            one
-            for one in isolation.quarantine.get_records(anyio.current_time())
-            if _is_missing(one, there.get(one.fingerprint))
+            record
+            for record in isolation.quarantine.get_records(anyio.current_time())
+            if _is_missing(record, by_fingerprint.get(record.fingerprint))
         ]
         if not missing:
             return True
         quarantine = self.directory.quarantine
         is_written = await quarantine.write_records(missing, stored.end)
         if is_written:
-            names = [one.fingerprint for one in missing]
+            names = [record.fingerprint for record in missing]
             emit(events.WrittenAgain('quarantine', names))
         return is_written
 
-    async def _record(self) -> None:
-        """Record that an epoch was waited in, where nobody has yet."""
+    async def _record_settled(self) -> None:
+        """Record that entries have waited in an epoch, if not recorded yet."""
         restores = self.state.restores
         epoch = restores.epoch
         is_due = restores.needs_record(anyio.current_time())
@@ -141,11 +146,13 @@
             restores.set_recorded_epoch(epoch)
 
 
-def _is_missing(one: QuarantineRecord, there: QuarantineRecord | None) -> bool:
-    """Whether a record says more than the one that the store has."""
-    if there is None:
+def _is_missing(
+    record: QuarantineRecord, stored: QuarantineRecord | None
+) -> bool:
+    """Whether a record says more than the one in the store."""
+    if stored is None:
         return True
-    known = {*there.incarnations, *there.cleared}
-    is_known = known.issuperset(one.incarnations)
-    are_cleared = set(there.cleared).issuperset(one.cleared)
-    return not is_known or not are_cleared or one.probes > there.probes
+    known = {*stored.incarnations, *stored.cleared}
+    is_known = known.issuperset(record.incarnations)
+    are_cleared = set(stored.cleared).issuperset(record.cleared)
+    return not is_known or not are_cleared or record.probes > stored.probes
--- a/trestledock/entry/_update_exchange.py
+++ b/trestledock/entry/_update_exchange.py
@@ -1,12 +1,12 @@
 """
-News from other entries
-=======================
-
-One entry reads the store, the others ask it.  A question is a datagram with
-the time at which it was sent; the answer returns that time with the age of the
-reader's proof, so that a delayed answer, or one that waited while the process
-stood still, proves no more than it should.  What has changed is fetched by
-HTTP.
+Store updates from other entries
+================================
+
+One entry reads the store, and the others ask it how current its copy is. A
+question is a datagram with its time of sending. The answer returns that time
+with the age of the last proof that the reader's configuration is current, so
+that an answer that is delayed, or that waits while the process is stopped,
+proves no more than it should. Changes are then fetched over HTTP.
 """
 
 import json
@@ -40,7 +40,7 @@
     Standing,
 )
 
-#: The fields of a target as they are passed on, with what reads them.
+#: Fields of a target in updates between entries, with their decoders.
 TARGET_FIELDS: Mapping[str, Callable[[Any], Any]] = MappingProxyType(
     {
         'target_id': read_text,
@@ -53,46 +53,46 @@
         'born': read_int,
     }
 )
-#: How long an answer to a question is waited for, in seconds.
-ANSWER_S = 0.1
+#: Timeout for the answer to a question, in seconds.
+ANSWER_TIMEOUT_S = 0.1
 NEWS_PATH = '/news'
 VERSION_FIELD = 'version'
-#: Asks for the targets that have left, too.
-PAST_FIELD = 'past'
-#: Whose list the own one is, and at which revision, where it is nobody's.
-NOBODY = ('', -1)
+#: Query parameter that also requests the removed targets.
+REMOVED_FIELD = 'past'
+#: Value of the source and revision of the own list if it is no copy.
+NO_SOURCE = ('', -1)
 
 
 class UpdateExchange:
-    """Asks the reader for news, and answers those who ask."""
+    """Asks the reader for updates, and answers the questions of others."""
 
     def __init__(self, state: EntryState, gossip: Gossip) -> None:
-        """Take part in the gossip."""
+        """Register the handlers with the gossip."""
         self.state = state
         self.gossip = gossip
         self._reply: Reply | None = None
-        self._taken = NOBODY
+        self._list_source = NO_SOURCE
         self._answered = anyio.Event()
-        gossip.handlers[Question] = self._answer
-        gossip.handlers[Reply] = self._take_reply
+        gossip.handlers[Question] = self._handle_question
+        gossip.handlers[Reply] = self._handle_reply
 
     async def query_reader(self, reader: str) -> None:
-        """Ask an entry how fresh it is, and wait a little for its answer."""
+        """Ask an entry how current its copy is, and wait for its answer."""
         peer = self.gossip.peers.known.get(reader)
         if peer is None:
             return
         self._answered = anyio.Event()
         question = Question(self.state.member, anyio.current_time())
         self.gossip.send(question, [peer.address])
-        with anyio.move_on_after(ANSWER_S):
+        with anyio.move_on_after(ANSWER_TIMEOUT_S):
             await self.gossip.wait_for(self._answered)
 
     def renew_proof(self, reader: str) -> bool:
-        """Renew what the reader's last answer proves.
+        """Renew the proof of the configuration by the reader's last answer.
 
-        Return whether it knows something newer that must be fetched first.  A
-        reader that has been cut off from the store knows older things, which
-        are left alone.
+        Return whether the reader has something newer that must be fetched
+        first. Older state, such as that of a reader which lost its connection
+        to the store, is ignored.
         """
         reply = self._reply
         if reply is None or reply.sender != reader:
@@ -106,7 +106,7 @@
         listed_at = reply.asked_at - reply.list_age_s
         if listed_at <= self.state.fleet.watch.read_at:
             return is_behind
-        if self._taken != (reader, reply.revision):
+        if self._list_source != (reader, reply.revision):
             return True
         latest_at = now - reply.list_age_s
         self.state.record_list(listed_at, now, reader, latest_at)
@@ -115,77 +115,78 @@
     async def fetch(
         self,
         reader: str,
-        limit_s: float,
+        timeout_s: float,
         *,
-        with_past: bool = False,
+        with_removed: bool = False,
     ) -> StoreUpdate | None:
-        """Fetch what the reader knows; None where it can't be had in time.
+        """Fetch the reader's state; return None on failure or timeout.
 
-        With its past it tells of the targets that have left, too.
+        `with_removed` also requests the removed targets.
         """
         peer = self.gossip.peers.known.get(reader)
         if peer is None:
             return None
         asked_at = anyio.current_time()
         try:
-            with anyio.fail_after(limit_s):
-                plain = await self._get(
-                    peer.address, {PAST_FIELD: 1} if with_past else {}
+            with anyio.fail_after(timeout_s):
+                fields = await self._get(
+                    peer.address, {REMOVED_FIELD: 1} if with_removed else {}
                 )
             now = anyio.current_time()
-            return _read_news(plain, asked_at, now, reader)
+            return _decode_update(fields, asked_at, now, reader)
         except CALL_ERRORS as exc:
             emit(events.NewsLost(reader, repr(exc)))
             return None
 
-    def record_list_source(self, news: StoreUpdate) -> None:
-        """Note that the own list is that of an entry, at its revision."""
-        self._taken = (news.source, news.revision)
+    def record_list_source(self, update: StoreUpdate) -> None:
+        """Record which entry's list, at which revision, the own one copies."""
+        self._list_source = (update.source, update.revision)
 
     def clear_list_source(self) -> None:
-        """Note that the own list is nobody else's any more."""
-        self._taken = NOBODY
+        """Record that the own list no longer copies that of another entry."""
+        self._list_source = NO_SOURCE
 
     def encode_update(
-        self, version: int = NO_VERSION, *, with_past: bool = False
+        self, version: int = NO_VERSION, *, with_removed: bool = False
     ) -> bytes:
-        """Return what this entry knows, for one that has a version.
+        """Encode this entry's state for an entry that has some version.
 
-        The document is left out where that is the own one: lists change with
-        each target, and tens of kilobytes a second would fill slow links where
-        many ask.
+        The configuration document is left out if the versions are equal: the
+        list changes with each target, and with many requesters tens of
+        kilobytes a second would fill slow links.
         """
         now = anyio.current_time()
         fleet = self.state.fleet
-        held = [
+        retained = [
             {'listed': encode_target(listed), 'left_s': until - now}
             for listed, until in fleet.get_retained()
         ]
         quarantine = [
-            _write_quarantined(one)
-            for one in self.state.isolation.quarantine.get_records(now)
+            _encode_quarantined(record)
+            for record in self.state.isolation.quarantine.get_records(now)
         ]
-        plain = {
+        fields = {
             'list_age_s': min(self.state.get_list_age_s(now), MAX_AGE_S),
             'revision': self.state.revision,
             'settled': fleet.watch.is_synchronized(now),
             'document': self._get_document(version),
-            'targets': [encode_target(one) for one in fleet.get_listed()],
-            'held': held,
+            'targets': [encode_target(listed) for listed in fleet.get_listed()],
+            'held': retained,
             'quarantine': quarantine,
             'epoch': self.state.restores.epoch,
         }
-        if with_past:
-            plain['gone'] = [
-                (one.target_id, *one.order) for one in fleet.get_removed()
+        if with_removed:
+            fields['gone'] = [
+                (target.target_id, *target.order)
+                for target in fleet.get_removed()
             ]
-            plain['leaving'] = sorted(fleet.draining)
-        return json.dumps(plain, separators=(',', ':')).encode()
+            fields['leaving'] = sorted(fleet.draining)
+        return json.dumps(fields, separators=(',', ':')).encode()
 
     def _get_document(self, version: int) -> str:
         return '' if version == self.state.version else self.state.document
 
-    def _answer(self, question: Question, sender: Address) -> bool:
+    def _handle_question(self, question: Question, sender: Address) -> bool:
         self.gossip.poll_more_often()
         now = anyio.current_time()
         reply = Reply(
@@ -201,91 +202,95 @@
         self.gossip.send(reply, [sender])
         return False
 
-    def _take_reply(self, reply: Reply, _: Address) -> bool:
+    def _handle_reply(self, reply: Reply, _: Address) -> bool:
         self._reply = reply
         self._answered.set()
         return False
 
     async def _get(
-        self, address: Address, asked: Mapping[str, int]
+        self, address: Address, params: Mapping[str, int]
     ) -> dict[str, Any]:
-        query = urlencode({VERSION_FIELD: self.state.version, **asked})
+        query = urlencode({VERSION_FIELD: self.state.version, **params})
         return await call_peer(address, f'{NEWS_PATH}?{query}')
 
 
 def encode_target(listed: ListedTarget) -> dict[str, Any]:
-    """Return a target as it is passed on."""
+    """Encode a target for another entry."""
     return {name: getattr(listed, name) for name in TARGET_FIELDS}
 
 
-def decode_target(plain: Mapping[str, Any]) -> ListedTarget:
-    """Return a target that was passed on, or raise where it makes no sense.
+def decode_target(encoded: Mapping[str, Any]) -> ListedTarget:
+    """Decode a target from another entry, or raise if it is invalid.
 
-    Older versions of the program tell no birth.
+    Older versions of the program send no time of birth.
     """
-    told = {'born': UNKNOWN_BIRTH, **plain}
-    found = {name: check(told[name]) for name, check in TARGET_FIELDS.items()}
-    return ListedTarget(**found)
+    fields = {'born': UNKNOWN_BIRTH, **encoded}
+    decoded = {
+        name: decode(fields[name]) for name, decode in TARGET_FIELDS.items()
+    }
+    return ListedTarget(**decoded)
 
 
-def _read_held(plain: Mapping[str, Any]) -> RetainedTarget:
+def _decode_retained(fields: Mapping[str, Any]) -> RetainedTarget:
     return RetainedTarget(
-        decode_target(plain['listed']), read_number(plain['left_s'])
+        decode_target(fields['listed']), read_number(fields['left_s'])
     )
 
 
-def _read_gone(plain: Any) -> RemovedTarget:
-    target_id, born, sequence = read_list(plain)
+def _decode_removed(row: Any) -> RemovedTarget:
+    target_id, born, sequence = read_list(row)
     return RemovedTarget(
         read_text(target_id), (read_int(born), read_int(sequence))
     )
 
 
-def _write_quarantined(one: QuarantineRecord) -> dict[str, Any]:
+def _encode_quarantined(record: QuarantineRecord) -> dict[str, Any]:
     return {
-        'fingerprint': one.fingerprint,
-        'ends': one.incarnations,
-        'age_s': one.age_s,
-        'trials': one.probes,
-        'cleared': one.cleared,
+        'fingerprint': record.fingerprint,
+        'ends': record.incarnations,
+        'age_s': record.age_s,
+        'trials': record.probes,
+        'cleared': record.cleared,
     }
 
 
-def _read_quarantined(plain: Mapping[str, Any]) -> QuarantineRecord:
+def _decode_quarantined(fields: Mapping[str, Any]) -> QuarantineRecord:
     return QuarantineRecord(
-        read_text(plain['fingerprint']),
-        tuple(map(read_text, read_list(plain['ends']))),
-        read_number(plain['age_s']),
-        read_count(plain['trials']),
-        tuple(map(read_text, read_list(plain['cleared']))),
+        read_text(fields['fingerprint']),
+        tuple(map(read_text, read_list(fields['ends']))),
+        read_number(fields['age_s']),
+        read_count(fields['trials']),
+        tuple(map(read_text, read_list(fields['cleared']))),
     )
 
 
-def _read_news(
-    plain: dict[str, Any],
+def _decode_update(
+    fields: dict[str, Any],
     asked_at: float,
     now: float,
     reader: str,
 ) -> StoreUpdate:
-    """Return what an entry knows, or raise where it makes no sense.
+    """Decode another entry's state, or raise if it is invalid.
 
-    An older one says nothing of held targets, of requests, nor of epochs.
+    Older versions send no retained targets, quarantined requests or epoch.
     """
-    listed = map(decode_target, read_list(plain['targets']))
-    age_s = read_number(plain['list_age_s'])
-    quarantined = read_list(plain.get('quarantine', []))
+    listed = map(decode_target, read_list(fields['targets']))
+    age_s = read_number(fields['list_age_s'])
+    quarantined = read_list(fields.get('quarantine', []))
     return StoreUpdate(
-        document=read_text(plain['document']),
-        targets=tuple([TargetUpdate(one.target_id, one) for one in listed]),
-        held=tuple(map(_read_held, read_list(plain.get('held', [])))),
+        document=read_text(fields['document']),
+        targets=tuple(
+            [TargetUpdate(target.target_id, target) for target in listed]
+        ),
+        held=tuple(map(_decode_retained, read_list(fields.get('held', [])))),
         as_of=asked_at - age_s,
         latest_at=now - age_s,
         whole=True,
-        settled=read_bool(plain.get('settled', False)),
+        settled=read_bool(fields.get('settled', False)),
         source=reader,
-        revision=read_int(plain['revision']),
-        quarantine=tuple(map(_read_quarantined, quarantined)),
-        epoch=read_optional_count(plain.get('epoch')),
-        gone=tuple(map(_read_gone, read_list(plain.get('gone', [])))),
-        leaving=tuple(map(read_text, read_list(plain.get('leaving', [])))),
+        revision=read_int(fields['revision']),
+        quarantine=tuple(map(_decode_quarantined, quarantined)),
+        epoch=read_optional_count(fields.get('epoch')),
+        gone=tuple(map(_decode_removed, read_list(fields.get('gone', [])))),
+        leaving=tuple(map(read_text, read_list(fields.get('leaving', [])))),
     )
