--- a/trestledock/entry/_peers.py
+++ b/trestledock/entry/_peers.py
@@ -26,7 +26,7 @@
     """Another entry, with the age of its copy of the store when last heard."""
 
     address: Address
-    received_at: float
+    heard_at: float
     news_age_s: float
     data_centre: str = ''
     again_s: float = 0
@@ -34,12 +34,12 @@
 
     def get_store_age_s(self, now: float) -> float:
         """Return the age of its copy if it has not been updated since."""
-        return self.news_age_s + now - self.received_at
+        return self.news_age_s + now - self.heard_at
 
     def is_silent(self, now: float) -> bool:
         """Whether it has been silent for longer than lost datagrams explain."""
         timeout_s = max(MIN_TIMEOUT_S, self.again_s * TIMEOUT_INTERVALS)
-        return now - self.received_at > timeout_s
+        return now - self.heard_at > timeout_s
 
 
 class Peers:
@@ -72,7 +72,7 @@
         """Record that an entry has read the store."""
         peer = self.known.get(name)
         if peer:
-            peer.received_at = now
+            peer.heard_at = now
             peer.news_age_s = news_age_s
 
     def is_near(self, name: str) -> bool:
