--- a/tests/test_explain.py
+++ b/tests/test_explain.py
@@ -1,4 +1,4 @@
-"""The story of one request from the logs of several entries."""
+"""`explain` prints the log lines of one request from several entries."""
 
 import unittest
 
@@ -12,25 +12,28 @@
 e2 {"asctime": "10:00:02", "message": "admitted", "req": "r2", "team": "b"}
 e1 {"asctime": "10:00:02", "message": "target_suspected", "peer": "t1"}
 e1 {"asctime": "10:00:09", "message": "target_suspected", "peer": "t1"}
-not a line of ours
+not a JSON line
 e1 {broken
 """
 
 
 class ExplainTest(unittest.TestCase):
-    """What is printed, and what is left out."""
+    """Tests which log lines are printed and which are omitted."""
 
-    def explain(self, req_id):
+    def run_explain(self, req_id):
         return CliRunner().invoke(main, ['explain', req_id], input=LOG)
 
-    def test_story(self):
-        """The lines of a request and of its targets meanwhile, in order."""
-        found = self.explain('r1')
-        words = [line.split()[2] for line in found.output.splitlines()]
-        self.assertEqual(words, ['admitted', 'target_suspected', 'repeated'])
+    def test_related_lines(self):
+        """Lines of the request and of its targets are sorted by time.
+
+        Lines about a target after the last line of the request are omitted.
+        """
+        result = self.run_explain('r1')
+        events = [line.split()[2] for line in result.output.splitlines()]
+        self.assertEqual(events, ['admitted', 'target_suspected', 'repeated'])
 
     def test_unknown_request(self):
-        """An id that is in no line is an error."""
-        found = self.explain('r9')
-        self.assertEqual(found.exit_code, 2)
-        self.assertIn('no line of r9', found.output)
+        """An id that no line contains is an error."""
+        result = self.run_explain('r9')
+        self.assertEqual(result.exit_code, 2)
+        self.assertIn('no line of r9', result.output)
--- a/trestledock/cli/__init__.py
+++ b/trestledock/cli/__init__.py
@@ -1,8 +1,8 @@
 """
-Command line
-============
+Command-line interface
+======================
 
-The one binary's commands.
+All commands of the single `trestledock` binary.
 """
 
 from trestledock.cli._main import main
--- a/trestledock/cli/_entry.py
+++ b/trestledock/cli/_entry.py
@@ -2,8 +2,8 @@
 Entry command
 =============
 
-`entry` runs an entry on the users' platform, from the settings file that the
-platform names in the environment.
+`entry` runs an entry on the users' platform.  The path of its settings file is
+in the environment variable `TRESTLEDOCK_BOOT`, which the platform sets.
 """
 
 import click
@@ -13,5 +13,5 @@
 
 @click.command()
 def entry() -> None:
-    """Run an entry on the platform (settings: TRESTLEDOCK_BOOT)."""
+    """Run an entry on the platform (settings file: TRESTLEDOCK_BOOT)."""
     run()
--- a/trestledock/cli/_explain.py
+++ b/trestledock/cli/_explain.py
@@ -1,10 +1,10 @@
 """
-Explaining a request
-====================
+Log lines of one request
+========================
 
-`explain` reads the logs of several entries and prints the story of one
-request in the order of time, with what its entry came to believe about the
-targets involved.
+`explain` reads the logs of several entries and prints the log lines of one
+request in chronological order, together with the lines about its targets that
+were logged in the same period.
 """
 
 import json
@@ -14,31 +14,34 @@
 
 from trestledock.cli._files import fail
 
-#: What every line has, and what is printed in front of the rest.
-COMMON = frozenset(('asctime', 'levelname', 'message', 'req'))
+#: Fields that are not printed as `name=value`: the columns at the start of a
+#: line, the level, and the request id, which is an argument of the command.
+EXCLUDED_FIELDS = frozenset(('asctime', 'levelname', 'message', 'req'))
 
 
 @click.command()
 @click.argument('req_id')
 @click.argument('logs', nargs=-1, type=click.Path(exists=True, allow_dash=True))
 def explain(req_id: str, logs: tuple[str, ...]) -> None:
-    """Print the story of request REQ_ID from LOGS, or standard input."""
+    """Print the log lines of request REQ_ID from LOGS or standard input."""
     lines = [line for path in logs or ('-',) for line in read_file(path)]
-    story = find_story(lines, req_id)
-    if not story:
+    related = find_related_lines(lines, req_id)
+    if not related:
         fail((f'no line of {req_id} in {len(lines)} lines',))
-    for line in story:
+    for line in related:
         click.echo(format_line(line))
 
 
 def read_file(path: str) -> list[dict[str, Any]]:
-    """Return the lines of a file; `-` is standard input."""
+    """Return the JSON log lines of a file; `-` is standard input."""
     with click.open_file(path) as source:
         return list(read_lines(source))
 
 
 def read_lines(source: Iterable[str]) -> Iterator[dict[str, Any]]:
-    """Yield the JSON lines; whatever stands around them is left out.
+    """Yield the parsed JSON log lines and skip all other lines.
+
+    The text before the JSON object becomes the field `source`.
 
     >>> [line['message'] for line in read_lines(['e1 {"message": "placed"}'])]
     ['placed']
@@ -54,34 +57,43 @@
         yield {'source': text[:start].strip(), **line}
 
 
-def find_story(
+def find_related_lines(
     lines: list[dict[str, Any]],
     req_id: str,
 ) -> list[dict[str, Any]]:
-    """Return the lines of a request, and those of its targets meanwhile."""
-    own = [line for line in lines if line.get('req') == req_id]
-    if not own:
+    """Return the lines of a request and of its targets, sorted by time.
+
+    A line about a target counts if it has no request id and was logged between
+    the first and the last line of the request.
+    """
+    request_lines = [line for line in lines if line.get('req') == req_id]
+    if not request_lines:
         return []
-    times = [line.get('asctime', '') for line in own]
+    times = [line.get('asctime', '') for line in request_lines]
     first, last = min(times), max(times)
-    peers = {line.get('peer') for line in own} - {None, ''}
-    around = [
+    targets = {line.get('peer') for line in request_lines} - {None, ''}
+    target_lines = [
         line
         for line in lines
         if 'req' not in line
-        and line.get('peer') in peers
+        and line.get('peer') in targets
         and first <= line.get('asctime', '') <= last
     ]
-    return sorted([*own, *around], key=lambda line: line.get('asctime', ''))
+    return sorted(
+        [*request_lines, *target_lines],
+        key=lambda line: line.get('asctime', ''),
+    )
 
 
 def format_line(line: dict[str, Any]) -> str:
-    """Return a line as text: time, source, event, then its fields."""
+    """Format a line as text: time, source, event name, then its fields."""
     source = line.get('source', '')
     fields = ' '.join(
-        f'{name}={found}'
-        for name, found in line.items()
-        if name not in COMMON and name != 'source' and found not in ('', [])
+        f'{name}={value}'
+        for name, value in line.items()
+        if name not in EXCLUDED_FIELDS
+        and name != 'source'
+        and value not in ('', [])
     )
-    parts = (line.get('asctime', ''), source, line.get('message', ''), fields)
-    return '  '.join(part for part in parts if part)
+    columns = (line.get('asctime', ''), source, line.get('message', ''), fields)
+    return '  '.join(column for column in columns if column)
--- a/trestledock/cli/_files.py
+++ b/trestledock/cli/_files.py
@@ -1,9 +1,9 @@
 """
-Files of the command line
-=========================
+Input files of commands
+=======================
 
-Reads settings and configurations and ends the command with every error, one a
-line, and exit code 2 where they don't fit.
+Reads settings and configuration files.  If a file is invalid, all its errors
+are printed, one per line, and the command exits with code 2.
 """
 
 import sys
@@ -21,26 +21,26 @@
     load_document,
 )
 
-USAGE_ERROR = 2
+USAGE_EXIT_CODE = 2
 
 Document = TypeVar('Document')
 
 
 def read_settings(path: str) -> Settings:
-    """Read a settings file or end the command."""
-    return _unwrap(path, load_document(_read(path), Settings))
+    """Read a settings file; exit with an error if it is invalid."""
+    return _unwrap_or_exit(path, load_document(_read(path), Settings))
 
 
 def read_configuration(path: str) -> Configuration:
-    """Read a configuration file or end the command."""
-    return _unwrap(path, check_configuration(_read(path)))
+    """Read a configuration file; exit with an error if it is invalid."""
+    return _unwrap_or_exit(path, check_configuration(_read(path)))
 
 
 def fail(lines: tuple[str, ...]) -> NoReturn:
-    """Print errors and end the command."""
+    """Print errors to standard error and exit with code 2."""
     for line in lines:
         click.echo(line, err=True)
-    sys.exit(USAGE_ERROR)
+    sys.exit(USAGE_EXIT_CODE)
 
 
 def _read(path: str) -> str:
@@ -50,8 +50,11 @@
         fail((f'{path}: {exc}',))
 
 
-def _unwrap(path: str, found: Result[Document, ValidationError]) -> Document:
-    if isinstance(found, Success):
-        return found.unwrap()
-    errors = found.failure().errors
+def _unwrap_or_exit(
+    path: str,
+    checked: Result[Document, ValidationError],
+) -> Document:
+    if isinstance(checked, Success):
+        return checked.unwrap()
+    errors = checked.failure().errors
     fail(tuple(f'{path}: {line}' for line in errors))
--- a/trestledock/cli/_losses.py
+++ b/trestledock/cli/_losses.py
@@ -2,12 +2,13 @@
 Losses by cause
 ===============
 
-`losses` reads the logs of all entries and says where worth was lost: by cause,
-by route and by moment.  What a caller got is judged by the times that its
-route has: late by its first event, by a pause, or not answered at all.
+`losses` reads the logs of all entries and prints how much worth was lost, by
+cause, by route and by time window.  An answer is checked against the limits of
+its route: worth is lost if the first event was late, if a pause was too long,
+or if there was no complete answer.
 
-A request that came back after a refusal is another one here, since each
-attempt has an id of its own.
+If a caller repeats a refused request, the repetition counts as a separate
+request, since it has its own request id.
 """
 
 from collections import defaultdict
@@ -21,15 +22,16 @@
 from trestledock.cli._explain import read_file
 from trestledock.cli._files import fail
 
-#: What a late answer loses of its worth (the users' sheets).
-LATE_LOSS = 0.75
-#: A wait before placement that fills this part of the objective is the cause.
-WAIT_SHARE = 0.4
-#: How long the windows are that losses are added up in, in seconds.
+#: Share of its worth that a late answer loses (defined by the users' sheets).
+LATE_LOSS_SHARE = 0.75
+#: If the wait before placement exceeds this share of the objective for the
+#: first event, it counts as the cause of a late answer.
+MAX_WAIT_SHARE = 0.4
+#: Length of the time windows by which losses are summed, in seconds.
 WINDOW_S = 2
 TIME_FORMAT = '%Y-%m-%d %H:%M:%S,%f'
-#: The events that end a request without a whole answer.
-LOST: Mapping[str, str] = MappingProxyType(
+#: Causes by the log event that ends a request without a complete answer.
+CAUSE_BY_EVENT: Mapping[str, str] = MappingProxyType(
     {
         'cut': 'cut: {reason}',
         'refused': 'refused: {reason}',
@@ -38,25 +40,29 @@
     }
 )
 
-Line = dict[str, Any]
+LogLine = dict[str, Any]
 
 
 @dataclass
-class Request:
-    """What the logs say of one request."""
+class RequestLog:
+    """All log lines of one request."""
 
-    admitted: Line
-    lines: list[Line] = field(default_factory=list)
+    admitted: LogLine
+    lines: list[LogLine] = field(default_factory=list)
 
-    def get_last(self, message: str) -> Line | None:
-        """Return the last line of a kind."""
-        found = [line for line in self.lines if line['message'] == message]
-        return found[-1] if found else None
+    def get_last(self, message: str) -> LogLine | None:
+        """Return the last line with this event name, if there is one."""
+        matches = [line for line in self.lines if line['message'] == message]
+        return matches[-1] if matches else None
 
 
 @dataclass(frozen=True)
 class Loss:
-    """What one request lost, why, on which route and when."""
+    """The worth that one request lost.
+
+    `window` is the start of the time window in which it was admitted.  The
+    tables group losses by `cause`, `route` and `window`.
+    """
 
     cause: str
     route: str
@@ -67,51 +73,53 @@
 @click.command()
 @click.argument('logs', nargs=-1, type=click.Path(exists=True, allow_dash=True))
 def losses(logs: tuple[str, ...]) -> None:
-    """Print where worth was lost, from LOGS or standard input."""
+    """Print the worth lost by cause, from LOGS or standard input."""
     lines = [line for path in logs or ('-',) for line in read_file(path)]
-    requests = collect(lines)
+    requests = group_by_request(lines)
     if not requests:
         fail((f'no admitted request in {len(lines)} lines',))
-    found = [loss for one in requests for loss in judge(one)]
-    owed = sum(one.admitted['worth'] for one in requests)
-    click.echo(f'{len(requests)} requests, worth {owed:.1f}')
+    request_losses = [
+        loss for request in requests for loss in find_losses(request)
+    ]
+    total_worth = sum(request.admitted['worth'] for request in requests)
+    click.echo(f'{len(requests)} requests, worth {total_worth:.1f}')
     for name in ('cause', 'route', 'window'):
         click.echo('')
-        for row in format_table(found, name):
+        for row in format_table(request_losses, name):
             click.echo(row)
 
 
-def collect(lines: Iterable[Line]) -> list[Request]:
-    """Return the admitted requests with their lines, in order of time."""
-    requests: dict[str, Request] = {}
+def group_by_request(lines: Iterable[LogLine]) -> list[RequestLog]:
+    """Return the admitted requests with their lines, sorted by time."""
+    requests: dict[str, RequestLog] = {}
     ordered = sorted(lines, key=lambda line: line.get('asctime', ''))
     for line in ordered:
         req_id = line.get('req')
         if line.get('message') == 'admitted' and 'worth' in line:
-            requests[line['req']] = Request(line)
+            requests[line['req']] = RequestLog(line)
         elif req_id in requests:
             requests[req_id].lines.append(line)
     return list(requests.values())
 
 
-def judge(one: Request) -> Iterator[Loss]:
-    """Yield what a request lost, if anything."""
-    cause, share = _find_cause(one)
+def find_losses(request: RequestLog) -> Iterator[Loss]:
+    """Yield the loss of a request, if it lost any worth."""
+    cause, lost_share = _find_cause(request)
     if cause:
-        admitted = one.admitted
+        admitted = request.admitted
         yield Loss(
             cause,
             admitted['route'],
-            admitted['worth'] * share,
-            _get_window(admitted['asctime']),
+            admitted['worth'] * lost_share,
+            _get_window_start(admitted['asctime']),
         )
 
 
-def format_table(found: list[Loss], name: str) -> Iterator[str]:
-    """Yield a table of losses by one of their fields, the largest first."""
+def format_table(request_losses: list[Loss], name: str) -> Iterator[str]:
+    """Yield the rows of a table of losses by a field, largest loss first."""
     counts: dict[str, int] = defaultdict(int)
     worths: dict[str, float] = defaultdict(float)
-    for loss in found:
+    for loss in request_losses:
         counts[getattr(loss, name)] += 1
         worths[getattr(loss, name)] += loss.worth
     yield f'{name:40} requests     lost'
@@ -119,45 +127,50 @@
         yield f'{key:40} {counts[key]:8} {worths[key]:8.1f}'
 
 
-def _find_cause(one: Request) -> tuple[str, float]:
-    """Return why a request lost worth, and the part that it lost."""
-    answered = one.get_last('answered')
+def _find_cause(request: RequestLog) -> tuple[str, float]:
+    """Return why a request lost worth, and the share of worth lost."""
+    answered = request.get_last('answered')
     if answered:
-        return _find_late_cause(one, answered)
-    for message, text in LOST.items():
-        line = one.get_last(message)
+        return _find_late_cause(request, answered)
+    for message, text in CAUSE_BY_EVENT.items():
+        line = request.get_last(message)
         if line:
             return text.format(**line), 1
     return 'no end in the logs: its entry ended', 1
 
 
-def _find_late_cause(one: Request, answered: Line) -> tuple[str, float]:
-    """Return why an answer was late, if it was."""
-    admitted = one.admitted
-    ended = one.get_last('sending_ended')
+def _find_late_cause(
+    request: RequestLog, answered: LogLine
+) -> tuple[str, float]:
+    """Return why an answer was late, and the share of worth lost."""
+    admitted = request.admitted
+    ended = request.get_last('sending_ended')
     if answered['first_ms'] > admitted['objective_ms']:
         if ended:
-            return f'late after {ended["ending"]} at {ended["step"]}', LATE_LOSS
-        return _find_slow_cause(one), LATE_LOSS
+            return (
+                f'late after {ended["ending"]} at {ended["step"]}',
+                LATE_LOSS_SHARE,
+            )
+        return _find_slow_cause(request), LATE_LOSS_SHARE
     if admitted['pause_ms'] and answered['longest_ms'] > admitted['pause_ms']:
-        return 'pause after a repeat' if ended else 'pause', LATE_LOSS
+        return 'pause after a repeat' if ended else 'pause', LATE_LOSS_SHARE
     return '', 0
 
 
-def _find_slow_cause(one: Request) -> str:
-    """Return why a first event was late that the first target sent."""
-    placed = one.get_last('placed') or {}
-    objective_ms = one.admitted['objective_ms']
+def _find_slow_cause(request: RequestLog) -> str:
+    """Return why the first event was late although no attempt failed."""
+    placed = request.get_last('placed') or {}
+    objective_ms = request.admitted['objective_ms']
     waited_ms = placed.get('waited_ms', 0)
-    if waited_ms > objective_ms * WAIT_SHARE:
+    if waited_ms > objective_ms * MAX_WAIT_SHARE:
         return 'late after waiting for a place'
     if waited_ms + placed.get('predicted_ms', 0) > objective_ms:
         return 'late as predicted'
     return 'later than predicted'
 
 
-def _get_window(asctime: str) -> str:
-    """Return the beginning of the window that an instant lies in."""
-    at = datetime.strptime(asctime, TIME_FORMAT)
-    second = at.second - at.second % WINDOW_S
-    return at.replace(second=second, microsecond=0).strftime('%H:%M:%S')
+def _get_window_start(asctime: str) -> str:
+    """Return the start of the time window that contains a log time."""
+    logged_at = datetime.strptime(asctime, TIME_FORMAT)
+    second = logged_at.second - logged_at.second % WINDOW_S
+    return logged_at.replace(second=second, microsecond=0).strftime('%H:%M:%S')
--- a/trestledock/cli/_main.py
+++ b/trestledock/cli/_main.py
@@ -2,7 +2,7 @@
 Main command
 ============
 
-Ties the commands together.
+The command group that contains all other commands.
 """
 
 import click
@@ -19,7 +19,7 @@
 @click.group()
 @click.version_option(VERSION, prog_name='trestledock')
 def main() -> None:
-    """Serve prompts of very unlike lengths from one fleet."""
+    """Serve prompts of widely differing lengths from one fleet."""
 
 
 COMMANDS = (
--- a/trestledock/cli/_operator.py
+++ b/trestledock/cli/_operator.py
@@ -2,8 +2,8 @@
 Operator commands
 =================
 
-`check` reads files without sending them anywhere; `publish`, `show` and
-`drain` talk to a running instance.
+`check` validates files locally; `publish`, `show` and `drain` send requests to
+a running instance.
 """
 
 import sys
@@ -21,20 +21,20 @@
 )
 
 PUBLISH_TIMEOUT_S = 30.0
-UNKNOWN_EXIT = 3
+UNKNOWN_EXIT_CODE = 3
 
 instance_option = click.option(
     '--instance',
     required=True,
-    help='URL of an entry instance.',
+    help='URL of a running instance.',
 )
 
 
 @click.command()
 @click.argument('path')
-@click.option('--settings', is_flag=True, help='The file holds settings.')
+@click.option('--settings', is_flag=True, help='The file is a settings file.')
 def check(path: str, settings: bool) -> None:
-    """Check a configuration (or settings) file; every error with its path."""
+    """Check a configuration or settings file; print all errors with paths."""
     if settings:
         read_settings(path)
     else:
@@ -45,47 +45,52 @@
 @click.command()
 @click.argument('path')
 @instance_option
-@click.option('--base', default=-1, help='The version that this one replaces.')
-@click.option('--id', 'publish_id', default='', help='Ask again by this id.')
+@click.option('--base', default=-1, help='The version to replace.')
+@click.option(
+    '--id',
+    'publish_id',
+    default='',
+    help='Id of an earlier publish request, to repeat it.',
+)
 def publish(path: str, instance: str, base: int, publish_id: str) -> None:
-    """Publish a configuration; says accepted only when it is."""
+    """Publish a configuration; print accepted only if it was accepted."""
     read_configuration(path)
     params = {'base': str(base)}
     if publish_id:
         params['id'] = publish_id
-    answer = _ask(
+    response = _send_request(
         'POST',
         f'{instance}/admin/publish',
         params=params,
         content=Path(path).read_bytes(),
         timeout=PUBLISH_TIMEOUT_S,
     ).json()
-    click.echo(yaml.safe_dump(answer, sort_keys=False).strip())
-    exits = {'accepted': 0, 'conflict': 1}
-    sys.exit(exits.get(answer.get('verdict', ''), UNKNOWN_EXIT))
+    click.echo(yaml.safe_dump(response, sort_keys=False).strip())
+    exit_codes = {'accepted': 0, 'conflict': 1}
+    sys.exit(exit_codes.get(response.get('verdict', ''), UNKNOWN_EXIT_CODE))
 
 
 @click.group()
 def show() -> None:
-    """Show what is in force and why work would be placed where."""
+    """Show the configuration, the fleet or a placement decision."""
 
 
 @show.command()
 @instance_option
 def version(instance: str) -> None:
     """Show the configuration in force."""
-    answer = _ask('GET', f'{instance}/admin/configuration')
-    if answer.is_success:
-        click.echo(f'# version {answer.headers["trestledock-version"]}')
-    click.echo(answer.text)
+    response = _send_request('GET', f'{instance}/admin/configuration')
+    if response.is_success:
+        click.echo(f'# version {response.headers["trestledock-version"]}')
+    click.echo(response.text)
 
 
 @show.command()
 @instance_option
 def fleet(instance: str) -> None:
-    """Show targets and peers as the instance sees them."""
-    answer = _ask('GET', f'{instance}/admin/fleet').json()
-    click.echo(yaml.safe_dump(answer, sort_keys=False).strip())
+    """Show the targets and peers that the instance knows."""
+    response = _send_request('GET', f'{instance}/admin/fleet').json()
+    click.echo(yaml.safe_dump(response, sort_keys=False).strip())
 
 
 @show.command()
@@ -101,7 +106,7 @@
     service: str,
     tokens: int,
 ) -> None:
-    """Show why a request would be placed where."""
+    """Explain where a request would be placed, and why."""
     name, adapter, number = (*model.split(':'), '', '')[:3]
     params = {
         'team': team,
@@ -111,8 +116,10 @@
         'service': service,
         'tokens': str(tokens),
     }
-    answer = _ask('GET', f'{instance}/admin/explain', params=params).json()
-    for line in answer['lines']:
+    response = _send_request(
+        'GET', f'{instance}/admin/explain', params=params
+    ).json()
+    for line in response['lines']:
         click.echo(line)
 
 
@@ -120,17 +127,17 @@
 @click.argument('target')
 @instance_option
 def drain(target: str, instance: str) -> None:
-    """Mark a target as leaving: it gets no new work."""
-    answer = _ask(
+    """Mark a target as draining, so that it gets no new work."""
+    response = _send_request(
         'POST',
         f'{instance}/admin/drain',
         json={'target': target},
     )
-    click.echo(answer.text)
-    sys.exit(0 if answer.is_success else 1)
+    click.echo(response.text)
+    sys.exit(0 if response.is_success else 1)
 
 
-def _ask(method: str, url: str, **options: Any) -> httpx.Response:
+def _send_request(method: str, url: str, **options: Any) -> httpx.Response:
     try:
         return httpx.request(method, url, **options)
     except httpx.HTTPError as exc:
--- a/trestledock/cli/_serve.py
+++ b/trestledock/cli/_serve.py
@@ -2,7 +2,7 @@
 Serving commands
 ================
 
-`serve` runs an entry instance; `standin` runs one of the stand-ins.
+`serve` runs an instance; `standin` runs one of the stand-in servers.
 """
 
 import logging
@@ -24,38 +24,42 @@
 )
 
 
-def set_up_logs() -> None:
-    """Log JSON lines to standard error."""
+def configure_logging() -> None:
+    """Write log lines as JSON to standard error."""
     handler = logging.StreamHandler(sys.stderr)
     handler.setFormatter(
         JsonFormatter('%(asctime)s %(levelname)s %(message)s'),
     )
-    log = logging.getLogger('trestledock')
-    log.addHandler(handler)
-    log.setLevel(logging.INFO)
+    logger = logging.getLogger('trestledock')
+    logger.addHandler(handler)
+    logger.setLevel(logging.INFO)
 
 
 @click.command()
 @click.option('--settings', required=True, help='The settings file (YAML).')
 def serve(settings: str) -> None:
-    """Run an entry instance."""
-    checked = read_settings(settings)
-    set_up_logs()
-    clock.run(run_until_signal, checked)
+    """Run an instance."""
+    loaded_settings = read_settings(settings)
+    configure_logging()
+    clock.run(run_until_signal, loaded_settings)
 
 
 @click.group()
 def standin() -> None:
-    """Run a small stand-in for tests: an engine, a service, the platform."""
+    """Run a stand-in server for tests: engine, service or platform."""
 
 
 @standin.command()
 @click.option('--listen', required=True)
 @click.option('--platform', default='')
 @click.option('--model', 'models', multiple=True, help='name:adapter:version')
-@click.option('--rate', default=8_000.0, help='Prefill tokens a second.')
+@click.option(
+    '--rate', default=8_000.0, help='Prefill rate in tokens per second.'
+)
 @click.option('--itl-ms', default=20.0, help='Milliseconds between tokens.')
-@click.option('--capacity', default=400_000, help='KV tokens.')
+@click.option(
+    '--capacity', default=400_000, help='KV cache capacity in tokens.'
+)
 @click.option('--checks-fencing', is_flag=True)
 @click.option('--seed', default=0)
 def engine(
@@ -82,7 +86,7 @@
 @standin.command()
 @click.option('--listen', required=True)
 def service(listen: str) -> None:
-    """Run a stand-in plain service."""
+    """Run the stand-in for a plain service."""
     anyio.run(ServiceServer().run, listen)
 
 
@@ -90,6 +94,6 @@
 @click.option('--listen', required=True)
 @click.option('--retention-s', default=float('inf'))
 def platform(listen: str, retention_s: float) -> None:
-    """Run the stand-in platform: log, instance list, weight store."""
+    """Run the stand-in platform: log, instance list and weight store."""
     server = PlatformServer(LogModel(retention_s=retention_s))
     anyio.run(server.run, listen)
