--- a/trestledock/demo/__init__.py
+++ b/trestledock/demo/__init__.py
@@ -2,7 +2,7 @@
 Demo
 ====
 
-Both deployments of the brief on loopback, in one process.
+Runs both example deployments on the loopback interface, in one process.
 """
 
 from trestledock.demo._deployment import get_free_port
--- a/trestledock/demo/_run.py
+++ b/trestledock/demo/_run.py
@@ -2,8 +2,8 @@
 Demo run
 ========
 
-Starts both example deployments one after the other, sends them short and then
-mixed traffic, and prints what became of every request.
+Starts both example deployments one after the other, sends each of them only
+short prompts and then mixed traffic, and prints the outcomes and latencies.
 """
 
 import logging
@@ -16,77 +16,79 @@
 import click
 
 from trestledock.demo._deployment import Deployment
-from trestledock.demo._traffic import Generator, Tally
+from trestledock.demo._traffic import PhaseResult, TrafficGenerator
 from trestledock.request import LengthClass
 
 SEED = 7
-RATE = 12.0
-PERCENT = 100
-#: Where the 50th and the 95th percentile stand among the cuts.
-CUTS = (49, 94)
-PHASE_S = 6.0
+REQUESTS_PER_S = 12.0
+QUANTILE_COUNT = 100
+#: Indices of the 50th and 95th percentiles in the result of `quantiles`.
+PERCENTILE_INDICES = (49, 94)
+PHASE_DURATION_S = 6.0
 
 
 async def run_demo(folder: Path, seconds: float) -> int:
-    """Run the demo; return how many requests are not accounted for."""
+    """Run the demo; return how many requests have no recorded outcome."""
     sent = 0
     accounted = 0
     for path in (folder / 'huber.yaml', folder / 'gulf-piedmont.yaml'):
         click.echo(f'{path.stem}: starting')
-        for name, tally in (await _run_deployment(path, seconds)).items():
-            _print_tally(f'{path.stem}, {name}', tally)
-            sent += tally.sent
-            accounted += sum(tally.outcomes.values())
+        for name, result in (await _run_deployment(path, seconds)).items():
+            _print_result(f'{path.stem}, {name}', result)
+            sent += result.sent
+            accounted += sum(result.outcomes.values())
     click.echo(f'accounted: {accounted} of {sent}')
     return abs(sent - accounted)
 
 
-async def _run_deployment(path: Path, seconds: float) -> dict[str, Tally]:
+async def _run_deployment(path: Path, seconds: float) -> dict[str, PhaseResult]:
     deployment = Deployment(path)
     async with anyio.create_task_group() as group:
         await deployment.start(group)
-        tallies = {}
+        results = {}
         for name, with_long in (('short only', False), ('mixed', True)):
-            tallies[name] = await _run_phase(deployment, seconds, with_long)
+            results[name] = await _run_phase(deployment, seconds, with_long)
         deployment.stop.set()
-    _print_slowdown(tallies['short only'], tallies['mixed'])
-    return tallies
+    _print_short_slowdown(results['short only'], results['mixed'])
+    return results
 
 
 async def _run_phase(
     deployment: Deployment,
     seconds: float,
     with_long: bool,
-) -> Tally:
-    generator = Generator(
-        deployment.cfg,
+) -> PhaseResult:
+    generator = TrafficGenerator(
+        deployment.configuration,
         deployment.entries,
         Random(SEED),
         with_long,
     )
-    count = int(RATE * seconds)
+    count = int(REQUESTS_PER_S * seconds)
     label = 'mixed' if with_long else 'short only'
     with click.progressbar(length=count, label=label, file=sys.stderr) as bar:
-        return await generator.run(RATE, seconds, lambda: bar.update(1))
+        return await generator.run(
+            REQUESTS_PER_S, seconds, lambda: bar.update(1)
+        )
 
 
-def _print_tally(title: str, tally: Tally) -> None:
-    click.echo(f'{title}: {tally.sent} sent')
-    for outcome, count in sorted(tally.outcomes.items()):
+def _print_result(title: str, result: PhaseResult) -> None:
+    click.echo(f'{title}: {result.sent} sent')
+    for outcome, count in sorted(result.outcomes.items()):
         click.echo(f'  {outcome:10} {count}')
     for name in LengthClass:
-        found = tally.ttft.get(name.value, [])
-        if found:
-            middle, high = _get_percentiles(found)
+        latencies = result.ttft.get(name.value, [])
+        if latencies:
+            p50, p95 = _get_percentiles(latencies)
             click.echo(
-                f'  first token, {name.value:7} p50 {middle:.3f} s  '
-                f'p95 {high:.3f} s  ({len(found)})',
+                f'  first token, {name.value:7} p50 {p50:.3f} s  '
+                f'p95 {p95:.3f} s  ({len(latencies)})',
             )
 
 
-def _print_slowdown(without: Tally, mixed: Tally) -> None:
+def _print_short_slowdown(short_only: PhaseResult, mixed: PhaseResult) -> None:
     short = LengthClass.short.value
-    _, before = _get_percentiles(without.ttft[short])
+    _, before = _get_percentiles(short_only.ttft[short])
     _, after = _get_percentiles(mixed.ttft[short])
     click.echo(
         f'short prompts, p95 with long ones over p95 without: '
@@ -94,19 +96,26 @@
     )
 
 
-def _get_percentiles(found: list[float]) -> tuple[float, float]:
-    if len(found) < 2:
-        return found[0], found[0]
-    cuts = quantiles(found, n=PERCENT, method='inclusive')
-    middle, high = (cuts[index] for index in CUTS)
-    return middle, high
+def _get_percentiles(latencies: list[float]) -> tuple[float, float]:
+    """Return the 50th and the 95th percentile."""
+    if len(latencies) < 2:
+        return latencies[0], latencies[0]
+    cut_points = quantiles(latencies, n=QUANTILE_COUNT, method='inclusive')
+    p50, p95 = (cut_points[index] for index in PERCENTILE_INDICES)
+    return p50, p95
 
 
 @click.command()
-@click.option('--examples', default='examples', help='Folder of the examples.')
-@click.option('--seconds', default=PHASE_S, help='How long each phase lasts.')
+@click.option(
+    '--examples',
+    default='examples',
+    help='Folder with the example configurations.',
+)
+@click.option(
+    '--seconds', default=PHASE_DURATION_S, help='Duration of each phase.'
+)
 def demo(examples: str, seconds: float) -> None:
-    """Run everything on loopback in one process for some seconds."""
+    """Run both example deployments on loopback in one process."""
     logging.getLogger('asyncio').setLevel(logging.CRITICAL)
-    missing = anyio.run(run_demo, Path(examples), seconds)
-    sys.exit(1 if missing else 0)
+    unaccounted_count = anyio.run(run_demo, Path(examples), seconds)
+    sys.exit(1 if unaccounted_count else 0)
