--- a/trestledock/standin/__init__.py
+++ b/trestledock/standin/__init__.py
@@ -2,8 +2,9 @@
 Stand-ins
 =========
 
-Small programs that take the place of the platform, engines and services in
-tests, in the demo and in the replay.
+Small servers that replace the platform, the engines and the services in tests
+and in the demo.  The models behind them run without HTTP too, for the
+simulations in `proof` and `bench`.
 """
 
 from trestledock.standin._engine import (
--- a/trestledock/standin/_engine_model.py
+++ b/trestledock/standin/_engine_model.py
@@ -2,13 +2,15 @@
 Engine model
 ============
 
-A small model of a model engine: prefill by priority, one piece at a time,
-continuous batching of streams, limited KV memory and a prefix cache.  It has
-no clock and no sockets; `standin engine` serves it over HTTP and the replay
-drives it on one clock.
-
-A hold keeps its memory until its stream ends or it is cancelled; the model
-never frees memory by itself, so that whoever forgets a hold is found out.
+A small model of an LLM engine: prefill by priority, one prefill chunk at a
+time, continuous batching of streams, limited KV memory and a prefix cache.  It
+has no clock and no sockets: callers pass the current time.  The command
+`standin engine` serves it over HTTP; the simulations drive it on a virtual
+clock.
+
+A reservation (`hold` in the engine's API) keeps its memory until its stream
+ends or it is cancelled.  The model never releases memory by itself, so a test
+detects an entry that forgets to cancel a reservation.
 """
 
 import hashlib
@@ -20,20 +22,25 @@
 from trestledock.process import Job, LoadReport
 from trestledock.request import Chunk
 
-#: Priorities that are told apart in reports.
-PRIORITIES = 5
-#: Tokens in a cached block.
+#: Number of priorities that load reports distinguish.
+PRIORITY_COUNT = 5
+#: Tokens per block of the prefix cache.
 BLOCK_TOKENS = 512
-#: Cancelled holds that are remembered, to refuse late jobs for them.
+#: Maximum number of cancelled reservations that are remembered, in order to
+#: reject jobs for them that arrive late.
 MAX_TOMBSTONES = 100_000
-#: Tokens a second that KV cache is imported at.
+#: Rate at which KV cache is imported, in tokens per second.
 IMPORT_RATE = 400_000.0
-#: How much a full batch slows each stream.
+#: Relative increase of the time between tokens when the batch is full.
 BATCH_SLOWDOWN = 1.0
 
 
 class EventKind(str, Enum):
-    """What an engine reports of a hold."""
+    """Kind of an event of a reservation.
+
+    `piece_done`: a job that only prefills is complete.  `chunk`: part of a
+    stream was decoded.  `done`: the stream is complete.
+    """
 
     piece_done = 'piece_done'
     chunk = 'chunk'
@@ -42,7 +49,7 @@
 
 @dataclass(frozen=True)
 class EngineEvent:
-    """Something that happened to a hold at the instant `at`."""
+    """An event of the reservation `hold` at the time `at`, in seconds."""
 
     at: float
     hold: str
@@ -54,7 +61,12 @@
 
 @dataclass(frozen=True)
 class EngineSpec:
-    """What an engine can do; rates in tokens a second."""
+    """Capabilities and limits of an engine.
+
+    `rate` is the prefill rate in tokens per second, `itl_s` the time between
+    tokens (inter-token latency) of a single stream, and `stride` the maximum
+    number of tokens in a chunk of a stream.
+    """
 
     rate: float = 8_000
     itl_s: float = 0.02
@@ -66,14 +78,14 @@
 
 
 class Rejected(Exception):
-    """The engine did not start a job; the text says why."""
+    """The engine did not start a job; the message gives the reason."""
 
 
 @dataclass
-class Hold:
-    """What an engine keeps for a hold."""
+class Reservation:
+    """KV memory reserved for a request, with the state of its job."""
 
-    reserve: int
+    reserved_tokens: int
     seed: str
     job: Job
     prefix: tuple[str, ...] = ()
@@ -90,29 +102,39 @@
 
 @dataclass
 class EngineModel:
-    """One engine; every method takes the present instant."""
+    """One engine.
+
+    Methods that depend on the time take it as `now`, in seconds, and first run
+    the model up to then.  `holds` are the live reservations by id; `cancelled`
+    are the ids of cancelled ones.  `accepted_tokens` counts the prefill tokens
+    of all accepted jobs; `fencing` is the highest fencing number seen in an
+    order; `used` is the reserved KV memory in tokens.  `cache_log` holds the
+    cached (True) and evicted (False) blocks that are not yet published.
+    """
 
     spec: EngineSpec
     models: frozenset[str] = frozenset()
-    holds: dict[str, Hold] = field(default_factory=dict)
-    finished: OrderedDict[str, Hold] = field(default_factory=OrderedDict)
+    holds: dict[str, Reservation] = field(default_factory=dict)
+    finished: OrderedDict[str, Reservation] = field(default_factory=OrderedDict)
     cancelled: OrderedDict[str, None] = field(default_factory=OrderedDict)
     cache: OrderedDict[str, None] = field(default_factory=OrderedDict)
     cache_log: list[tuple[str, bool]] = field(default_factory=list)
     accepted_tokens: int = 0
     fencing: int = -1
     used: int = 0
-    _queue: list[tuple[int, int, float, str]] = field(default_factory=list)
-    _current: tuple[float, str] | None = None
+    _prefill_queue: list[tuple[int, int, float, str]] = field(
+        default_factory=list
+    )
+    _current_prefill: tuple[float, str] | None = None
     _streams: list[tuple[float, str, int]] = field(default_factory=list)
-    _count: int = 0
-    _clock: float = 0
+    _job_count: int = 0
+    _model_time: float = 0
     _events: list[EngineEvent] = field(default_factory=list)
 
     @property
     def running(self) -> int:
-        """How many streams are being decoded."""
-        return sum(hold.running for hold in self.holds.values())
+        """Number of streams that are being decoded."""
+        return sum(reservation.running for reservation in self.holds.values())
 
     def submit(
         self,
@@ -121,78 +143,82 @@
         prefix: tuple[str, ...],
         now: float,
     ) -> None:
-        """Take a job or raise `Rejected`, which proves it did not start."""
+        """Accept a job, or raise `Rejected` if it certainly was not started."""
         self._run_until(now)
-        self._check(job)
-        hold = self.holds.get(job.hold)
-        if hold is None:
-            hold = Hold(job.reserve, seed, job, prefix)
-            self.holds[job.hold] = hold
+        self._check_job(job)
+        reservation = self.holds.get(job.hold)
+        if reservation is None:
+            reservation = Reservation(job.reserve, seed, job, prefix)
+            self.holds[job.hold] = reservation
             self.used += job.reserve
-        hold.job = job
+        reservation.job = job
         tokens = job.stop - job.start
         if tokens == 0 and not job.generate:
             self._emit(now, job.hold, EventKind.piece_done, stop=job.stop)
             return
         self.accepted_tokens += tokens
-        self._count += 1
-        work_s = self._get_work(hold, job)
-        entry = (job.priority, self._count, work_s, job.hold)
-        heapq.heappush(self._queue, entry)
-        self._start_next(now)
-
-    def cancel(self, hold_id: str, now: float) -> None:
-        """Free a hold; unknown ids are remembered as cancelled, too."""
+        self._job_count += 1
+        prefill_s = self._get_prefill_s(reservation, job)
+        entry = (job.priority, self._job_count, prefill_s, job.hold)
+        heapq.heappush(self._prefill_queue, entry)
+        self._start_next_prefill(now)
+
+    def cancel(self, reservation_id: str, now: float) -> None:
+        """Release a reservation; remember unknown ids as cancelled too."""
         self._run_until(now)
-        self.cancelled[hold_id] = None
+        self.cancelled[reservation_id] = None
         while len(self.cancelled) > MAX_TOMBSTONES:
             self.cancelled.popitem(last=False)
-        self._free(hold_id)
+        self._release(reservation_id)
 
     def order(self, models: frozenset[str], fencing: int) -> bool:
-        """Load exactly these models; False where the number is old."""
-        taken = self.take_number(fencing)
-        if taken:
+        """Load exactly these models; return False if the order is outdated."""
+        accepted = self.accept_fencing(fencing)
+        if accepted:
             self.models = models
-        return taken
+        return accepted
 
-    def take_number(self, fencing: int) -> bool:
-        """Take the fencing number of an order; False where it is too old."""
+    def accept_fencing(self, fencing: int) -> bool:
+        """Record the fencing number of an order; return False if outdated."""
         if self.spec.checks_fencing and fencing < self.fencing:
             return False
         self.fencing = max(self.fencing, fencing)
         return True
 
     def advance(self, now: float) -> list[EngineEvent]:
-        """Run until `now`; return what has happened since the last call."""
+        """Run until `now`; return the events since the last call."""
         self._run_until(now)
         events = self._events
         self._events = []
         return events
 
     def get_next(self) -> float:
-        """Return the instant of the next event."""
-        moments = [self._current[0]] if self._current else []
+        """Return the time of the next event, or infinity if there is none."""
+        event_times = (
+            [self._current_prefill[0]] if self._current_prefill else []
+        )
         if self._streams:
-            moments.append(self._streams[0][0])
+            event_times.append(self._streams[0][0])
         if self._events:
-            moments.append(self._clock)
-        return min(moments, default=float('inf'))
+            event_times.append(self._model_time)
+        return min(event_times, default=float('inf'))
 
     def report(self, now: float, age_s: float = 0) -> LoadReport:
-        """Return the load as of `now`."""
+        """Return the load report as of `now`."""
         self._run_until(now)
-        queued = [0 for _ in range(PRIORITIES)]
-        waiting = [(entry[0], entry[2]) for entry in self._queue]
-        if self._current:
-            hold = self.holds.get(self._current[1])
-            left_s = self._current[0] - now
-            waiting.append((hold.job.priority if hold else 0, left_s))
-        for priority, work_s in waiting:
-            queued[priority] += int(work_s * self.spec.rate)
+        queued_tokens = [0 for _ in range(PRIORITY_COUNT)]
+        waiting = [(entry[0], entry[2]) for entry in self._prefill_queue]
+        if self._current_prefill:
+            reservation = self.holds.get(self._current_prefill[1])
+            remaining_s = self._current_prefill[0] - now
+            waiting.append(
+                (reservation.job.priority if reservation else 0, remaining_s)
+            )
+        for priority, prefill_s in waiting:
+            queued_tokens[priority] += int(prefill_s * self.spec.rate)
         return LoadReport(
             age_s=age_s,
-            queued=tuple(queued),
+            queued=tuple(queued_tokens),
             free_tokens=self.spec.capacity_tokens - self.used,
             capacity_tokens=self.spec.capacity_tokens,
             rate=self.spec.rate,
@@ -203,7 +229,7 @@
             fencing=self.fencing,
         )
 
-    def _check(self, job: Job) -> None:
+    def _check_job(self, job: Job) -> None:
         if job.hold in self.cancelled:
             raise Rejected('the hold was cancelled')
         if str(job.model) not in self.models:
@@ -217,106 +243,116 @@
         if job.generate and self.running >= self.spec.max_batch:
             raise Rejected('the batch is full')
 
-    def _get_work(self, hold: Hold, job: Job) -> float:
+    def _get_prefill_s(self, reservation: Reservation, job: Job) -> float:
         tokens = job.stop - job.start
-        cached = 0
-        for count, block in enumerate(hold.prefix, start=1):
+        cached_tokens = 0
+        for count, block in enumerate(reservation.prefix, start=1):
             if block not in self.cache:
                 break
             self.cache.move_to_end(block)
-            cached = count * BLOCK_TOKENS
-        saved = min(tokens - 1, max(0, min(cached, job.stop) - job.start))
-        work_s = (tokens - max(0, saved)) / self.spec.rate
+            cached_tokens = count * BLOCK_TOKENS
+        saved_tokens = min(
+            tokens - 1, max(0, min(cached_tokens, job.stop) - job.start)
+        )
+        prefill_s = (tokens - max(0, saved_tokens)) / self.spec.rate
         if job.source:
-            work_s += job.start / IMPORT_RATE
-        return work_s
+            prefill_s += job.start / IMPORT_RATE
+        return prefill_s
 
     def _get_itl(self) -> float:
-        load = self.running / self.spec.max_batch
-        return self.spec.itl_s * (1 + BATCH_SLOWDOWN * load)
+        batch_share = self.running / self.spec.max_batch
+        return self.spec.itl_s * (1 + BATCH_SLOWDOWN * batch_share)
 
     def _run_until(self, now: float) -> None:
         while True:
-            piece_at = self._current[0] if self._current else float('inf')
-            stream_at = self._streams[0][0] if self._streams else float('inf')
-            if min(piece_at, stream_at) > now:
+            prefill_end_at = (
+                self._current_prefill[0]
+                if self._current_prefill
+                else float('inf')
+            )
+            next_token_at = (
+                self._streams[0][0] if self._streams else float('inf')
+            )
+            if min(prefill_end_at, next_token_at) > now:
                 break
-            if piece_at <= stream_at:
-                self._end_piece()
+            if prefill_end_at <= next_token_at:
+                self._finish_prefill()
             else:
-                self._produce()
-        self._clock = max(self._clock, now)
+                self._decode_next()
+        self._model_time = max(self._model_time, now)
 
-    def _start_next(self, now: float) -> None:
-        while self._current is None and self._queue:
-            _, _, work_s, hold_id = heapq.heappop(self._queue)
-            if hold_id in self.holds:
-                self._current = (now + work_s, hold_id)
+    def _start_next_prefill(self, now: float) -> None:
+        while self._current_prefill is None and self._prefill_queue:
+            _, _, prefill_s, reservation_id = heapq.heappop(self._prefill_queue)
+            if reservation_id in self.holds:
+                self._current_prefill = (now + prefill_s, reservation_id)
 
-    def _end_piece(self) -> None:
-        if self._current is None:
+    def _finish_prefill(self) -> None:
+        if self._current_prefill is None:
             return
-        at, hold_id = self._current
-        self._current = None
-        hold = self.holds.get(hold_id)
-        if hold:
-            self._fill_cache(hold)
-            if hold.job.generate:
-                hold.running = True
-                entry = (at, hold_id, hold.job.first_index)
+        at, reservation_id = self._current_prefill
+        self._current_prefill = None
+        reservation = self.holds.get(reservation_id)
+        if reservation:
+            self._fill_cache(reservation)
+            if reservation.job.generate:
+                reservation.running = True
+                entry = (at, reservation_id, reservation.job.first_index)
                 heapq.heappush(self._streams, entry)
             else:
-                stop = hold.job.stop
-                self._emit(at, hold_id, EventKind.piece_done, stop=stop)
-        self._start_next(at)
-
-    def _produce(self) -> None:
-        at, hold_id, index = heapq.heappop(self._streams)
-        hold = self.holds.get(hold_id)
-        if hold is None:
+                stop = reservation.job.stop
+                self._emit(at, reservation_id, EventKind.piece_done, stop=stop)
+        self._start_next_prefill(at)
+
+    def _decode_next(self) -> None:
+        at, reservation_id, index = heapq.heappop(self._streams)
+        reservation = self.holds.get(reservation_id)
+        if reservation is None:
             return
-        end = hold.job.first_index + hold.job.max_tokens
+        end = reservation.job.first_index + reservation.job.max_tokens
         tokens = min(self.spec.stride, end - index) if index else 1
-        chunk = Chunk(index, get_token_text(hold.seed, index), tokens)
-        hold.produced.append(chunk)
-        self._emit(at, hold_id, EventKind.chunk, chunk=chunk)
-        following = index + tokens
-        if following >= end:
-            hold.final_count = end
-            self._emit(at, hold_id, EventKind.done, count=end)
-            self.finished[hold_id] = hold
+        chunk = Chunk(index, get_token_text(reservation.seed, index), tokens)
+        reservation.produced.append(chunk)
+        self._emit(at, reservation_id, EventKind.chunk, chunk=chunk)
+        next_index = index + tokens
+        if next_index >= end:
+            reservation.final_count = end
+            self._emit(at, reservation_id, EventKind.done, count=end)
+            self.finished[reservation_id] = reservation
             while len(self.finished) > self.spec.max_batch:
                 self.finished.popitem(last=False)
-            self._free(hold_id)
+            self._release(reservation_id)
             return
-        coming = min(self.spec.stride, end - following)
-        due = at + self._get_itl() * coming
-        heapq.heappush(self._streams, (due, hold_id, following))
-
-    def _free(self, hold_id: str) -> None:
-        hold = self.holds.pop(hold_id, None)
-        if hold:
-            self.used -= hold.reserve
-            hold.running = False
-
-    def _fill_cache(self, hold: Hold) -> None:
-        count = hold.job.stop // BLOCK_TOKENS
-        for block in hold.prefix[:count]:
+        next_tokens = min(self.spec.stride, end - next_index)
+        due_at = at + self._get_itl() * next_tokens
+        heapq.heappush(self._streams, (due_at, reservation_id, next_index))
+
+    def _release(self, reservation_id: str) -> None:
+        reservation = self.holds.pop(reservation_id, None)
+        if reservation:
+            self.used -= reservation.reserved_tokens
+            reservation.running = False
+
+    def _fill_cache(self, reservation: Reservation) -> None:
+        count = reservation.job.stop // BLOCK_TOKENS
+        for block in reservation.prefix[:count]:
             if block not in self.cache:
                 self.cache_log.append((block, True))
             self.cache[block] = None
             self.cache.move_to_end(block)
         while len(self.cache) > self.spec.cache_blocks:
-            dropped, _ = self.cache.popitem(last=False)
-            self.cache_log.append((dropped, False))
+            evicted, _ = self.cache.popitem(last=False)
+            self.cache_log.append((evicted, False))
 
     def _emit(
         self,
         at: float,
-        hold: str,
+        reservation_id: str,
         kind: EventKind,
         stop: int = 0,
         chunk: Chunk | None = None,
         count: int = 0,
     ) -> None:
-        self._events.append(EngineEvent(at, hold, kind, stop, chunk, count))
+        self._events.append(
+            EngineEvent(at, reservation_id, kind, stop, chunk, count)
+        )
--- a/trestledock/standin/_log_model.py
+++ b/trestledock/standin/_log_model.py
@@ -2,56 +2,68 @@
 Log model
 =========
 
-A small model of the platform's append-only log: offsets, limited retention
-and a limited rate of appends.  It has no clock and no sockets.
+A small model of the platform's append-only log, with offsets, limited
+retention and a limited append rate.  It has no clock and no sockets: callers
+pass the current time.
 """
 
 from dataclasses import dataclass, field
 
 from trestledock.version import Batch, Entry, Record
 
-#: The most entries that one read returns.
-MAX_READ = 500
+#: Maximum number of entries that one read returns.
+MAX_READ_ENTRIES = 500
 
 
 class Overloaded(Exception):
-    """The log takes no more appends for the moment."""
+    """The append rate limit is exceeded; a later append may succeed."""
 
 
 @dataclass
 class LogModel:
-    """An append-only log that forgets old records."""
+    """An append-only log that drops records older than `retention_s`.
+
+    `rate` is the number of appends per second.  A token bucket limits it and
+    allows a burst of one second's appends.
+    """
 
     retention_s: float = float('inf')
     rate: float = 300.0
     entries: list[tuple[float, Entry]] = field(default_factory=list)
-    first: int = 0
-    tail: int = 0
-    _budget: float = 0
-    _filled_at: float = 0
+    first_offset: int = 0
+    next_offset: int = 0
+    _append_tokens: float = 0
+    _refilled_at: float = 0
 
     def append(self, record: Record, now: float) -> int:
-        """Append a record and return its offset."""
-        gained = (now - self._filled_at) * self.rate
-        self._budget = min(self.rate, self._budget + gained)
-        self._filled_at = now
-        if self._budget < 1 and self.entries:
+        """Append a record and return its offset, or raise `Overloaded`."""
+        gained = (now - self._refilled_at) * self.rate
+        self._append_tokens = min(self.rate, self._append_tokens + gained)
+        self._refilled_at = now
+        if self._append_tokens < 1 and self.entries:
             raise Overloaded('too many appends')
-        self._budget -= 1
-        offset = self.tail
+        self._append_tokens -= 1
+        offset = self.next_offset
         self.entries.append((now, Entry(offset, record)))
-        self.tail += 1
+        self.next_offset += 1
         return offset
 
     def read(self, offset: int, now: float) -> Batch:
-        """Return the entries from `offset` on that are still kept."""
+        """Return retained entries from `offset` on, up to the maximum number.
+
+        If older entries were dropped, the batch starts after them.
+        """
         self._expire(now)
-        first = max(offset, self.first)
-        start = first - self.first
-        chosen = self.entries[start : start + MAX_READ]
-        return Batch(first, self.tail, tuple(entry for _, entry in chosen))
+        first_offset = max(offset, self.first_offset)
+        start_index = first_offset - self.first_offset
+        retained = self.entries[start_index : start_index + MAX_READ_ENTRIES]
+        return Batch(
+            first_offset,
+            self.next_offset,
+            tuple(entry for _, entry in retained),
+        )
 
     def _expire(self, now: float) -> None:
         while self.entries and now - self.entries[0][0] > self.retention_s:
             self.entries.pop(0)
-            self.first += 1
+            self.first_offset += 1
--- a/trestledock/standin/_web.py
+++ b/trestledock/standin/_web.py
@@ -1,9 +1,9 @@
 """
-Serving a stand-in
-==================
+HTTP serving and fault injection
+================================
 
-What the stand-ins share: they are small web applications, each in a process
-of its own, whose faults are switched on through a control route.
+Shared by the stand-ins.  Each stand-in is a small web application, usually in a
+process of its own, whose faults are switched on through the `/control` route.
 """
 
 import os
@@ -19,58 +19,58 @@
 
 from trestledock.connection._lifespan import WithoutLifespan
 
-#: Status of an answer that proves that nothing was started.
+#: Status of a response that guarantees that no job was started.
 NOT_STARTED_STATUS = 503
 
-#: How a stand-in exits that a request has ended.
-CRASHED = 70
+#: Exit code of a stand-in that a marked request crashed.
+CRASH_EXIT_CODE = 70
 
-#: What a stand-in waits for before it ends.
-Stop = Callable[[], Awaitable[None]]
+#: A coroutine function that returns when the stand-in should stop.
+WaitForStop = Callable[[], Awaitable[None]]
 
 
 class Faults:
-    """Switches that the control route sets; each stand-in reads its own."""
+    """Named faults that `/control` sets and the stand-in reads."""
 
     def __init__(self, **defaults: Any) -> None:
-        """Declare the faults with their values when switched off."""
+        """Declare all faults with their initial values."""
         self._faults = defaults
 
     def get(self, name: str) -> Any:
-        """Return the present value of a fault."""
+        """Return the current value of a fault."""
         return self._faults[name]
 
-    def take(self, name: str) -> Any:
-        """Return the value of a fault that counts down, and count it."""
-        left = self._faults[name]
-        if left:
-            self._faults[name] = left - 1
-        return left
+    def count_down(self, name: str) -> Any:
+        """Return the number of times left for a fault, and decrement it."""
+        remaining = self._faults[name]
+        if remaining:
+            self._faults[name] = remaining - 1
+        return remaining
 
-    def end_if_marked(self, text: str) -> None:
-        """End the process at once if a request holds the text `crash_on`.
+    def crash_if_marked(self, text: str) -> None:
+        """Exit at once if a request contains the text set as `crash_on`.
 
-        Its connections end with it, as in a crash, and whoever started it
-        starts it again.
+        All connections of the process break, as in a crash.  Whoever started
+        the process is responsible for restarting it.
         """
-        mark = self._faults['crash_on']
-        if mark and mark in text:
-            os._exit(CRASHED)
-
-    async def control(self, request: Request) -> JSONResponse:
-        """Set faults by name; an unknown name is an error."""
-        wanted = await request.json()
-        unknown = sorted(set(wanted) - set(self._faults))
+        marker = self._faults['crash_on']
+        if marker and marker in text:
+            os._exit(CRASH_EXIT_CODE)
+
+    async def handle_control(self, request: Request) -> JSONResponse:
+        """Set faults by name; reject the request if a name is unknown."""
+        new_values = await request.json()
+        unknown = sorted(set(new_values) - set(self._faults))
         if unknown:
             return JSONResponse(
                 {'unknown': unknown}, status_code=HTTPStatus.BAD_REQUEST
             )
-        self._faults.update(wanted)
+        self._faults.update(new_values)
         return JSONResponse(self._faults)
 
 
 def make_config(address: str) -> Config:
-    """Return the server's settings for an address."""
+    """Return the web server's settings for an address."""
     config = Config()
     config.bind = [address]
     config.accesslog = None
@@ -82,9 +82,9 @@
 async def serve_app(
     app: ASGIApp,
     address: str,
-    wait_for_stop: Stop = anyio.sleep_forever,
+    wait_for_stop: WaitForStop = anyio.sleep_forever,
 ) -> None:
-    """Serve an application until `wait_for_stop` returns."""
+    """Serve an application on an address until `wait_for_stop` returns."""
     await serve(
         WithoutLifespan(app),
         make_config(address),
