--- a/tests/test_parts.py
+++ b/tests/test_parts.py
@@ -12,17 +12,17 @@
     Timing,
     rank_by_key,
 )
-from trestledock.process._holds import (
+from trestledock.process._failure_detection import Liveness
+from trestledock.process._limits import Limits
+from trestledock.process._load import EngineLoad, SentWork
+from trestledock.process._queue import FairQueue, QueuedRequest
+from trestledock.process._reservations import (
     BLOCK_SIZE,
     ReservationIds,
     ReservationWatch,
     WatchedBlock,
 )
-from trestledock.process._limits import Limits
-from trestledock.process._liveness import Liveness
-from trestledock.process._load import EngineLoad, SentWork
-from trestledock.process._queue import FairQueue, QueuedRequest
-from trestledock.relay import RetryLimits, RetryBudget
+from trestledock.relay import RetryBudget, RetryLimits
 from trestledock.request import (
     CircuitBreaker,
     Kind,
--- a/tests/test_process_isolating.py
+++ b/tests/test_process_isolating.py
@@ -5,7 +5,8 @@
 
 from trestledock.process import Identity, Policy, Timing
 from trestledock.process._actions import SendToPeer
-from trestledock.process._isolating import (
+from trestledock.process._live_request import LiveRequest
+from trestledock.process._quarantining import (
     is_quarantined,
     merge_crashes,
     record_completion,
@@ -13,7 +14,6 @@
     send_quarantine,
     start_due_probe,
 )
-from trestledock.process._live import LiveRequest
 from trestledock.process._state import State
 from trestledock.process._targets import PeerInfo, TargetInfo
 from trestledock.request import Kind, Request
--- a/tests/test_promises.py
+++ b/tests/test_promises.py
@@ -13,8 +13,8 @@
 
 from trestledock.process._claims import ClaimTable
 from trestledock.process._fleet import Fleet
-from trestledock.process._holds import ReservationWatch
 from trestledock.process._lease import Lease
+from trestledock.process._reservations import ReservationWatch
 from trestledock.process._state import State
 from trestledock.proof import run_scenario
 from trestledock.relay import Quarantine
@@ -46,7 +46,7 @@
     return True
 
 
-LIVE = 'trestledock.process._live'
+LIVE = 'trestledock.process._live_request'
 
 #: Promise, scenario, and the patches that disable the mechanism.
 MUTANTS = (
@@ -106,11 +106,7 @@
     (
         'leaving',
         'paused_before_write',
-        (
-            mock.patch(
-                'trestledock.process._dispatching.MAX_DECISION_AGE_S', 1e9
-            ),
-        ),
+        (mock.patch('trestledock.process._dispatch.MAX_DECISION_AGE_S', 1e9),),
     ),
     (
         'shutdown',
--- a/trestledock/process/__init__.py
+++ b/trestledock/process/__init__.py
@@ -20,12 +20,12 @@
     LogEvent,
     Published,
     ResumeStream,
-    StartJob,
     SendToPeer,
+    StartJob,
 )
-from trestledock.process._claims import ClaimTable, ClaimDecision
+from trestledock.process._claims import ClaimDecision, ClaimTable
 from trestledock.process._epoch import Epoch, Handover
-from trestledock.process._explaining import explain
+from trestledock.process._explanation import explain
 from trestledock.process._fleet import Target
 from trestledock.process._identity import Identity, Timing
 from trestledock.process._lease import Lease
--- a/trestledock/process/_arrivals.py
+++ b/trestledock/process/_admission.py
@@ -7,26 +7,26 @@
 their team has used up its limit.
 """
 
-from trestledock.process._choosing import (
-    Candidate,
-    CandidateSet,
-    choose_service,
-    find_candidates,
-)
-from trestledock.process._claiming import request_claim
-from trestledock.process._dispatching import (
+from trestledock.process._claim_requests import request_claim
+from trestledock.process._completion import refuse
+from trestledock.process._dispatch import (
     get_team,
     make_queued_request,
     schedule_dispatch,
     start_call,
     try_dispatch,
 )
-from trestledock.process._ending import refuse
 from trestledock.process._groups import get_giant_engine_limit
-from trestledock.process._isolating import is_quarantined, start_due_probe
-from trestledock.process._live import LiveRequest, Phase
+from trestledock.process._live_request import LiveRequest, Phase
 from trestledock.process._messages import Arrive, CallerDisconnected
+from trestledock.process._quarantining import is_quarantined, start_due_probe
 from trestledock.process._queue import MAX_QUEUED
+from trestledock.process._selection import (
+    Candidate,
+    CandidateSet,
+    choose_service,
+    find_candidates,
+)
 from trestledock.process._state import State
 from trestledock.process._timers import DeadlinePassed
 from trestledock.request import Kind, Reason, Request
--- a/trestledock/process/_answers.py
+++ b/trestledock/process/_attempt_results.py
@@ -9,25 +9,19 @@
 """
 
 from trestledock.process._actions import EmitChunks, ResumeStream
-from trestledock.process._choosing import choose_service
-from trestledock.process._dispatching import (
+from trestledock.process._completion import (
+    finish_request,
+    refuse,
+    release_attempt,
+)
+from trestledock.process._dispatch import (
     make_queued_request,
     schedule_dispatch,
     send_prefill_chunk,
     send_reservation,
     start_call,
 )
-from trestledock.process._ending import (
-    finish_request,
-    refuse,
-    release_attempt,
-)
-from trestledock.process._isolating import (
-    is_quarantined,
-    record_completion,
-    record_crash,
-)
-from trestledock.process._live import LiveRequest, Phase
+from trestledock.process._live_request import LiveRequest, Phase
 from trestledock.process._messages import (
     AttemptFailed,
     CallDone,
@@ -36,6 +30,12 @@
     PrefillDone,
     StreamDone,
 )
+from trestledock.process._quarantining import (
+    is_quarantined,
+    record_completion,
+    record_crash,
+)
+from trestledock.process._selection import choose_service
 from trestledock.process._state import State
 from trestledock.process._timers import GapDue, RetryDue, SilenceDue
 from trestledock.request import (
--- a/trestledock/process/_claiming.py
+++ b/trestledock/process/_claim_requests.py
@@ -13,13 +13,17 @@
 attempt, which makes `not_run` certain.
 """
 
-from trestledock.process._choosing import choose_service
 from trestledock.process._claims import ClaimDecision
-from trestledock.process._dispatching import start_call
-from trestledock.process._ending import finish_request, refuse, send_to_member
+from trestledock.process._completion import (
+    finish_request,
+    refuse,
+    send_to_member,
+)
+from trestledock.process._dispatch import start_call
 from trestledock.process._epoch import Epoch
-from trestledock.process._live import LiveRequest, PendingClaim, Phase
+from trestledock.process._live_request import LiveRequest, PendingClaim, Phase
 from trestledock.process._payloads import ClaimAnswer, ClaimAsk
+from trestledock.process._selection import choose_service
 from trestledock.process._state import State
 from trestledock.process._timers import ClaimDue
 from trestledock.request import Outcome, Reason, Verdict
--- a/trestledock/process/_ending.py
+++ b/trestledock/process/_completion.py
@@ -7,7 +7,7 @@
 """
 
 from trestledock.process._actions import CancelReservations, Finish, SendToPeer
-from trestledock.process._live import LiveRequest, Phase
+from trestledock.process._live_request import LiveRequest, Phase
 from trestledock.process._payloads import ClaimResult
 from trestledock.process._state import State
 from trestledock.request import Outcome, Reason, Verdict
--- a/trestledock/process/_dispatching.py
+++ b/trestledock/process/_dispatch.py
@@ -9,7 +9,15 @@
 """
 
 from trestledock.process._actions import CallService, Job, StartJob
-from trestledock.process._choosing import (
+from trestledock.process._completion import refuse
+from trestledock.process._fleet import Target
+from trestledock.process._groups import plan_group
+from trestledock.process._live_request import LiveRequest, Phase, Share
+from trestledock.process._load import SentWork
+from trestledock.process._quarantining import is_quarantined
+from trestledock.process._queue import QueuedRequest, get_length_rank
+from trestledock.process._reservation_watch import allocate_reservation
+from trestledock.process._selection import (
     PREFIX_BLOCK_TOKENS,
     Candidate,
     CandidateSet,
@@ -18,14 +26,6 @@
     find_candidates,
     get_priority,
 )
-from trestledock.process._ending import refuse
-from trestledock.process._fleet import Target
-from trestledock.process._groups import plan_group
-from trestledock.process._guarding import allocate_reservation
-from trestledock.process._isolating import is_quarantined
-from trestledock.process._live import LiveRequest, Phase, Share
-from trestledock.process._load import SentWork
-from trestledock.process._queue import QueuedRequest, get_length_rank
 from trestledock.process._state import State
 from trestledock.process._timers import DispatchDue, SilenceDue
 from trestledock.request import AttemptEvent, Reason, Request
--- a/trestledock/process/_explaining.py
+++ b/trestledock/process/_explanation.py
@@ -5,12 +5,12 @@
 Explains to an operator where a request would be placed, and why.
 """
 
-from trestledock.process._choosing import (
+from trestledock.process._node import Node
+from trestledock.process._selection import (
     choose_service,
     find_candidates,
     find_permitted,
 )
-from trestledock.process._node import Node
 from trestledock.process._state import State
 from trestledock.request import Kind, Reason, Request
 from trestledock.version import (
--- a/trestledock/process/_groups.py
+++ b/trestledock/process/_groups.py
@@ -10,10 +10,10 @@
 
 from dataclasses import dataclass
 
-from trestledock.process._choosing import Candidate, CandidateSet
 from trestledock.process._fleet import Target
-from trestledock.process._guarding import allocate_reservation
-from trestledock.process._live import LiveRequest, Share
+from trestledock.process._live_request import LiveRequest, Share
+from trestledock.process._reservation_watch import allocate_reservation
+from trestledock.process._selection import Candidate, CandidateSet
 from trestledock.process._state import State
 from trestledock.version import Pool
 
--- a/trestledock/process/_node.py
+++ b/trestledock/process/_node.py
@@ -11,9 +11,9 @@
 from typing import Any
 
 from trestledock.process._actions import Action, SendToPeer
-from trestledock.process._duties import is_drained
 from trestledock.process._identity import Identity, Timing
 from trestledock.process._messages import PeerMessage
+from trestledock.process._periodic_tasks import is_drained
 from trestledock.process._policy import Policy
 from trestledock.process._registry import handle
 from trestledock.process._state import State
--- a/trestledock/process/_payloads.py
+++ b/trestledock/process/_payloads.py
@@ -36,7 +36,7 @@
 
     `offset` is the log offset up to which the sender has read; a peer that is
     behind requests the state.  `ages` encodes the time since each member of
-    the epoch was last heard, see `_liveness`.
+    the epoch was last heard, see `_failure_detection`.
     """
 
     data_centre: str
--- a/trestledock/process/_peering.py
+++ b/trestledock/process/_peer_messages.py
@@ -10,17 +10,17 @@
 from functools import singledispatch
 
 from trestledock.process import _payloads as payloads
-from trestledock.process._applying import apply_accepted
-from trestledock.process._claiming import on_claim_answer
-from trestledock.process._ending import send_to_member
+from trestledock.process._application import apply_accepted
+from trestledock.process._claim_requests import on_claim_answer
+from trestledock.process._completion import send_to_member
 from trestledock.process._epoch import Epoch
-from trestledock.process._guarding import (
+from trestledock.process._messages import PeerMessage
+from trestledock.process._quarantining import merge_crashes, send_quarantine
+from trestledock.process._reservation_watch import (
     mark_unreachable,
     on_hold_block,
     on_hold_block_kept,
 )
-from trestledock.process._isolating import merge_crashes, send_quarantine
-from trestledock.process._messages import PeerMessage
 from trestledock.process._state import State
 from trestledock.process._targets import LoadReport, PeerInfo
 from trestledock.version import EpochBody, load_json
--- a/trestledock/process/_duties.py
+++ b/trestledock/process/_periodic_tasks.py
@@ -8,15 +8,10 @@
 """
 
 from trestledock.process._actions import AppendRecord, SendToPeer
-from trestledock.process._answers import fail_silent_streams
-from trestledock.process._dispatching import schedule_dispatch_of_all
-from trestledock.process._ending import send_to_member
+from trestledock.process._attempt_results import fail_silent_streams
+from trestledock.process._completion import send_to_member
+from trestledock.process._dispatch import schedule_dispatch_of_all
 from trestledock.process._fleet import Peer
-from trestledock.process._guarding import (
-    maintain_blocks,
-    mark_unreachable,
-    repeat_cancels,
-)
 from trestledock.process._identity import LOCAL_FANOUT, REMOTE_FANOUT
 from trestledock.process._orders import give_orders
 from trestledock.process._payloads import (
@@ -25,6 +20,11 @@
     SealAsk,
     TeamDemand,
 )
+from trestledock.process._reservation_watch import (
+    maintain_blocks,
+    mark_unreachable,
+    repeat_cancels,
+)
 from trestledock.process._state import State
 from trestledock.process._timers import HeartbeatDue
 from trestledock.version import (
--- a/trestledock/process/_platform.py
+++ b/trestledock/process/_platform_messages.py
@@ -8,13 +8,12 @@
 """
 
 from trestledock.process._actions import AppendRecord, Published
-from trestledock.process._answers import fail_replaced
-from trestledock.process._applying import (
+from trestledock.process._application import (
     apply_accepted,
     report_publications,
 )
-from trestledock.process._dispatching import schedule_dispatch_of_all
-from trestledock.process._guarding import prepare_block
+from trestledock.process._attempt_results import fail_replaced
+from trestledock.process._dispatch import schedule_dispatch_of_all
 from trestledock.process._messages import (
     CacheReported,
     InstancesListed,
@@ -25,6 +24,7 @@
     Publish,
     Shutdown,
 )
+from trestledock.process._reservation_watch import prepare_block
 from trestledock.process._state import PendingPublication, State
 from trestledock.version import (
     CONFIGURATION,
--- a/trestledock/process/_isolating.py
+++ b/trestledock/process/_quarantining.py
@@ -7,9 +7,9 @@
 quarantine.  From time to time, one instance probes a quarantined request.
 """
 
-from trestledock.process._ending import send_to_member
+from trestledock.process._completion import send_to_member
 from trestledock.process._fleet import Peer
-from trestledock.process._live import LiveRequest
+from trestledock.process._live_request import LiveRequest
 from trestledock.process._payloads import TargetEnds
 from trestledock.process._state import State
 from trestledock.relay import Crash, rank_by_key
--- a/trestledock/process/_registry.py
+++ b/trestledock/process/_registry.py
@@ -11,7 +11,12 @@
 
 from trestledock.process import _messages as messages
 from trestledock.process import _timers as timers
-from trestledock.process._answers import (
+from trestledock.process._admission import (
+    on_arrive,
+    on_caller_disconnected,
+    on_deadline_passed,
+)
+from trestledock.process._attempt_results import (
     on_attempt_failed,
     on_call_done,
     on_cancel_confirmed,
@@ -22,16 +27,11 @@
     on_silence_due,
     on_stream_done,
 )
-from trestledock.process._arrivals import (
-    on_arrive,
-    on_caller_disconnected,
-    on_deadline_passed,
-)
-from trestledock.process._claiming import on_claim_due
-from trestledock.process._dispatching import on_dispatch_due
-from trestledock.process._duties import on_heartbeat_due
-from trestledock.process._peering import on_peer_message
-from trestledock.process._platform import (
+from trestledock.process._claim_requests import on_claim_due
+from trestledock.process._dispatch import on_dispatch_due
+from trestledock.process._peer_messages import on_peer_message
+from trestledock.process._periodic_tasks import on_heartbeat_due
+from trestledock.process._platform_messages import (
     on_cache_reported,
     on_instances_listed,
     on_load_reported,
--- a/trestledock/process/_guarding.py
+++ b/trestledock/process/_reservation_watch.py
@@ -10,15 +10,15 @@
 from operator import itemgetter
 
 from trestledock.process._actions import CancelReservations
-from trestledock.process._ending import send_to_member
+from trestledock.process._completion import send_to_member
 from trestledock.process._fleet import Peer, Target
-from trestledock.process._holds import (
+from trestledock.process._payloads import HoldBlock, HoldBlockKept
+from trestledock.process._reservations import (
     BLOCK_SIZE,
     WATCHERS_PER_BLOCK,
     IdBlock,
     WatchedBlock,
 )
-from trestledock.process._payloads import HoldBlock, HoldBlockKept
 from trestledock.process._state import State
 from trestledock.relay import rank_by_key
 
--- a/trestledock/process/_state.py
+++ b/trestledock/process/_state.py
@@ -13,17 +13,17 @@
 from trestledock.process._actions import Action, Count, LogEvent
 from trestledock.process._claims import ClaimTable
 from trestledock.process._epoch import Epoch
+from trestledock.process._failure_detection import Liveness
 from trestledock.process._fleet import Fleet, Target
-from trestledock.process._holds import ReservationIds, ReservationWatch
 from trestledock.process._identity import Identity, Timing
 from trestledock.process._lease import Lease
 from trestledock.process._limits import Limits
-from trestledock.process._live import LiveRequest
-from trestledock.process._liveness import Liveness
+from trestledock.process._live_request import LiveRequest
 from trestledock.process._policy import Policy
 from trestledock.process._queue import FairQueue
+from trestledock.process._reservations import ReservationIds, ReservationWatch
 from trestledock.process._timers import Timers
-from trestledock.relay import RetryLimits, Quarantine, RetryBudget
+from trestledock.relay import Quarantine, RetryBudget, RetryLimits
 from trestledock.version import Configuration, Reader
 
 
