--- a/tests/test_notice_property.py
+++ b/tests/test_notice_property.py
@@ -105,3 +105,23 @@
         )
         self.assertLessEqual(late_s, DRAIN_S)
         self.assertLessEqual(most, MAX_REQUESTS_IN_BACKOFF)
+
+
+class BackoffBeforeRestartTest(unittest.TestCase):
+    """One target, which asks for back-off and then restarts under its id."""
+
+    # Guards against 7 requests in a back-off, where at most 2 are right.
+    def test_backoff_before_restart(self):
+        slots = [
+            Slot((), (0,), '1', None, (), None, None, 0),
+            Slot((), (), '0', None, (), None, None, None),
+        ]
+
+        async def scenario(fleet):
+            return await play(fleet, slots)
+
+        late_s, most = run_fleet(
+            scenario, [ROUTE], entries=2, targets=1, seed=0
+        )
+        self.assertLessEqual(late_s, DRAIN_S)
+        self.assertLessEqual(most, MAX_REQUESTS_IN_BACKOFF)
