--- a/trestledock/relay/_restore_tracker.py
+++ b/trestledock/relay/_restore_tracker.py
@@ -25,7 +25,8 @@
     never restored.  `peer_epoch` is the newest epoch that another instance
     reported.  `recorded_epoch` is the newest epoch of which the store says that
     an instance waited there for missing records, and `complete_epoch` the
-    newest one known to be complete for that reason.
+    newest one known to be complete for that reason.  `has_lived_through` is set
+    if the store was restored while this instance ran.
 
     >>> restores = RestoreTracker()
     >>> restores.record_epoch(3, now=0), restores.is_complete(0)
