--- a/tests/limiting.py
+++ b/tests/limiting.py
@@ -74,7 +74,7 @@
 
     With `retry_after` it rejects all requests, with that text as Retry-After.
     With `leaves` its answers say that it drains, and `sealed` is true if its
-    answers have its seal.  `told` and `left_told` have the times at which
+    answers have its seal.  `limit_told_at` and `drain_told_at` have the times at which
     entries were told of the rate limit and of the drain.
     """
 
@@ -86,11 +86,11 @@
     retry_after: str = ''
     leaves: str = ''
     sealed: bool = True
-    left_told: dict = field(default_factory=dict)
+    drain_told_at: dict = field(default_factory=dict)
     backoffs: list = field(default_factory=list)
     arrivals: list = field(default_factory=list)
-    told: dict = field(default_factory=dict)
-    named_at: float = float('inf')
+    limit_told_at: dict = field(default_factory=dict)
+    rate_limited_at: float = float('inf')
 
     @property
     def address(self):
@@ -108,11 +108,13 @@
             born=self.born,
         )
 
-    def name(self, per_s):
+    def set_rate_limit(self, per_s):
         """Set the rate limit from now on; None for no limit."""
         self.per_s = per_s
         if per_s is not None:
-            self.named_at = min(self.named_at, anyio.current_time())
+            self.rate_limited_at = min(
+                self.rate_limited_at, anyio.current_time()
+            )
 
     def count(self, since, until):
         """Return how many requests came within a period."""
@@ -122,16 +124,16 @@
         """Return how many came from entries that the rate limit binds."""
         return sum(
             since <= arrival.at < until
-            and self.told.get(arrival.entry, float('inf'))
+            and self.limit_told_at.get(arrival.entry, float('inf'))
             <= arrival.at - NOTICE_LATENCY_S
             for arrival in self.arrivals
         )
 
-    def leave(self):
+    def drain(self):
         """Drain, and say so in all answers from now on."""
         self.leaves = '1'
 
-    def shed(self, retry_after):
+    def reject_all(self, retry_after):
         """Reject all requests with a back-off; an empty text serves again."""
         self.status = 503 if retry_after else 200
         self.retry_after = retry_after
@@ -140,14 +142,14 @@
         """Return how long after its entry was told the latest request came."""
         return max(
             (
-                arrival.at - self.left_told[arrival.entry]
+                arrival.at - self.drain_told_at[arrival.entry]
                 for arrival in self.arrivals
-                if arrival.entry in self.left_told
+                if arrival.entry in self.drain_told_at
             ),
             default=0,
         )
 
-    def get_most_in_rest(self):
+    def get_max_in_backoff(self):
         """Return the most requests of an entry within one back-off."""
         return max(map(self._count_in_backoff, self.backoffs), default=0)
 
@@ -158,7 +160,7 @@
             if arrival.entry == backoff.entry
         )
 
-    def get_most(self, count, since, until):
+    def get_max(self, count, since, until):
         """Return the largest count within any window."""
         starts = [
             arrival.at
@@ -219,9 +221,9 @@
         head = Head(target.status, tuple(headers))
         await anyio.sleep(NETWORK_DELAY_S)
         if target.leaves:
-            target.left_told.setdefault(self.entry, anyio.current_time())
+            target.drain_told_at.setdefault(self.entry, anyio.current_time())
         if target.per_s is not None:
-            target.told.setdefault(self.entry, anyio.current_time())
+            target.limit_told_at.setdefault(self.entry, anyio.current_time())
         return head
 
     async def iter_body(self):
@@ -347,7 +349,7 @@
     """The outcomes of callers' requests."""
 
     statuses: list = field(default_factory=list)
-    come_back_s: list = field(default_factory=list)
+    retry_after_s: list = field(default_factory=list)
     took_s: list = field(default_factory=list)
 
     def count(self, status):
@@ -357,7 +359,7 @@
         self.statuses.append(outcome.status)
         self.took_s.append(took_s)
         if 'retry-after' in outcome.headers:
-            self.come_back_s.append(float(outcome.headers['retry-after']))
+            self.retry_after_s.append(float(outcome.headers['retry-after']))
 
 
 @dataclass
@@ -374,8 +376,8 @@
     targets: list = field(default_factory=list)
     network: dict = field(default_factory=dict)
     cut: set = field(default_factory=set)
-    words: int = 0
-    word_bytes: int = 0
+    messages: int = 0
+    message_bytes: int = 0
     lives: int = 0
 
     def __post_init__(self):
@@ -424,8 +426,8 @@
         return (entry.number in self.cut) != (other.number in self.cut)
 
     def count_messages(self, count, size):
-        self.words += count
-        self.word_bytes += count * size
+        self.messages += count
+        self.message_bytes += count * size
 
     async def ask_for(self, for_s, rate, headers=(), entries=None, key=KEY):
         """Send `rate` requests a second to each entry for a while."""
--- a/tests/test_entry_anew.py
+++ b/tests/test_entry_anew.py
@@ -31,7 +31,7 @@
             return news
         newest = {record.target_id: record for record in news.targets}
         present = [record for record in newest.values() if record.listed]
-        return StoreUpdate(targets=tuple(present), whole=True)
+        return StoreUpdate(targets=tuple(present), is_complete=True)
 
 
 async def start_anew(life):
--- a/tests/test_entry_news.py
+++ b/tests/test_entry_news.py
@@ -115,7 +115,7 @@
 
             exchange._get = get
             news = await exchange.fetch(READER, 1)
-            self.assertTrue(news.whole)
+            self.assertTrue(news.is_complete)
 
         self.run_async(scenario)
 
@@ -133,9 +133,9 @@
     def test_update_of_older_program_version(self):
         """Without retained targets an update is no evidence of removals."""
         news = self.fetch(held=None, settled=None)
-        self.assertTrue(news.whole)
-        self.assertFalse(news.settled)
-        self.assertEqual(news.held, ())
+        self.assertTrue(news.is_complete)
+        self.assertFalse(news.is_synchronized)
+        self.assertEqual(news.retained, ())
 
     def test_invalid_update(self):
         """An invalid update counts as none."""
--- a/tests/test_entry_notices_exchange.py
+++ b/tests/test_entry_notices_exchange.py
@@ -32,9 +32,9 @@
 
 async def count_bytes(fleet, for_s=4):
     """Return the bytes of messages between entries without any requests."""
-    before = fleet.word_bytes
+    before = fleet.message_bytes
     await anyio.sleep(for_s)
-    return fleet.word_bytes - before
+    return fleet.message_bytes - before
 
 
 class LimitSharingTest(unittest.TestCase):
@@ -45,7 +45,7 @@
             target = fleet.targets[0]
             found = []
             for per_s in (2, 9, None):
-                target.name(per_s)
+                target.set_rate_limit(per_s)
                 # One entry sends requests and shares the limits it receives.
                 await fleet.ask_for(3, 8, entries=[0])
                 await anyio.sleep(SOON_S)
@@ -57,7 +57,7 @@
 
     def test_new_entry_knows_limit_before_it_sends(self):
         async def scenario(fleet):
-            fleet.targets[0].name(1)
+            fleet.targets[0].set_rate_limit(1)
             await fleet.ask_for(1, 8, entries=[0])
             fleet.entries[3].kill()
             again = fleet.start(3)
@@ -69,7 +69,7 @@
 
     def test_lost_messages_are_repeated(self):
         async def scenario(fleet):
-            fleet.targets[0].name(1)
+            fleet.targets[0].set_rate_limit(1)
             fleet.cut = {5}
             await fleet.ask_for(1, 8, entries=[0])
             before = get_limits(fleet)[5]
@@ -84,16 +84,16 @@
 
         async def scenario(fleet):
             target = fleet.targets[0]
-            target.name(40)
+            target.set_rate_limit(40)
             await fleet.ask_for(1, 20, entries=[0])
-            before = fleet.words
+            before = fleet.messages
             await anyio.sleep(2)
-            idle = fleet.words - before
-            before = fleet.words
+            idle = fleet.messages - before
+            before = fleet.messages
             for step in range(40):
-                target.name(40 + step % 2)
+                target.set_rate_limit(40 + step % 2)
                 await fleet.ask_for(0.05, 40, entries=[0])
-            busy = fleet.words - before
+            busy = fleet.messages - before
             return busy, idle, fleet.asked
 
         busy, idle, asked = run_fleet(scenario, [ROUTE], targets=1)
@@ -106,7 +106,7 @@
         async def scenario(fleet):
             without = await count_bytes(fleet)
             for target in fleet.targets:
-                target.name(1)
+                target.set_rate_limit(1)
             await fleet.ask_for(6, 8, entries=[0])
             return await count_bytes(fleet), without
 
@@ -121,7 +121,7 @@
     def check(self, disturb, per_s=1, targets=2, rate=8, for_s=20):
         async def scenario(fleet):
             target = fleet.targets[0]
-            target.name(per_s)
+            target.set_rate_limit(per_s)
             demands = []
 
             async def ask():
@@ -131,8 +131,8 @@
                 group.start_soon(ask)
                 await anyio.sleep(5)
                 await disturb(fleet)
-            since = target.named_at + LIMIT_EFFECT_S
-            most = target.get_most(target.count, since, inf)
+            since = target.rate_limited_at + LIMIT_EFFECT_S
+            most = target.get_max(target.count, since, inf)
             used = target.count(since, since + for_s - LIMIT_EFFECT_S)
             return most, used / (for_s - LIMIT_EFFECT_S) / per_s
 
@@ -186,9 +186,9 @@
     def test_withdrawn_limit_ends_within_seconds(self):
         async def scenario(fleet):
             target = fleet.targets[0]
-            target.name(1)
+            target.set_rate_limit(1)
             await fleet.ask_for(6, 8)
-            target.name(None)
+            target.set_rate_limit(None)
             lifted_at = anyio.current_time()
             await fleet.ask_for(6, 8)
             return [arrival.at - lifted_at for arrival in target.arrivals]
@@ -208,9 +208,9 @@
             async with anyio.create_task_group() as group:
                 for number in range(20):
                     group.start_soon(entry.ask, f'x{number}')
-                target.name(1)
+                target.set_rate_limit(1)
                 await fleet.ask_for(0.3, 20, entries=[1])
-            told_at = target.told[fleet.entries[1].name]
+            told_at = target.limit_told_at[fleet.entries[1].name]
             return sum(
                 arrival.entry == entry.name
                 and arrival.at > told_at + NOTICE_LATENCY_S
@@ -224,12 +224,12 @@
         """The limit of the only target determines both."""
 
         async def scenario(fleet):
-            fleet.targets[0].name(0.5)
+            fleet.targets[0].set_rate_limit(0.5)
             await fleet.ask_for(2, 8)
             return await fleet.ask_for(10, 8)
 
         demand = run_fleet(scenario, [ROUTE], targets=1, entries=2)
         self.assertEqual(set(demand.statuses), {200, 503})
         self.assertLess(max(demand.took_s), 1)
-        self.assertGreater(min(demand.come_back_s), 0.2)
-        self.assertLess(max(demand.come_back_s), WINDOW_S)
+        self.assertGreater(min(demand.retry_after_s), 0.2)
+        self.assertLess(max(demand.retry_after_s), WINDOW_S)
--- a/tests/test_leaving_targets.py
+++ b/tests/test_leaving_targets.py
@@ -36,7 +36,7 @@
             group.start_soon(ask)
             await anyio.sleep(2)
             for number in numbers:
-                fleet.targets[number].leave()
+                fleet.targets[number].drain()
         return max(target.get_late_s() for target in fleet.targets), demands[0]
 
     return run_fleet(scenario, [ROUTE], **fields)
@@ -78,15 +78,15 @@
     def test_one_answer_suffices_for_all_entries(self):
         async def scenario(fleet):
             target = fleet.targets[0]
-            target.leave()
+            target.drain()
             async with anyio.create_task_group() as group:
                 group.start_soon(fleet.ask_for, 1, RATE, (), [0])
-                while not target.left_told:
+                while not target.drain_told_at:
                     await anyio.sleep(SOON_S)
                 group.cancel_scope.cancel()
-            told_at = max(target.left_told.values()) + SOON_S
+            told_at = max(target.drain_told_at.values()) + SOON_S
             await fleet.ask_for(LOAD_S, RATE)
-            return len(target.left_told), count_after(target, told_at)
+            return len(target.drain_told_at), count_after(target, told_at)
 
         self.assertEqual(run_fleet(scenario, [ROUTE]), (1, 0))
 
@@ -95,14 +95,14 @@
         async def scenario(fleet):
             target = fleet.targets[2]
             fleet.cut = {5}
-            target.leave()
+            target.drain()
             await fleet.ask_for(1, RATE, entries=[2])
-            self.assertEqual(len(target.left_told), 1)
+            self.assertEqual(len(target.drain_told_at), 1)
             fleet.cut = set()
             await anyio.sleep(AGAIN_S)
             again_at = anyio.current_time()
             await fleet.ask_for(3, RATE, entries=[5])
-            return len(target.left_told), count_after(target, again_at)
+            return len(target.drain_told_at), count_after(target, again_at)
 
         self.assertEqual(run_fleet(scenario, [ROUTE]), (1, 0))
 
@@ -111,7 +111,7 @@
         async def scenario(fleet):
             target = fleet.targets[2]
             fleet.cut = {5}
-            target.leave()
+            target.drain()
             await fleet.ask_for(1, RATE, entries=[2])
             await anyio.sleep(6)
             fleet.cut = set()
@@ -126,7 +126,7 @@
     def test_new_entry_is_told_by_other_entries(self):
         async def scenario(fleet):
             target = fleet.targets[0]
-            target.leave()
+            target.drain()
             await fleet.ask_for(1, RATE, entries=[0])
             fleet.entries[3].kill()
             fleet.group.start_soon(fleet.start(3).live)
@@ -146,7 +146,7 @@
 
         async def scenario(fleet):
             target = fleet.targets[0]
-            target.leave()
+            target.drain()
             await fleet.ask_for(1, RATE)
             for entry in fleet.entries:
                 entry.state.fleet.put(make_record(target))
@@ -177,7 +177,7 @@
     def test_answer_without_the_notice_does_not_revoke_it(self):
         async def scenario(fleet):
             target = fleet.targets[0]
-            target.leave()
+            target.drain()
             await fleet.ask_for(1, RATE, entries=[0])
             target.leaves = ''
             told_at = anyio.current_time()
@@ -194,18 +194,18 @@
     def test_refused_at_once_with_retry_after(self):
         async def scenario(fleet):
             for target in fleet.targets:
-                target.leave()
+                target.drain()
             await fleet.ask_for(2, RATE)
             return await fleet.ask_for(2, RATE)
 
         demand = run_fleet(scenario, [ROUTE], targets=2)
         self.assertEqual(set(demand.statuses), {503})
         self.assertLess(max(demand.took_s), 0.01)
-        self.assertGreaterEqual(min(demand.come_back_s), 1)
+        self.assertGreaterEqual(min(demand.retry_after_s), 1)
 
     def test_successor_serves_as_soon_as_it_is_listed(self):
         async def scenario(fleet):
-            fleet.targets[0].leave()
+            fleet.targets[0].drain()
             await fleet.ask_for(2, RATE)
             successor = fleet.add_target()
             for entry in fleet.entries:
@@ -233,7 +233,7 @@
             async with anyio.create_task_group() as group:
                 for number in range(20):
                     group.start_soon(ask, number)
-                target.leave()
+                target.drain()
                 await fleet.ask_for(0.3, 20, entries=[1])
             sent = [
                 arrival
@@ -252,9 +252,9 @@
         async def scenario(fleet):
             draining = [fleet.targets[number] for number in (0, 3)]
             for target in draining:
-                target.leave()
+                target.drain()
             await fleet.ask_for(1, RATE, SIZES)
-            told = [target for target in draining if target.left_told]
+            told = [target for target in draining if target.drain_told_at]
             told_at = anyio.current_time()
             await fleet.ask_for(6, 1, LONG)
             chunks = sum(
--- a/tests/test_limited_targets.py
+++ b/tests/test_limited_targets.py
@@ -30,7 +30,7 @@
         limited_targets = [fleet.targets[number] for number in limited]
         async with anyio.create_task_group() as group:
             for target in limited_targets:
-                target.name(per_s)
+                target.set_rate_limit(per_s)
             demands = []
 
             async def ask():
@@ -38,9 +38,9 @@
 
             group.start_soon(ask)
         most = [
-            target.get_most(
+            target.get_max(
                 target.count_told,
-                target.named_at + LIMIT_EFFECT_S,
+                target.rate_limited_at + LIMIT_EFFECT_S,
                 float('inf'),
             )
             for target in limited_targets
--- a/tests/test_notice_property.py
+++ b/tests/test_notice_property.py
@@ -53,7 +53,7 @@
     target = fleet.targets[number]
     target.born += 1
     target.leaves = ''
-    target.left_told.clear()
+    target.drain_told_at.clear()
     for entry in fleet.entries:
         entry.state.fleet.put(target.get_listed())
 
@@ -64,11 +64,11 @@
     count = len(fleet.entries)
     for slot in slots:
         for number in slot.leaving:
-            fleet.targets[number % len(fleet.targets)].leave()
+            fleet.targets[number % len(fleet.targets)].drain()
         for number in slot.resting:
-            fleet.targets[number % len(fleet.targets)].shed(slot.rest)
+            fleet.targets[number % len(fleet.targets)].reject_all(slot.rest)
         if slot.limited is not None:
-            fleet.targets[slot.limited % len(fleet.targets)].name(1)
+            fleet.targets[slot.limited % len(fleet.targets)].set_rate_limit(1)
         async with anyio.create_task_group() as group:
             group.start_soon(fleet.ask_for, SLOT_S, RATE / count)
             await anyio.sleep(1)
@@ -80,13 +80,13 @@
                 await fleet.restart(slot.killed % count, 1)
         fleet.cut = set()
         for target in fleet.targets:
-            target.shed('')
-            target.name(None)
+            target.reject_all('')
+            target.set_rate_limit(None)
             latest.append(target.get_late_s())
         if slot.started is not None:
             restart_target(fleet, slot.started % len(fleet.targets))
     return max(latest), max(
-        target.get_most_in_rest() for target in fleet.targets
+        target.get_max_in_backoff() for target in fleet.targets
     )
 
 
--- a/tests/test_platform_notices.py
+++ b/tests/test_platform_notices.py
@@ -72,7 +72,9 @@
     def test_read_from_any_response(self):
         for status in (200, 421, 500, 503):
             head = Head(status, ((b'server-LIMIT', b'2'),))
-            self.assertEqual(PlatformDialect().read_head(head).limit.per_s, 2)
+            self.assertEqual(
+                PlatformDialect().read_head(head).rate_limit.per_s, 2
+            )
 
     @given(st.lists(st.text(st.characters(max_codepoint=255)), max_size=3))
     def test_anything(self, texts):
--- a/tests/test_rate_limit_property.py
+++ b/tests/test_rate_limit_property.py
@@ -48,7 +48,7 @@
     target = fleet.targets[0]
     count = len(fleet.entries)
     for slot in slots:
-        target.name(slot.name)
+        target.set_rate_limit(slot.name)
         started_at = anyio.current_time()
         async with anyio.create_task_group() as group:
             group.start_soon(fleet.ask_for, SLOT_S, RATE / count)
@@ -62,7 +62,7 @@
         fleet.cut = set()
         if isinstance(slot.name, int | float):
             since = started_at + LIMIT_EFFECT_S
-            most = target.get_most(target.count, since, started_at + SLOT_S)
+            most = target.get_max(target.count, since, started_at + SLOT_S)
             over.append(most - get_allowed(slot.name))
     return over
 
--- a/tests/test_resting_targets.py
+++ b/tests/test_resting_targets.py
@@ -33,11 +33,11 @@
             group.start_soon(ask)
             await anyio.sleep(2)
             for target in rejecting:
-                target.shed(backoff)
+                target.reject_all(backoff)
             await anyio.sleep(REJECT_S)
             for target in rejecting:
-                target.shed('')
-        most = max(target.get_most_in_rest() for target in rejecting)
+                target.reject_all('')
+        most = max(target.get_max_in_backoff() for target in rejecting)
         return most, demands[0]
 
     return run_fleet(scenario, [ROUTE], **fields)
@@ -86,10 +86,10 @@
 
         async def scenario(fleet):
             for target in fleet.targets:
-                target.shed(backoff)
+                target.reject_all(backoff)
             await fleet.ask_for(0.5, 40)
             for target in fleet.targets:
-                target.shed('')
+                target.reject_all('')
             started_at = anyio.current_time()
             over_at = max(
                 backoff.until
@@ -113,12 +113,12 @@
         self.assertEqual(set(demand.statuses), {503})
         self.assertLess(max(demand.took_s), 0.01)
         # The last request came half a second after the first.
-        self.assertGreater(min(demand.come_back_s), left_s - 1)
+        self.assertGreater(min(demand.retry_after_s), left_s - 1)
 
     # Guards against callers that all return at the same time.
     def test_callers_return_at_different_times(self):
         demand, _, left_s = self.play('30')
-        span_s = max(demand.come_back_s) - min(demand.come_back_s)
+        span_s = max(demand.retry_after_s) - min(demand.retry_after_s)
         self.assertGreater(span_s, left_s * 0.3)
 
     def test_served_after_a_short_back_off(self):
@@ -143,7 +143,7 @@
         async def scenario(fleet):
             entry = fleet.entries[0]
             target = fleet.targets[0]
-            target.shed('30')
+            target.reject_all('30')
             outcomes = []
 
             async def ask(number):
@@ -171,7 +171,7 @@
 
         async def scenario(fleet):
             for target in fleet.targets[:rejecting]:
-                target.shed('30')
+                target.reject_all('30')
             demand = await fleet.ask_for(6, RATE)
             asked = {backoff.entry for backoff in fleet.targets[0].backoffs}
             return len(asked), demand
--- a/trestledock/entry/_answering.py
+++ b/trestledock/entry/_answering.py
@@ -123,7 +123,7 @@
         at_fault = named or peer
         job.tried.add(at_fault)
         # A target that asks for a back-off, or drains, is not faulty.
-        if named and not answer.rest.backoff_s and not answer.leaves:
+        if named and not answer.backoff.backoff_s and not answer.is_draining:
             self._record_silence(named)
         if status == HTTPStatus.MISDIRECTED_REQUEST:
             now = anyio.current_time()
--- a/trestledock/entry/_dialect.py
+++ b/trestledock/entry/_dialect.py
@@ -69,9 +69,9 @@
 
     `not_run` is true if the target states that it did not run the request, and
     `sealed` if the answer is the target's own.  `at_fault` and `instance` name
-    the target at fault and the target that answers.  `limit` is the rate limit
-    of the target, `rest` its back-off, and `leaves` is true if it drains and
-    accepts no new requests.
+    the target at fault and the target that answers.  `rate_limit` is the rate
+    limit of the target, `backoff` its back-off, and `is_draining` is true if it
+    drains and accepts no new requests.
     """
 
     req_id: str
@@ -82,9 +82,9 @@
     connection: str
     at_fault: str = ''
     instance: str = ''
-    limit: RateLimitHeader = RateLimitHeader()
-    leaves: bool = False
-    rest: BackoffHeader = BackoffHeader()
+    rate_limit: RateLimitHeader = RateLimitHeader()
+    is_draining: bool = False
+    backoff: BackoffHeader = BackoffHeader()
 
 
 @dataclass(frozen=True)
@@ -119,31 +119,31 @@
 
     `document` is the text that `catalog` was parsed from, for other entries.
     `targets` was current at the time `as_of`, or, for a list that was delayed
-    on its way, at `latest_at` at the latest.  `whole` is true if `targets` is
-    the complete list.  `settled` is true if its `source` has followed the store
-    closely enough to know that the records of missing targets were removed and
-    have not merely expired.  `held` has the missing targets whose records may
-    have expired, for entries that never knew them.  `revision` is the revision
+    on its way, at `latest_at` at the latest.  `is_complete` is true if `targets`
+    is the complete list.  `is_synchronized` is true if its `source` has followed
+    the store closely enough to know that the records of missing targets were
+    removed and have not merely expired.  `retained` has the missing targets
+    whose records may have expired, for entries that never knew them.  `revision` is the revision
     of the list at its source.  `quarantine` has the requests that go to no
     target.  `epoch` is the epoch of the copy of the store that was read, None
-    for a store without epochs.  `gone` has the removed targets and `leaving`
-    the draining incarnations; both are filled on request only.
+    for a store without epochs.  `removed` has the removed targets and
+    `draining` the draining incarnations; both are filled on request only.
     """
 
     catalog: Catalog | None = None
     document: str = ''
     targets: tuple[TargetUpdate, ...] = ()
-    held: tuple[RetainedTarget, ...] = ()
+    retained: tuple[RetainedTarget, ...] = ()
     as_of: float = float('-inf')
     latest_at: float | None = None
-    whole: bool = False
-    settled: bool = False
+    is_complete: bool = False
+    is_synchronized: bool = False
     source: str = 'store'
     revision: int = 0
     quarantine: tuple[QuarantineRecord, ...] = ()
     epoch: int | None = None
-    gone: tuple[RemovedTarget, ...] = ()
-    leaving: tuple[str, ...] = ()
+    removed: tuple[RemovedTarget, ...] = ()
+    draining: tuple[str, ...] = ()
 
 
 class Dialect(Protocol):
@@ -154,7 +154,7 @@
     ) -> Call:
         """Parse a caller's request."""
 
-    def make_headers(self, call: Call, passing: ForwardingContext) -> Headers:
+    def make_headers(self, call: Call, context: ForwardingContext) -> Headers:
         """Return the headers of a request to a target."""
 
     def read_head(self, head: Head) -> AnswerMetadata:
@@ -164,11 +164,17 @@
         """Return the headers of an answer that is forwarded."""
 
     def make_reserve(
-        self, ticket: str, tokens: int, lease_s: float, holder: ListedTarget
+        self,
+        reservation_id: str,
+        tokens: int,
+        lease_s: float,
+        target: ListedTarget,
     ) -> ControlRequest:
-        """Return the control request that reserves memory at one target."""
+        """Return the control request that reserves memory at a target."""
 
-    def make_release(self, ticket: str, holder: ListedTarget) -> ControlRequest:
+    def make_release(
+        self, reservation_id: str, target: ListedTarget
+    ) -> ControlRequest:
         """Return the control request that releases memory."""
 
 
--- a/trestledock/entry/_notices.py
+++ b/trestledock/entry/_notices.py
@@ -49,17 +49,19 @@
     peer = placement.target.incarnation
     _record_limit(state, peer, status, answer, asked_at)
     target = find_attributed_target(state, job, placement, status, answer)
-    if answer.leaves:
+    if answer.is_draining:
         _record_drain(state, peer, target, asked_at)
-    _log_ignored(state, peer, 'rest', answer.rest.invalid_text)
-    if not answer.rest.backoff_s:
+    _log_ignored(state, peer, 'rest', answer.backoff.invalid_text)
+    if not answer.backoff.backoff_s:
         _record_backoff_end(state, target, answer, asked_at)
     elif target:
-        _record_backoff(state, target, answer.rest.backoff_s, status, asked_at)
+        _record_backoff(
+            state, target, answer.backoff.backoff_s, status, asked_at
+        )
         helper = find_helper(placement, answer.at_fault)
         if helper:
             _record_backoff(
-                state, helper, answer.rest.backoff_s, status, asked_at
+                state, helper, answer.backoff.backoff_s, status, asked_at
             )
     else:
         _log_ignored(state, peer, 'rest', 'not its own answer')
@@ -76,10 +78,10 @@
     if status == HTTPStatus.MISDIRECTED_REQUEST:
         return
     peer = holder.incarnation
-    if answer.leaves:
+    if answer.is_draining:
         _record_drain(state, peer, peer, asked_at)
-    if answer.rest.backoff_s:
-        _record_backoff(state, peer, answer.rest.backoff_s, status, asked_at)
+    if answer.backoff.backoff_s:
+        _record_backoff(state, peer, answer.backoff.backoff_s, status, asked_at)
 
 
 def _record_drain(
@@ -107,7 +109,7 @@
     target's own and a success: a refusal or failure may come from a component
     of the target, or from a proxy before it, that does not know the limit.
     """
-    limit = answer.limit
+    limit = answer.rate_limit
     _log_ignored(state, peer, 'limit', limit.invalid_text)
     may_withdraw = answer.sealed and status < HTTPStatus.BAD_REQUEST
     if limit.per_s is None and (limit.is_present or not may_withdraw):
--- a/trestledock/entry/_target_list.py
+++ b/trestledock/entry/_target_list.py
@@ -46,7 +46,7 @@
         self.state.record_list(
             update.as_of, now, update.source, update.latest_at
         )
-        if update.whole:
+        if update.is_complete:
             self._drop_missing(update, now)
         records: dict[str, list[ListedTarget | None]] = defaultdict(list)
         for record in update.targets:
@@ -63,9 +63,9 @@
     def apply_removals(self, update: StoreUpdate) -> None:
         """Apply another entry's knowledge of removed and draining targets."""
         now = anyio.current_time()
-        for incarnation in update.leaving:
+        for incarnation in update.draining:
             self.fleet.record_draining(incarnation, now)
-        removed = self.fleet.merge_removed(update.gone)
+        removed = self.fleet.merge_removed(update.removed)
         self._discard(removed, update.source)
 
     async def run(self) -> None:
@@ -128,7 +128,7 @@
         An entry that has followed the store for long enough relies on its own
         knowledge instead.
         """
-        for retained in update.held:
+        for retained in update.retained:
             if self.fleet.retain(retained.listed, now + retained.left_s):
                 self._log_retained(retained.listed, update, now)
 
@@ -177,11 +177,11 @@
         the store was back, or that it never failed.
         """
         watch = self.fleet.watch
-        if update.settled or not watch.is_disturbed(now):
+        if update.is_synchronized or not watch.is_disturbed(now):
             return now
         end_times = (
             now + retained.left_s
-            for retained in update.held
+            for retained in update.retained
             if retained.listed.target_id == target_id
         )
         return next(end_times, watch.grace_end)
--- a/trestledock/entry/_update_exchange.py
+++ b/trestledock/entry/_update_exchange.py
@@ -282,15 +282,17 @@
         targets=tuple(
             [TargetUpdate(target.target_id, target) for target in listed]
         ),
-        held=tuple(map(_decode_retained, read_list(fields.get('held', [])))),
+        retained=tuple(
+            map(_decode_retained, read_list(fields.get('held', [])))
+        ),
         as_of=asked_at - age_s,
         latest_at=now - age_s,
-        whole=True,
-        settled=read_bool(fields.get('settled', False)),
+        is_complete=True,
+        is_synchronized=read_bool(fields.get('settled', False)),
         source=reader,
         revision=read_int(fields['revision']),
         quarantine=tuple(map(_decode_quarantined, quarantined)),
         epoch=read_optional_count(fields.get('epoch')),
-        gone=tuple(map(_decode_removed, read_list(fields.get('gone', [])))),
-        leaving=tuple(map(read_text, read_list(fields.get('leaving', [])))),
+        removed=tuple(map(_decode_removed, read_list(fields.get('gone', [])))),
+        draining=tuple(map(read_text, read_list(fields.get('leaving', [])))),
     )
--- a/trestledock/platform/_headers.py
+++ b/trestledock/platform/_headers.py
@@ -137,9 +137,9 @@
             connection=head.get_header(b'connection'),
             at_fault=head.get_header(AT_FAULT),
             instance=head.get_header(INSTANCE),
-            limit=read_rate_limit(head),
-            leaves=read_draining(head),
-            rest=read_backoff(head),
+            rate_limit=read_rate_limit(head),
+            is_draining=read_draining(head),
+            backoff=read_backoff(head),
         )
 
     def make_reply_headers(self, head: Head) -> Headers:
--- a/trestledock/platform/_store.py
+++ b/trestledock/platform/_store.py
@@ -96,7 +96,7 @@
         updates = tuple(_decode_targets(batch))
         _log_stale_records(updates)
         return StoreUpdate(
-            targets=updates, whole=batch.whole, epoch=batch.epoch
+            targets=updates, is_complete=batch.whole, epoch=batch.epoch
         )
 
     async def read_peers(self) -> EntryAnnouncements:
