--- a/tests/limiting.py
+++ b/tests/limiting.py
@@ -74,8 +74,8 @@
 
     With `retry_after` it rejects all requests, with that text as Retry-After.
     With `leaves` its answers say that it drains, and `sealed` is true if its
-    answers have its seal.  `limit_told_at` and `drain_told_at` have the times at which
-    entries were told of the rate limit and of the drain.
+    answers have its seal.  `limit_told_at` and `drain_told_at` have the times
+    at which entries were told of the rate limit and of the drain.
     """
 
     number: int
--- a/tests/test_entry_incarnations.py
+++ b/tests/test_entry_incarnations.py
@@ -62,7 +62,7 @@
         """The new incarnation is learnt from a reader, even after a drain."""
 
         async def scenario(store, reader, other):
-            write(store, make_born(OLD, 91, standing=Standing.leaving))
+            write(store, make_born(OLD, 91, standing=Standing.draining))
             await reader.read()
             await other.ask(reader)
             before = get_births(other)
@@ -87,7 +87,7 @@
     def test_both_within_one_read(self):
         """Start times decide, not the order in the log."""
         records = [make_born(OLD, 90), None, make_born(NEW)]
-        late = make_born(OLD, 91, standing=Standing.leaving)
+        late = make_born(OLD, 91, standing=Standing.draining)
 
         async def scenario(store, reader, _):
             write(store, make_born(NEW, 2), late)
--- a/tests/test_entry_sending.py
+++ b/tests/test_entry_sending.py
@@ -59,7 +59,7 @@
         """A target listed as draining gets no request."""
 
         def drain(fleet, target):
-            fleet.put(replace(target, standing=Standing.leaving, sequence=1))
+            fleet.put(replace(target, standing=Standing.draining, sequence=1))
 
         self.check(drain)
 
--- a/tests/test_entry_words.py
+++ b/tests/test_entry_words.py
@@ -58,7 +58,7 @@
     helpers=('t2',),
     reservations=(('t2', 40),),
     abandoned_at=9,
-    patience_s=2,
+    event_timeout_s=2,
 )
 MESSAGES = (
     Flights('e', 3, True, 'dc', False, 0.5, 2, (('r1', FLIGHT), ('r2', None))),
--- a/tests/test_relay_fleet.py
+++ b/tests/test_relay_fleet.py
@@ -42,7 +42,7 @@
     def test_draining_is_final(self):
         """A draining target gets no requests, whatever is read later."""
         fleet = make_fleet()
-        fleet.put(make_target(1, Standing.leaving, 2))
+        fleet.put(make_target(1, Standing.draining, 2))
         fleet.put(make_target(1, Standing.ready, 3))
         self.assertEqual(get_ids(fleet), ['t2'])
 
--- a/tests/test_relay_placement_request.py
+++ b/tests/test_relay_placement_request.py
@@ -48,7 +48,7 @@
         due_at=due_at,
         helpers=tuple(names[1:]),
         abandoned_at=abandoned_at,
-        patience_s=12.0,
+        event_timeout_s=12.0,
     )
 
 
@@ -144,7 +144,7 @@
     def test_pause_beyond_patience(self):
         """A pause at which callers leave costs more than a late answer."""
         estimator = self.placer.estimator
-        for name, target, patience_s in (('a', 't00', 2.0), ('b', 't01', 9.0)):
+        for name, target, timeout_s in (('a', 't00', 2.0), ('b', 't01', 9.0)):
             self.load_table.put(
                 Flight(
                     name,
@@ -154,7 +154,7 @@
                     Phase.decode,
                     0,
                     pause_s=0.25,
-                    patience_s=patience_s,
+                    event_timeout_s=timeout_s,
                 )
             )
         costs = [
--- a/tests/test_relay_token_bucket.py
+++ b/tests/test_relay_token_bucket.py
@@ -22,7 +22,7 @@
         sent = []
         for pause in pauses:
             now += pause
-            if bucket.try_take(now, per_s):
+            if bucket.try_consume(now, per_s):
                 sent.append(now)
         max_count = max(
             (sum(at <= time <= at + WINDOW_S for time in sent) for at in sent),
@@ -32,12 +32,12 @@
 
     def test_steady_rate_is_used(self):
         bucket = TokenBucket(0, filled_at=0)
-        count = sum(bucket.try_take(step / 100, 5) for step in range(1000))
+        count = sum(bucket.try_consume(step / 100, 5) for step in range(1000))
         self.assertGreaterEqual(count, 48)
 
     def test_rate_of_zero(self):
         bucket = TokenBucket(1, filled_at=0)
-        self.assertFalse(bucket.try_take(5, per_s=0))
+        self.assertFalse(bucket.try_consume(5, per_s=0))
         self.assertEqual(bucket.get_wait_s(1, now=5, per_s=0), inf)
 
     def test_wait_is_exact(self):
--- a/trestledock/bench/_rates.py
+++ b/trestledock/bench/_rates.py
@@ -121,7 +121,7 @@
         if now - self._shared_at >= TOLD_S:
             self._share(now)
         self.sent[entry] += 1
-        return self._buckets[entry].try_take(now, self._rates[entry])
+        return self._buckets[entry].try_consume(now, self._rates[entry])
 
     def _share(self, now: float) -> None:
         """Have the rates follow who is heard, and what was told since."""
--- a/trestledock/connection/_metrics.py
+++ b/trestledock/connection/_metrics.py
@@ -117,7 +117,11 @@
         state = node.state
         self._gauges['in_flight'].set(len(state.requests))
         self._gauges['version'].set(state.version.number)
-        self._gauges['leaving_targets'].set(len(state.fleet.leaving))
-        peers = [peer for peer in state.fleet.peers.values() if not peer.gone]
+        self._gauges['leaving_targets'].set(len(state.fleet.draining))
+        peers = [
+            peer
+            for peer in state.fleet.peers.values()
+            if not peer.is_unreachable
+        ]
         self._gauges['peers'].set(len(peers))
         return generate_latest(self.registry)
--- a/trestledock/connection/_operator.py
+++ b/trestledock/connection/_operator.py
@@ -100,7 +100,11 @@
             for name, target in sorted(state.fleet.targets.items())
         ]
         peers = [
-            {'member': name, 'gone': peer.gone, 'leaving': peer.leaving}
+            {
+                'member': name,
+                'gone': peer.is_unreachable,
+                'leaving': peer.draining,
+            }
             for name, peer in sorted(state.fleet.peers.items())
         ]
         epoch = state.claims.epoch
--- a/trestledock/entry/_answer_source.py
+++ b/trestledock/entry/_answer_source.py
@@ -38,6 +38,6 @@
 
 def find_helper(placement: Placement, named: str) -> str:
     """Return the helper that an answer names by id or address, if any."""
-    found = (helper for helper in placement.helpers if helper.is_named(named))
-    helper = next(found, None)
+    matches = (helper for helper in placement.helpers if helper.is_named(named))
+    helper = next(matches, None)
     return helper.incarnation if helper else ''
--- a/trestledock/entry/_dialect.py
+++ b/trestledock/entry/_dialect.py
@@ -25,16 +25,16 @@
 class ForwardingContext:
     """What an entry adds to a call that it forwards to a target.
 
-    `left_s` is the time that the target may take.  `tickets` has the ids of the
-    memory reservations at other targets, by target.  `priority` is the
-    request's priority in the target's queue, 0 being the highest.
+    `left_s` is the time that the target may take.  `reservation_ids` has the
+    ids of the memory reservations at other targets, by target.  `priority` is
+    the request's priority in the target's queue, 0 being the highest.
     """
 
     placement: Placement
     team: str
     left_s: float
     resume_after: str
-    tickets: Mapping[str, str]
+    reservation_ids: Mapping[str, str]
     priority: int | None = None
 
 
@@ -119,15 +119,16 @@
 
     `document` is the text that `catalog` was parsed from, for other entries.
     `targets` was current at the time `as_of`, or, for a list that was delayed
-    on its way, at `latest_at` at the latest.  `is_complete` is true if `targets`
-    is the complete list.  `is_synchronized` is true if its `source` has followed
-    the store closely enough to know that the records of missing targets were
-    removed and have not merely expired.  `retained` has the missing targets
-    whose records may have expired, for entries that never knew them.  `revision` is the revision
-    of the list at its source.  `quarantine` has the requests that go to no
-    target.  `epoch` is the epoch of the copy of the store that was read, None
-    for a store without epochs.  `removed` has the removed targets and
-    `draining` the draining incarnations; both are filled on request only.
+    on its way, at `latest_at` at the latest.  `is_complete` is true if
+    `targets` is the complete list.  `is_synchronized` is true if its `source`
+    has followed the store closely enough to know that the records of missing
+    targets were removed and have not merely expired.  `retained` has the
+    missing targets whose records may have expired, for entries that never knew
+    them.  `revision` is the revision of the list at its source.  `quarantine`
+    has the requests that go to no target.  `epoch` is the epoch of the copy of
+    the store that was read, None for a store without epochs.  `removed` has
+    the removed targets and `draining` the draining incarnations; both are
+    filled on request only.
     """
 
     catalog: Catalog | None = None
--- a/trestledock/entry/_flight_codec.py
+++ b/trestledock/entry/_flight_codec.py
@@ -39,9 +39,9 @@
     worth: float
     due_ms: int
     helpers: Sequence[str]
-    tickets: Sequence[tuple[str, int]]
-    gone_ms: float = MAX_AGE_S * MS
-    patience_ms: float = MAX_AGE_S * MS
+    reservations: Sequence[tuple[str, int]]
+    abandoned_after_ms: float = MAX_AGE_S * MS
+    event_timeout_ms: float = MAX_AGE_S * MS
 
 
 def encode_change(
@@ -63,9 +63,9 @@
         worth=round(flight.worth, 2),
         due_ms=_get_ms(flight.due_at - now),
         helpers=flight.helpers,
-        tickets=flight.reservations,
-        gone_ms=_get_ms(flight.abandoned_at - now),
-        patience_ms=_get_ms(flight.patience_s),
+        reservations=flight.reservations,
+        abandoned_after_ms=_get_ms(flight.abandoned_at - now),
+        event_timeout_ms=_get_ms(flight.event_timeout_s),
     )
 
 
@@ -95,8 +95,8 @@
         helpers=tuple(map(read_text, read_list(row.helpers))),
         reservations=tuple(
             (read_text(name), read_count(tokens))
-            for name, tokens in read_list(row.tickets)
+            for name, tokens in read_list(row.reservations)
         ),
-        abandoned_at=now + read_number(row.gone_ms) / MS,
-        patience_s=read_number(row.patience_ms) / MS,
+        abandoned_at=now + read_number(row.abandoned_after_ms) / MS,
+        event_timeout_s=read_number(row.event_timeout_ms) / MS,
     )
--- a/trestledock/entry/_gossip.py
+++ b/trestledock/entry/_gossip.py
@@ -199,7 +199,7 @@
 
     def _handle_fresh(self, message: Fresh, _: Address) -> bool:
         now = anyio.current_time()
-        self.peers.record_read(message.sender, message.news_age_s, now)
+        self.peers.record_read(message.sender, message.store_age_s, now)
         return False
 
     def _record_sender(self, message: Flights | Beat, now: float) -> None:
@@ -383,7 +383,7 @@
             whole=whole,
             data_centre=self.state.settings.data_centre,
             leaving=self.state.draining,
-            news_age_s=age_s,
+            store_age_s=age_s,
             again_s=again_s,
             changes=tuple(changes),
         )
--- a/trestledock/entry/_holding_back.py
+++ b/trestledock/entry/_holding_back.py
@@ -87,6 +87,6 @@
         job.retry_after_s = wait_s * state.rng.uniform(
             1, 1 + RETRY_AFTER_SPREAD
         )
-        return Refusal.resting
+        return Refusal.backing_off
     job.retry_after_s = get_retry_after_s(timing, wait_s, now)
     return Refusal.limited
--- a/trestledock/entry/_isolation.py
+++ b/trestledock/entry/_isolation.py
@@ -67,7 +67,7 @@
 #: Failure of a new connection that proves that the process is gone. Any other
 #: result waits for a listing: a process that listens may be the next
 #: incarnation, and an unreachable address may be that of a live one.
-GONE = FailureKind.refused
+PROCESS_ENDED = FailureKind.refused
 #: Maximum age of a crash reported by another entry, in seconds, at which this
 #: entry stops using the target: the next incarnation has another name.
 RECENT_S = 1.0
@@ -191,9 +191,12 @@
             return
         for target in targets:
             reconnects = inquiry is Inquiry.reconnect
-            if reconnects and await self.hooks.reconnect(target) is GONE:
+            if (
+                reconnects
+                and await self.hooks.reconnect(target) is PROCESS_ENDED
+            ):
                 crash = Crash(fingerprint, target.incarnation)
-                self._record_own([crash], GONE)
+                self._record_own([crash], PROCESS_ENDED)
                 return
             self._suspected.add(fingerprint, target, anyio.current_time())
 
--- a/trestledock/entry/_job.py
+++ b/trestledock/entry/_job.py
@@ -27,7 +27,7 @@
     """The reason why no target answers a request, as it is logged.
 
     `limited` means that the wait for a rate limit would be too long, and
-    `resting` that all targets of the service back off.
+    `backing_off` that all targets of the service back off.
     """
 
     no_configuration = 'no_configuration'
@@ -39,7 +39,7 @@
     no_time = 'no_time'
     no_room = 'no_room'
     limited = 'limited'
-    resting = 'resting'
+    backing_off = 'resting'
     quarantined = 'quarantined'
     not_run = 'not_run'
     failed = 'failed'
@@ -59,7 +59,7 @@
         Refusal.no_time: 503,
         Refusal.no_room: 503,
         Refusal.limited: 503,
-        Refusal.resting: 503,
+        Refusal.backing_off: 503,
         Refusal.quarantined: 503,
         Refusal.not_run: 503,
         Refusal.failed: 502,
@@ -87,7 +87,7 @@
     a target's error response, which is forwarded if no attempt succeeds.
     `is_writing` is true from before the first byte of an attempt is written
     until its outcome is in the history.  `has_reserved_retry` is true if a
-    retry was taken from the budget before the target was given up.  `is_trial`
+    retry was taken from the budget before the target was given up.  `is_probe`
     is true if one target may run the request as a probe although it is
     quarantined.  `retry_after_s` is the Retry-After of a refusal, without
     jitter.
@@ -108,7 +108,7 @@
     fallback: StoredAnswer | None = None
     is_writing: bool = False
     has_reserved_retry: bool = False
-    is_trial: bool = False
+    is_probe: bool = False
     retry_after_s: float = 0
 
     @property
@@ -170,7 +170,7 @@
             arrived_at=arrived_at,
             due_at=arrived_at + self.route.objective_s,
             abandoned_at=min(
-                self.deadline, last_sent_at + self.route.patience_s
+                self.deadline, last_sent_at + self.route.event_timeout_s
             ),
             deadline=self.deadline,
             started=self.may_have_run,
@@ -184,5 +184,5 @@
             size=self.call.size or PromptSize(0, 0),
             timing=self.timing,
             pause_s=self.route.pause_s,
-            patience_s=self.route.patience_s,
+            event_timeout_s=self.route.event_timeout_s,
         )
--- a/trestledock/entry/_message_codec.py
+++ b/trestledock/entry/_message_codec.py
@@ -64,7 +64,7 @@
         'whole': message.whole,
         'data_centre': message.data_centre,
         'leaving': message.leaving,
-        'news_age_ms': round(message.news_age_s * MS),
+        'news_age_ms': round(message.store_age_s * MS),
         'again_ms': round(message.again_s * MS),
         'flights': [encode_change(*change, now) for change in message.changes],
     }
@@ -81,7 +81,7 @@
 
 @_get_fields.register
 def _(message: Fresh, now: float) -> dict[str, Any]:
-    return {'kind': 'fresh', 'news_age_ms': round(message.news_age_s * MS)}
+    return {'kind': 'fresh', 'news_age_ms': round(message.store_age_s * MS)}
 
 
 @_get_fields.register
@@ -141,7 +141,7 @@
         whole=read_bool(fields['whole']),
         data_centre=read_text(fields['data_centre']),
         leaving=read_bool(fields.get('leaving', False)),
-        news_age_s=read_number(fields['news_age_ms']) / MS,
+        store_age_s=read_number(fields['news_age_ms']) / MS,
         again_s=read_number(fields.get('again_ms', DEFAULT_AGAIN_MS)) / MS,
         changes=tuple([decode_change(row, now) for row in rows]),
     )
@@ -221,7 +221,7 @@
     """Decode a message, or raise `BadWord`.
 
     >>> decode_message(b'{"kind":"fresh","from":"e","news_age_ms":250}', now=0)
-    Fresh(sender='e', news_age_s=0.25)
+    Fresh(sender='e', store_age_s=0.25)
     """
     try:
         fields = json.loads(raw)
--- a/trestledock/entry/_messages.py
+++ b/trestledock/entry/_messages.py
@@ -15,8 +15,8 @@
 class Flights:
     """In-flight requests of an entry: changes, or the full state with `whole`.
 
-    `news_age_s` is the age of its copy of the store, `again_s` the longest time
-    until its next full state. An entry that is `leaving` is draining, so that
+    `store_age_s` is the age of its copy of the store, `again_s` the longest
+    time until its next full state. An entry that is `leaving` is draining, so that
     its later silence is expected.
     """
 
@@ -25,7 +25,7 @@
     whole: bool
     data_centre: str
     leaving: bool
-    news_age_s: float
+    store_age_s: float
     again_s: float
     changes: tuple[Change, ...]
 
@@ -44,7 +44,7 @@
     """Notification that an entry has just read the store and can be asked."""
 
     sender: str
-    news_age_s: float
+    store_age_s: float
 
 
 @dataclass(frozen=True)
--- a/trestledock/entry/_peers.py
+++ b/trestledock/entry/_peers.py
@@ -27,14 +27,14 @@
 
     address: Address
     heard_at: float
-    news_age_s: float
+    store_age_s: float
     data_centre: str = ''
     again_s: float = 0
     draining: bool = False
 
     def get_store_age_s(self, now: float) -> float:
         """Return the age of its copy if it has not been updated since."""
-        return self.news_age_s + now - self.heard_at
+        return self.store_age_s + now - self.heard_at
 
     def is_silent(self, now: float) -> bool:
         """Whether it has been silent for longer than lost datagrams explain."""
@@ -61,19 +61,19 @@
         self.known[message.sender] = Peer(
             sender,
             now,
-            message.news_age_s,
+            message.store_age_s,
             message.data_centre,
             message.again_s,
             message.leaving,
         )
         return is_new
 
-    def record_read(self, name: str, news_age_s: float, now: float) -> None:
+    def record_read(self, name: str, store_age_s: float, now: float) -> None:
         """Record that an entry has read the store."""
         peer = self.known.get(name)
         if peer:
             peer.heard_at = now
-            peer.news_age_s = news_age_s
+            peer.store_age_s = store_age_s
 
     def is_near(self, name: str) -> bool:
         """Whether an entry gets the full state at the short period."""
--- a/trestledock/entry/_sending.py
+++ b/trestledock/entry/_sending.py
@@ -66,7 +66,7 @@
         self._log_placed(job, placement, now)
         if not job.history.attempts:
             self.state.budgets.record_request(job.service, now)
-        held_tickets: dict[str, str] = {}
+        reservation_ids: dict[str, str] = {}
         known = self._get_known_flights(flight, placement)
         self.state.board.put(flight)
         self.state.record_sent(flight.target, now)
@@ -74,9 +74,11 @@
         try:
             prior = await self._claim(flight, known)
             if not prior:
-                return await self._reserve(job, placement, reply, held_tickets)
+                return await self._reserve(
+                    job, placement, reply, reservation_ids
+                )
         finally:
-            self._clean_up(flight.flight_id, held_tickets)
+            self._clean_up(flight.flight_id, reservation_ids)
         return RelayAttempt(
             AttemptOutcome.not_sent, 'claim', flight.target, prior.flight_id
         )
@@ -86,10 +88,10 @@
         job: Job,
         placement: Placement,
         reply: Reply,
-        held_tickets: dict[str, str],
+        reservation_ids: dict[str, str],
     ) -> RelayAttempt:
-        if await self.tickets.reserve(job, placement, held_tickets):
-            return await self._exchange(job, placement, reply, held_tickets)
+        if await self.tickets.reserve(job, placement, reservation_ids):
+            return await self._exchange(job, placement, reply, reservation_ids)
         return RelayAttempt(
             AttemptOutcome.not_sent, 'reserve', placement.target.incarnation
         )
@@ -121,17 +123,19 @@
             flight, self.state.board.get_colocated(flight), known
         )
 
-    def _clean_up(self, flight_id: str, held_tickets: dict[str, str]) -> None:
+    def _clean_up(
+        self, flight_id: str, reservation_ids: dict[str, str]
+    ) -> None:
         self.state.board.remove(flight_id)
         self.state.notify_own()
-        self.tickets.release(held_tickets)
+        self.tickets.release(reservation_ids)
 
     async def _exchange(
         self,
         job: Job,
         placement: Placement,
         reply: Reply,
-        held_tickets: dict[str, str],
+        reservation_ids: dict[str, str],
     ) -> RelayAttempt:
         peer = placement.target.incarnation
         try:
@@ -152,7 +156,7 @@
             await wire.close()
             return obstacle
         return await self._write_and_receive(
-            job, placement, reply, held_tickets, wire
+            job, placement, reply, reservation_ids, wire
         )
 
     def _find_obstacle(
@@ -192,7 +196,7 @@
         restrained = self.state.throttle.acquire(targets, now)
         if restrained:
             is_backing_off = self.state.throttle.is_backing_off(restrained, now)
-            step = Refusal.resting if is_backing_off else Refusal.limited
+            step = Refusal.backing_off if is_backing_off else Refusal.limited
             return RelayAttempt(
                 AttemptOutcome.not_sent, step.value, restrained.incarnation
             )
@@ -205,7 +209,7 @@
         job: Job,
         placement: Placement,
         reply: Reply,
-        held_tickets: dict[str, str],
+        reservation_ids: dict[str, str],
         wire: Wire,
     ) -> RelayAttempt:
         """Write the request and receive the answer on an open connection."""
@@ -214,7 +218,7 @@
         asked_at = anyio.current_time()
         log_send_against_notices(self.state, job.call.req_id, placement)
         try:
-            await self._write(job, placement, held_tickets, wire)
+            await self._write(job, placement, reservation_ids, wire)
             attempt, idle_s = await self.answer_receiver.receive(
                 job, placement, wire, reply, asked_at
             )
@@ -253,7 +257,7 @@
         self,
         job: Job,
         placement: Placement,
-        held_tickets: dict[str, str],
+        reservation_ids: dict[str, str],
         wire: Wire,
     ) -> None:
         remaining_s = job.deadline - anyio.current_time()
@@ -262,7 +266,7 @@
             team=job.team.team,
             left_s=remaining_s,
             resume_after=job.resume_after,
-            tickets=held_tickets,
+            reservation_ids=reservation_ids,
             priority=job.priority,
         )
         job.is_writing = True
--- a/trestledock/entry/_state.py
+++ b/trestledock/entry/_state.py
@@ -379,8 +379,8 @@
         self.restored = anyio.Event()
 
     def _count_backed_off(self, now: float) -> int:
-        rests = self.notices.get_all(Backoff).values()
-        return sum(not rest.is_over(now) for rest in rests)
+        backoffs = self.notices.get_all(Backoff).values()
+        return sum(not backoff.is_over(now) for backoff in backoffs)
 
     def _get_quota_sum(self) -> float:
         """Return the sum of this entry's quotas at targets, per second."""
--- a/trestledock/entry/_tickets.py
+++ b/trestledock/entry/_tickets.py
@@ -3,7 +3,7 @@
 ===================
 
 Reserves memory for prompts that need several engines: at all of them or at
-none.  A reservation is identified by a ticket, renewed while the request is in
+none.  A reservation is identified by an id, renewed while the request is in
 progress, and released on every path.  Its lease is short, so that the
 reservations of a crashed process expire by themselves.
 """
@@ -42,7 +42,7 @@
 class Tickets:
     """Reserves and releases engine memory for one entry process.
 
-    A ticket is the id of a reservation; logs count reservations as `tickets`.
+    Logs count reservations as `tickets`.
     """
 
     def __init__(self, state: EntryState, pool: Pool, dialect: Dialect) -> None:
@@ -58,11 +58,11 @@
         self,
         job: Job,
         placement: Placement,
-        held_tickets: dict[str, str],
+        reservation_ids: dict[str, str],
     ) -> bool:
         """Reserve memory at all helpers; return False if one refuses.
 
-        The tickets are added to `held_tickets`, by target.  The caller must
+        The ids are added to `reservation_ids`, by target.  The caller must
         release them, also after a failure.
         """
         if not placement.reservations:
@@ -71,62 +71,66 @@
         async with anyio.create_task_group() as group:
             for incarnation, tokens in placement.reservations:
                 self._count += 1
-                ticket = f'{job.call.req_id}-{self._count}'
+                reservation_id = f'{job.call.req_id}-{self._count}'
                 group.start_soon(
                     self._reserve_one,
                     helpers[incarnation],
-                    ticket,
+                    reservation_id,
                     tokens,
-                    held_tickets,
+                    reservation_ids,
                 )
-        if len(held_tickets) == len(placement.reservations):
+        if len(reservation_ids) == len(placement.reservations):
             return True
         wanted = len(placement.reservations)
-        emit(events.MemoryRefused(job.call.req_id, len(held_tickets), wanted))
+        emit(
+            events.MemoryRefused(job.call.req_id, len(reservation_ids), wanted)
+        )
         return False
 
-    def release(self, held_tickets: dict[str, str]) -> None:
+    def release(self, reservation_ids: dict[str, str]) -> None:
         """Release reservations in the background."""
-        for ticket in tuple(held_tickets.values()):
-            scope = self._renewals.pop(ticket, None)
+        for reservation_id in tuple(reservation_ids.values()):
+            scope = self._renewals.pop(reservation_id, None)
             if scope:
                 scope.cancel()
-            holder = self._holders.pop(ticket, None)
+            holder = self._holders.pop(reservation_id, None)
             if holder:
-                self.state.spawn(self._release_one, holder, ticket)
+                self.state.spawn(self._release_one, holder, reservation_id)
 
     async def _reserve_one(
         self,
         holder: ListedTarget,
-        ticket: str,
+        reservation_id: str,
         tokens: int,
-        held_tickets: dict[str, str],
+        reservation_ids: dict[str, str],
     ) -> None:
-        order = self.dialect.make_reserve(ticket, tokens, LEASE_S, holder)
+        order = self.dialect.make_reserve(
+            reservation_id, tokens, LEASE_S, holder
+        )
         # From here on the memory may be reserved, whatever the answer is.
-        self._holders[ticket] = holder
-        held_tickets[holder.incarnation] = ticket
+        self._holders[reservation_id] = holder
+        reservation_ids[holder.incarnation] = reservation_id
         status = await self._send_control(holder, order)
         if status == OK:
             scope = anyio.CancelScope()
-            self._renewals[ticket] = scope
-            self.state.spawn(self._renew, scope, holder, ticket, tokens)
+            self._renewals[reservation_id] = scope
+            self.state.spawn(self._renew, scope, holder, reservation_id, tokens)
             return
-        held_tickets.pop(holder.incarnation)
-        self._holders.pop(ticket, None)
+        reservation_ids.pop(holder.incarnation)
+        self._holders.pop(reservation_id, None)
         if status == NO_ANSWER:
-            self.state.spawn(self._release_one, holder, ticket)
+            self.state.spawn(self._release_one, holder, reservation_id)
 
     async def _renew(
         self,
         scope: anyio.CancelScope,
         holder: ListedTarget,
-        ticket: str,
+        reservation_id: str,
         tokens: int,
     ) -> None:
         """Renew a reservation until it is released or its target restarts.
 
-        A new incarnation doesn't know the ticket, and a renewal would reserve
+        A new incarnation doesn't know the id, and a renewal would reserve
         memory there that nobody uses.
         """
         with scope:
@@ -135,13 +139,15 @@
                 if self.state.fleet.is_superseded(holder):
                     return
                 order = self.dialect.make_reserve(
-                    ticket, tokens, LEASE_S, holder
+                    reservation_id, tokens, LEASE_S, holder
                 )
                 await self._send_control(holder, order)
 
-    async def _release_one(self, holder: ListedTarget, ticket: str) -> None:
+    async def _release_one(
+        self, holder: ListedTarget, reservation_id: str
+    ) -> None:
         for _ in range(RELEASE_TRIES):
-            order = self.dialect.make_release(ticket, holder)
+            order = self.dialect.make_release(reservation_id, holder)
             if await self._send_control(holder, order) in RELEASED_STATUSES:
                 return
 
--- a/trestledock/entry/_update_exchange.py
+++ b/trestledock/entry/_update_exchange.py
@@ -55,7 +55,7 @@
 )
 #: Timeout for the answer to a question, in seconds.
 ANSWER_TIMEOUT_S = 0.1
-NEWS_PATH = '/news'
+UPDATE_PATH = '/news'
 VERSION_FIELD = 'version'
 #: Query parameter that also requests the removed targets.
 REMOVED_FIELD = 'past'
@@ -211,7 +211,7 @@
         self, address: Address, params: Mapping[str, int]
     ) -> dict[str, Any]:
         query = urlencode({VERSION_FIELD: self.state.version, **params})
-        return await call_peer(address, f'{NEWS_PATH}?{query}')
+        return await call_peer(address, f'{UPDATE_PATH}?{query}')
 
 
 def encode_target(listed: ListedTarget) -> dict[str, Any]:
--- a/trestledock/platform/_documents.py
+++ b/trestledock/platform/_documents.py
@@ -91,7 +91,7 @@
 def _decode_route(row: dict[str, Any]) -> Route:
     attributes = read_fields(row, ROUTE_FIELDS)
     route = Route(shares=_decode_shares(row), **attributes)
-    return replace(route, patience_s=_get_event_timeout_s(route))
+    return replace(route, event_timeout_s=_get_event_timeout_s(route))
 
 
 def _get_event_timeout_s(route: Route) -> float:
--- a/trestledock/platform/_entries.py
+++ b/trestledock/platform/_entries.py
@@ -19,7 +19,7 @@
 
 #: The states that the platform names.
 STANDING_BY_STATE: Mapping[str, Standing] = MappingProxyType(
-    {'ready': Standing.ready, 'draining': Standing.leaving}
+    {'ready': Standing.ready, 'draining': Standing.draining}
 )
 #: Ids are written into headers, and into incarnation names before an `@`.
 TARGET_ID = re.compile('[!-?A-~]+')
--- a/trestledock/platform/_headers.py
+++ b/trestledock/platform/_headers.py
@@ -195,7 +195,7 @@
     """Format helpers as `IP:PORT` or `IP:PORT/RESERVATION`, comma-separated."""
     parts = []
     for helper in context.placement.helpers:
-        reservation_id = context.tickets.get(helper.incarnation)
+        reservation_id = context.reservation_ids.get(helper.incarnation)
         parts.append(
             f'{helper.address}/{reservation_id}'
             if reservation_id
--- a/trestledock/process/_answers.py
+++ b/trestledock/process/_answers.py
@@ -306,15 +306,21 @@
 
 def _retry_call(state: State, live: LiveRequest, now: float) -> None:
     not_after = live.claim.not_after if live.claim else live.req.deadline
-    found = choose_service(state, live.req, now)
+    candidate_set = choose_service(state, live.req, now)
     if is_quarantined(state, live):
         refuse(state, live, Reason.quarantined)
-    elif not found.candidates:
-        refuse(state, live, found.reason, LOST_RETRY_AFTER_S, found.detail)
+    elif not candidate_set.candidates:
+        refuse(
+            state,
+            live,
+            candidate_set.reason,
+            LOST_RETRY_AFTER_S,
+            candidate_set.detail,
+        )
     elif now >= not_after:
         refuse(state, live, Reason.deadline_passed, LOST_RETRY_AFTER_S)
     else:
-        start_call(state, live, found.candidates, not_after, now)
+        start_call(state, live, candidate_set.candidates, not_after, now)
 
 
 def fail_replaced(state: State, target_name: str, now: float) -> None:
--- a/trestledock/process/_arrivals.py
+++ b/trestledock/process/_arrivals.py
@@ -95,26 +95,28 @@
 
 
 def _admit_call(state: State, live: LiveRequest, now: float) -> None:
-    found = choose_service(state, live.req, now)
-    if _refuse_without_candidate(state, live, found):
+    candidate_set = choose_service(state, live.req, now)
+    if _refuse_without_candidate(state, live, candidate_set):
         return
-    live.pool = found.pool.name if found.pool else ''
+    live.pool = candidate_set.pool.name if candidate_set.pool else ''
     state.get_budget(live.pool).record_request(now)
     if live.req.idempotent or not live.req.idempotency_key:
-        start_call(state, live, found.candidates, live.req.deadline, now)
+        start_call(
+            state, live, candidate_set.candidates, live.req.deadline, now
+        )
         return
     live.phase = Phase.claiming
     request_claim(state, live, now)
 
 
 def _admit_generation(state: State, live: LiveRequest, now: float) -> None:
-    found = find_candidates(state, live.req, now)
-    if _refuse_without_candidate(state, live, found):
+    candidate_set = find_candidates(state, live.req, now)
+    if _refuse_without_candidate(state, live, candidate_set):
         return
-    live.pool = found.pool.name if found.pool else ''
-    best = min(found.candidates, key=lambda candidate: candidate.ttft_s)
+    live.pool = candidate_set.pool.name if candidate_set.pool else ''
+    best = min(candidate_set.candidates, key=lambda candidate: candidate.ttft_s)
     live.cost = get_cost(live.req, best)
-    if _refuse_too_long(state, live, found) or _refuse_over_limit(
+    if _refuse_too_long(state, live, candidate_set) or _refuse_over_limit(
         state, live, now
     ):
         return
@@ -124,7 +126,7 @@
         refuse(state, live, Reason.queue_full, DEFAULT_RETRY_AFTER_S)
         return
     cost_ahead = queue.predict_cost_ahead(live.req, team.weight)
-    wait_s = cost_ahead / len(found.candidates)
+    wait_s = cost_ahead / len(candidate_set.candidates)
     if _refuse_late(state, live, best, wait_s, now):
         return
     state.get_budget(live.pool).record_request(now)
@@ -133,7 +135,7 @@
     queue.push(waiting)
     if queue.has_waiting_before(waiting):
         schedule_dispatch(state, live.pool, now)
-    elif try_dispatch(state, live, now, found):
+    elif try_dispatch(state, live, now, candidate_set):
         queue.charge(waiting)
 
 
@@ -154,22 +156,31 @@
 
 
 def _refuse_without_candidate(
-    state: State, live: LiveRequest, found: CandidateSet
+    state: State, live: LiveRequest, candidate_set: CandidateSet
 ) -> bool:
-    if found.candidates:
+    if candidate_set.candidates:
         return False
-    wait_s = DEFAULT_RETRY_AFTER_S if found.reason in TRANSIENT_REASONS else 0
-    refuse(state, live, found.reason, wait_s, found.detail)
+    wait_s = (
+        DEFAULT_RETRY_AFTER_S
+        if candidate_set.reason in TRANSIENT_REASONS
+        else 0
+    )
+    refuse(state, live, candidate_set.reason, wait_s, candidate_set.detail)
     return True
 
 
 def _refuse_too_long(
-    state: State, live: LiveRequest, found: CandidateSet
+    state: State, live: LiveRequest, candidate_set: CandidateSet
 ) -> bool:
-    if live.req.total_tokens <= found.capacity or found.pool is None:
+    if (
+        live.req.total_tokens <= candidate_set.capacity
+        or candidate_set.pool is None
+    ):
         return False
-    engines = get_giant_engine_limit(len(found.candidates), found.pool)
-    if live.req.total_tokens <= found.capacity * engines:
+    engines = get_giant_engine_limit(
+        len(candidate_set.candidates), candidate_set.pool
+    )
+    if live.req.total_tokens <= candidate_set.capacity * engines:
         return False
     refuse(state, live, Reason.too_long)
     return True
@@ -183,7 +194,7 @@
     peer_demands = [
         peer.demands.get(team.name)
         for name, peer in state.fleet.peers.items()
-        if name != state.member and not peer.leaving
+        if name != state.member and not peer.draining
     ]
     share = state.limits.get_share(team.name, team.limit, peer_demands, now)
     wait_s = state.limits.spend(team.name, live.cost, share, now)
--- a/trestledock/process/_choosing.py
+++ b/trestledock/process/_choosing.py
@@ -180,15 +180,15 @@
         return CandidateSet(
             permitted_set.pool, (), permitted_set.reason, permitted_set.detail
         )
-    found = _predict_candidates(
+    candidate_set = _predict_candidates(
         state, req, permitted_set.pool, permitted_set.subset, now
     )
-    is_too_small = found.capacity < req.total_tokens
+    is_too_small = candidate_set.capacity < req.total_tokens
     if is_too_small and len(permitted_set.subset) < len(permitted_set.targets):
         return _predict_candidates(
             state, req, permitted_set.pool, permitted_set.targets, now
         )
-    return found
+    return candidate_set
 
 
 def _predict_candidates(
--- a/trestledock/process/_claiming.py
+++ b/trestledock/process/_claiming.py
@@ -120,7 +120,7 @@
     home = state.identity.data_centre
     if any(peer.info.data_centre != home for peer in known):
         return now - claim.heard_at > REMOTE_TIMEOUT_S
-    is_unreachable = any(peer.gone for peer in known)
+    is_unreachable = any(peer.is_unreachable for peer in known)
     is_unknown = len(known) + (state.member in replicas) < len(replicas)
     return (is_unreachable or is_unknown) and not state.is_log_fresh(now)
 
@@ -134,12 +134,18 @@
             state, live, Reason.claim_unverified, CLAIM_RETRY_AFTER_S
         )
         return
-    found = choose_service(state, live.req, now)
-    if not found.candidates:
-        refuse(state, live, found.reason, CLAIM_RETRY_AFTER_S, found.detail)
+    candidate_set = choose_service(state, live.req, now)
+    if not candidate_set.candidates:
+        refuse(
+            state,
+            live,
+            candidate_set.reason,
+            CLAIM_RETRY_AFTER_S,
+            candidate_set.detail,
+        )
         return
     claim.granted = True
-    start_call(state, live, found.candidates, claim.not_after, now)
+    start_call(state, live, candidate_set.candidates, claim.not_after, now)
 
 
 def _on_pending(
--- a/trestledock/process/_dispatching.py
+++ b/trestledock/process/_dispatching.py
@@ -120,17 +120,17 @@
 
     `known` passes candidates that the caller has just computed.
     """
-    found = known or find_candidates(state, live.req, now)
-    if not found.candidates:
+    candidate_set = known or find_candidates(state, live.req, now)
+    if not candidate_set.candidates:
         return False
-    if live.req.total_tokens > found.capacity:
-        shares = plan_group(state, live, found, now)
+    if live.req.total_tokens > candidate_set.capacity:
+        shares = plan_group(state, live, candidate_set, now)
         if shares:
             _start_attempt(state, live, shares, now)
         return bool(shares)
     ready = tuple(
         candidate
-        for candidate in found.candidates
+        for candidate in candidate_set.candidates
         if candidate.wait_s <= state.policy.window_s
         and candidate.free_tokens >= live.req.total_tokens
     )
--- a/trestledock/process/_duties.py
+++ b/trestledock/process/_duties.py
@@ -18,7 +18,7 @@
     repeat_cancels,
 )
 from trestledock.process._identity import LOCAL_FANOUT, REMOTE_FANOUT
-from trestledock.process._orders import give_orders
+from trestledock.process._orders import send_orders
 from trestledock.process._payloads import (
     Digest,
     Heartbeat,
@@ -66,7 +66,7 @@
     watched_peers = [
         peer
         for name, peer in state.fleet.peers.items()
-        if name in owners and not peer.gone
+        if name in owners and not peer.is_unreachable
     ]
     for peer in (*get_local_peers(state), *watched_peers):
         member = peer.info.member
@@ -79,7 +79,7 @@
     """Remove peers that have been unreachable for a long time."""
     retention_s = state.timing.forget_peer_s
     for member, peer in tuple(state.fleet.peers.items()):
-        if peer.gone and now - peer.heard_at > retention_s:
+        if peer.is_unreachable and now - peer.heard_at > retention_s:
             state.fleet.peers.pop(member)
     state.liveness.expire(now, retention_s)
 
@@ -258,7 +258,7 @@
 
 def _get_desired_members(state: State) -> tuple[str, ...]:
     names = [
-        peer.info.member for peer in get_local_peers(state) if not peer.leaving
+        peer.info.member for peer in get_local_peers(state) if not peer.draining
     ]
     if not state.shutting_down:
         names.append(state.member)
@@ -279,7 +279,7 @@
 
 def _get_draining(state: State) -> tuple[str, ...]:
     present = {target.info.key for target in state.get_targets().values()}
-    return tuple(sorted(state.fleet.leaving & present))
+    return tuple(sorted(state.fleet.draining & present))
 
 
 def _get_digests(state: State, now: float) -> tuple[Digest, ...]:
@@ -303,7 +303,7 @@
     propose_epoch,
     request_seals,
     request_lease,
-    give_orders,
+    send_orders,
     append_snapshot,
     maintain_reservations,
     fail_silent_streams,
--- a/trestledock/process/_explaining.py
+++ b/trestledock/process/_explaining.py
@@ -44,12 +44,12 @@
 
 def _explain_candidates(state: State, req: Request, now: float) -> list[str]:
     if req.kind is Kind.call:
-        found = choose_service(state, req, now)
+        choice = choose_service(state, req, now)
     else:
-        found = find_candidates(state, req, now)
-    if found.reason is not Reason.none:
-        return [f'refused: {found.reason.value} {found.detail}'.strip()]
-    ranked = sorted(found.candidates, key=lambda candidate: candidate.score_s)
+        choice = find_candidates(state, req, now)
+    if choice.reason is not Reason.none:
+        return [f'refused: {choice.reason.value} {choice.detail}'.strip()]
+    ranked = sorted(choice.candidates, key=lambda candidate: candidate.score_s)
     return [
         f'{candidate.target.info.name}: first token in '
         f'{candidate.ttft_s:.3f} s, penalty {candidate.penalty_s:.3f}, '
--- a/trestledock/process/_fleet.py
+++ b/trestledock/process/_fleet.py
@@ -4,7 +4,7 @@
 
 The targets and peers that an instance knows, from three sources: the platform's
 instance list, their own responses, and the commands of operators.  A target
-that one of them reports as `leaving` drains, which is final for that
+that one of them reports as draining stays so: that is final for an
 incarnation.  An outage of the list changes nothing.
 """
 
@@ -65,15 +65,12 @@
 
 @dataclass
 class Peer:
-    """An incarnation of a peer, as known to this instance.
-
-    `gone` is true while it is unreachable.
-    """
+    """An incarnation of a peer, as known to this instance."""
 
     info: PeerInfo
     heard_at: float
-    leaving: bool = False
-    gone: bool = False
+    draining: bool = False
+    is_unreachable: bool = False
     demands: dict[str, float] = field(default_factory=dict)
     knows_quarantine: bool = False
 
@@ -82,13 +79,13 @@
 class Fleet:
     """All targets by name, and all peers by member name.
 
-    `leaving` holds the keys of draining incarnations, `replaced` those of
+    `draining` holds the keys of draining incarnations, `replaced` those of
     targets that have restarted since; `revision` counts changes of the targets.
     """
 
     targets: dict[str, Target] = field(default_factory=dict)
     peers: dict[str, Peer] = field(default_factory=dict)
-    leaving: set[str] = field(default_factory=set)
+    draining: set[str] = field(default_factory=set)
     replaced: set[str] = field(default_factory=set)
     revision: int = 0
     listed_peers: tuple[PeerInfo, ...] = ()
@@ -119,17 +116,19 @@
                 self.peers[info.member] = Peer(info, heard_at=now)
             peer = self.peers.get(info.member)
             if peer:
-                peer.leaving = peer.leaving or info.leaving
+                peer.draining = peer.draining or info.draining
 
     def get_unknown_peers(self) -> list[PeerInfo]:
         """Return the listed peers that have sent no heartbeat."""
         known = {
-            peer.info.name for peer in self.peers.values() if not peer.gone
+            peer.info.name
+            for peer in self.peers.values()
+            if not peer.is_unreachable
         }
         return [
             info
             for info in self.listed_peers
-            if info.name not in known and not info.leaving
+            if info.name not in known and not info.draining
         ]
 
     def is_superseded(self, member: str) -> bool:
@@ -141,7 +140,7 @@
         )
 
     def get_superseded(self, info: PeerInfo) -> list[Peer]:
-        """Return the earlier incarnations of a peer that are not yet `gone`.
+        """Return the earlier incarnations of a peer that are still reachable.
 
         Incarnations sort by the time of their start, so a late heartbeat of an
         old incarnation supersedes nothing.
@@ -151,7 +150,7 @@
             for peer in self.peers.values()
             if peer.info.name == info.name
             and peer.info.incarnation < info.incarnation
-            and not peer.gone
+            and not peer.is_unreachable
         ]
 
     def record_heartbeat(self, info: PeerInfo, now: float) -> Peer:
@@ -161,8 +160,8 @@
             peer = Peer(info, heard_at=now)
             self.peers[info.member] = peer
         peer.heard_at = now
-        peer.gone = False
-        peer.leaving = peer.leaving or info.leaving
+        peer.is_unreachable = False
+        peer.draining = peer.draining or info.draining
         return peer
 
     def record_report(self, name: str, report: LoadReport, now: float) -> None:
@@ -175,17 +174,17 @@
         if report.models:
             target.models = frozenset(report.models)
         if report.leaving:
-            self.leaving.add(target.info.key)
+            self.draining.add(target.info.key)
 
     def mark_draining(self, key: str) -> bool:
         """Mark an incarnation as draining; return whether it was not yet."""
-        is_new = key not in self.leaving
-        self.leaving.add(key)
+        is_new = key not in self.draining
+        self.draining.add(key)
         return is_new
 
     def is_draining(self, target: Target) -> bool:
         """Whether a target is draining and gets no new work."""
-        return target.info.key in self.leaving
+        return target.info.key in self.draining
 
     def is_usable(self, target: Target, now: float) -> bool:
         """Whether new work may be sent to a target at `now`."""
@@ -203,14 +202,14 @@
         return [
             self.peers[name]
             for name in sorted(self.peers)
-            if not self.peers[name].gone
+            if not self.peers[name].is_unreachable
             and self.peers[name].info.data_centre == data_centre
         ]
 
     def _merge_target(self, info: TargetInfo, now: float) -> TargetInfo | None:
         """Merge an entry; return the incarnation that it replaces, if any."""
         if info.leaving:
-            self.leaving.add(info.key)
+            self.draining.add(info.key)
         known = self.targets.get(info.name)
         if known and known.info == info:
             return None
--- a/trestledock/process/_groups.py
+++ b/trestledock/process/_groups.py
@@ -34,14 +34,16 @@
 def plan_group(
     state: State,
     live: LiveRequest,
-    found: CandidateSet,
+    candidate_set: CandidateSet,
     now: float,
 ) -> tuple[Share, ...]:
     """Return the shares of a group, or nothing without enough capacity."""
-    if found.pool is None:
+    if candidate_set.pool is None:
         return ()
-    limit = get_group_limit(state, len(found.candidates), found.pool)
-    parts = _split_prompt(live, found.candidates, limit)
+    limit = get_group_limit(
+        state, len(candidate_set.candidates), candidate_set.pool
+    )
+    parts = _split_prompt(live, candidate_set.candidates, limit)
     holds = [allocate_reservation(state, part.target, now) for part in parts]
     if not all(holds):
         for hold in holds:
--- a/trestledock/process/_guarding.py
+++ b/trestledock/process/_guarding.py
@@ -54,7 +54,7 @@
     ordered: list[tuple[int, bool, int, Peer]] = []
     for name in rank_by_key(state.member, state.fleet.peers):
         peer = state.fleet.peers[name]
-        if name == state.member or peer.gone or peer.leaving:
+        if name == state.member or peer.is_unreachable or peer.draining:
             continue
         data_centre = peer.info.data_centre
         ranks[data_centre] = ranks.get(data_centre, -1) + 1
@@ -110,7 +110,7 @@
 def mark_unreachable(state: State, peer: Peer) -> None:
     """Mark a peer as unreachable and cancel its reservations."""
     owner = peer.info.member
-    peer.gone = True
+    peer.is_unreachable = True
     peer.knows_quarantine = False
     state.log_event('peer_gone', owner)
     for watched in state.reservation_watch.queue_owner_cancels(owner):
--- a/trestledock/process/_isolating.py
+++ b/trestledock/process/_isolating.py
@@ -105,5 +105,5 @@
     return [
         peer
         for member, peer in state.fleet.peers.items()
-        if member != state.member and not peer.gone
+        if member != state.member and not peer.is_unreachable
     ]
--- a/trestledock/process/_orders.py
+++ b/trestledock/process/_orders.py
@@ -20,7 +20,7 @@
 ORDER_TIMEOUT_S = 30.0
 
 
-def give_orders(state: State, now: float) -> None:
+def send_orders(state: State, now: float) -> None:
     """Order missing models, on a few engines at a time."""
     if not state.lease.may_send_orders(now):
         return
--- a/trestledock/process/_peering.py
+++ b/trestledock/process/_peering.py
@@ -216,12 +216,12 @@
         return False
     if state.is_log_fresh(now) and state.reader.at_tail:
         return True
-    heard = sum(
+    live_count = sum(
         name == state.member
         or state.liveness.get_age(name, now) < state.timing.peer_dead_s
         for name in epoch.members
     )
-    return heard * 2 > len(epoch.members)
+    return live_count * 2 > len(epoch.members)
 
 
 def _send_all(state: State, sends: list) -> None:
--- a/trestledock/process/_platform.py
+++ b/trestledock/process/_platform.py
@@ -37,14 +37,14 @@
     message: InstancesListed, state: State, now: float
 ) -> None:
     """Merge the instance list."""
-    leaving_before = len(state.fleet.leaving)
+    draining_before = len(state.fleet.draining)
     for info in state.fleet.merge_targets(message.targets, now):
         state.log_event('target_replaced', info.key)
         fail_replaced(state, info.name, now)
-    if len(state.fleet.leaving) > leaving_before:
+    if len(state.fleet.draining) > draining_before:
         state.log_event('targets_leaving', 'platform')
     state.fleet.merge_peers(message.peers, now)
-    listed = {peer.name for peer in message.peers if not peer.leaving}
+    listed = {peer.name for peer in message.peers if not peer.draining}
     state.bookkeeping.unlisted_members = {
         member
         for member in _get_epoch_members(state)
--- a/trestledock/process/_targets.py
+++ b/trestledock/process/_targets.py
@@ -42,7 +42,7 @@
     incarnation: str
     address: str
     data_centre: str
-    leaving: bool = False
+    draining: bool = False
 
     @property
     def member(self) -> str:
--- a/trestledock/relay/_catalog.py
+++ b/trestledock/relay/_catalog.py
@@ -35,7 +35,7 @@
 
     `timeout_s` bounds the whole request, `objective_s` is the intended time to
     the first byte or event, and `pause_s` the longest allowed pause between
-    events.  Callers leave after a silence of `patience_s`, also before the
+    events.  Callers leave after a silence of `event_timeout_s`, also before the
     first event.  `max_attempts` bounds the number of targets that may run a
     request, and `priority` is its rank in a queue, 0 first.
     """
@@ -51,7 +51,7 @@
     public: bool = False
     resumable: bool = False
     pause_s: float = 0
-    patience_s: float = float('inf')
+    event_timeout_s: float = float('inf')
     priority: int | None = None
 
     @property
--- a/trestledock/relay/_engine_load.py
+++ b/trestledock/relay/_engine_load.py
@@ -147,7 +147,7 @@
     """
     if flight.phase is Phase.decode:
         late: float = pass_s > flight.pause_s * PAUSE_SHARE
-        abandoned_after_s = flight.patience_s
+        abandoned_after_s = flight.event_timeout_s
     else:
         late = _get_late_probability(pass_s, flight.due_at - now)
         abandoned_after_s = flight.abandoned_at - now
--- a/trestledock/relay/_fleet.py
+++ b/trestledock/relay/_fleet.py
@@ -244,7 +244,7 @@
 
     def _record_standing(self, listed: ListedTarget) -> None:
         """Record that a target is listed as draining, even by an old record."""
-        if listed.standing is Standing.leaving:
+        if listed.standing is Standing.draining:
             self.record_draining(listed.incarnation, self.watch.read_at)
 
     def _get_min_order(self, target_id: str) -> RecordOrder:
--- a/trestledock/relay/_load_table.py
+++ b/trestledock/relay/_load_table.py
@@ -32,9 +32,9 @@
     prefill equal chunks of the prompt beside the target; `reservations` are the
     tokens reserved at other targets (`tickets` in the log).  `pause_s` is the
     longest pause between events that the caller accepts as timely, and
-    `patience_s` the pause at which it leaves.  The first token is late after
-    `due_at`, the caller has left at `abandoned_at`, and `worth` is lost if the
-    request fails.
+    `event_timeout_s` the pause at which it leaves.  The first token is late
+    after `due_at`, the caller has left at `abandoned_at`, and `worth` is lost if
+    the request fails.
     """
 
     flight_id: str
@@ -49,7 +49,7 @@
     helpers: tuple[str, ...] = ()
     reservations: tuple[tuple[str, int], ...] = ()
     abandoned_at: float = float('inf')
-    patience_s: float = float('inf')
+    event_timeout_s: float = float('inf')
 
     @property
     def chunk_count(self) -> int:
--- a/trestledock/relay/_placement_request.py
+++ b/trestledock/relay/_placement_request.py
@@ -55,14 +55,14 @@
 class PlacementRequest:
     """A request to be placed.
 
-    `pause_s` and `patience_s` are the limits of its route.
+    `pause_s` and `event_timeout_s` are the limits of its route.
     """
 
     req_id: str
     size: PromptSize
     timing: Timing
     pause_s: float
-    patience_s: float = float('inf')
+    event_timeout_s: float = float('inf')
 
     @property
     def worth(self) -> float:
@@ -118,7 +118,7 @@
             helpers=tuple(helper.incarnation for helper in placement.helpers),
             reservations=placement.reservations,
             abandoned_at=self.timing.abandoned_at,
-            patience_s=self.patience_s,
+            event_timeout_s=self.event_timeout_s,
         )
 
     def _make_work(self, timing: Timing, now: float) -> Work:
--- a/trestledock/relay/_reachability.py
+++ b/trestledock/relay/_reachability.py
@@ -36,16 +36,16 @@
     (set(), {'dc-2'})
     """
 
-    last_heard: dict[str, dict[str, float]] = field(default_factory=dict)
+    last_message_at: dict[str, dict[str, float]] = field(default_factory=dict)
     checked_at: float = float('-inf')
 
     def record_message(self, data_centre: str, name: str, now: float) -> None:
         """Record a message from an instance of a data centre."""
-        self.last_heard.setdefault(data_centre, {})[name] = now
+        self.last_message_at.setdefault(data_centre, {})[name] = now
 
     def remove_instance(self, data_centre: str, name: str) -> None:
         """Remove an instance that is ending, whose silence is expected."""
-        self.last_heard.get(data_centre, {}).pop(name, None)
+        self.last_message_at.get(data_centre, {}).pop(name, None)
 
     def check(self, now: float) -> set[str]:
         """Return the silent data centres; to be called at each interval."""
@@ -57,7 +57,7 @@
         """Return the data centres whose instances have all fallen silent."""
         return {
             data_centre
-            for data_centre, names in self.last_heard.items()
+            for data_centre, names in self.last_message_at.items()
             if _are_silent(names.values(), now)
         }
 
--- a/trestledock/relay/_remote_load.py
+++ b/trestledock/relay/_remote_load.py
@@ -101,5 +101,5 @@
         since=now,
         pause_s=min(flight.pause_s for flight in flights),
         worth=sum(flight.worth for flight in flights),
-        patience_s=min(flight.patience_s for flight in flights),
+        event_timeout_s=min(flight.event_timeout_s for flight in flights),
     )
--- a/trestledock/relay/_target_records.py
+++ b/trestledock/relay/_target_records.py
@@ -19,10 +19,10 @@
 
 
 class Standing(str, Enum):
-    """The status of a target in the directory; `leaving` is draining."""
+    """The status of a target in the directory; values go to other entries."""
 
     ready = 'ready'
-    leaving = 'leaving'
+    draining = 'leaving'
 
 
 @dataclass(frozen=True)
--- a/trestledock/relay/_throttle.py
+++ b/trestledock/relay/_throttle.py
@@ -105,7 +105,7 @@
             self.backoffs.record_sent(target.incarnation, now)
         for limited in filter(self.is_limited, targets):
             quota = self.get_quota(limited)
-            self._get_bucket(limited, now).try_take(now, quota)
+            self._get_bucket(limited, now).try_consume(now, quota)
         return None
 
     def get_wait_s(
--- a/trestledock/relay/_token_bucket.py
+++ b/trestledock/relay/_token_bucket.py
@@ -17,7 +17,7 @@
     """A token bucket that held `tokens` at the instant `filled_at`.
 
     >>> bucket = TokenBucket(tokens=1, filled_at=0)
-    >>> bucket.try_take(now=0, per_s=2), bucket.try_take(now=0, per_s=2)
+    >>> bucket.try_consume(now=0, per_s=2), bucket.try_consume(now=0, per_s=2)
     (True, False)
     >>> bucket.get_wait_s(1, now=0, per_s=2)
     0.5
@@ -35,7 +35,7 @@
         """Return whether a request may be sent now."""
         return per_s > 0 and self.get_tokens(now, per_s) >= 1
 
-    def try_take(self, now: float, per_s: float) -> bool:
+    def try_consume(self, now: float, per_s: float) -> bool:
         """Take a token for a request; return whether there was one."""
         if not self.has_token(now, per_s):
             return False
