--- a/tests/limiting.py
+++ b/tests/limiting.py
@@ -377,7 +377,7 @@
     network: dict = field(default_factory=dict)
     cut: set = field(default_factory=set)
     messages: int = 0
-    message_bytes: int = 0
+    word_bytes: int = 0
     lives: int = 0
 
     def __post_init__(self):
@@ -427,7 +427,7 @@
 
     def count_messages(self, count, size):
         self.messages += count
-        self.message_bytes += count * size
+        self.word_bytes += count * size
 
     async def ask_for(self, for_s, rate, headers=(), entries=None, key=KEY):
         """Send `rate` requests a second to each entry for a while."""
--- a/tests/test_entry_notices_exchange.py
+++ b/tests/test_entry_notices_exchange.py
@@ -32,9 +32,9 @@
 
 async def count_bytes(fleet, for_s=4):
     """Return the bytes of messages between entries without any requests."""
-    before = fleet.message_bytes
+    before = fleet.word_bytes
     await anyio.sleep(for_s)
-    return fleet.message_bytes - before
+    return fleet.word_bytes - before
 
 
 class LimitSharingTest(unittest.TestCase):
--- a/trestledock/entry/_admission.py
+++ b/trestledock/entry/_admission.py
@@ -64,7 +64,7 @@
 
 def is_quarantined(state: EntryState, job: Job) -> bool:
     """Return whether no target may run a request; a probe has one run."""
-    is_probe = job.is_probe and not job.may_have_run
+    is_probe = job.is_trial and not job.may_have_run
     return not is_probe and state.isolation.is_quarantined(job.fingerprint)
 
 
--- a/trestledock/entry/_job.py
+++ b/trestledock/entry/_job.py
@@ -87,7 +87,7 @@
     a target's error response, which is forwarded if no attempt succeeds.
     `is_writing` is true from before the first byte of an attempt is written
     until its outcome is in the history.  `has_reserved_retry` is true if a
-    retry was taken from the budget before the target was given up.  `is_probe`
+    retry was taken from the budget before the target was given up.  `is_trial`
     is true if one target may run the request as a probe although it is
     quarantined.  `retry_after_s` is the Retry-After of a refusal, without
     jitter.
@@ -108,7 +108,7 @@
     fallback: StoredAnswer | None = None
     is_writing: bool = False
     has_reserved_retry: bool = False
-    is_probe: bool = False
+    is_trial: bool = False
     retry_after_s: float = 0
 
     @property
--- a/trestledock/entry/_messages.py
+++ b/trestledock/entry/_messages.py
@@ -16,8 +16,8 @@
     """In-flight requests of an entry: changes, or the full state with `whole`.
 
     `store_age_s` is the age of its copy of the store, `again_s` the longest
-    time until its next full state. An entry that is `leaving` is draining, so that
-    its later silence is expected.
+    time until its next full state. An entry that is `leaving` is draining, so
+    that its later silence is expected.
     """
 
     sender: str
--- a/trestledock/entry/_relaying.py
+++ b/trestledock/entry/_relaying.py
@@ -63,7 +63,7 @@
             return
         self._log_admitted(job)
         if is_quarantined(self.state, job):
-            job.is_probe = await self.state.isolation.may_probe(job.fingerprint)
+            job.is_trial = await self.state.isolation.may_probe(job.fingerprint)
         with anyio.CancelScope(deadline=job.deadline) as scope:
             with self.state.track_unanswered(reply, scope):
                 await self._run(job, reply)
--- a/trestledock/relay/_load_table.py
+++ b/trestledock/relay/_load_table.py
@@ -33,8 +33,8 @@
     tokens reserved at other targets (`tickets` in the log).  `pause_s` is the
     longest pause between events that the caller accepts as timely, and
     `event_timeout_s` the pause at which it leaves.  The first token is late
-    after `due_at`, the caller has left at `abandoned_at`, and `worth` is lost if
-    the request fails.
+    after `due_at`, the caller has left at `abandoned_at`, and `worth` is lost
+    if the request fails.
     """
 
     flight_id: str
