--- a/tests/test_entry_leaving.py
+++ b/tests/test_entry_leaving.py
@@ -27,7 +27,7 @@
     run_world,
 )
 from trestledock.demo import get_free_port
-from trestledock.entry._limits import RECHECK_INTERVAL_S, ResponseTimeouts
+from trestledock.entry._timeouts import RECHECK_INTERVAL_S, ResponseTimeouts
 from trestledock.relay import Drain
 from trestledock.relay import (
     BEAT_INTERVAL_S,
--- a/trestledock/bench/rests.py
+++ b/trestledock/bench/rests.py
@@ -20,7 +20,7 @@
 
 import click
 
-from trestledock.entry._holding_back import MIN_REMAINING_SHARE
+from trestledock.entry._throttling import MIN_REMAINING_SHARE
 from trestledock.relay import Notices, Backoff
 from trestledock.relay._backoff import BackoffGate, get_jitter_s
 
--- a/trestledock/entry/_answering.py
+++ b/trestledock/entry/_answering.py
@@ -13,7 +13,7 @@
 
 from trestledock.entry._dialect import AnswerMetadata, Dialect
 from trestledock.entry._job import StoredAnswer, Job
-from trestledock.entry._limits import ResponseTimeout, ResponseTimeouts
+from trestledock.entry._timeouts import ResponseTimeout, ResponseTimeouts
 from trestledock.entry._pool import get_idle_s
 from trestledock.entry._notices import record_answer_notices
 from trestledock.entry._reply import Reply
--- a/trestledock/entry/_selecting.py
+++ b/trestledock/entry/_selecting.py
@@ -13,7 +13,7 @@
 import anyio
 
 from trestledock.entry._admission import is_quarantined
-from trestledock.entry._holding_back import (
+from trestledock.entry._throttling import (
     decide_throttled,
     get_available,
     get_restrained,
--- a/trestledock/entry/_streaming.py
+++ b/trestledock/entry/_streaming.py
@@ -13,7 +13,7 @@
 from trestledock.entry import _events as events
 from trestledock.entry._dialect import Dialect
 from trestledock.entry._job import Job
-from trestledock.entry._limits import ResponseTimeout, ResponseTimeouts
+from trestledock.entry._timeouts import ResponseTimeout, ResponseTimeouts
 from trestledock.entry._logger import emit
 from trestledock.entry._metrics import METRICS
 from trestledock.entry._reply import Reply
