--- a/trestledock/entry/_answering.py
+++ b/trestledock/entry/_answering.py
@@ -13,7 +13,7 @@
 
 from trestledock.entry._dialect import AnswerMetadata, Dialect
 from trestledock.entry._job import StoredAnswer, Job
-from trestledock.entry._limits import ResponseTimeout, ResponseTimeouts
+from trestledock.entry._timeouts import ResponseTimeout, ResponseTimeouts
 from trestledock.entry._pool import get_idle_s
 from trestledock.entry._notices import record_answer_notices
 from trestledock.entry._reply import Reply
@@ -123,7 +123,7 @@
         at_fault = named or peer
         job.tried.add(at_fault)
         # A target that asks for a back-off, or drains, is not faulty.
-        if named and not answer.rest.backoff_s and not answer.leaves:
+        if named and not answer.backoff.backoff_s and not answer.is_draining:
             self._record_silence(named)
         if status == HTTPStatus.MISDIRECTED_REQUEST:
             now = anyio.current_time()
--- a/trestledock/entry/_update_exchange.py
+++ b/trestledock/entry/_update_exchange.py
@@ -55,7 +55,7 @@
 )
 #: Timeout for the answer to a question, in seconds.
 ANSWER_TIMEOUT_S = 0.1
-NEWS_PATH = '/news'
+UPDATE_PATH = '/news'
 VERSION_FIELD = 'version'
 #: Query parameter that also requests the removed targets.
 REMOVED_FIELD = 'past'
@@ -211,7 +211,7 @@
         self, address: Address, params: Mapping[str, int]
     ) -> dict[str, Any]:
         query = urlencode({VERSION_FIELD: self.state.version, **params})
-        return await call_peer(address, f'{NEWS_PATH}?{query}')
+        return await call_peer(address, f'{UPDATE_PATH}?{query}')
 
 
 def encode_target(listed: ListedTarget) -> dict[str, Any]:
@@ -282,15 +282,17 @@
         targets=tuple(
             [TargetUpdate(target.target_id, target) for target in listed]
         ),
-        held=tuple(map(_decode_retained, read_list(fields.get('held', [])))),
+        retained=tuple(
+            map(_decode_retained, read_list(fields.get('held', [])))
+        ),
         as_of=asked_at - age_s,
         latest_at=now - age_s,
-        whole=True,
-        settled=read_bool(fields.get('settled', False)),
+        is_complete=True,
+        is_synchronized=read_bool(fields.get('settled', False)),
         source=reader,
         revision=read_int(fields['revision']),
         quarantine=tuple(map(_decode_quarantined, quarantined)),
         epoch=read_optional_count(fields.get('epoch')),
-        gone=tuple(map(_decode_removed, read_list(fields.get('gone', [])))),
-        leaving=tuple(map(read_text, read_list(fields.get('leaving', [])))),
+        removed=tuple(map(_decode_removed, read_list(fields.get('gone', [])))),
+        draining=tuple(map(read_text, read_list(fields.get('leaving', [])))),
     )
