--- a/tests/test_bench_passes.py
+++ b/tests/test_bench_passes.py
@@ -1,63 +1,65 @@
-"""Engines that work in passes."""
+"""The simulated engine: what its passes do, and when they end."""
 
 import unittest
 
-from trestledock.bench._passes import Part, PassEngine, Writer
+from trestledock.bench._passes import PrefillChunk, PassEngine, DecodingRequest
 from trestledock.relay import EngineModel, get_prefill_s
 
 ENGINE = EngineModel(8, 232_000, 0.001, 200_000, stride=40)
 
 
-def play(engine, most=1_000):
-    """Run an engine until it is idle; return the ends with their instants."""
-    now, ends = 0.0, []
-    while engine.has_work() and len(ends) < most:
-        now += engine.begin()
-        ends.append((now, engine.end()))
-    return ends
+def play(engine, max_passes=1_000):
+    """Run an engine until it is idle; return its results and their instants."""
+    now, results = 0.0, []
+    while engine.has_work() and len(results) < max_passes:
+        now += engine.begin_pass()
+        results.append((now, engine.end_pass()))
+    return results
 
 
 class PassTest(unittest.TestCase):
-    """What passes bring, and when."""
+    """Results and durations of passes."""
 
-    def test_reading_alone(self):
-        """A prompt that an engine has to itself is read at its rate."""
+    def test_prefill_alone(self):
+        """A prompt alone on an engine is prefilled at the rate of the model."""
         engine = PassEngine(ENGINE)
-        read_s = get_prefill_s(ENGINE, 100_000)
-        engine.add_part(Part('r', 100_000, read_s))
-        ends = play(engine)
-        self.assertEqual(ends[-1][1].read, ('r',))
+        prefill_s = get_prefill_s(ENGINE, 100_000)
+        engine.add_chunk(PrefillChunk('r', 100_000, prefill_s))
+        results = play(engine)
+        self.assertEqual(results[-1][1].prefilled, ('r',))
         steps_s = ENGINE.step_s * -(-100_000 // 2048)
-        self.assertAlmostEqual(ends[-1][0], read_s + steps_s)
+        self.assertAlmostEqual(results[-1][0], prefill_s + steps_s)
 
-    def test_reading_beside_a_writer(self):
-        """A writer pauses for as much as a pass reads."""
+    def test_prefill_beside_decoding(self):
+        """A decoding request pauses for the prefill time of the pass."""
         engine = PassEngine(ENGINE)
-        engine.writers['w'] = Writer('w', 1_000, 9)
-        engine.add_part(Part('r', 60_000, 0.3))
-        now, found = play(engine, 1)[0]
-        self.assertEqual((found.events, found.read), (('w',), ('r',)))
+        engine.decoding['w'] = DecodingRequest('w', 1_000, 9)
+        engine.add_chunk(PrefillChunk('r', 60_000, 0.3))
+        now, result = play(engine, 1)[0]
+        self.assertEqual((result.events, result.prefilled), (('w',), ('r',)))
         self.assertAlmostEqual(now, 0.3 + 40 * 0.001)
 
     def test_helpers_first(self):
-        """A helper's part goes before own prompts, the newest first."""
+        """Helper chunks precede other prompts, the newest first."""
         engine = PassEngine(ENGINE)
-        for name, helping in (('own', False), ('h1', True), ('h2', True)):
-            engine.add_part(Part(name, 2048, 0.01, helping))
-        order = [name for _, found in play(engine) for name in found.read]
+        for name, is_helper in (('own', False), ('h1', True), ('h2', True)):
+            engine.add_chunk(PrefillChunk(name, 2048, 0.01, is_helper))
+        order = [
+            name for _, result in play(engine) for name in result.prefilled
+        ]
         self.assertEqual(order, ['h2', 'h1', 'own'])
 
     def test_one_event_a_pass(self):
-        """A writer ends with its last event."""
+        """A request results with its last event."""
         engine = PassEngine(ENGINE)
-        engine.writers['w'] = Writer('w', 1_000, 3)
-        events = [name for _, found in play(engine) for name in found.events]
+        engine.decoding['w'] = DecodingRequest('w', 1_000, 3)
+        events = [name for _, result in play(engine) for name in result.events]
         self.assertEqual(events, ['w', 'w', 'w'])
 
     def test_dropped(self):
-        """Of a caller that has left nothing stays."""
+        """Nothing remains of an abandoned request."""
         engine = PassEngine(ENGINE)
-        engine.writers['w'] = Writer('w', 1_000, 3)
-        engine.add_part(Part('w', 100, 0.1))
-        engine.drop('w')
+        engine.decoding['w'] = DecodingRequest('w', 1_000, 3)
+        engine.add_chunk(PrefillChunk('w', 100, 0.1))
+        engine.remove_request('w')
         self.assertFalse(engine.has_work())
--- a/tests/test_bench_sharing.py
+++ b/tests/test_bench_sharing.py
@@ -1,4 +1,4 @@
-"""Fleets shared by unlike prompts: patterns of load, and what they earn."""
+"""Fleets with mixed prompts: the worth earned under patterns of load."""
 
 import unittest
 from dataclasses import replace
@@ -7,9 +7,9 @@
 from tests.engines import LARGE_ENGINE as ENGINE
 from trestledock.bench._bursts import LONG, SHORT, make_bursts
 from trestledock.bench._sharing import (
-    LATE_KEEPS,
+    LATE_SHARE,
     Prompt,
-    get_share,
+    get_earned_share,
     make_fleet,
 )
 from trestledock.relay import DEFAULT_POLICY, Decision, PromptSize
@@ -19,9 +19,9 @@
 SMALL = PromptSize(5_000, 1_300)
 
 
-def play(prompts):
-    """Return what came of the prompts on 18 engines behind 9 entries."""
-    return make_fleet(ENGINE, engines=18, entries=9).play(list(prompts))
+def simulate(prompts):
+    """Simulate prompts on 18 engines behind 9 entries."""
+    return make_fleet(ENGINE, engines=18, entries=9).simulate(list(prompts))
 
 
 def make_long(at, size, entry=0):
@@ -30,12 +30,12 @@
 
 
 class GiantsTest(unittest.TestCase):
-    """Prompts that need most of the fleet, a few seconds apart."""
+    """Giant prompts, which need most of the fleet, a few seconds apart."""
 
     def test_giant_among_long_prompts(self):
-        """Two giants between long prompts are answered, and nobody is lost.
+        """Two giants between long prompts are answered, as are all others.
 
-        Side by side over few engines each, they are read for longer than
+        Prefilled concurrently, on few engines each, they would take longer than
         their callers wait.
         """
         prompts = [
@@ -46,99 +46,100 @@
             make_long(6.0, PromptSize(570_000, 600), 4),
             make_long(7.0, PromptSize(160_000, 600), 5),
         ]
-        asked = play(prompts)
-        self.assertEqual([one for one in asked if not one.earned], [])
-        self.assertGreater(get_share(asked), 0.5)
-
-    def test_returning_caller(self):
-        """A giant that comes back with 2.9 s left takes no engine."""
-        asked = self.ask_alone(make_long(0, GIANT))
-        self.assertGreater(asked.earned, 0)
+        states = simulate(prompts)
+        self.assertEqual([state for state in states if not state.earned], [])
+        self.assertGreater(get_earned_share(states), 0.5)
+
+    def test_retried_giant(self):
+        """A giant with 2.9 s left until its deadline takes no engine."""
+        state = self.simulate_alone(make_long(0, GIANT))
+        self.assertGreater(state.earned, 0)
         hurried = replace(LONG, deadline_s=2.9)
-        asked = self.ask_alone(Prompt(0, hurried, GIANT))
-        self.assertIs(asked.refused, Decision.no_time)
+        state = self.simulate_alone(Prompt(0, hurried, GIANT))
+        self.assertIs(state.refused, Decision.no_time)
 
-    def ask_alone(self, prompt):
-        """Return what came of one prompt on nine idle engines."""
-        return make_fleet(ENGINE, engines=9, entries=1).play([prompt])[0]
+    def simulate_alone(self, prompt):
+        """Simulate state prompt on nine idle engines."""
+        return make_fleet(ENGINE, engines=9, entries=1).simulate([prompt])[0]
 
-    def test_short_ones_beside_a_giant(self):
-        """A giant on a quiet fleet makes few short prompts late."""
+    def test_short_prompts_beside_a_giant(self):
+        """A giant on a lightly loaded fleet makes few short prompts late."""
         shorts = [
             Prompt(number * 0.15, SHORT, SMALL, number % 9)
             for number in range(60)
         ]
-        asked = play([*shorts, make_long(3.0, GIANT)])
-        self.assertGreater(get_share(asked, 'short'), 0.9)
-        self.assertGreater(get_share(asked, 'long'), 0)
+        states = simulate([*shorts, make_long(3.0, GIANT)])
+        self.assertGreater(get_earned_share(states, 'short'), 0.9)
+        self.assertGreater(get_earned_share(states, 'long'), 0)
 
 
 class BurstsTest(unittest.TestCase):
-    """Bursts of long and of short prompts that take turns."""
+    """Alternating bursts of long and short prompts."""
 
     def test_most_is_earned(self):
-        """Most of the worth is earned, of each kind, over several seeds."""
-        days = [play(make_bursts(seed)) for seed in range(6)]
+        """Most of the worth of each kind is earned over several seeds."""
+        days = [simulate(make_bursts(seed)) for seed in range(6)]
         for kind in ('short', 'longer', 'long'):
-            shares = [get_share(asked, kind) for asked in days]
+            shares = [get_earned_share(states, kind) for states in days]
             self.assertGreater(mean(shares), 0.83, kind)
 
     def test_all_are_accounted_for(self):
-        """Every request is answered, refused or left by its caller."""
-        for one in play(make_bursts(1, seconds=9)):
-            refused = one.refused is not None and one.placement is None
-            ended = (one.done_at is not None, refused, one.left)
+        """Each request is either answered, refused or abandoned."""
+        for state in simulate(make_bursts(1, seconds=9)):
+            refused = state.refused is not None and state.placement is None
+            ended = (state.done_at is not None, refused, state.abandoned)
             self.assertEqual(sum(ended), 1)
 
     def test_same_again(self):
-        """A seed gives the same figures each time."""
+        """A seed gives the same results each time."""
         first, second = (
-            [one.first_at for one in play(make_bursts(4, seconds=6))]
+            [state.first_at for state in simulate(make_bursts(4, seconds=6))]
             for _ in range(2)
         )
         self.assertEqual(first, second)
 
 
 class ManyEntriesTest(unittest.TestCase):
-    """A wave of long prompts reaches one data centre, where entries are many.
+    """A wave of long prompts at state data centre of a large deployment.
 
-    Its engines are taken; those of the two others are idle.
+    Its engines are busy, and those of the two other data centres are idle.
     """
 
-    def play(self, **terms):
-        """Return what came of eight long prompts at one of three places."""
+    def simulate(self, **policy):
+        """Simulate eight long prompts at state of three data centres."""
         fleet = make_fleet(
             ENGINE,
             engines=18,
             entries=9,
-            places=3,
-            terms=replace(DEFAULT_POLICY, **terms),
+            data_centres=3,
+            policy=replace(DEFAULT_POLICY, **policy),
             many=True,
         )
         prompts = [
             make_long(0.1 * number, LARGE, entry=number % 3 * 3)
             for number in range(8)
         ]
-        return fleet.play(prompts)
+        return fleet.simulate(prompts)
 
-    def test_engines_elsewhere(self):
-        """All are in time with them, and hardly any without."""
-        found = get_share(self.play())
-        without = get_share(self.play(remote_targets=False))
-        self.assertGreater(found, without + 0.2)
+    def test_remote_engines(self):
+        """Remote engines raise the earned worth by more than 0.2."""
+        with_remote = get_earned_share(self.simulate())
+        without = get_earned_share(self.simulate(remote_targets=False))
+        self.assertGreater(with_remote, without + 0.2)
 
     def test_two_at_the_same_moment(self):
-        """Two entries choose within the way of a word: one is in time.
+        """Two entries place prompts before either hears of the other.
 
-        Each takes all four engines, and both are late where neither gives way.
+        Each prompt takes all four engines.  With claims, the later one yields,
+        and the other is in time; without, both are late.
         """
         size = PromptSize(250_000, 600)
         earned = []
         for claims in (True, False):
-            terms = replace(DEFAULT_POLICY, claims=claims)
-            fleet = make_fleet(ENGINE, engines=4, entries=2, terms=terms)
-            asked = fleet.play(
+            policy = replace(DEFAULT_POLICY, claims=claims)
+            fleet = make_fleet(ENGINE, engines=4, entries=2, policy=policy)
+            states = fleet.simulate(
                 [make_long(0.0, size), make_long(0.002, size, 1)]
             )
-            earned.append(max(one.earned for one in asked))
-        self.assertEqual(earned, [1, LATE_KEEPS])
+            earned.append(max(state.earned for state in states))
+        self.assertEqual(earned, [1, LATE_SHARE])
--- a/trestledock/bench/_passes.py
+++ b/trestledock/bench/_passes.py
@@ -1,38 +1,38 @@
 """
-Engines that work in passes
-===========================
+Simulated engines
+=================
 
-A model of one engine as `EngineModel` describes it, on a virtual clock.  All
-waiting work is done in passes: where a request is writing, a pass runs
-`stride` steps and reads a chunk in each; else it is one step.  Helpers' parts
-are read before own prompts, and newer parts before older ones.  Each pass
-gives every writer one event.
+A simulation of one engine as `EngineModel` describes it, on a virtual clock.
+The engine works in passes: while a request decodes, a pass has `stride` steps,
+and otherwise one; each step prefills a limited number of prompt tokens.  Chunks
+of helpers are prefilled before other prompts, the newest helper chunk first.
+Each pass produces one event for every decoding request.
 
-The model says nothing of failures, queues or memory: it is for comparing
-decisions on load, and its times are those that placement predicts from.
+Failures, queues and memory are not simulated: the model serves to compare
+placement decisions, and its times are those that placement predicts with.
 """
 
 from dataclasses import dataclass, field
 
 from trestledock.relay import EngineModel, PassLoad, get_decode_pass_s
 
-#: Prompt tokens that a step reads at most.
-CHUNK_TOKENS = 2048
+#: The most prompt tokens that one step prefills.
+MAX_STEP_TOKENS = 2048
 
 
 @dataclass
-class Part:
-    """What is left of a part of a prompt, in tokens and in seconds."""
+class PrefillChunk:
+    """The remainder of a chunk of a prompt, in tokens and in seconds."""
 
     req_id: str
     tokens: float
-    read_s: float
-    helping: bool = False
+    prefill_s: float
+    is_helper: bool = False
 
 
 @dataclass
-class Writer:
-    """A request that is being answered, with the events that are left."""
+class DecodingRequest:
+    """A decoding request and the number of its remaining events."""
 
     req_id: str
     context_tokens: int
@@ -40,86 +40,93 @@
 
 
 @dataclass(frozen=True)
-class PassEnd:
-    """What a pass brought: parts read to the end, and events by request."""
+class PassResult:
+    """The requests that a pass finished prefilling or produced events for."""
 
-    read: tuple[str, ...] = ()
+    prefilled: tuple[str, ...] = ()
     events: tuple[str, ...] = ()
 
 
 @dataclass
 class PassEngine:
-    """One engine; `busy` while a pass is under way.
+    """One engine; `busy` is true during a pass.
 
     >>> engine = PassEngine(EngineModel(8, 232_000, 0.001, 200_000))
-    >>> engine.add_part(Part('r1', 2_000, 0.01))
-    >>> round(engine.begin(), 3), engine.end().read
+    >>> engine.add_chunk(PrefillChunk('r1', 2_000, 0.01))
+    >>> round(engine.begin_pass(), 3), engine.end_pass().prefilled
     (0.011, ('r1',))
     """
 
     model: EngineModel
     busy: bool = False
-    parts: list[Part] = field(default_factory=list)
-    writers: dict[str, Writer] = field(default_factory=dict)
-    _reading: list[tuple[Part, float]] = field(default_factory=list)
-    _writing: tuple[str, ...] = ()
-
-    def add_part(self, part: Part) -> None:
-        """Take a part of a prompt: a helper's goes before all others."""
-        if part.helping:
-            self.parts.insert(0, part)
+    chunks: list[PrefillChunk] = field(default_factory=list)
+    decoding: dict[str, DecodingRequest] = field(default_factory=dict)
+    _prefilling: list[tuple[PrefillChunk, float]] = field(default_factory=list)
+    _decoding: tuple[str, ...] = ()
+
+    def add_chunk(self, chunk: PrefillChunk) -> None:
+        """Add a chunk of a prompt, in front of all others for a helper."""
+        if chunk.is_helper:
+            self.chunks.insert(0, chunk)
         else:
-            self.parts.append(part)
+            self.chunks.append(chunk)
 
-    def drop(self, req_id: str) -> None:
-        """Forget a request whose caller has left."""
-        self.parts = [part for part in self.parts if part.req_id != req_id]
-        self.writers.pop(req_id, None)
+    def remove_request(self, req_id: str) -> None:
+        """Remove a request that its caller abandoned."""
+        self.chunks = [chunk for chunk in self.chunks if chunk.req_id != req_id]
+        self.decoding.pop(req_id, None)
 
     def has_work(self) -> bool:
-        """Whether there is anything to read or to write."""
-        return bool(self.parts or self.writers)
+        """Return whether there is anything to prefill or decode."""
+        return bool(self.chunks or self.decoding)
 
-    def begin(self) -> float:
-        """Begin a pass; return how long it takes in seconds."""
+    def begin_pass(self) -> float:
+        """Begin a pass; return its duration in seconds."""
         self.busy = True
-        self._writing = tuple(self.writers)
-        steps = self.model.stride if self._writing else 1
-        self._reading = self._pick(steps * CHUNK_TOKENS)
-        read_s = sum(
-            part.read_s * tokens / part.tokens for part, tokens in self._reading
+        self._decoding = tuple(self.decoding)
+        steps = self.model.stride if self._decoding else 1
+        self._prefilling = self._select_chunks(steps * MAX_STEP_TOKENS)
+        prefill_s = sum(
+            chunk.prefill_s * tokens / chunk.tokens
+            for chunk, tokens in self._prefilling
         )
-        if not self._writing:
-            return self.model.step_s + read_s
-        context = sum(one.context_tokens for one in self.writers.values())
-        load = PassLoad(len(self._writing), context, read_s)
+        if not self._decoding:
+            return self.model.step_s + prefill_s
+        context = sum(
+            request.context_tokens for request in self.decoding.values()
+        )
+        load = PassLoad(len(self._decoding), context, prefill_s)
         return get_decode_pass_s(self.model, load)
 
-    def end(self) -> PassEnd:
-        """End the pass; return what it brought."""
+    def end_pass(self) -> PassResult:
+        """End the pass; return its results."""
         self.busy = False
-        for part, tokens in self._reading:
-            part.read_s -= part.read_s * tokens / part.tokens
-            part.tokens -= tokens
-        read = tuple(part.req_id for part in self.parts if part.tokens <= 0)
-        self.parts = [part for part in self.parts if part.tokens > 0]
-        events = tuple(one for one in self._writing if one in self.writers)
+        for chunk, tokens in self._prefilling:
+            chunk.prefill_s -= chunk.prefill_s * tokens / chunk.tokens
+            chunk.tokens -= tokens
+        prefilled = tuple(
+            chunk.req_id for chunk in self.chunks if chunk.tokens <= 0
+        )
+        self.chunks = [chunk for chunk in self.chunks if chunk.tokens > 0]
+        events = tuple(
+            req_id for req_id in self._decoding if req_id in self.decoding
+        )
         for req_id in events:
-            self._write_event(req_id)
-        return PassEnd(read, events)
-
-    def _pick(self, budget: float) -> list[tuple[Part, float]]:
-        """Return the parts that a pass reads, with the tokens of each."""
-        picked = []
-        for part in self.parts:
-            tokens = min(part.tokens, budget)
+            self._record_event(req_id)
+        return PassResult(prefilled, events)
+
+    def _select_chunks(self, budget: float) -> list[tuple[PrefillChunk, float]]:
+        """Return the chunks that a pass prefills, with the tokens of each."""
+        selected = []
+        for chunk in self.chunks:
+            tokens = min(chunk.tokens, budget)
             if tokens > 0:
-                picked.append((part, tokens))
+                selected.append((chunk, tokens))
             budget -= tokens
-        return picked
+        return selected
 
-    def _write_event(self, req_id: str) -> None:
-        writer = self.writers[req_id]
-        writer.events -= 1
-        if writer.events <= 0:
-            self.writers.pop(req_id)
+    def _record_event(self, req_id: str) -> None:
+        request = self.decoding[req_id]
+        request.events -= 1
+        if request.events <= 0:
+            self.decoding.pop(req_id)
--- a/trestledock/bench/_sharing.py
+++ b/trestledock/bench/_sharing.py
@@ -1,15 +1,16 @@
 """
-Fleets that are shared by unlike prompts
-========================================
-
-Plays arrivals through the decisions of several entries and through engines that
-work in passes, on a virtual clock.  Entries know one another's flights after a
-delay, as by their datagrams.  A caller leaves after a silence, and comes back
-once where it is refused; what it got counts: in time, late, or nothing.
-
-A day of it takes a second or two, so that decisions on load can be compared and
-tested as patterns: which prompts come, what each of them is worth, and what
-share of that worth is earned.
+Simulated fleets with mixed prompts
+===================================
+
+Simulates arrivals on a virtual clock, with the placement decisions of several
+entries and with simulated engines.  Entries learn of each other's flights after
+a delay, as with their datagrams.  A caller abandons its request after a time
+without events, and retries once if it is refused.  An answer earns its full
+worth in time, a share of it late, and nothing if it is not complete.
+
+A simulated day takes a second or two, so that placement decisions can be
+compared and tested on patterns of load: which prompts arrive, the worth of each
+of them, and the share of that worth that is earned.
 """
 
 import heapq
@@ -19,47 +20,57 @@
 from itertools import count
 from typing import Callable
 
-from trestledock.bench._passes import Part, PassEnd, PassEngine, Writer
+from trestledock.bench._passes import (
+    DecodingRequest,
+    PassEngine,
+    PassResult,
+    PrefillChunk,
+)
 from trestledock.relay import (
     CLAIM_DELAY_S,
-    PLACEMENT_RETRY_S,
     DEFAULT_POLICY,
-    PlacementRequest,
-    LoadTable,
+    PLACEMENT_RETRY_S,
     Decision,
     EngineModel,
     Flight,
     Health,
     ListedTarget,
-    Unplaced,
+    LoadTable,
     Phase,
     Placement,
+    PlacementPolicy,
+    PlacementRequest,
     Placer,
     PromptSize,
-    PlacementPolicy,
     Timing,
+    Unplaced,
     find_prior_claim,
     get_prefill_s,
     get_worth,
-    should_query_remote,
     needs_claim,
     pick_cheapest,
+    should_query_remote,
 )
 
-#: How long until other entries know of a flight, in seconds: what is gathered,
-#: and the way.
-NEWS_S = 0.006
-#: When a refused caller comes back at the least, in seconds, and what part of
-#: the time that it has left it waits for that.
-COME_BACK_S = 0.25
-RETRY_PARTS = 3
-#: What a late answer keeps of its worth.
-LATE_KEEPS = 0.25
+#: How long until other entries know of a flight, in seconds: the time in which
+#: updates are collected for a datagram, and the network delay.
+UPDATE_DELAY_S = 0.006
+#: The least time before a refused caller retries, in seconds.  A caller retries
+#: only if the delay is at most the remaining time divided by the divisor.
+MIN_RETRY_AFTER_S = 0.25
+RETRY_TIME_DIVISOR = 3
+#: The share of its worth that a late answer earns.
+LATE_SHARE = 0.25
 
 
 @dataclass(frozen=True)
 class Kind:
-    """A kind of request: its objective, pauses and deadline in seconds."""
+    """A kind of request.
+
+    The first event is due after `objective_s`, later ones after pauses of up to
+    `pause_s`; the caller leaves after `patience_s` without an event, and at
+    `deadline_s`.
+    """
 
     name: str
     objective_s: float
@@ -70,7 +81,7 @@
 
 @dataclass(frozen=True)
 class Prompt:
-    """One arrival."""
+    """The arrival of a prompt at an entry."""
 
     at: float
     kind: Kind
@@ -79,19 +90,19 @@
 
 
 @dataclass
-class Asked:
-    """A request under way, and what came of it."""
+class RequestState:
+    """The state of a request and its result."""
 
-    ask: PlacementRequest
+    request: PlacementRequest
     prompt: Prompt
     placement: Placement | None = None
-    unread: int = 0
+    pending_chunks: int = 0
     first_at: float | None = None
     heard_at: float = 0
     longest_pause_s: float = 0
     done_at: float | None = None
     refused: Decision | None = None
-    left: bool = False
+    abandoned: bool = False
 
     @property
     def earned(self) -> float:
@@ -99,224 +110,257 @@
         if self.done_at is None or self.first_at is None:
             return 0
         kind = self.prompt.kind
-        late = self.first_at > self.ask.timing.due_at
+        late = self.first_at > self.request.timing.due_at
         paused = self.longest_pause_s > kind.pause_s
-        return LATE_KEEPS if late or paused else 1
+        return LATE_SHARE if late or paused else 1
 
 
 @dataclass
 class Entry:
-    """One entry: its board, and the sequence of its messages.
+    """One entry: its load table, and the sequence number of its messages.
 
-    Of many entries each sees only the targets of its own data centre, `near`,
-    and asks for the others; of few all see all.
+    In a large deployment, each entry sees only the targets of its own data
+    centre (`local_targets`) and queries the others; in a small one, these are
+    all targets.
     """
 
-    board: LoadTable
+    load_table: LoadTable
     placer: Placer
-    near: tuple[ListedTarget, ...]
+    local_targets: tuple[ListedTarget, ...]
     sequence: int = 0
 
 
 @dataclass
 class SharedFleet:
-    """Engines and entries of one service; `play` runs arrivals to their end."""
+    """The engines and entries of one service."""
 
     model: EngineModel
-    listed: tuple[ListedTarget, ...]
+    targets: tuple[ListedTarget, ...]
     entries: tuple[Entry, ...]
     now: float = 0
-    asked: dict[str, Asked] = field(default_factory=dict)
+    states: dict[str, RequestState] = field(default_factory=dict)
     engines: dict[str, PassEngine] = field(default_factory=dict)
     _events: list[tuple[float, int, Callable[[], None]]] = field(
         default_factory=list
     )
     _order: 'count[int]' = field(default_factory=count)
 
-    def play(self, prompts: list[Prompt]) -> list[Asked]:
-        """Return what came of every arrival."""
+    def simulate(self, prompts: list[Prompt]) -> list[RequestState]:
+        """Simulate arrivals to their end; return the state of each request."""
         for number, prompt in enumerate(prompts):
-            ask = _make_ask(f'r{number}', prompt)
-            one = Asked(ask, prompt, heard_at=prompt.at)
-            self.asked[one.ask.req_id] = one
-            self._at(prompt.at, partial(self._try, one))
+            request = _make_request(f'r{number}', prompt)
+            state = RequestState(request, prompt, heard_at=prompt.at)
+            self.states[state.request.req_id] = state
+            self._schedule(prompt.at, partial(self._place, state))
         while self._events:
-            self.now, _, step = heapq.heappop(self._events)
-            step()
-        return list(self.asked.values())
+            self.now, _, callback = heapq.heappop(self._events)
+            callback()
+        return list(self.states.values())
 
-    def _at(self, instant: float, step: Callable[[], None]) -> None:
-        heapq.heappush(self._events, (instant, next(self._order), step))
+    def _schedule(self, at: float, callback: Callable[[], None]) -> None:
+        heapq.heappush(self._events, (at, next(self._order), callback))
 
-    def _try(self, one: Asked) -> None:
-        """Place a request, or have it wait or refused."""
-        chosen = self._choose(one, self.entries[one.prompt.entry])
+    def _place(self, state: RequestState) -> None:
+        """Place a request; otherwise let it wait or refuse it."""
+        chosen = self._choose_target(state, self.entries[state.prompt.entry])
         if isinstance(chosen, Placement):
-            self._claim(one, chosen)
+            self._claim(state, chosen)
         elif chosen.decision is Decision.wait:
-            self._at(self.now + PLACEMENT_RETRY_S, partial(self._try, one))
-        elif one.refused is None:
-            self._come_back(one, chosen)
+            self._schedule(
+                self.now + PLACEMENT_RETRY_S, partial(self._place, state)
+            )
+        elif state.refused is None:
+            self._schedule_retry(state, chosen)
 
-    def _choose(self, one: Asked, entry: Entry) -> Placement | Unplaced:
-        """Return the best place nearby, or a better one elsewhere."""
-        chosen = self._choose_among(one, entry, entry.near)
+    def _choose_target(
+        self, state: RequestState, entry: Entry
+    ) -> Placement | Unplaced:
+        """Return the best local placement, or a better remote one."""
+        chosen = self._choose_among(state, entry, entry.local_targets)
         cost = chosen.cost if isinstance(chosen, Placement) else None
-        may_ask = entry.placer.policy.remote_targets
-        if not may_ask or not should_query_remote(one.ask.worth, cost):
+        may_query = entry.placer.policy.remote_targets
+        if not may_query or not should_query_remote(state.request.worth, cost):
             return chosen
         groups: dict[str, list[ListedTarget]] = defaultdict(list)
-        for listed in self.listed:
-            if listed not in entry.near:
-                groups[listed.data_centre].append(listed)
-        found = [chosen]
+        for target in self.targets:
+            if target not in entry.local_targets:
+                groups[target.data_centre].append(target)
+        options = [chosen]
         for group in groups.values():
-            found.append(self._choose_among(one, entry, tuple(group)))
-        return pick_cheapest(found)
+            options.append(self._choose_among(state, entry, tuple(group)))
+        return pick_cheapest(options)
 
     def _choose_among(
-        self, one: Asked, entry: Entry, targets: tuple[ListedTarget, ...]
+        self,
+        state: RequestState,
+        entry: Entry,
+        targets: tuple[ListedTarget, ...],
     ) -> Placement | Unplaced:
-        return one.ask.choose(entry.placer, self.model, targets, self.now)
+        return state.request.choose(entry.placer, self.model, targets, self.now)
 
-    def _claim(self, one: Asked, placement: Placement) -> None:
-        """Tell of a long prompt, and send it a moment later."""
-        entry = self.entries[one.prompt.entry]
+    def _claim(self, state: RequestState, placement: Placement) -> None:
+        """Announce a long prompt, and send it after the claim delay."""
+        entry = self.entries[state.prompt.entry]
         claims = entry.placer.policy.claims
-        if not claims or not needs_claim(placement, one.ask.worth):
-            self._send(one, placement)
+        if not claims or not needs_claim(placement, state.request.worth):
+            self._send(state, placement)
             return
-        flight = one.ask.make_flight(placement, Phase.prefill, self.now)
+        flight = state.request.make_flight(placement, Phase.prefill, self.now)
         known = {
-            beside.flight_id for beside in entry.board.get_colocated(flight)
+            other.flight_id for other in entry.load_table.get_colocated(flight)
         }
-        self._put(one, flight)
-        self._at(
+        self._update_flight(state, flight)
+        self._schedule(
             self.now + CLAIM_DELAY_S,
-            partial(self._end_claim, one, placement, flight, known),
+            partial(self._end_claim, state, placement, flight, known),
         )
 
     def _end_claim(
         self,
-        one: Asked,
+        state: RequestState,
         placement: Placement,
         flight: Flight,
         known: set[str],
     ) -> None:
-        """Send what was told of, unless another prompt goes before it."""
-        entry = self.entries[one.prompt.entry]
-        if find_prior_claim(flight, entry.board.get_colocated(flight), known):
-            self._put(one, None)
-            self._try(one)
+        """Send an announced prompt, unless another claim has priority."""
+        entry = self.entries[state.prompt.entry]
+        if find_prior_claim(
+            flight, entry.load_table.get_colocated(flight), known
+        ):
+            self._update_flight(state, None)
+            self._place(state)
         else:
-            self._send(one, placement)
-
-    def _come_back(self, one: Asked, refusal: Unplaced) -> None:
-        """Have a refused caller try once more, if it has the time."""
-        one.refused = refusal.decision
-        timing = one.ask.timing
-        after_s = max(COME_BACK_S, refusal.retry_after_s)
-        if after_s > (timing.deadline - self.now) / RETRY_PARTS:
+            self._send(state, placement)
+
+    def _schedule_retry(self, state: RequestState, refusal: Unplaced) -> None:
+        """Schedule a retry of a refused request, if enough time remains."""
+        state.refused = refusal.decision
+        timing = state.request.timing
+        retry_after_s = max(MIN_RETRY_AFTER_S, refusal.retry_after_s)
+        if retry_after_s > (timing.deadline - self.now) / RETRY_TIME_DIVISOR:
             return
-        patience_s = one.prompt.kind.patience_s
-        gone = min(timing.deadline, self.now + after_s + patience_s)
-        one.ask = replace(one.ask, timing=replace(timing, abandoned_at=gone))
-        one.heard_at = self.now + after_s
-        self._at(self.now + after_s, partial(self._try, one))
-
-    def _send(self, one: Asked, placement: Placement) -> None:
-        one.placement = placement
-        one.unread = len(placement.helpers) + 1
-        self._put(one, one.ask.make_flight(placement, Phase.prefill, self.now))
-        self._part(one, placement.target, helping=False)
+        patience_s = state.prompt.kind.patience_s
+        abandoned_at = min(
+            timing.deadline, self.now + retry_after_s + patience_s
+        )
+        state.request = replace(
+            state.request, timing=replace(timing, abandoned_at=abandoned_at)
+        )
+        state.heard_at = self.now + retry_after_s
+        self._schedule(self.now + retry_after_s, partial(self._place, state))
+
+    def _send(self, state: RequestState, placement: Placement) -> None:
+        state.placement = placement
+        state.pending_chunks = len(placement.helpers) + 1
+        self._update_flight(
+            state, state.request.make_flight(placement, Phase.prefill, self.now)
+        )
+        self._start_chunk(state, placement.target, is_helper=False)
         for helper in placement.helpers:
-            self._part(one, helper, helping=True)
-        self._watch(one)
-
-    def _part(self, one: Asked, listed: ListedTarget, *, helping: bool) -> None:
-        size = one.prompt.size
-        read_s = get_prefill_s(self.model, size.prompt_tokens) / one.unread
-        part = Part(
-            one.ask.req_id, size.prompt_tokens / one.unread, read_s, helping
+            self._start_chunk(state, helper, is_helper=True)
+        self._check_abandonment(state)
+
+    def _start_chunk(
+        self, state: RequestState, target: ListedTarget, *, is_helper: bool
+    ) -> None:
+        size = state.prompt.size
+        prefill_s = (
+            get_prefill_s(self.model, size.prompt_tokens) / state.pending_chunks
+        )
+        chunk = PrefillChunk(
+            state.request.req_id,
+            size.prompt_tokens / state.pending_chunks,
+            prefill_s,
+            is_helper,
         )
-        self.engines[listed.incarnation].add_part(part)
-        self._wake(listed.incarnation)
+        self.engines[target.incarnation].add_chunk(chunk)
+        self._start_pass(target.incarnation)
 
-    def _wake(self, target_id: str) -> None:
+    def _start_pass(self, target_id: str) -> None:
         engine = self.engines[target_id]
         if engine.busy or not engine.has_work():
             return
-        end_at = self.now + engine.begin()
-        self._at(end_at, partial(self._end_pass, target_id))
+        end_at = self.now + engine.begin_pass()
+        self._schedule(end_at, partial(self._end_pass, target_id))
 
     def _end_pass(self, target_id: str) -> None:
-        found: PassEnd = self.engines[target_id].end()
-        for req_id in found.read:
-            self._note_read(self.asked[req_id])
-        for req_id in found.events:
-            self._note_event(self.asked[req_id])
-        self._wake(target_id)
-
-    def _note_read(self, one: Asked) -> None:
-        one.unread -= 1
-        if one.unread or one.left or one.placement is None:
+        result: PassResult = self.engines[target_id].end_pass()
+        for req_id in result.prefilled:
+            self._record_prefilled(self.states[req_id])
+        for req_id in result.events:
+            self._record_event(self.states[req_id])
+        self._start_pass(target_id)
+
+    def _record_prefilled(self, state: RequestState) -> None:
+        state.pending_chunks -= 1
+        if state.pending_chunks or state.abandoned or state.placement is None:
             return
-        size = one.prompt.size
-        target_id = one.placement.target.incarnation
+        size = state.prompt.size
+        target_id = state.placement.target.incarnation
         events = -(-size.output_tokens // self.model.stride)
-        self.engines[target_id].writers[one.ask.req_id] = Writer(
-            one.ask.req_id, size.total_tokens // 2, max(1, events)
+        self.engines[target_id].decoding[state.request.req_id] = (
+            DecodingRequest(
+                state.request.req_id, size.total_tokens // 2, max(1, events)
+            )
         )
-        self._wake(target_id)
+        self._start_pass(target_id)
 
-    def _note_event(self, one: Asked) -> None:
-        if one.left or one.placement is None:
+    def _record_event(self, state: RequestState) -> None:
+        if state.abandoned or state.placement is None:
             return
-        if one.first_at is None:
-            one.first_at = self.now
-            flight = one.ask.make_flight(one.placement, Phase.decode, self.now)
-            self._put(one, flight)
+        if state.first_at is None:
+            state.first_at = self.now
+            flight = state.request.make_flight(
+                state.placement, Phase.decode, self.now
+            )
+            self._update_flight(state, flight)
         else:
-            pause_s = self.now - one.heard_at
-            one.longest_pause_s = max(one.longest_pause_s, pause_s)
-        one.heard_at = self.now
-        target_id = one.placement.target.incarnation
-        if one.ask.req_id not in self.engines[target_id].writers:
-            one.done_at = self.now
-            self._put(one, None)
-
-    def _watch(self, one: Asked) -> None:
-        """Have the caller leave after a silence or at its deadline."""
-        if one.done_at is not None or one.left:
+            pause_s = self.now - state.heard_at
+            state.longest_pause_s = max(state.longest_pause_s, pause_s)
+        state.heard_at = self.now
+        target_id = state.placement.target.incarnation
+        if state.request.req_id not in self.engines[target_id].decoding:
+            state.done_at = self.now
+            self._update_flight(state, None)
+
+    def _check_abandonment(self, state: RequestState) -> None:
+        """Abandon the request on a timeout; otherwise check later."""
+        if state.done_at is not None or state.abandoned:
             return
-        gone = one.heard_at + one.prompt.kind.patience_s
-        gone = min(gone, one.ask.timing.deadline)
-        if self.now >= gone:
-            self._leave(one)
+        abandoned_at = state.heard_at + state.prompt.kind.patience_s
+        abandoned_at = min(abandoned_at, state.request.timing.deadline)
+        if self.now >= abandoned_at:
+            self._abandon(state)
         else:
-            self._at(gone, partial(self._watch, one))
+            self._schedule(
+                abandoned_at, partial(self._check_abandonment, state)
+            )
 
-    def _leave(self, one: Asked) -> None:
-        one.left = True
+    def _abandon(self, state: RequestState) -> None:
+        state.abandoned = True
         for engine in self.engines.values():
-            engine.drop(one.ask.req_id)
-        self._put(one, None)
+            engine.remove_request(state.request.req_id)
+        self._update_flight(state, None)
 
-    def _put(self, one: Asked, flight: Flight | None) -> None:
-        """Put a flight on its entry's board, and tell the others later."""
-        entry = self.entries[one.prompt.entry]
+    def _update_flight(
+        self, state: RequestState, flight: Flight | None
+    ) -> None:
+        """Update the load table of an entry, and the others after a delay."""
+        entry = self.entries[state.prompt.entry]
         if flight:
-            entry.board.put(flight)
+            entry.load_table.put(flight)
         else:
-            entry.board.remove(one.ask.req_id)
+            entry.load_table.remove(state.request.req_id)
         entry.sequence += 1
         sequence = entry.sequence
-        self._at(
-            self.now + NEWS_S,
-            partial(self._tell, entry, sequence, one.ask.req_id, flight),
+        self._schedule(
+            self.now + UPDATE_DELAY_S,
+            partial(
+                self._send_update, entry, sequence, state.request.req_id, flight
+            ),
         )
 
-    def _tell(
+    def _send_update(
         self,
         entry: Entry,
         sequence: int,
@@ -325,7 +369,7 @@
     ) -> None:
         for other in self.entries:
             if other is not entry:
-                other.board.apply_update(
+                other.load_table.apply_update(
                     entry.placer.member,
                     sequence,
                     [(req_id, flight)],
@@ -337,70 +381,81 @@
     model: EngineModel,
     engines: int,
     entries: int,
-    places: int = 1,
-    terms: PlacementPolicy = DEFAULT_POLICY,
+    data_centres: int = 1,
+    policy: PlacementPolicy = DEFAULT_POLICY,
     *,
     many: bool = False,
 ) -> SharedFleet:
-    """Return an idle fleet, spread evenly over some data centres.
+    """Return an idle fleet, distributed evenly over the data centres.
 
-    With `many` entries each sees only the engines of its own data centre.
+    With `many`, each entry sees only the engines of its own data centre, as in
+    a deployment with many entries.
     """
-    listed = tuple(
+    targets = tuple(
         ListedTarget(
-            f't{one:02}',
+            f't{number:02}',
             's',
-            f'10.0.0.{one}:80',
-            f'dc-{one % places}',
+            f'10.0.0.{number}:80',
+            f'dc-{number % data_centres}',
             slots=model.batch,
         )
-        for one in range(engines)
+        for number in range(engines)
     )
     return SharedFleet(
         model,
-        listed,
+        targets,
         tuple(
             _make_entry(
                 number,
-                f'dc-{number % places}',
-                terms,
-                _get_near(listed, f'dc-{number % places}') if many else listed,
+                f'dc-{number % data_centres}',
+                policy,
+                (
+                    _get_local(targets, f'dc-{number % data_centres}')
+                    if many
+                    else targets
+                ),
             )
             for number in range(entries)
         ),
-        engines={one.incarnation: PassEngine(model) for one in listed},
+        engines={target.incarnation: PassEngine(model) for target in targets},
     )
 
 
-def get_share(asked: list[Asked], kind: str = '') -> float:
-    """Return the share of the worth of all, or of one kind, that is earned."""
+def get_earned_share(states: list[RequestState], kind: str = '') -> float:
+    """Return the earned share of the worth of all requests or of one kind."""
     worths: dict[bool, float] = defaultdict(float)
-    for one in asked:
-        if not kind or one.prompt.kind.name == kind:
-            worth = get_worth(one.prompt.size)
+    for state in states:
+        if not kind or state.prompt.kind.name == kind:
+            worth = get_worth(state.prompt.size)
             worths[False] += worth
-            worths[True] += worth * one.earned
+            worths[True] += worth * state.earned
     return worths[True] / worths[False]
 
 
-def _get_near(
-    listed: tuple[ListedTarget, ...], place: str
+def _get_local(
+    targets: tuple[ListedTarget, ...], data_centre: str
 ) -> tuple[ListedTarget, ...]:
-    return tuple([one for one in listed if one.data_centre == place])
+    return tuple(
+        [target for target in targets if target.data_centre == data_centre]
+    )
 
 
 def _make_entry(
     number: int,
-    place: str,
-    terms: PlacementPolicy,
-    near: tuple[ListedTarget, ...],
+    data_centre: str,
+    policy: PlacementPolicy,
+    local_targets: tuple[ListedTarget, ...],
 ) -> Entry:
-    board = LoadTable()
+    load_table = LoadTable()
     name = f'entry-{number}'
-    return Entry(board, Placer(board, Health(), name, place, terms), near)
+    return Entry(
+        load_table,
+        Placer(load_table, Health(), name, data_centre, policy),
+        local_targets,
+    )
 
 
-def _make_ask(req_id: str, prompt: Prompt) -> PlacementRequest:
+def _make_request(req_id: str, prompt: Prompt) -> PlacementRequest:
     kind = prompt.kind
     timing = Timing(
         arrived_at=prompt.at,
--- a/trestledock/bench/ablation.py
+++ b/trestledock/bench/ablation.py
@@ -2,10 +2,10 @@
 Ablation
 ========
 
-What each mechanism of placement is worth: bursts of unlike prompts are played
-with all of them, then with one switched off at a time, on the same seeds.
-Worth is that of the kinds of requests on the users' sheets, which the decisions
-don't know.
+Measures the contribution of each placement mechanism: bursts of mixed prompts
+are simulated with all mechanisms, and then with each of them disabled alone, on
+the same seeds.  The measure is the worth that users specified for the kinds of
+requests, which the placement decisions don't know.
 """
 
 import math
@@ -19,16 +19,16 @@
 from trestledock.bench._bursts import (
     LONG,
     LONGER,
-    NOW_SOURCES,
     SHORT,
+    SHIFTED_SOURCES,
     SOURCES,
     Source,
     make_bursts,
 )
-from trestledock.bench._sharing import Asked, make_fleet
+from trestledock.bench._sharing import RequestState, make_fleet
 from trestledock.relay import DEFAULT_POLICY, EngineModel, PlacementPolicy
 
-#: The engines of a fleet whose prompts are long, and how many there are.
+#: The engines of a fleet that serves long prompts.
 ENGINE = EngineModel(
     batch=8,
     capacity_tokens=405_000,
@@ -39,8 +39,8 @@
     pair_s=1.62e-10,
     stride=34,
 )
-#: The engines of a large fleet by now: faster, with room for longer prompts.
-NOW_ENGINE = EngineModel(
+#: The faster engines of the large fleet in the shifted workload.
+SHIFTED_ENGINE = EngineModel(
     batch=12,
     capacity_tokens=382_500,
     step_s=0.000925,
@@ -50,25 +50,29 @@
     pair_s=9.17e-11,
     stride=52,
 )
-PLACES = 3
+DATA_CENTRES = 3
+#: The share of the worth of a request that doesn't depend on its size, and the
+#: largest ratio of its worth to that of its kind.
 FIXED_SHARE = 0.3
-MOST_WORTH = 4.0
-#: The windows whose two worst are shown, in seconds.
+MAX_WORTH_RATIO = 4.0
+#: The length of a window in seconds; the table shows the mean of the two worst
+#: windows.
 WINDOW_S = 2.0
-#: What a mechanism with a limit or a price is without it.
+#: The value that disables a limit.
 NO_LIMIT = float('inf')
 SECONDS = 30.0
 SEEDS = 16
 
 
 @dataclass(frozen=True)
-class WorkLoad:
-    """What is played: a fleet, what comes, and what that is worth.
-
-    `kinds` has the worth of each kind and its mean prompt in tokens; a request
-    is worth 0.3 and 0.7 times its size against that, at most four times its
-    kind.  Of `many` entries each sees its own data centre, which callers reach
-    in waves.
+class Workload:
+    """A fleet, its arrivals, and the worth of their kinds.
+
+    `kinds` has the worth of each kind and its mean prompt length in tokens.  A
+    request is worth 0.3 plus 0.7 times the ratio of its size to that mean, as a
+    multiple of the worth of its kind, and at most 4 times that worth.  With
+    `many`, each entry sees only its own data centre, and callers arrive in
+    waves.
     """
 
     engine: EngineModel
@@ -79,9 +83,9 @@
     many: bool = False
 
 
-WORK_LOADS: Mapping[str, WorkLoad] = MappingProxyType(
+WORKLOADS: Mapping[str, Workload] = MappingProxyType(
     {
-        'before': WorkLoad(
+        'before': Workload(
             ENGINE,
             engines=18,
             entries=9,
@@ -92,11 +96,11 @@
                 (LONG.name, 24.0, 182_000),
             ),
         ),
-        'shifted': WorkLoad(
-            NOW_ENGINE,
+        'shifted': Workload(
+            SHIFTED_ENGINE,
             engines=60,
             entries=72,
-            sources=NOW_SOURCES,
+            sources=SHIFTED_SOURCES,
             kinds=(
                 (SHORT.name, 1.4, 4_960),
                 (LONGER.name, 2.6, 45_000),
@@ -106,9 +110,10 @@
         ),
     }
 )
-BEFORE = WORK_LOADS['before']
+BEFORE = WORKLOADS['before']
 
-#: One row each: what is switched off, and the terms without it.
+#: The label and the policy of each row: the mechanism that is disabled, and the
+#: policy without it.
 ROWS: tuple[tuple[str, PlacementPolicy], ...] = (
     ('all mechanisms', DEFAULT_POLICY),
     ('no packing of short requests', replace(DEFAULT_POLICY, packing=False)),
@@ -136,65 +141,82 @@
 
 @dataclass(frozen=True)
 class Earned:
-    """What was earned: shares of a day's worth and of its two worst windows."""
+    """Earned shares of worth: of a whole day, and of its two worst windows."""
 
     whole: float
     worst: float
 
 
-def play_day(
-    terms: PlacementPolicy,
+def simulate_day(
+    policy: PlacementPolicy,
     seed: int,
     seconds: float = SECONDS,
-    load: WorkLoad = BEFORE,
+    workload: Workload = BEFORE,
 ) -> Earned:
-    """Play one day; return what was earned of it."""
+    """Simulate state day; return its earned shares."""
     fleet = make_fleet(
-        load.engine, load.engines, load.entries, PLACES, terms, many=load.many
+        workload.engine,
+        workload.engines,
+        workload.entries,
+        DATA_CENTRES,
+        policy,
+        many=workload.many,
+    )
+    waves = DATA_CENTRES if workload.many else 1
+    states = fleet.simulate(
+        make_bursts(seed, seconds, workload.entries, workload.sources, waves)
     )
-    waves = PLACES if load.many else 1
-    asked = fleet.play(
-        make_bursts(seed, seconds, load.entries, load.sources, waves)
+    windows: dict[int, list[RequestState]] = {}
+    for state in states:
+        number = int(state.prompt.at // WINDOW_S)
+        windows.setdefault(number, []).append(state)
+    shares = [
+        get_earned_user_share(window, workload) for window in windows.values()
+    ]
+    return Earned(
+        get_earned_user_share(states, workload), mean(sorted(shares)[:2])
     )
-    windows: dict[int, list[Asked]] = {}
-    for one in asked:
-        number = int(one.prompt.at // WINDOW_S)
-        windows.setdefault(number, []).append(one)
-    shares = [get_earned_share(some, load) for some in windows.values()]
-    return Earned(get_earned_share(asked, load), mean(sorted(shares)[:2]))
 
 
-def get_earned_share(asked: list[Asked], load: WorkLoad = BEFORE) -> float:
-    """Return the share of the worth of requests that was earned."""
-    owed = sum(get_sheet_worth(one, load) for one in asked)
-    earned = sum(get_sheet_worth(one, load) * one.earned for one in asked)
-    return earned / owed
+def get_earned_user_share(
+    states: list[RequestState], workload: Workload = BEFORE
+) -> float:
+    """Return the earned share of the worth of requests to their callers."""
+    total = sum(get_user_worth(state, workload) for state in states)
+    earned = sum(
+        get_user_worth(state, workload) * state.earned for state in states
+    )
+    return earned / total
 
 
-def get_sheet_worth(one: Asked, load: WorkLoad = BEFORE) -> float:
-    """Return what a request is worth to its caller."""
-    kinds = {name: (worth, tokens) for name, worth, tokens in load.kinds}
-    worth, mean_tokens = kinds[one.prompt.kind.name]
-    size = one.prompt.size.prompt_tokens / mean_tokens
-    part = FIXED_SHARE + (1 - FIXED_SHARE) * size
-    return worth * min(MOST_WORTH, part)
+def get_user_worth(state: RequestState, workload: Workload = BEFORE) -> float:
+    """Return the worth of a request to its caller."""
+    kinds = {name: (worth, tokens) for name, worth, tokens in workload.kinds}
+    worth, mean_tokens = kinds[state.prompt.kind.name]
+    relative_size = state.prompt.size.prompt_tokens / mean_tokens
+    ratio = FIXED_SHARE + (1 - FIXED_SHARE) * relative_size
+    return worth * min(MAX_WORTH_RATIO, ratio)
 
 
 def make_table(
     seeds: int,
     rows: tuple[tuple[str, PlacementPolicy], ...] = ROWS,
     seconds: float = SECONDS,
-    load: WorkLoad = BEFORE,
+    workload: Workload = BEFORE,
 ) -> Iterator[str]:
-    """Yield the lines of the table, each as soon as it has been played.
+    """Yield the lines of the table, each as soon as its days are simulated.
 
-    The difference is that to the first row, with its standard error.
+    The last column is the mean difference to the first row with its standard
+    error.
     """
     yield '| switched off | earned | worst windows | least day | difference |'
     yield '|---|---|---|---|---|'
     base: list[float] = []
-    for name, terms in rows:
-        days = [play_day(terms, seed, seconds, load) for seed in range(seeds)]
+    for name, policy in rows:
+        days = [
+            simulate_day(policy, seed, seconds, workload)
+            for seed in range(seeds)
+        ]
         wholes = [day.whole for day in days]
         base = base or wholes
         differences = [
@@ -208,7 +230,7 @@
 
 
 def _get_error(figures: list[float]) -> float:
-    """Return the standard error of a mean; zero for a single figure."""
+    """Return the standard error of a mean, or zero for a single figure."""
     if len(figures) == 1:
         return 0
     return stdev(figures) / math.sqrt(len(figures))
@@ -216,10 +238,10 @@
 
 @click.command()
 @click.option('--seeds', default=SEEDS, type=click.IntRange(min=1))
-@click.option('--work', default='before', type=click.Choice(list(WORK_LOADS)))
+@click.option('--work', default='before', type=click.Choice(list(WORKLOADS)))
 def main(seeds: int, work: str) -> None:
-    """Print what each mechanism of placement is worth, by what is played."""
-    for line in make_table(seeds, load=WORK_LOADS[work]):
+    """Print the contribution of each placement mechanism to earned worth."""
+    for line in make_table(seeds, workload=WORKLOADS[work]):
         click.echo(line)
 
 
