--- a/tests/test_bench_rates.py
+++ b/tests/test_bench_rates.py
@@ -1,35 +1,38 @@
-"""Ways to share a rate limit, on the same arrivals: which stay within it."""
+"""Strategies for sharing a rate limit: which of them stay within it."""
 
 import unittest
 
-from trestledock.bench._rates import STRETCH_S, WAYS, Day, play
+from trestledock.bench._rates import STRATEGIES, WINDOW_S, Scenario, simulate
 
-#: A day with more requests for the target than it takes, and a cut.
-DAY = Day(entries=24, per_s=10, rate=2, cut_at=20, ends_at=40)
-ALLOWED = 1.5 * STRETCH_S * DAY.per_s + 5
+#: A scenario with a demand above the limit and a network partition.
+SCENARIO = Scenario(entries=24, per_s=10, rate=2, cut_at=20, ends_at=40)
+ALLOWED = 1.5 * WINDOW_S * SCENARIO.per_s + 5
 
 
-class WaysTest(unittest.TestCase):
-    """What each way comes to, whole and cut in two."""
+class StrategiesTest(unittest.TestCase):
+    """Results of each strategy, without a partition and during it."""
 
     @classmethod
     def setUpClass(cls):
-        cls.found = {name: play(DAY, make(DAY)) for name, make in WAYS}
-
-    def test_all_hold_while_everybody_is_heard(self):
-        for name, found in self.found.items():
-            self.assertLessEqual(found.most, ALLOWED, name)
-
-    def test_only_few_holders_hold_in_a_cut(self):
-        """The others' sides each take the whole limit."""
-        held = [
+        cls.results = {
+            name: simulate(SCENARIO, make_strategy(SCENARIO))
+            for name, make_strategy in STRATEGIES
+        }
+
+    def test_all_within_limit_without_partition(self):
+        for name, result in self.results.items():
+            self.assertLessEqual(result.max_in_window, ALLOWED, name)
+
+    def test_only_few_holders_within_limit_in_partition(self):
+        """With the other strategies, each side uses the whole limit."""
+        within_limit = [
             name
-            for name, found in self.found.items()
-            if found.most_in_cut <= ALLOWED
+            for name, result in self.results.items()
+            if result.max_in_window_cut <= ALLOWED
         ]
-        self.assertEqual(held, ['few holders'])
+        self.assertEqual(within_limit, ['few holders'])
 
-    def test_few_holders_use_most_of_it(self):
-        found = self.found['few holders']
-        self.assertGreater(found.used, 0.7)
-        self.assertGreater(found.used_in_cut, 0.7)
+    def test_few_holders_use_most_of_the_limit(self):
+        result = self.results['few holders']
+        self.assertGreater(result.utilization, 0.7)
+        self.assertGreater(result.utilization_cut, 0.7)
--- a/trestledock/bench/_rates.py
+++ b/trestledock/bench/_rates.py
@@ -1,14 +1,15 @@
 """
-Ways to share a rate limit
-==========================
+Strategies for sharing a rate limit
+===================================
 
-One target that takes so many requests a second, before entries that all have
-requests for it, on a virtual clock.  Each way of sharing decides on the same
-arrivals; counted are the most that the target gets in any stretch, how much of
-its limit is used, and the words that entries exchange for it.
+Simulates, on a virtual clock, one target with a limit of requests a second and
+several entries that all have requests for it.  Each strategy decides on the
+same arrivals.  The results are the most requests that the target gets in any
+window, the utilization of its limit, and the number of messages that the
+entries exchange for it.
 
-Midway a part of the entries is cut off from the others; both sides reach the
-target on.
+During a network partition, a part of the entries is cut off from the others,
+while both sides still reach the target.
 """
 
 from bisect import bisect_left
@@ -18,26 +19,27 @@
 from typing import Callable, Protocol
 
 from trestledock.relay import Member, Membership
-from trestledock.relay._token_bucket import TokenBucket
 from trestledock.relay._quotas import TargetRate, get_quota
+from trestledock.relay._token_bucket import TokenBucket
 
-#: A stretch in which the target's requests are counted, in seconds.
-STRETCH_S = 4.0
-#: How long it takes until a word is heard, and until a cut is noticed.
-WORD_S = 0.01
-NOTICED_S = 2.0
-#: How often entries tell what they have, in seconds.
-TOLD_S = 0.5
-PLACES = 3
+#: The window in which the target's requests are counted, in seconds.
+WINDOW_S = 4.0
+#: The delay of a message, and the time to detect a partition, in seconds.
+MESSAGE_DELAY_S = 0.01
+CUT_DETECTION_S = 2.0
+#: The interval in which entries report their demand, in seconds.
+REPORT_INTERVAL_S = 0.5
+DATA_CENTRES = 3
 TARGET = 't'
 
 
 @dataclass(frozen=True)
-class Day:
-    """What is played; the cut lasts from `cut_at` until the end, at `ends_at`.
+class Scenario:
+    """The parameters of a simulation.
 
-    `rate` is that of each entry's requests for the target, `cut_share` the part
-    of the entries that is cut off.
+    `per_s` is the limit of the target, and `rate` the arrivals a second at each
+    entry.  The share `cut_share` of the entries is cut off from `cut_at` to the
+    end, at `ends_at`.
     """
 
     entries: int
@@ -58,78 +60,81 @@
             arrivals.append((now, rng.randrange(self.entries)))
         return arrivals
 
-    def get_side(self, entry: int) -> bool:
-        """Whether an entry is on the small side of the cut."""
+    def is_in_minority(self, entry: int) -> bool:
+        """Return whether an entry is on the smaller side of the partition."""
         return entry < self.entries * self.cut_share
 
-    def is_heard(self, entry: int, other: int, now: float) -> bool:
-        """Whether words of an entry come to another one."""
-        is_same = self.get_side(entry) == self.get_side(other)
+    def can_hear(self, entry: int, other: int, now: float) -> bool:
+        """Return whether messages of an entry reach another entry."""
+        is_same = self.is_in_minority(entry) == self.is_in_minority(other)
         return now < self.cut_at or is_same
 
 
 @dataclass(frozen=True)
-class Found:
-    """What a way of sharing came to, before the cut and in it."""
+class Result:
+    """The results of a strategy, before the partition and during it."""
 
-    most: int
-    most_in_cut: int
-    used: float
-    used_in_cut: float
-    words_per_s: float
+    max_in_window: int
+    max_in_window_cut: int
+    utilization: float
+    utilization_cut: float
+    messages_per_s: float
 
 
-class Way(Protocol):
-    """A way of sharing; `words` counts what was told for it."""
+class Strategy(Protocol):
+    """A strategy; `message_count` counts the messages that it needs."""
 
-    words: int
+    message_count: int
 
-    def may_send(self, entry: int, now: float) -> bool:
-        """Whether a request leaves; if so, it does."""
+    def try_send(self, entry: int, now: float) -> bool:
+        """Send a request if the strategy allows it; return whether it does."""
 
 
 @dataclass
-class Paced:
-    """Each entry keeps to a rate of its own, that the way gives it.
+class RateShares:
+    """Gives each entry a rate of its own.
 
-    `get_rates` returns the rates of the entries that hear one another.
+    `get_rates` returns the rates of the entries of one side, which hear each
+    other.
     """
 
-    day: Day
-    get_rates: Callable[['Paced', list[int]], list[float]]
-    tells: bool = False
-    starts_full: bool = False
-    words: int = 0
+    scenario: Scenario
+    get_rates: Callable[['RateShares', list[int]], list[float]]
+    reports_demand: bool = False
+    starts_with_token: bool = False
+    message_count: int = 0
     sent: list[int] = field(default_factory=list)
     _rates: list[float] = field(default_factory=list)
-    _shared_at: float = -TOLD_S
+    _updated_at: float = -REPORT_INTERVAL_S
     _groups: list[list[int]] = field(default_factory=list)
     _buckets: list[TokenBucket] = field(default_factory=list)
 
     def __post_init__(self) -> None:
-        """Begin with a part of a request each, or with a whole one."""
-        rng = Random(self.day.seed)
-        self.sent = [0 for _ in range(self.day.entries)]
-        self._rates = [0 for _ in range(self.day.entries)]
+        """Fill the token buckets at random, or with one token each."""
+        rng = Random(self.scenario.seed)
+        self.sent = [0 for _ in range(self.scenario.entries)]
+        self._rates = [0 for _ in range(self.scenario.entries)]
         self._buckets = [
-            TokenBucket(1 if self.starts_full else rng.random(), 0)
-            for _ in range(self.day.entries)
+            TokenBucket(1 if self.starts_with_token else rng.random(), 0)
+            for _ in range(self.scenario.entries)
         ]
 
-    def may_send(self, entry: int, now: float) -> bool:
-        """Whether a request leaves; if so, it does."""
-        if now - self._shared_at >= TOLD_S:
-            self._share(now)
+    def try_send(self, entry: int, now: float) -> bool:
+        """Send a request if the strategy allows it; return whether it does."""
+        if now - self._updated_at >= REPORT_INTERVAL_S:
+            self._update_rates(now)
         self.sent[entry] += 1
         return self._buckets[entry].try_take(now, self._rates[entry])
 
-    def _share(self, now: float) -> None:
-        """Have the rates follow who is heard, and what was told since."""
-        self._shared_at = now
-        if self.tells:
-            self.words += self.day.entries * (self.day.entries - 1)
-        groups = _get_groups(self.day, now)
-        if self.tells or groups != self._groups:
+    def _update_rates(self, now: float) -> None:
+        """Recompute the rates from the reachable entries and their demand."""
+        self._updated_at = now
+        if self.reports_demand:
+            self.message_count += self.scenario.entries * (
+                self.scenario.entries - 1
+            )
+        groups = _get_groups(self.scenario, now)
+        if self.reports_demand or groups != self._groups:
             self._groups = groups
             for group in groups:
                 rates = self.get_rates(self, group)
@@ -138,114 +143,131 @@
         self.sent = [0 for _ in self.sent]
 
 
-def share_equally(way: Paced, group: list[int]) -> list[float]:
-    """Give each entry that is heard an equal part of the whole limit."""
-    return [way.day.per_s / len(group) for _ in group]
+def share_equally(strategy: RateShares, group: list[int]) -> list[float]:
+    """Give each entry of a group an equal share of the whole limit."""
+    return [strategy.scenario.per_s / len(group) for _ in group]
 
 
-def share_by_demand(way: Paced, group: list[int]) -> list[float]:
-    """Give each a part by the requests that it had lately."""
-    total = sum(way.sent[entry] for entry in group) or 1
-    return [way.day.per_s * way.sent[entry] / total for entry in group]
+def share_by_demand(strategy: RateShares, group: list[int]) -> list[float]:
+    """Give each entry a share proportional to its recent requests."""
+    total = sum(strategy.sent[entry] for entry in group) or 1
+    return [
+        strategy.scenario.per_s * strategy.sent[entry] / total
+        for entry in group
+    ]
 
 
-def share_among_few(way: Paced, group: list[int]) -> list[float]:
-    """Give few of those that are heard the right to send, as the product."""
+def share_among_holders(strategy: RateShares, group: list[int]) -> list[float]:
+    """Give the whole limit to a few entries of a group, as the product does."""
     members = [_make_member(entry) for entry in group]
-    demand = TargetRate(TARGET, 'dc-0', way.day.per_s)
+    limit = TargetRate(TARGET, 'dc-0', strategy.scenario.per_s)
     return [
         get_quota(
             Membership(
-                one,
-                tuple(other for other in members if other is not one),
-                way.day.entries,
+                member,
+                tuple(other for other in members if other is not member),
+                strategy.scenario.entries,
             ),
-            demand,
+            limit,
         )
-        for one in members
+        for member in members
     ]
 
 
 @dataclass
-class Counted:
-    """Each entry sends while what it has heard of all sendings is below."""
+class SharedCounter:
+    """Lets entries send while the requests they know of are below the limit."""
 
-    day: Day
-    words: int = 0
+    scenario: Scenario
+    message_count: int = 0
     _sent: deque[tuple[float, int]] = field(default_factory=deque)
 
-    def may_send(self, entry: int, now: float) -> bool:
-        """Whether a request leaves; if so, it is told to all others."""
-        while self._sent and self._sent[0][0] < now - STRETCH_S:
+    def try_send(self, entry: int, now: float) -> bool:
+        """Send a request if the limit allows it, and notify all others."""
+        while self._sent and self._sent[0][0] < now - WINDOW_S:
             self._sent.popleft()
-        heard = sum(self._knows(entry, one, now) for one in self._sent)
-        if heard + 1 > max(1, self.day.per_s * STRETCH_S):
+        known = sum(self._is_known(entry, sent, now) for sent in self._sent)
+        if known + 1 > max(1, self.scenario.per_s * WINDOW_S):
             return False
         self._sent.append((now, entry))
-        self.words += self.day.entries - 1
+        self.message_count += self.scenario.entries - 1
         return True
 
-    def _knows(self, entry: int, sent: tuple[float, int], now: float) -> bool:
+    def _is_known(
+        self, entry: int, sent: tuple[float, int], now: float
+    ) -> bool:
         at, sender = sent
         if sender == entry:
             return True
-        return at <= now - WORD_S and self.day.is_heard(sender, entry, at)
+        return at <= now - MESSAGE_DELAY_S and self.scenario.can_hear(
+            sender, entry, at
+        )
 
 
-#: The ways that are compared, by name; the last is the product's.
-WAYS: tuple[tuple[str, Callable[[Day], Way]], ...] = (
+#: The strategies by name; the last one is that of the product.
+STRATEGIES: tuple[tuple[str, Callable[[Scenario], Strategy]], ...] = (
     (
         'equal parts, each one at once',
-        lambda day: Paced(day, share_equally, starts_full=True),
+        lambda scenario: RateShares(
+            scenario, share_equally, starts_with_token=True
+        ),
     ),
-    ('equal parts', lambda day: Paced(day, share_equally)),
+    ('equal parts', lambda scenario: RateShares(scenario, share_equally)),
     (
         'parts by demand',
-        lambda day: Paced(day, share_by_demand, tells=True),
+        lambda scenario: RateShares(
+            scenario, share_by_demand, reports_demand=True
+        ),
     ),
-    ('count of all', Counted),
-    ('few holders', lambda day: Paced(day, share_among_few)),
+    ('count of all', SharedCounter),
+    ('few holders', lambda scenario: RateShares(scenario, share_among_holders)),
 )
 
 
-def play(day: Day, way: Way) -> Found:
-    """Return what a way of sharing came to on a day."""
+def simulate(scenario: Scenario, strategy: Strategy) -> Result:
+    """Return the results of a strategy in a scenario."""
     sent = [
-        now for now, entry in day.get_arrivals() if way.may_send(entry, now)
+        now
+        for now, entry in scenario.get_arrivals()
+        if strategy.try_send(entry, now)
     ]
-    split = bisect_left(sent, day.cut_at)
+    split = bisect_left(sent, scenario.cut_at)
     before, after = sent[:split], sent[split:]
-    cut_s = day.ends_at - day.cut_at
-    return Found(
-        most=_get_most(before),
-        most_in_cut=_get_most(after),
-        used=len(before) / day.cut_at / day.per_s,
-        used_in_cut=len(after) / cut_s / day.per_s,
-        words_per_s=way.words / day.ends_at,
+    cut_s = scenario.ends_at - scenario.cut_at
+    return Result(
+        max_in_window=_get_max_in_window(before),
+        max_in_window_cut=_get_max_in_window(after),
+        utilization=len(before) / scenario.cut_at / scenario.per_s,
+        utilization_cut=len(after) / cut_s / scenario.per_s,
+        messages_per_s=strategy.message_count / scenario.ends_at,
     )
 
 
-def _get_groups(day: Day, now: float) -> list[list[int]]:
-    """Return the entries by those that believe to hear one another."""
-    everyone = range(day.entries)
-    if now < day.cut_at + NOTICED_S:
-        return [list(everyone)]
+def _get_groups(scenario: Scenario, now: float) -> list[list[int]]:
+    """Return the groups of entries that consider each other reachable."""
+    all_entries = range(scenario.entries)
+    if now < scenario.cut_at + CUT_DETECTION_S:
+        return [list(all_entries)]
     sides = (
-        [one for one in everyone if day.get_side(one) is side]
+        [
+            entry
+            for entry in all_entries
+            if scenario.is_in_minority(entry) is side
+        ]
         for side in (False, True)
     )
     return [side for side in sides if side]
 
 
 def _make_member(entry: int) -> Member:
-    return Member(f'entry-{entry}', f'dc-{entry % PLACES}')
+    return Member(f'entry-{entry}', f'dc-{entry % DATA_CENTRES}')
 
 
-def _get_most(sent: list[float]) -> int:
+def _get_max_in_window(sent: list[float]) -> int:
     return max(
         (
-            bisect_left(sent, start + STRETCH_S) - number
-            for number, start in enumerate(sent)
+            bisect_left(sent, start + WINDOW_S) - index
+            for index, start in enumerate(sent)
         ),
         default=0,
     )
