--- a/tests/test_bench_rests.py
+++ b/tests/test_bench_rests.py
@@ -1,36 +1,41 @@
-"""Ways to spare a target that asked another entry for rest."""
+"""Strategies for a target that asked another entry to back off."""
 
 import unittest
 
-from trestledock.bench.rests import WAYS, Day, play
+from trestledock.bench.rests import STRATEGIES, Scenario, simulate
 
 
 def compare(**fields):
-    """Return what each way comes to on a day of 24 entries."""
-    day = Day(entries=24, load=0.5, **fields)
-    return {name: play(day, allowed) for name, allowed in WAYS.items()}
+    """Return the results of each strategy with 24 entries."""
+    scenario = Scenario(entries=24, load=0.5, **fields)
+    return {
+        name: simulate(scenario, select_targets)
+        for name, select_targets in STRATEGIES.items()
+    }
 
 
-class WaysTest(unittest.TestCase):
-    """What entries that weren't asked do."""
+class StrategiesTest(unittest.TestCase):
+    """Results of the strategies."""
 
-    def test_alone_each_entry_is_turned_away(self):
-        found = compare(targets=3, shedding=1)
-        self.assertGreaterEqual(found['alone'].repeats, 24)
+    def test_without_sharing_each_entry_is_rejected(self):
+        results = compare(targets=3, shedding=1)
+        self.assertGreaterEqual(results['alone'].retries, 24)
         for name in ('keep away', 'spare', 'spare few'):
-            self.assertLess(found[name].repeats, 6, name)
+            self.assertLess(results[name].retries, 6, name)
 
-    def test_keeping_away_wastes_the_only_target(self):
-        """It is full for a moment, and rests from one entry."""
-        found = compare(targets=1, shedding=1, for_s=0.1)
+    def test_avoiding_wastes_the_only_target(self):
+        """It sheds load for 0.1 s, and one entry gets a back-off."""
+        results = compare(targets=1, shedding=1, for_s=0.1)
         for name in ('alone', 'spare', 'spare few'):
             self.assertGreater(
-                found[name].served, found['keep away'].served * 1.1, name
+                results[name].served, results['keep away'].served * 1.1, name
             )
 
-    def test_the_last_target_does_not_get_the_work_of_all(self):
-        found = compare(targets=3, shedding=2)
+    def test_last_target_is_not_overloaded(self):
+        results = compare(targets=3, shedding=2)
         self.assertGreaterEqual(
-            found['spare few'].served, found['spare'].served
+            results['spare few'].served, results['spare'].served
+        )
+        self.assertLess(
+            results['spare few'].second_retries, results['spare'].second_retries
         )
-        self.assertLess(found['spare few'].twice, found['spare'].twice)
--- a/trestledock/bench/rests.py
+++ b/trestledock/bench/rests.py
@@ -1,11 +1,12 @@
 """
-Ways to spare a target that asked for rest
-==========================================
+Strategies for shared back-off
+==============================
 
-A target turns one entry away and wants rest from it.  Whether the others, which
-weren't asked, should spare it as well is compared on the same arrivals: each
-learns by itself, all are told and keep away, or all are told and go there only
-where every other target rests.
+Compares how entries should treat a target that rejected a request of another
+entry and asked it to back off.  On the same arrivals, each entry uses only its
+own back-offs; or all entries share them and avoid the target; or all share them
+and use the target only if every other target has a back-off, or if too few
+targets would be left.
 
     python -m trestledock.bench.rests
 """
@@ -21,23 +22,23 @@
 import click
 
 from trestledock.entry._holding_back import MIN_REMAINING_SHARE
-from trestledock.relay import Notices, Backoff
+from trestledock.relay import Backoff, Notices
 from trestledock.relay._backoff import BackoffGate, get_jitter_s
 
-#: One target: how much it works on at once, and how much may wait besides.
+#: The concurrent requests of a target, and the length of its queue.
 SLOTS = 6
 QUEUE = 24
-#: What one request takes, and the way to a target, in seconds.
+#: The time of a request, and the network delay to a target, in seconds.
 WORK_S = 0.03
-WAY_S = 0.002
-#: The rest that is asked for, in seconds.
-REST_S = 3.0
-#: How often one request may be sent.
-MOST_SENDINGS = 6
+NETWORK_DELAY_S = 0.002
+#: The back-off that a target asks for, in seconds.
+BACKOFF_S = 3.0
+#: The most attempts for one request.
+MAX_ATTEMPTS = 6
 SIZES = (6, 24, 195)
-#: Days: how many of how many targets shed, for how long in seconds, and the
-#: part of what all can do that callers ask for.
-DAYS = (
+#: The number of targets that shed load, the number of all targets, the time of
+#: shedding in seconds, and the demand as a share of the total capacity.
+SCENARIOS = (
     (1, 3, 5, 0.5),
     (1, 12, 5, 0.6),
     (2, 3, 5, 0.5),
@@ -48,11 +49,11 @@
 
 
 @dataclass(frozen=True)
-class Day:
-    """Requests at all entries together, and which targets shed when.
+class Scenario:
+    """The load of all entries together, and the targets that shed it.
 
-    `load` is the part of what all targets can do; each of the first `shedding`
-    turns all away from `from_s` on, for `for_s`.
+    `load` is a share of the capacity of all targets.  Each of the first
+    `shedding` targets rejects all requests from `from_s` on, for `for_s`.
     """
 
     entries: int
@@ -65,166 +66,189 @@
     seed: int = 1
 
     def is_shedding(self, target: int, now: float) -> bool:
-        """Whether a target turns all away."""
+        """Return whether a target rejects all requests."""
         in_time = self.from_s <= now < self.from_s + self.for_s
         return in_time and target < self.shedding
 
 
 @dataclass
-class Found:
-    """What a way came to."""
+class Result:
+    """The results of a strategy.
+
+    `second_retries` counts the requests whose first retry was rejected, and
+    `returns` the requests that the shedding targets served, by the full seconds
+    since the end of the shedding.
+    """
 
     served: int = 0
     refused: int = 0
-    repeats: int = 0
-    twice: int = 0
-    back: Counter[int] = field(default_factory=Counter)
+    retries: int = 0
+    second_retries: int = 0
+    returns: Counter[int] = field(default_factory=Counter)
 
 
-Allowed = Callable[['Fleet', int, float], list[int]]
+TargetFilter = Callable[['Fleet', int, float], list[int]]
 
 
 @dataclass
 class Fleet:
-    """Targets, and what each entry believes of them."""
+    """The targets, and the back-offs that each entry knows of."""
 
-    day: Day
-    allowed: Allowed
-    found: Found = field(default_factory=Found)
+    scenario: Scenario
+    select_targets: TargetFilter
+    result: Result = field(default_factory=Result)
 
     def __post_init__(self) -> None:
         """Begin with idle targets."""
-        self.rng = Random(self.day.seed)
+        self.rng = Random(self.scenario.seed)
         self.free_at = [
-            [float() for _ in range(SLOTS)] for _ in range(self.day.targets)
+            [float() for _ in range(SLOTS)]
+            for _ in range(self.scenario.targets)
         ]
-        self.resting = [BackoffGate(Notices()) for _ in range(self.day.entries)]
-        self.told: dict[int, float] = {}
+        self.backoff_gates = [
+            BackoffGate(Notices()) for _ in range(self.scenario.entries)
+        ]
+        self.shared_backoffs: dict[int, float] = {}
 
-    def get_own(self, entry: int, now: float) -> list[int]:
-        """Return the targets that an entry may use by its own rests."""
+    def get_own_targets(self, entry: int, now: float) -> list[int]:
+        """Return the targets for which an entry has no back-off of its own."""
         return [
-            one
-            for one in range(self.day.targets)
-            if self.resting[entry].can_send(str(one), now)
+            target
+            for target in range(self.scenario.targets)
+            if self.backoff_gates[entry].can_send(str(target), now)
         ]
 
-    def get_untold(self, targets: list[int], now: float) -> list[int]:
-        """Return the targets that rest from nobody."""
-        return [one for one in targets if self.told.get(one, 0) <= now]
+    def get_unrestrained(self, targets: list[int], now: float) -> list[int]:
+        """Return the targets without a back-off for any entry."""
+        return [
+            target
+            for target in targets
+            if self.shared_backoffs.get(target, 0) <= now
+        ]
 
-    def ask(self, entry: int, now: float) -> None:
-        """Send a request until a target takes it."""
+    def send_request(self, entry: int, now: float) -> None:
+        """Send a request until a target accepts it."""
         at = now
-        for number in range(MOST_SENDINGS):
-            usable = self.allowed(self, entry, at)
+        for number in range(MAX_ATTEMPTS):
+            usable = self.select_targets(self, entry, at)
             if not usable:
                 break
-            target = self._choose(usable, at)
-            self.resting[entry].record_sent(str(target), at)
-            self.found.repeats += number > 0
-            at += WAY_S
-            if self._take(target, entry, at):
+            target = self._choose_target(usable, at)
+            self.backoff_gates[entry].record_sent(str(target), at)
+            self.result.retries += number > 0
+            at += NETWORK_DELAY_S
+            if self._handle_request(target, entry, at):
                 return
-            at += WAY_S
-            self.found.twice += number == 1
-        self.found.refused += 1
-
-    def _choose(self, usable: list[int], now: float) -> int:
-        """Return the target with the least to do."""
-        return min(usable, key=lambda one: (self._count(one, now), one))
-
-    def _take(self, target: int, entry: int, now: float) -> bool:
-        """Have a target work on a request; False where it turns it away."""
-        waiting = self._count(target, now)
+            at += NETWORK_DELAY_S
+            self.result.second_retries += number == 1
+        self.result.refused += 1
+
+    def _choose_target(self, usable: list[int], now: float) -> int:
+        """Return the target with the fewest requests."""
+        return min(
+            usable, key=lambda target: (self._count_queued(target, now), target)
+        )
+
+    def _handle_request(self, target: int, entry: int, now: float) -> bool:
+        """Let a target serve a request; return whether it accepts it."""
+        waiting = self._count_queued(target, now)
         name = str(target)
-        if self.day.is_shedding(target, now) or waiting >= SLOTS + QUEUE:
-            until = now + REST_S
-            drawn = get_jitter_s(REST_S, self.rng.random())
-            rest = Backoff(until + drawn, now, now)
-            self.resting[entry].notices.record(name, rest)
-            self.told[target] = max(self.told.get(target, 0), until)
+        if self.scenario.is_shedding(target, now) or waiting >= SLOTS + QUEUE:
+            until = now + BACKOFF_S
+            jitter_s = get_jitter_s(BACKOFF_S, self.rng.random())
+            backoff = Backoff(until + jitter_s, now, now)
+            self.backoff_gates[entry].notices.record(name, backoff)
+            self.shared_backoffs[target] = max(
+                self.shared_backoffs.get(target, 0), until
+            )
             return False
-        self.resting[entry].forget(name)
+        self.backoff_gates[entry].forget(name)
         slots = self.free_at[target]
         heappush(slots, max(heappop(slots), now) + WORK_S)
-        self.found.served += 1
-        if target < self.day.shedding:
-            over_s = now - self.day.from_s - self.day.for_s
-            self.found.back[floor(over_s)] += 1
+        self.result.served += 1
+        if target < self.scenario.shedding:
+            over_s = now - self.scenario.from_s - self.scenario.for_s
+            self.result.returns[floor(over_s)] += 1
         return True
 
-    def _count(self, target: int, now: float) -> float:
-        """Return how many requests a target has, by the work ahead of it."""
-        ahead = sum(max(0, at - now) for at in self.free_at[target])
-        return ahead / WORK_S
+    def _count_queued(self, target: int, now: float) -> float:
+        """Return the requests at a target, derived from its remaining work."""
+        remaining_s = sum(max(0, at - now) for at in self.free_at[target])
+        return remaining_s / WORK_S
 
 
-def learn_alone(fleet: Fleet, entry: int, now: float) -> list[int]:
-    """Each entry knows only the rests that it was asked for."""
-    return fleet.get_own(entry, now)
+def use_own_backoffs(fleet: Fleet, entry: int, now: float) -> list[int]:
+    """Return the targets without a back-off for this entry."""
+    return fleet.get_own_targets(entry, now)
 
 
-def keep_away(fleet: Fleet, entry: int, now: float) -> list[int]:
-    """All keep away from what rests from anybody."""
-    return fleet.get_untold(fleet.get_own(entry, now), now)
+def avoid_shared_backoffs(fleet: Fleet, entry: int, now: float) -> list[int]:
+    """Return the targets without a back-off for any entry."""
+    return fleet.get_unrestrained(fleet.get_own_targets(entry, now), now)
 
 
-def spare(fleet: Fleet, entry: int, now: float) -> list[int]:
-    """All spare what rests from anybody while there are other targets."""
-    own = fleet.get_own(entry, now)
-    return fleet.get_untold(own, now) or own
+def prefer_unrestrained(fleet: Fleet, entry: int, now: float) -> list[int]:
+    """Return the targets without any back-off; if none, those of the entry."""
+    own = fleet.get_own_targets(entry, now)
+    return fleet.get_unrestrained(own, now) or own
 
 
-def spare_few(fleet: Fleet, entry: int, now: float) -> list[int]:
-    """All spare what rests from anybody while enough of the targets is left."""
-    own = fleet.get_own(entry, now)
-    untold = fleet.get_untold(own, now)
-    return untold if len(untold) >= len(own) * MIN_REMAINING_SHARE else own
+def prefer_if_enough(fleet: Fleet, entry: int, now: float) -> list[int]:
+    """Return the targets without any back-off if enough of them remain."""
+    own = fleet.get_own_targets(entry, now)
+    unrestrained = fleet.get_unrestrained(own, now)
+    return (
+        unrestrained
+        if len(unrestrained) >= len(own) * MIN_REMAINING_SHARE
+        else own
+    )
 
 
-WAYS: Mapping[str, Allowed] = MappingProxyType(
+STRATEGIES: Mapping[str, TargetFilter] = MappingProxyType(
     {
-        'alone': learn_alone,
-        'keep away': keep_away,
-        'spare': spare,
-        'spare few': spare_few,
+        'alone': use_own_backoffs,
+        'keep away': avoid_shared_backoffs,
+        'spare': prefer_unrestrained,
+        'spare few': prefer_if_enough,
     }
 )
 
 
-def play(day: Day, allowed: Allowed) -> Found:
-    """Return what a way comes to on the arrivals of a day."""
-    fleet = Fleet(day, allowed)
-    rng = Random(day.seed + 1)
-    rate = day.load * day.targets * SLOTS / WORK_S
+def simulate(scenario: Scenario, select_targets: TargetFilter) -> Result:
+    """Return the results of a strategy on the arrivals of a scenario."""
+    fleet = Fleet(scenario, select_targets)
+    rng = Random(scenario.seed + 1)
+    rate = scenario.load * scenario.targets * SLOTS / WORK_S
     now: float = 0
-    while now < day.length_s:
+    while now < scenario.length_s:
         now += rng.expovariate(rate)
-        fleet.ask(rng.randrange(day.entries), now)
-    return fleet.found
+        fleet.send_request(rng.randrange(scenario.entries), now)
+    return fleet.result
 
 
 @click.command()
 @click.option('--seed', default=1)
 def main(seed: int) -> None:
-    """Print what each way comes to on some days."""
+    """Print the results of each strategy in several scenarios."""
     click.echo(
         'entries shed/targets for_s load way: served repeats twice '
         'used after 1, 2, 3 s'
     )
     for entries in SIZES:
-        for shedding, targets, for_s, load in DAYS:
-            day = Day(entries, targets, load, shedding, for_s=for_s, seed=seed)
-            for name, allowed in WAYS.items():
-                found = play(day, allowed)
-                total = found.served + found.refused
+        for shedding, targets, for_s, load in SCENARIOS:
+            scenario = Scenario(
+                entries, targets, load, shedding, for_s=for_s, seed=seed
+            )
+            for name, select_targets in STRATEGIES.items():
+                result = simulate(scenario, select_targets)
+                total = result.served + result.refused
                 usual = load * shedding * SLOTS / WORK_S
                 click.echo(
                     f'{entries} {shedding}/{targets} {for_s} {load} {name}: '
-                    f'{found.served / total:.3f} {found.repeats} '
-                    f'{found.twice} {found.back[0] / usual:.2f} '
-                    f'{found.back[1] / usual:.2f} {found.back[2] / usual:.2f}'
+                    f'{result.served / total:.3f} {result.retries} '
+                    f'{result.second_retries} {result.returns[0] / usual:.2f} '
+                    f'{result.returns[1] / usual:.2f} '
+                    f'{result.returns[2] / usual:.2f}'
                 )
 
 
