--- a/trestledock/bench/slopes.py
+++ b/trestledock/bench/slopes.py
@@ -1,11 +1,12 @@
 """
-Slopes
-======
-
-Measures what docs/CAPACITY.md extrapolates from: the processor time and the
-bytes of control of one instance over the number of instances, targets and
-teams, the time of the core for a request and a token, the memory of its parts,
-and the same on the real path with processes on loopback.
+Cost measurements for capacity planning
+=======================================
+
+Measures the costs that docs/CAPACITY.md extrapolates from: the processor time
+and the control traffic of an instance by the numbers of instances, targets and
+teams; the processor time of the core for a request and a token; the memory of
+its data structures; and the same costs of real processes on the loopback
+interface.
 """
 
 import gc
@@ -37,7 +38,7 @@
 from trestledock.standin import EngineSpec
 from trestledock.version import CONVERTER, EpochBody, Team
 
-SETTLED_S = 15.0
+START_UP_S = 15.0
 IDLE_S = 20.0
 REQUESTS = 300
 KILOBYTE = 1024
@@ -47,8 +48,8 @@
 
 
 @dataclass
-class Meter:
-    """Processor time and bytes of one instance's core in a world."""
+class CostMeter:
+    """Measures the processor time and peer traffic of one instance's core."""
 
     seconds: float = 0
     steps: int = 0
@@ -57,37 +58,37 @@
     kinds: dict[str, int] = field(default_factory=dict)
 
     def attach(self, world: World, name: str) -> None:
-        """Measure every step of an instance from now on."""
+        """Measure all further steps of an instance."""
         node = world.hosts[name].node
         step = node.step
 
-        def measured(message: Any, now: float) -> tuple:  # noqa: WPS430
+        def measured_step(message: Any, now: float) -> tuple:  # noqa: WPS430
             if isinstance(message, PeerMessage):
-                self.received += _get_size(message.payload)
-            begun = time.process_time()
+                self.received += _get_encoded_size(message.payload)
+            started_at = time.process_time()
             actions = step(message, now)
-            self.seconds += time.process_time() - begun
+            self.seconds += time.process_time() - started_at
             self.steps += 1
             for action in actions:
                 if isinstance(action, SendToPeer):
                     self._count_sent(action)
             return actions
 
-        node.step = measured  # type: ignore[method-assign]
+        node.step = measured_step  # type: ignore[method-assign]
 
     def _count_sent(self, action: SendToPeer) -> None:
-        size = _get_size(action.payload)
+        size = _get_encoded_size(action.payload)
         self.sent += size
         kind = type(action.payload).__name__
         self.kinds[kind] = self.kinds.get(kind, 0) + size
 
 
-def _get_size(payload: Any) -> int:
+def _get_encoded_size(payload: Any) -> int:
     return len(json.dumps(CONVERTER.unstructure(payload)))
 
 
-def make_site(instances: int, engines: int, teams: int) -> World:
-    """Return a settled world of one data centre."""
+def make_settled_world(instances: int, engines: int, teams: int) -> World:
+    """Return a world of one data centre after its start-up phase."""
     world = make_world(3)
     plan = Plan(
         sites=(Site('a', instances, engines, 1),),
@@ -97,16 +98,16 @@
     build(plan, world)
     world.on_finish = None
     world.on_broken = None
-    world.run_until(SETTLED_S)
+    world.run_until(START_UP_S)
     return world
 
 
 def measure_idle(instances: int, engines: int, teams: int) -> str:
-    """Return the cost of control of an instance without any request."""
-    world = make_site(instances, engines, teams)
-    meter = Meter()
+    """Return the control costs of an instance without requests."""
+    world = make_settled_world(instances, engines, teams)
+    meter = CostMeter()
     meter.attach(world, 'entry-a1')
-    world.run_until(SETTLED_S + IDLE_S)
+    world.run_until(START_UP_S + IDLE_S)
     cpu = PERCENT * meter.seconds / IDLE_S
     return (
         f'idle: instances {instances:3} targets {engines:3} teams {teams:3}: '
@@ -116,13 +117,13 @@
 
 
 def measure_requests(engines: int, teams: int) -> str:
-    """Return the core's time for a request, whole and for each token."""
-    world = make_site(2, engines, teams)
+    """Return the processor time of the core for a request and for a chunk."""
+    world = make_settled_world(2, engines, teams)
     costs = []
     for tokens in (16, 528):
-        meter = Meter()
+        meter = CostMeter()
         meter.attach(world, 'entry-a1')
-        begun = world.now
+        started_at = world.now
         for number in range(REQUESTS):
             req = Request(
                 f'{tokens}-{number}',
@@ -136,8 +137,8 @@
             world.invoke(world.hosts['entry-a1'], req)
             world.run_until(world.now + 0.25)
         world.run_until(world.now + 30)
-        idle_s = world.now - begun
-        costs.append((meter.seconds, meter.steps, idle_s))
+        elapsed_s = world.now - started_at
+        costs.append((meter.seconds, meter.steps, elapsed_s))
     (first_s, _, _), (second_s, _, _) = costs
     per_chunk = (second_s - first_s) / (REQUESTS * 32)
     return (
@@ -148,35 +149,35 @@
 
 
 def measure_memory(label: str, count: int, make: Callable[[int], Any]) -> str:
-    """Return the bytes that each of `count` parts takes."""
+    """Return the bytes that each of `count` objects takes."""
     gc.collect()
     tracemalloc.start()
-    kept = [make(number) for number in range(count)]
+    objects = [make(number) for number in range(count)]
     size = tracemalloc.get_traced_memory()[0]
     tracemalloc.stop()
-    return f'memory: {label}: {size / len(kept):.0f} B each'
+    return f'memory: {label}: {size / len(objects):.0f} B each'
 
 
 def measure_claims(count: int) -> str:
-    """Return the bytes of a claim in a member's table."""
+    """Return the bytes of a claim in a claim table."""
     table = ClaimTable('a')
     table.enter_epoch(Epoch(0, EpochBody(('a',))), 0)
     gc.collect()
     tracemalloc.start()
     for number in range(count):
-        ask = _make_ask(number)
+        ask = _make_claim_ask(number)
         table.handle_ask('claimant#000001', ask, 0)
     size = tracemalloc.get_traced_memory()[0]
     tracemalloc.stop()
     return f'memory: claim ({count} of them): {size / count:.0f} B each'
 
 
-def _make_ask(number: int) -> Any:
+def _make_claim_ask(number: int) -> Any:
     return ClaimAsk(f'kiosks/booking/key-{number}', f'claim-{number}', 0, 30)
 
 
-class RealPath:
-    """One instance with its engines as processes on loopback."""
+class Deployment:
+    """An instance and its engines as processes on the loopback interface."""
 
     def __init__(self, engines: int) -> None:
         """Start the processes and publish a configuration."""
@@ -184,12 +185,12 @@
         self.children: list[subprocess.Popen] = []
         self.platform = f'127.0.0.1:{get_free_port()}'
         self._start('standin', 'platform', '--listen', self.platform)
-        _wait(f'http://{self.platform}/v1/instances')
+        _wait_until_listening(f'http://{self.platform}/v1/instances')
         for number in range(engines):
             address = f'127.0.0.1:{get_free_port()}'
             options = ('--model', MODEL_NAME, '--itl-ms', '4')
             self._start('standin', 'engine', '--listen', address, *options)
-            self._enlist(f'engine-{number}', address, 'assistant')
+            self._register(f'engine-{number}', address, 'assistant')
         address = f'127.0.0.1:{get_free_port()}'
         self.url = f'http://{address}'
         path = Path(self.folder.name) / 'settings.yaml'
@@ -199,8 +200,8 @@
             encoding='utf-8',
         )
         self.entry = self._start('serve', '--settings', str(path))
-        self._enlist('entry-0', address, 'entry')
-        _wait(f'{self.url}/healthz')
+        self._register('entry-0', address, 'entry')
+        _wait_until_listening(f'{self.url}/healthz')
         body = Path('examples/huber.yaml').read_bytes()
         httpx.post(f'{self.url}/admin/publish', content=body, timeout=60)
         time.sleep(8)
@@ -219,7 +220,7 @@
         return pages * os.sysconf('SC_PAGE_SIZE') / MEGABYTE
 
     def get_control_bytes(self) -> float:
-        """Return the bytes of control so far."""
+        """Return the bytes of control traffic so far."""
         text = httpx.get(f'{self.url}/metrics').text
         return sum(
             float(line.split()[-1])
@@ -228,7 +229,7 @@
         )
 
     def complete(self, count: int, max_tokens: int) -> float:
-        """Send completions one after another; return the time for each."""
+        """Send sequential completions; return the processor time of each."""
         before = self.get_cpu()
         body = {
             'prompt': 'word' * 200,
@@ -248,21 +249,21 @@
         return (self.get_cpu() - before) / count
 
     def close(self) -> None:
-        """End the processes that were started."""
+        """Kill the started processes."""
         for child in self.children:
             child.kill()
             child.wait()
         self.folder.cleanup()
 
-    def _start(self, *words: str) -> subprocess.Popen:
+    def _start(self, *arguments: str) -> subprocess.Popen:
         child = subprocess.Popen(  # noqa: S603
-            [sys.executable, '-m', 'trestledock', *words],
+            [sys.executable, '-m', 'trestledock', *arguments],
             stderr=subprocess.DEVNULL,
         )
         self.children.append(child)
         return child
 
-    def _enlist(self, name: str, address: str, role: str) -> None:
+    def _register(self, name: str, address: str, role: str) -> None:
         labels = {
             'role': role,
             'data_centre': 'halle-landshut',
@@ -274,7 +275,7 @@
         )
 
 
-def _wait(url: str) -> None:
+def _wait_until_listening(url: str) -> None:
     for _ in range(200):
         try:
             httpx.get(url)
@@ -285,33 +286,35 @@
     raise TimeoutError(url)
 
 
-def measure_real_path(engines: int) -> str:
-    """Return the costs of an instance as a process."""
-    path = RealPath(engines)
+def measure_process(engines: int) -> str:
+    """Return the costs of an instance that runs as a process."""
+    deployment = Deployment(engines)
     try:
-        return f'process: targets {engines:2}: {_measure_process(path)}'
+        return (
+            f'process: targets {engines:2}: {_measure_deployment(deployment)}'
+        )
     finally:
-        path.close()
+        deployment.close()
 
 
-def _measure_process(path: RealPath) -> str:
-    cpu, bytes_before = path.get_cpu(), path.get_control_bytes()
+def _measure_deployment(deployment: Deployment) -> str:
+    cpu, bytes_before = deployment.get_cpu(), deployment.get_control_bytes()
     time.sleep(IDLE_S)
-    idle = PERCENT * (path.get_cpu() - cpu) / IDLE_S
-    control = (path.get_control_bytes() - bytes_before) / IDLE_S
-    few = path.complete(60, 2)
-    many = path.complete(60, 102)
+    idle = PERCENT * (deployment.get_cpu() - cpu) / IDLE_S
+    control = (deployment.get_control_bytes() - bytes_before) / IDLE_S
+    few = deployment.complete(60, 2)
+    many = deployment.complete(60, 102)
     per_token = (many - few) / 100
     return (
         f'idle {idle:.2f}% of a core, control {control:.0f} B/s, '
         f'{few * 1000:.1f} ms a request, {per_token * 1e6:.0f} us a token, '
-        f'{path.get_resident():.0f} MB resident'
+        f'{deployment.get_resident():.0f} MB resident'
     )
 
 
 @click.command()
 def main() -> None:
-    """Print every slope."""
+    """Print all measurements."""
     for instances in (3, 10, 30):
         click.echo(measure_idle(instances, 10, 10))
     for engines in (10, 40, 160):
@@ -326,7 +329,7 @@
         click.echo(measure_claims(count))
     click.echo(measure_memory('request', 4000, _make_arrival))
     for engines in (2, 4, 8):
-        click.echo(measure_real_path(engines))
+        click.echo(measure_process(engines))
 
 
 def _make_arrival(number: int) -> Arrive:
