--- a/trestledock/bench/__init__.py
+++ b/trestledock/bench/__init__.py
@@ -1,9 +1,9 @@
 """
-Bench
-=====
+Benchmarks
+==========
 
-Replays a seeded trace through the core and measures the decisions.  It is a
-tool for developers and needs the packages of requirements-dev.txt.
+Replay a seeded trace through the process core and measure its decisions.  They
+are a tool for developers and need the packages of requirements-dev.txt.
 """
 
 from trestledock.bench._replay import Case, Row, replay
--- a/trestledock/bench/__main__.py
+++ b/trestledock/bench/__main__.py
@@ -1,8 +1,8 @@
 """
-Bench entry point
-=================
+Benchmark entry point
+=====================
 
-Runs the bench as `python -m trestledock.bench`.
+Runs the benchmark as `python -m trestledock.bench`.
 """
 
 from trestledock.bench import main
--- a/trestledock/bench/_cases.py
+++ b/trestledock/bench/_cases.py
@@ -1,9 +1,10 @@
 """
-Cases
-=====
+Benchmark cases
+===============
 
-The runs of `make bench`: the policy with every step beside its baselines, the
-loads, the lags, the numbers of instances, and engines that die.
+The runs of `make bench`: the full policy, baselines and ablations, and the full
+policy under several loads, report lags, numbers of instances and engine
+failures.
 """
 
 from trestledock.bench._replay import Case, vary
@@ -15,7 +16,7 @@
 
 
 def make_cases(seed: int) -> tuple[Case, ...]:
-    """Return every case of the bench for a seed."""
+    """Return all benchmark cases for a seed."""
     base = Case('full', FULL, BASE_LOAD, seed)
     return (
         base,
@@ -27,7 +28,7 @@
 
 
 def _make_baselines(base: Case) -> tuple[Case, ...]:
-    steps = (
+    policies = (
         ('round robin (plain)', BASELINE),
         ('least in flight', vary(BASELINE, chooser=Chooser.least_in_flight)),
         ('join shortest predicted', vary(BASELINE, chooser=Chooser.predicted)),
@@ -42,7 +43,7 @@
         ('all but the band of equals', vary(FULL, tie_s=0)),
     )
     return (
-        *(vary(base, name=name, policy=policy) for name, policy in steps),
+        *(vary(base, name=name, policy=policy) for name, policy in policies),
         vary(
             base,
             name='plain, short only',
--- a/trestledock/bench/_replay.py
+++ b/trestledock/bench/_replay.py
@@ -2,9 +2,8 @@
 Replay
 ======
 
-Runs one trace through the same core that the daemon runs, on the virtual
-clock, with modelled engines of two kinds of hardware, and measures what
-callers would see.
+Runs a trace through the process core of the daemon, on a virtual clock, with
+simulated engines of two kinds of hardware, and measures what callers see.
 """
 
 from dataclasses import dataclass, field, replace
@@ -24,14 +23,14 @@
 from trestledock.standin import EngineSpec
 from trestledock.version import Team
 
-#: When the measured part of a run begins, in seconds.
+#: The instant of the first arrivals, in seconds.
 START_S = 12.0
-#: How long after that a run is in its steady state, in seconds.
+#: The time from then to the steady state, in seconds.
 WARM_UP_S = 30.0
-#: How long after the last arrival a run goes on, in seconds.
+#: The time that a run continues after the last arrival, in seconds.
 TAIL_S = 120.0
 TEAMS = ('desk', 'retail', 'disputes', 'settlement')
-#: Newer and older hardware: how many of each, and what it does.
+#: The numbers and specifications of engines with newer and older hardware.
 NEWER = 12
 OLDER = 6
 NEWER_SPEC = EngineSpec(
@@ -48,7 +47,7 @@
 )
 PERCENT = 100
 ANSWERED = Outcome.answered.value
-#: Where the 50th, 95th and 99th percentile stand among the cuts.
+#: The indices of the 50th, 95th and 99th percentile among the quantiles.
 CUTS = (49, 94, 98)
 
 Varied = TypeVar('Varied', 'Case', Policy)
@@ -56,7 +55,11 @@
 
 @dataclass(frozen=True)
 class Case:
-    """One run: a policy under a load, with what is made hard for it."""
+    """One run: a policy, its load and the conditions of the run.
+
+    `load` is a share of the prefill capacity of the fleet, `lag_s` the age of
+    load reports, and `poll_s` the interval in which instances read them.
+    """
 
     name: str
     policy: Policy = Policy()
@@ -72,7 +75,7 @@
 
 @dataclass(frozen=True)
 class Row:
-    """What a run measured; times in seconds, goodput in tokens a second."""
+    """The results of a run: times in seconds, goodput in tokens a second."""
 
     name: str
     load: float
@@ -92,12 +95,12 @@
 
 
 def get_capacity() -> float:
-    """Return the prefill tokens a second of the whole fleet."""
+    """Return the prefill rate of the whole fleet in tokens a second."""
     return NEWER * NEWER_SPEC.rate + OLDER * OLDER_SPEC.rate
 
 
 def get_trace(case: Case) -> list[Arrival]:
-    """Return the trace of a case; its seed is its own."""
+    """Return the trace of a case, drawn from its seed."""
     rate = case.load * get_capacity() / get_mean_tokens()
     stop = START_S + case.seconds
     trace = make_trace(case.seed, rate, START_S, stop, TEAMS)
@@ -105,29 +108,29 @@
 
 
 def replay(case: Case) -> Row:
-    """Run a case and return what was measured."""
-    world = _build(case)
+    """Run a case and return its results."""
+    world = _build_world(case)
     trace = get_trace(case)
     hosts = list(world.hosts.values())
-    firsts: dict[str, float] = {}
+    first_token_times: dict[str, float] = {}
     for arrival in trace:
         host = world.rng.choice(hosts)
         world.at(arrival.at, partial(world.invoke, host, arrival.req))
 
-    def note_first(req_id: str) -> None:  # noqa: WPS430
-        firsts.setdefault(req_id, world.now)
+    def record_first_token(req_id: str) -> None:  # noqa: WPS430
+        first_token_times.setdefault(req_id, world.now)
 
-    world.on_first_token = note_first
+    world.on_first_token = record_first_token
     if case.engines_die:
         middle = START_S + case.seconds / 2
         for number in range((NEWER + OLDER) // 6):
             name = f'engine-{number * 5}'
             world.at(middle, partial(world.kill_engine, name))
     world.run_until(START_S + case.seconds + TAIL_S)
-    return _measure(case, world, trace, firsts)
+    return _measure(case, world, trace, first_token_times)
 
 
-def _build(case: Case) -> World:
+def _build_world(case: Case) -> World:
     world = make_world(
         case.seed,
         policy=case.policy,
@@ -152,8 +155,8 @@
 
 
 @dataclass
-class Measured:
-    """What a run has shown, while its requests are gone through."""
+class Totals:
+    """The totals of a run, which are counted request by request."""
 
     times: dict[str, list[float]] = field(default_factory=dict)
     served: dict[str, float] = field(default_factory=dict)
@@ -161,7 +164,7 @@
     goodput: float = 0
 
     def count(self, name: str) -> None:
-        """Count a request under what became of it."""
+        """Count a request by its result."""
         self.counts[name] = self.counts.get(name, 0) + 1
 
     def add_answered(self, arrival: Arrival, first_s: float) -> None:
@@ -176,27 +179,27 @@
     case: Case,
     world: World,
     trace: list[Arrival],
-    firsts: dict[str, float],
+    first_token_times: dict[str, float],
 ) -> Row:
     ends = {event.req_id: event for event in world.history if event.text}
-    found = Measured()
+    totals = Totals()
     steady = START_S + WARM_UP_S
     stop = START_S + case.seconds
     for arrival in trace:
         end = ends.get(arrival.req.req_id)
         name = _classify(arrival, end, world.now)
         if end and name == ANSWERED:
-            first_s = firsts[arrival.req.req_id] - arrival.at
-            found.add_answered(arrival, first_s)
+            first_s = first_token_times[arrival.req.req_id] - arrival.at
+            totals.add_answered(arrival, first_s)
             is_steady = steady <= end.at < stop
-            found.goodput += arrival.req.total_tokens * is_steady
+            totals.goodput += arrival.req.total_tokens * is_steady
         else:
-            found.count(name)
-    return _make_row(case, trace, found)
+            totals.count(name)
+    return _make_row(case, trace, totals)
 
 
 def _classify(arrival: Arrival, end: Event | None, now: float) -> str:
-    """Return what became of a request."""
+    """Return the result of a request."""
     if end is None or end.text not in Outcome.__members__:
         return 'unanswered' if arrival.req.deadline < now else 'open'
     if end.text == ANSWERED:
@@ -205,9 +208,9 @@
     return 'late' if late else 'refused'
 
 
-def _make_row(case: Case, trace: list[Arrival], found: Measured) -> Row:
-    shares = [found.served.get(team, 0) for team in TEAMS]
-    counts = found.counts
+def _make_row(case: Case, trace: list[Arrival], totals: Totals) -> Row:
+    shares = [totals.served.get(team, 0) for team in TEAMS]
+    counts = totals.counts
     return Row(
         name=case.name,
         load=case.load,
@@ -217,25 +220,25 @@
         late=counts.get('late', 0),
         unanswered=counts.get('unanswered', 0),
         still_open=counts.get('open', 0),
-        goodput=round(found.goodput / (case.seconds - WARM_UP_S), 1),
+        goodput=round(totals.goodput / (case.seconds - WARM_UP_S), 1),
         jain=round(get_jain(shares), 4),
         ttft={
-            name: get_percentiles(times) for name, times in found.times.items()
+            name: get_percentiles(times) for name, times in totals.times.items()
         },
     )
 
 
-def get_percentiles(found: list[float]) -> tuple[float, float, float]:
+def get_percentiles(times: list[float]) -> tuple[float, float, float]:
     """Return the 50th, 95th and 99th percentile."""
-    if len(found) < 2:
-        return (found[0], found[0], found[0]) if found else (0, 0, 0)
-    cuts = quantiles(found, n=PERCENT, method='inclusive')
+    if len(times) < 2:
+        return (times[0], times[0], times[0]) if times else (0, 0, 0)
+    cuts = quantiles(times, n=PERCENT, method='inclusive')
     middle, high, highest = (round(cuts[index], 4) for index in CUTS)
     return middle, high, highest
 
 
 def get_jain(shares: list[float]) -> float:
-    """Return the Jain index of what each team got.
+    """Return the Jain fairness index of the shares of the teams.
 
     >>> get_jain([1.0, 1.0])
     1.0
@@ -247,5 +250,5 @@
 
 
 def vary(base: Varied, **changes: Any) -> Varied:
-    """Return a case or a policy that differs in a few points."""
+    """Return a copy of a case or policy with other values in some fields."""
     return replace(base, **changes)
--- a/trestledock/bench/_report.py
+++ b/trestledock/bench/_report.py
@@ -1,8 +1,8 @@
 """
-Report
-======
+Benchmark report
+================
 
-Runs the cases, prints the table, and writes the figures and a plot.
+Runs the cases, prints a table, and writes the figures and a chart.
 """
 
 import json
@@ -18,13 +18,13 @@
 from trestledock.request import LengthClass
 
 BUILD = Path('build')
-#: Runs at once.
+#: The number of concurrent runs.
 WORKERS = 6
 DEFAULT_SEED = 7
 
 
 def run_bench(seed: int, folder: Path) -> dict[str, float]:
-    """Run every case; return the headline figures."""
+    """Run all cases; return the headline figures."""
     cases = make_cases(seed)
     rows = []
     with ProcessPoolExecutor(WORKERS) as pool:
@@ -41,16 +41,18 @@
     }
     text = json.dumps(figures, indent=1)
     (folder / 'bench.json').write_text(text, encoding='utf-8')
-    _plot(rows, folder / 'bench.svg')
+    _write_chart(rows, folder / 'bench.svg')
     return headline
 
 
 def get_headline(named: dict[str, Row]) -> dict[str, float]:
-    """Return the figures that the aims are about."""
+    """Return the figures for which there are objectives."""
     short = LengthClass.short
 
-    def ratio(one: str, other: str) -> float:  # noqa: WPS430
-        return round(named[one].get_p95(short) / named[other].get_p95(short), 3)
+    def ratio(name: str, reference: str) -> float:  # noqa: WPS430
+        return round(
+            named[name].get_p95(short) / named[reference].get_p95(short), 3
+        )
 
     loads = [named['load 1.0'], named['load 2.0'], named['load 3.0']]
     return {
@@ -63,7 +65,7 @@
         'late_admitted': sum(
             row.late + row.unanswered
             for row in named.values()
-            if 'plain' not in row.name and row.name in _OWN
+            if 'plain' not in row.name and row.name in _POLICY_ROWS
         ),
         'goodput_3x_over_1x': round(loads[2].goodput / loads[0].goodput, 3),
         'jain': min(row.jain for row in loads),
@@ -71,8 +73,8 @@
     }
 
 
-#: The rows of the policy itself, as against baselines and ablations.
-_OWN = frozenset(
+#: The rows of the full policy, without baselines and ablations.
+_POLICY_ROWS = frozenset(
     (
         'full',
         'full, short only',
@@ -90,10 +92,10 @@
 
 
 def format_row(row: Row) -> str:
-    """Return a row of the table, times to first token as p50/p95/p99."""
+    """Return a row of the table, with times to first token as p50/p95/p99."""
     times = '  '.join(
         f'{name.value} '
-        + '/'.join(f'{one:.2f}' for one in row.ttft.get(name.value, ()))
+        + '/'.join(f'{first_s:.2f}' for first_s in row.ttft.get(name.value, ()))
         for name in LengthClass
     )
     return (
@@ -104,7 +106,7 @@
     )
 
 
-def _plot(rows: list[Row], path: Path) -> None:
+def _write_chart(rows: list[Row], path: Path) -> None:
     chart = pygal.HorizontalBar(
         title='Time to first token of short prompts, 95th percentile (s)',
         show_legend=False,
--- a/trestledock/bench/_trace.py
+++ b/trestledock/bench/_trace.py
@@ -1,10 +1,10 @@
 """
-Traces
-======
+Request traces
+==============
 
-A recorded-seed trace of requests for the replay: prompt lengths from a
-thousand to a million tokens, one in fifty over a hundred thousand, several
-teams with prompts that begin alike.
+Seeded traces of requests for the replay.  Prompts have from a thousand to a
+million tokens, and one in fifty has over a hundred thousand.  Prompts of a team
+share a prefix.
 """
 
 import math
@@ -14,20 +14,21 @@
 from trestledock.proof import MODEL
 from trestledock.request import Kind, LengthClass, Request
 
-#: Tokens in a block whose hash a request carries.
+#: The tokens of a prefix block, of which a request has the hash.
 BLOCK_TOKENS = 512
-#: Requests in which every band occurs by its share, and the step that deals
-#: them evenly; the part of the golden ratio spreads lengths in a band.
-ROUND = 50
-DEAL = 31
-GOLDEN = 0.6180339887
-#: Blocks that all prompts of a team share.
+#: The number of requests in which each band occurs exactly by its share, and a
+#: step, coprime to that number, that distributes the bands evenly.  Multiples
+#: of the fractional part of the golden ratio spread the lengths in a band.
+CYCLE_LENGTH = 50
+CYCLE_STEP = 31
+GOLDEN_FRACTION = 0.6180339887
+#: The number of prefix blocks that all prompts of a team share.
 SHARED_BLOCKS = 2
 
 
 @dataclass(frozen=True)
 class Band:
-    """A band of prompt lengths: its share, its bounds and its time."""
+    """A band of prompt lengths: its share, bounds, output and deadline."""
 
     share: float
     low: int
@@ -36,7 +37,7 @@
     deadline_s: float
 
 
-#: The mix of both workloads; bounds in tokens, times in seconds.
+#: The mix of both workloads; bounds in tokens, deadlines in seconds.
 BANDS = (
     Band(0.70, 1_000, 8_000, 96, 12),
     Band(0.20, 8_000, 32_000, 128, 40),
@@ -47,7 +48,7 @@
 
 @dataclass(frozen=True)
 class Arrival:
-    """A request with the instant at which it is sent, and its time."""
+    """A request with the instant it is sent at and its relative deadline."""
 
     at: float
     req: Request
@@ -69,48 +70,51 @@
     """Return the arrivals of a Poisson stream of `rate` requests a second."""
     rng = Random(seed)
     arrivals: list[Arrival] = []
-    moment = start + rng.expovariate(rate)
-    while moment < stop:
-        arrivals.append(_draw(rng, moment, len(arrivals), teams))
-        moment += rng.expovariate(rate)
+    at = start + rng.expovariate(rate)
+    while at < stop:
+        arrivals.append(_draw_request(rng, at, len(arrivals), teams))
+        at += rng.expovariate(rate)
     return arrivals
 
 
 def keep_short(trace: list[Arrival]) -> list[Arrival]:
-    """Return the same trace without long and giant prompts."""
+    """Return a trace without its long and giant prompts."""
     kept = {LengthClass.short, LengthClass.medium}
-    return [one for one in trace if one.req.length_class in kept]
+    return [arrival for arrival in trace if arrival.req.length_class in kept]
 
 
-def _draw(
+def _draw_request(
     rng: Random,
-    moment: float,
+    at: float,
     number: int,
     teams: tuple[str, ...],
 ) -> Arrival:
     band = _get_band(number)
     team = rng.choice(teams)
-    place = math.modf(number * GOLDEN)[0]
-    tokens = round(band.low + place * (band.high - band.low))
+    position = math.modf(number * GOLDEN_FRACTION)[0]
+    tokens = round(band.low + position * (band.high - band.low))
     blocks = min(SHARED_BLOCKS, tokens // BLOCK_TOKENS)
     req = Request(
         req_id=f'r{number}',
         team=team,
         kind=Kind.generate,
-        deadline=moment + band.deadline_s,
+        deadline=at + band.deadline_s,
         model=MODEL,
         prompt_tokens=tokens,
         max_tokens=band.max_tokens,
         prefix=tuple(f'{team}{index}' for index in range(blocks)),
     )
-    return Arrival(moment, req, band.deadline_s)
+    return Arrival(at, req, band.deadline_s)
 
 
 def _get_band(number: int) -> Band:
-    """Deal the bands in a fixed order, so that short runs have the mix, too."""
-    place = (number * DEAL % ROUND) / ROUND
+    """Return the band of a request.
+
+    The order of the bands is fixed, so that short runs have the same mix.
+    """
+    position = (number * CYCLE_STEP % CYCLE_LENGTH) / CYCLE_LENGTH
     for band in BANDS:
-        place -= band.share
-        if place < 0:
+        position -= band.share
+        if position < 0:
             return band
     return BANDS[-1]
