--- a/trestledock/bench/_bursts.py
+++ b/trestledock/bench/_bursts.py
@@ -17,8 +17,8 @@
 SHORT = Kind('short', 0.3, 0.25, 2.0, 10.0)
 LONGER = Kind('longer', 1.5, 0.6, 6.0, 10.0)
 LONG = Kind('long', 3.0, 1.0, 12.0, 15.0)
-#: The same kinds in the shifted workload: long prompts have a larger objective
-#: and deadline, and all kinds allow shorter pauses.
+#: The same kinds in the shifted workload, with shorter pauses; long prompts are
+#: longer, with a larger objective and patience.
 SHIFTED_SHORT = Kind('short', 0.3, 0.2, 2.0, 10.0)
 SHIFTED_LONGER = Kind('longer', 1.5, 0.5, 6.0, 10.0)
 SHIFTED_LONG = Kind('long', 4.0, 0.8, 16.0, 15.0)
@@ -50,9 +50,9 @@
 )
 
 
-#: The shifted workload for a fleet of 60 engines: relative to short prompts
-#: (questions), 2.5 times as many longer ones (disputes); the mean long prompt
-#: (ledgers) has 300,000 tokens.
+#: The shifted workload for a fleet of 60 engines: 2.5 times as many disputes
+#: (longer prompts) in relation to questions (short ones), and ledgers (long
+#: ones) of 300,000 tokens on average.
 SHIFTED_SOURCES = (
     Source(SHIFTED_SHORT, 38.3, 4_960, 0.9, 23_800, 1_700, (0.4, 2.4, 0.3)),
     Source(SHIFTED_LONGER, 6.1, 45_000, 0.5, 110_000, 1_030, (1.3, 0.5, 1.3)),
--- a/trestledock/bench/_replay.py
+++ b/trestledock/bench/_replay.py
@@ -18,7 +18,15 @@
     make_trace,
 )
 from trestledock.process import Policy
-from trestledock.proof import MODEL, Event, Plan, Site, World, build, make_world
+from trestledock.proof import (
+    MODEL,
+    DataCentre,
+    Event,
+    Plan,
+    World,
+    make_world,
+    populate_world,
+)
 from trestledock.request import LengthClass, Outcome, Reason
 from trestledock.standin import EngineSpec
 from trestledock.version import Team
@@ -115,7 +123,7 @@
     first_token_times: dict[str, float] = {}
     for arrival in trace:
         host = world.rng.choice(hosts)
-        world.at(arrival.at, partial(world.invoke, host, arrival.req))
+        world.schedule(arrival.at, partial(world.invoke, host, arrival.req))
 
     def record_first_token(req_id: str) -> None:  # noqa: WPS430
         first_token_times.setdefault(req_id, world.now)
@@ -125,7 +133,7 @@
         middle = START_S + case.seconds / 2
         for number in range((NEWER + OLDER) // 6):
             name = f'engine-{number * 5}'
-            world.at(middle, partial(world.kill_engine, name))
+            world.schedule(middle, partial(world.kill_engine, name))
     world.run_until(START_S + case.seconds + TAIL_S)
     return _measure(case, world, trace, first_token_times)
 
@@ -137,10 +145,10 @@
         load_poll_s=case.poll_s,
     )
     world.records_chunks = False
-    world.switches.report_lag_s = case.lag_s
+    world.faults.report_lag_s = case.lag_s
     plan = Plan(
         seed=case.seed,
-        sites=(Site('a', case.instances, 0, 0),),
+        data_centres=(DataCentre('a', case.instances, 0, 0),),
         teams=tuple(Team(name) for name in TEAMS),
     )
     for number in range(NEWER + OLDER):
@@ -148,7 +156,7 @@
         labels = {'role': 'assistant', 'data_centre': 'a'}
         loaded = frozenset((str(MODEL),))
         world.add_engine(f'engine-{number}', labels, spec, loaded)
-    build(plan, world)
+    populate_world(plan, world)
     world.on_finish = None
     world.on_broken = None
     return world
--- a/trestledock/bench/slopes.py
+++ b/trestledock/bench/slopes.py
@@ -33,7 +33,14 @@
     PeerMessage,
     SendToPeer,
 )
-from trestledock.proof import MODEL, Plan, Site, World, build, make_world
+from trestledock.proof import (
+    MODEL,
+    DataCentre,
+    Plan,
+    World,
+    make_world,
+    populate_world,
+)
 from trestledock.request import Kind, Request
 from trestledock.standin import EngineSpec
 from trestledock.version import CONVERTER, EpochBody, Team
@@ -91,11 +98,11 @@
     """Return a world of one data centre after its start-up phase."""
     world = make_world(3)
     plan = Plan(
-        sites=(Site('a', instances, engines, 1),),
+        data_centres=(DataCentre('a', instances, engines, 1),),
         spec=EngineSpec(stride=16),
         teams=tuple(Team(f'team-{number}') for number in range(teams)),
     )
-    build(plan, world)
+    populate_world(plan, world)
     world.on_finish = None
     world.on_broken = None
     world.run_until(START_UP_S)
--- a/trestledock/proof/__init__.py
+++ b/trestledock/proof/__init__.py
@@ -1,20 +1,20 @@
 """
-Proofs
-======
+Fault-injection tests
+=====================
 
-Histories, a checker for each promise, scenarios in a small text language and
-the world that runs them on a virtual clock.
+Runs scenarios with faults on a virtual clock, records their histories, and
+checks each promise on these.  A scenario is written in a small text language.
 """
 
 from trestledock.proof._callers import MODEL, Callers, Traffic
 from trestledock.proof._checkers import CHECKERS, check_all
 from trestledock.proof._fleets import (
     SETTLED_AT_S,
+    DataCentre,
     Plan,
-    Site,
-    build,
     make_configuration,
-    publish_marked,
+    populate_world,
+    schedule_publication,
 )
 from trestledock.proof._history import Event, EventType, read_lines
 from trestledock.proof._matrix import (
@@ -42,25 +42,25 @@
     'SETTLED_AT_S',
     'Callers',
     'CellResult',
+    'DataCentre',
     'Event',
     'EventType',
     'Plan',
     'Run',
     'ScenarioError',
-    'Site',
     'Traffic',
     'World',
-    'build',
     'check_all',
     'finish_run',
     'make_cells',
     'make_configuration',
     'make_soak',
     'make_world',
-    'publish_marked',
+    'populate_world',
     'read_lines',
     'read_scenario',
     'run_cell',
     'run_cells',
     'run_scenario',
+    'schedule_publication',
 )
--- a/trestledock/proof/__main__.py
+++ b/trestledock/proof/__main__.py
@@ -1,9 +1,9 @@
 """
-Proof commands
-==============
+Commands for fault injection
+============================
 
-`python -m trestledock.proof matrix` runs every fault and pair of faults;
-`soak` runs long histories of random faults; `run` runs scenario files.
+`python -m trestledock.proof matrix` runs each fault and each pair of faults;
+`soak` runs long scenarios with random faults; `run` runs scenario files.
 """
 
 import sys
@@ -19,7 +19,7 @@
     run_scenario,
 )
 
-#: Runs of a soak where no number is given.
+#: The default number of runs of a soak.
 DEFAULT_RUNS = 12
 
 
@@ -33,7 +33,7 @@
 def matrix(seed: int) -> None:
     """Run each fault and each pair of faults."""
     results = run_cells(make_cells(seed))
-    violated = _print(results)
+    violated = _print_violations(results)
     click.echo(f'cells: {len(results)}, violated: {violated}')
     sys.exit(1 if violated else 0)
 
@@ -42,10 +42,10 @@
 @click.option('--seed', default=1)
 @click.option('--runs', default=DEFAULT_RUNS)
 def soak(seed: int, runs: int) -> None:
-    """Run long histories of random faults."""
+    """Run long scenarios with random faults."""
     results = run_cells(make_soak(seed, runs))
-    violated = _print(results)
-    requests = sum(one.requests for one in results)
+    violated = _print_violations(results)
+    requests = sum(result.requests for result in results)
     click.echo(
         f'runs: {len(results)}, requests: {requests}, violated: {violated}',
     )
@@ -66,11 +66,11 @@
     sys.exit(1 if broken else 0)
 
 
-def _print(results: list[CellResult]) -> int:
-    violated = [one for one in results if one.violations]
-    for one in violated:
-        click.echo(f'{one.name} ({one.requests} requests)')
-        for line in one.violations[:3]:
+def _print_violations(results: list[CellResult]) -> int:
+    violated = [result for result in results if result.violations]
+    for result in violated:
+        click.echo(f'{result.name} ({result.requests} requests)')
+        for line in result.violations[:3]:
             click.echo(f'  {line}')
     return len(violated)
 
--- a/trestledock/proof/_callers.py
+++ b/trestledock/proof/_callers.py
@@ -1,33 +1,36 @@
 """
-Callers
-=======
+Simulated callers
+=================
 
-What the callers of a run do: they send generations and calls at a steady
-rate through instances drawn at random, and repeat a call under the same key
-through another instance when its answer was lost, unknown or refused.
+Callers send generations and calls at a steady rate through random instances.
+They retry a call, with the same idempotency key and through a random instance,
+if its answer was lost, unknown or a refusal.
 """
 
 from dataclasses import dataclass, field
 from typing import Callable
 
 from trestledock.process import Finish
-from trestledock.proof._hosts import DEADLY, Host
+from trestledock.proof._hosts import CRASHING_FINGERPRINT, Host
 from trestledock.proof._world import World
 from trestledock.request import Kind, Model, Outcome, Reason, Request
 
-#: How often a key is tried again at the most.
-MAX_REPEATS = 3
-#: What a caller does not repeat: it asks a person instead.
+#: The most retries for a key.
+MAX_RETRIES = 3
+#: The reasons after which a caller does not retry, but asks a person.
 FINAL_REASONS = frozenset((Reason.claim_state_lost, Reason.claim_taken))
-#: The least wait before a repeat, in seconds.
-REPEAT_S = 0.5
+#: The least delay before a retry, in seconds.
+MIN_RETRY_DELAY_S = 0.5
 
 MODEL = Model('ledger', version='1')
 
 
 @dataclass(frozen=True)
 class Traffic:
-    """A steady stream of requests of one kind."""
+    """A steady stream of requests of one kind.
+
+    With `crashes_engines`, the requests crash the engines that run them.
+    """
 
     kind: Kind
     rate: float
@@ -39,32 +42,35 @@
     deadline_s: float = 15
     home: str = ''
     first_attempt: bool = False
-    deadly: bool = False
+    crashes_engines: bool = False
 
 
 @dataclass
 class Callers:
-    """All callers of a run."""
+    """The callers of a run.
+
+    `sent` has all requests by their ids.
+    """
 
     world: World
     data_centres: tuple[str, ...]
-    repeats: dict[str, int] = field(default_factory=dict)
+    retry_counts: dict[str, int] = field(default_factory=dict)
     sent: dict[str, tuple[Traffic, Request]] = field(default_factory=dict)
     _count: int = 0
 
     def __post_init__(self) -> None:
-        """Listen for the ends of requests."""
-        self.world.on_finish = self._take_finish
-        self.world.on_broken = self._take_broken
-
-    def begin(self, traffic: Traffic) -> None:
-        """Send a stream of requests."""
-        moment = traffic.start
-        while moment < traffic.stop:
+        """Register for the ends of requests."""
+        self.world.on_finish = self._handle_finish
+        self.world.on_broken = self._handle_broken
+
+    def start_traffic(self, traffic: Traffic) -> None:
+        """Schedule the requests of a stream."""
+        instant = traffic.start
+        while instant < traffic.stop:
             self._count += 1
             number = self._count
-            self.world.at(moment, self._make_sender(traffic, number))
-            moment += self.world.rng.expovariate(traffic.rate)
+            self.world.schedule(instant, self._make_sender(traffic, number))
+            instant += self.world.rng.expovariate(traffic.rate)
 
     def _make_sender(
         self,
@@ -73,16 +79,16 @@
     ) -> Callable[[], None]:
         return lambda: self._send(traffic, f'k{number}', 0)
 
-    def _send(self, traffic: Traffic, key: str, repeat: int) -> None:
+    def _send(self, traffic: Traffic, key: str, retry: int) -> None:
         world = self.world
-        host = self._draw_host(key, repeat)
+        host = self._choose_host(key, retry)
         rng = world.rng
         is_call = traffic.kind is Kind.call
         home = traffic.home or rng.choice(self.data_centres)
         if is_call and not traffic.home:
             home = _get_home(key, self.data_centres)
         req = Request(
-            req_id=f'{key}.{repeat}',
+            req_id=f'{key}.{retry}',
             team=traffic.team,
             kind=traffic.kind,
             deadline=world.now + traffic.deadline_s,
@@ -94,13 +100,15 @@
             idempotent=not is_call,
             idempotency_key=key if is_call else '',
             home=home,
-            first_attempt=traffic.first_attempt and not repeat,
-            fingerprint=DEADLY if traffic.deadly else key,
+            first_attempt=traffic.first_attempt and not retry,
+            fingerprint=(
+                CRASHING_FINGERPRINT if traffic.crashes_engines else key
+            ),
         )
         self.sent[req.req_id] = (traffic, req)
         world.invoke(host, req, seed=key)
 
-    def _draw_host(self, key: str, repeat: int) -> Host:
+    def _choose_host(self, key: str, retry: int) -> Host:
         ready = [
             host
             for host in self.world.hosts.values()
@@ -109,23 +117,25 @@
         hosts = ready or list(self.world.hosts.values())
         return self.world.rng.choice(hosts)
 
-    def _take_finish(self, finish: Finish) -> None:
+    def _handle_finish(self, finish: Finish) -> None:
         answered = finish.verdict.outcome is Outcome.answered
         if not answered and finish.verdict.reason not in FINAL_REASONS:
-            self._repeat(finish.req.req_id, finish.verdict.retry_after)
+            self._retry(finish.req.req_id, finish.verdict.retry_after)
 
-    def _take_broken(self, req_id: str) -> None:
-        self._repeat(req_id, 0)
+    def _handle_broken(self, req_id: str) -> None:
+        self._retry(req_id, 0)
 
-    def _repeat(self, req_id: str, wait_s: float) -> None:
+    def _retry(self, req_id: str, delay_s: float) -> None:
         traffic, req = self.sent[req_id]
         key = req.idempotency_key
-        count = self.repeats.get(key, 0)
-        if not key or count >= MAX_REPEATS:
+        count = self.retry_counts.get(key, 0)
+        if not key or count >= MAX_RETRIES:
             return
-        self.repeats[key] = count + 1
-        moment = self.world.now + max(REPEAT_S, wait_s)
-        self.world.at(moment, lambda: self._send(traffic, key, count + 1))
+        self.retry_counts[key] = count + 1
+        instant = self.world.now + max(MIN_RETRY_DELAY_S, delay_s)
+        self.world.schedule(
+            instant, lambda: self._send(traffic, key, count + 1)
+        )
 
 
 def _get_home(key: str, data_centres: tuple[str, ...]) -> str:
--- a/trestledock/proof/_feeds.py
+++ b/trestledock/proof/_feeds.py
@@ -1,9 +1,9 @@
 """
-Feeds
-=====
+Periodic reads
+==============
 
-What the instances of a world read by themselves: the log, the instance list,
-and the reports of targets, each as late and as patchy as the switches say.
+What the instances of a world read periodically: the log, the instance list, and
+the reports of targets, with the lags and gaps that the fault settings give.
 """
 
 from dataclasses import replace
@@ -19,35 +19,39 @@
 from trestledock.proof._hosts import EngineHost, Host
 from trestledock.proof._world import PLATFORM, World
 
-#: Reports of an engine that are this close count as one, in seconds.
-REPORT_STEP_S = 0.02
-#: The cache events that an engine still tells.
+#: The least interval between two reports of an engine, in seconds.
+REPORT_INTERVAL_S = 0.02
+#: The number of recent cache events that an engine sends.
 MAX_CACHE_EVENTS = 20
 
 
-def feed_log(world: World, host: Host) -> None:
-    """Read the log, unless the platform is away."""
-    away = world.switches.outage or not world.can_reach(host.name, PLATFORM)
-    if not away:
+def read_log(world: World, host: Host) -> None:
+    """Read the log, unless the platform is unreachable."""
+    unreachable = world.faults.outage or not world.can_reach(
+        host.name, PLATFORM
+    )
+    if not unreachable:
         offset = host.node.state.reader.next_read
         batch = world.log.read(offset, world.now)
         world.deliver(host, PLATFORM, LogRead(batch))
 
 
-def feed_list(world: World, host: Host) -> None:
-    """Read the instance list as it was a little while ago."""
-    away = world.switches.list_outage
-    if away or not world.can_reach(host.name, PLATFORM):
+def read_instance_list(world: World, host: Host) -> None:
+    """Read the instance list as of some time ago."""
+    unreachable = world.faults.list_outage
+    if unreachable or not world.can_reach(host.name, PLATFORM):
         return
-    wanted = world.now - world.switches.list_lag_s
-    older = [one for one in world.lists if one[0] <= wanted]
-    if older:
-        _, targets, peers = older[-1]
+    as_of = world.now - world.faults.list_lag_s
+    earlier = [
+        version for version in world.instance_lists if version[0] <= as_of
+    ]
+    if earlier:
+        _, targets, peers = earlier[-1]
         world.deliver(host, PLATFORM, InstancesListed(targets, peers))
 
 
-def feed_loads(world: World, host: Host) -> None:
-    """Read the reports and cache events of the targets in reach."""
+def read_loads(world: World, host: Host) -> None:
+    """Read the reports and cache events of all reachable targets."""
     for name, engine in world.engines.items():
         if engine.alive and world.can_reach(host.name, name):
             world.deliver(host, name, _get_report(world, name, engine))
@@ -61,24 +65,24 @@
                 0,
                 1,
                 0,
-                leaving=service.silent_leaving,
+                leaving=service.reports_draining,
             )
             world.deliver(host, name, LoadReported(name, report))
 
 
 def _get_report(world: World, name: str, engine: EngineHost) -> LoadReported:
     last = engine.reports[-1][0] if engine.reports else float('-inf')
-    if world.now - last > REPORT_STEP_S:
+    if world.now - last > REPORT_INTERVAL_S:
         engine.reports.append((world.now, engine.model.report(world.now)))
-        world.pump_engine(name)
-    wanted = world.now - world.switches.report_lag_s
-    older = [one for one in engine.reports if one[0] <= wanted]
-    at, report = older[-1] if older else engine.reports[0]
-    engine.reports = [one for one in engine.reports if one[0] >= at]
+        world.advance_engine(name)
+    as_of = world.now - world.faults.report_lag_s
+    earlier = [item for item in engine.reports if item[0] <= as_of]
+    at, report = earlier[-1] if earlier else engine.reports[0]
+    engine.reports = [item for item in engine.reports if item[0] >= at]
     report = replace(
         report,
         age_s=world.now - at,
-        leaving=engine.silent_leaving,
+        leaving=engine.reports_draining,
     )
     return LoadReported(name, report)
 
@@ -89,13 +93,13 @@
     name: str,
     engine: EngineHost,
 ) -> None:
-    lines = engine.model.cache_log
-    if lines:
+    changes = engine.model.cache_log
+    if changes:
         engine.model.cache_log = []
-        gap = world.rng.random() < world.switches.cache_gap_share
+        gap = world.rng.random() < world.faults.cache_gap_share
         engine.sequence += 2 if gap else 1
-        added = tuple(block for block, is_new in lines if is_new)
-        removed = tuple(block for block, is_new in lines if not is_new)
+        added = tuple(block for block, is_new in changes if is_new)
+        removed = tuple(block for block, is_new in changes if not is_new)
         engine.cache_events.append(
             CacheEvent(engine.sequence, added, removed),
         )
--- a/trestledock/proof/_fleets.py
+++ b/trestledock/proof/_fleets.py
@@ -2,8 +2,8 @@
 Fleets
 ======
 
-Builds the worlds of scenarios and of the replay: instances, engines and
-services by data centre, and the configuration that is published to them.
+Populates the worlds of scenarios and of the replay with instances, engines and
+services in each data centre, and publishes their configuration.
 """
 
 from dataclasses import dataclass
@@ -23,18 +23,19 @@
     dump_json,
 )
 
-#: What a scenario's engines do: tokens a second, seconds between tokens.
+#: The engines of scenarios: prefill rate in tokens a second, and the time
+#: between output tokens in seconds.
 RATE = 16_000.0
 ITL_S = 0.01
-#: When the first configuration is published, in seconds.
+#: The instant of the first publication, in seconds.
 PUBLISH_AT_S = 1.0
-#: When instances, epochs and leases have settled, in seconds.
+#: The instant by which membership, epochs and leases are stable, in seconds.
 SETTLED_AT_S = 10.0
 
 
 @dataclass(frozen=True)
-class Site:
-    """A data centre and how many of each it has."""
+class DataCentre:
+    """A data centre and its numbers of instances and targets."""
 
     name: str
     instances: int
@@ -44,13 +45,13 @@
 
 @dataclass
 class Plan:
-    """What a world is built from."""
+    """The parameters of a world."""
 
     seed: int = 0
-    sites: tuple[Site, ...] = (
-        Site('a', 2, 1, 1),
-        Site('b', 2, 1, 1),
-        Site('c', 2, 1, 1),
+    data_centres: tuple[DataCentre, ...] = (
+        DataCentre('a', 2, 1, 1),
+        DataCentre('b', 2, 1, 1),
+        DataCentre('c', 2, 1, 1),
     )
     spec: EngineSpec = EngineSpec(rate=RATE, itl_s=ITL_S)
     keep_s: float = 30
@@ -65,12 +66,14 @@
 
 
 def make_configuration(plan: Plan, marker: str = '') -> Configuration:
-    """Return the configuration of a plan; `marker` makes versions differ."""
+    """Return the configuration of a plan, made distinct by a marker."""
     teams = plan.teams
     if marker:
         teams = (*teams, Team(f'marker-{marker}'))
     return Configuration(
-        data_centres=tuple(site.name for site in plan.sites),
+        data_centres=tuple(
+            data_centre.name for data_centre in plan.data_centres
+        ),
         teams=teams,
         pools=(
             Pool(
@@ -91,38 +94,45 @@
     )
 
 
-def build(plan: Plan, world: World) -> Callers:
-    """Fill a world and publish its first configuration."""
+def populate_world(plan: Plan, world: World) -> Callers:
+    """Populate a world and schedule its first publication."""
     world.log.retention_s = plan.retention_s
     loaded = frozenset((str(MODEL),)) if plan.preloaded else frozenset()
-    for site in plan.sites:
-        for number in range(site.engines):
-            labels = {'role': 'assistant', 'data_centre': site.name}
-            name = f'engine-{site.name}{number + 1}'
+    for data_centre in plan.data_centres:
+        for number in range(data_centre.engines):
+            labels = {'role': 'assistant', 'data_centre': data_centre.name}
+            name = f'engine-{data_centre.name}{number + 1}'
             world.add_engine(name, labels, plan.spec, loaded)
-        for number in range(site.services):
-            labels = {'role': 'booking', 'data_centre': site.name}
-            world.add_service(f'service-{site.name}{number + 1}', labels)
-    for site in plan.sites:
-        for number in range(site.instances):
-            world.add_host(f'entry-{site.name}{number + 1}', site.name)
-    publish_marked(plan, world, PUBLISH_AT_S, '')
-    return Callers(world, tuple(site.name for site in plan.sites))
+        for number in range(data_centre.services):
+            labels = {'role': 'booking', 'data_centre': data_centre.name}
+            world.add_service(f'service-{data_centre.name}{number + 1}', labels)
+    for data_centre in plan.data_centres:
+        for number in range(data_centre.instances):
+            world.add_host(
+                f'entry-{data_centre.name}{number + 1}', data_centre.name
+            )
+    schedule_publication(plan, world, PUBLISH_AT_S, '')
+    return Callers(
+        world, tuple(data_centre.name for data_centre in plan.data_centres)
+    )
 
 
-def publish_marked(
+def schedule_publication(
     plan: Plan,
     world: World,
-    moment: float,
+    instant: float,
     marker: str,
     host_name: str = '',
 ) -> None:
-    """Let an operator publish a version that differs by its marker."""
+    """Schedule a publication that is distinct by its marker.
+
+    Without a host name, it goes through a random running instance.
+    """
     body = dump_json(make_configuration(plan, marker))
 
     def publish() -> None:  # noqa: WPS430
         living = [host for host in world.hosts.values() if host.alive]
         host = world.hosts.get(host_name) or world.rng.choice(living)
-        world.publish(host, f'publish-{marker}@{moment}', -1, body)
+        world.publish(host, f'publish-{marker}@{instant}', -1, body)
 
-    world.at(moment, publish)
+    world.schedule(instant, publish)
--- a/trestledock/proof/_history.py
+++ b/trestledock/proof/_history.py
@@ -2,8 +2,8 @@
 History
 =======
 
-What happened in a run, as callers, stand-ins and instances saw it: one typed
-event a line.  The checkers read nothing else.
+The events of a run as callers, stand-ins and instances saw them, one a line.
+They are the only input of the checkers.
 """
 
 import json
@@ -13,7 +13,7 @@
 
 
 class EventType(str, Enum):
-    """The kinds of events."""
+    """The types of events."""
 
     invoked = 'invoked'
     sent = 'sent'
@@ -34,10 +34,11 @@
 
 @dataclass(frozen=True)
 class Event:
-    """One event at the instant `at`, seen by `who`.
+    """An event at the instant `at`, seen by the host or target `who`.
 
     `key` is the idempotency key, the target, or the publication; `number` a
-    count, a version or a token index; `limit` an instant or a bound.
+    count, a version or a token index; `limit` a deadline or the base version of
+    a publication.
     """
 
     at: float
@@ -58,7 +59,7 @@
     """Read a history from lines of JSON."""
     events = []
     for line in lines:
-        plain = json.loads(line)
-        kind = EventType(plain.pop('kind'))
-        events.append(Event(kind=kind, **plain))
+        fields = json.loads(line)
+        kind = EventType(fields.pop('kind'))
+        events.append(Event(kind=kind, **fields))
     return events
--- a/trestledock/proof/_hosts.py
+++ b/trestledock/proof/_hosts.py
@@ -1,9 +1,9 @@
 """
-Hosts
-=====
+Hosts and fault settings
+========================
 
-What stands in a world: instances with their cores, engines, plain services,
-and the switches of the faults.
+The hosts of a world, namely instances with their cores, engines and plain
+services, and the settings of its faults.
 """
 
 from dataclasses import dataclass, field
@@ -16,14 +16,17 @@
 
 @dataclass
 class Host:
-    """An instance in the world: its core and whether it lives or sleeps."""
+    """An instance in the world: its core, its state and its requests.
+
+    `stalls` has the delay of the next action of a type, by the type's name.
+    """
 
     node: Node
     name: str
     data_centre: str
     alive: bool = True
     frozen: bool = False
-    leaving: bool = False
+    draining: bool = False
     inbox: list[Any] = field(default_factory=list)
     tick_at: float = float('inf')
     version: int = -1
@@ -34,17 +37,17 @@
 
     @property
     def member(self) -> str:
-        """The name of this incarnation."""
+        """The member name of this incarnation."""
         return self.node.state.member
 
 
-#: The fingerprint of requests that end the engines that run them.
-DEADLY = 'deadly'
+#: The fingerprint of requests that crash the engines that run them.
+CRASHING_FINGERPRINT = 'deadly'
 
 
 @dataclass
 class Route:
-    """Where an engine's events of a hold go."""
+    """The receiver of an engine's events for a reservation."""
 
     host: Host
     req_id: str
@@ -53,12 +56,15 @@
 
 @dataclass
 class EngineHost:
-    """An engine in the world."""
+    """An engine in the world.
+
+    A `muted` engine sends no events.
+    """
 
     model: EngineModel
     info: TargetInfo
     alive: bool = True
-    silent_leaving: bool = False
+    reports_draining: bool = False
     muted: bool = False
     routes: dict[str, Route] = field(default_factory=dict)
     wake_at: float = float('inf')
@@ -69,17 +75,20 @@
 
 @dataclass
 class ServiceHost:
-    """A plain service in the world."""
+    """A plain service in the world.
+
+    The answers of the next `lose_answers` calls get lost.
+    """
 
     info: TargetInfo
     alive: bool = True
     lose_answers: int = 0
-    silent_leaving: bool = False
+    reports_draining: bool = False
 
 
 @dataclass
-class Switches:
-    """The faults of the platform and the network."""
+class FaultSettings:
+    """The faults of the platform and the network, and the lags of reports."""
 
     outage: bool = False
     list_outage: bool = False
--- a/trestledock/proof/_matrix.py
+++ b/trestledock/proof/_matrix.py
@@ -2,9 +2,9 @@
 Fault matrix and soak
 =====================
 
-The matrix runs each single fault and each pair of faults, every one a scenario
-with all promises checked.  The soak draws longer runs of random faults from a
-seed.
+The matrix runs a scenario for each single fault and each pair of faults, and
+checks all promises.  The soak runs longer scenarios, with random faults that
+are drawn from a seed.
 """
 
 from concurrent.futures import ProcessPoolExecutor
@@ -18,17 +18,18 @@
 from trestledock.proof._history import EventType
 from trestledock.proof._scenario import read_scenario
 
-#: Runs at once.
+#: The number of concurrent runs.
 WORKERS = 6
-FIRST_AT_S = 14
-SECOND_AT_S = 16
+FIRST_FAULT_AT_S = 14
+SECOND_FAULT_AT_S = 16
 HEAL_AT_S = 45
-#: How long a soak's faults last, and how long it goes on afterwards.
+#: The time of a soak with faults, and the time after that, in seconds.
 SOAK_FAULTS_S = 100
 SOAK_TAIL_S = 120
-#: From when and how often whatever has ended in a soak starts again.
-REVIVE_FROM_S = 20
-REVIVE_S = 15
+#: The first instant at which a soak restarts the instances that have ended, and
+#: the interval of further restarts, in seconds.
+RESTART_FROM_S = 20
+RESTART_INTERVAL_S = 15
 
 BASE = """
 fleet a:2:1:1 b:2:1:1 c:2:1:1
@@ -37,7 +38,7 @@
 traffic call rate=5 from=10 until=40
 """
 
-#: The faults by name; `{0}` is the instant.
+#: The scenario lines of each fault; `{0}` is the instant of the fault.
 FAULT_LINES: Mapping[str, tuple[str, ...]] = MappingProxyType(
     {
         'kill': ('at {0} kill entry-a1',),
@@ -90,7 +91,7 @@
 
 @dataclass(frozen=True)
 class Cell:
-    """A scenario of the matrix or the soak by its name."""
+    """A named scenario of the matrix or the soak."""
 
     name: str
     text: str
@@ -99,7 +100,7 @@
 
 @dataclass(frozen=True)
 class CellResult:
-    """What a cell showed."""
+    """The result of a cell."""
 
     name: str
     requests: int
@@ -109,19 +110,26 @@
 def make_cells(seed: int) -> list[Cell]:
     """Return a cell for each fault and each pair of faults."""
     cells = [
-        Cell(name, _make_text(_at(name, FIRST_AT_S)), seed)
+        Cell(name, _make_text(_format_fault(name, FIRST_FAULT_AT_S)), seed)
         for name in FAULT_LINES
     ]
-    for one, other in combinations(FAULT_LINES, 2):
-        lines = (*_at(one, FIRST_AT_S), *_at(other, SECOND_AT_S))
-        cells.append(Cell(f'{one} + {other}', _make_text(lines), seed))
+    for first, second in combinations(FAULT_LINES, 2):
+        lines = (
+            *_format_fault(first, FIRST_FAULT_AT_S),
+            *_format_fault(second, SECOND_FAULT_AT_S),
+        )
+        cells.append(Cell(f'{first} + {second}', _make_text(lines), seed))
     return cells
 
 
 def make_soak(seed: int, count: int) -> list[Cell]:
-    """Return `count` long runs of faults drawn at random."""
+    """Return `count` long scenarios with random faults."""
     return [
-        Cell(f'soak {seed + number}', _draw_soak(seed + number), seed + number)
+        Cell(
+            f'soak {seed + number}',
+            _make_soak_text(seed + number),
+            seed + number,
+        )
         for number in range(count)
     ]
 
@@ -131,7 +139,7 @@
     run = read_scenario(cell.text, cell.seed)
     world = run.get_world()
     world.run_until(run.end)
-    world.note_memory()
+    world.record_memory()
     found = check_all(world.history)
     requests = sum(event.kind is EventType.invoked for event in world.history)
     return CellResult(
@@ -144,20 +152,20 @@
 
 
 def run_cells(cells: list[Cell]) -> list[CellResult]:
-    """Run cells side by side, in their order."""
+    """Run cells concurrently; return the results in order."""
     with ProcessPoolExecutor(WORKERS) as pool:
         return list(pool.map(run_cell, cells))
 
 
-def _at(name: str, moment: int) -> tuple[str, ...]:
-    return tuple(line.format(moment) for line in FAULT_LINES[name])
+def _format_fault(name: str, instant: int) -> tuple[str, ...]:
+    return tuple(line.format(instant) for line in FAULT_LINES[name])
 
 
 def _make_text(lines: tuple[str, ...]) -> str:
     return '\n'.join((BASE, *lines, f'at {HEAL_AT_S} heal', 'end 150'))
 
 
-def _draw_soak(seed: int) -> str:
+def _make_soak_text(seed: int) -> str:
     rng = Random(seed)
     stop = 10 + SOAK_FAULTS_S
     lines = [
@@ -167,22 +175,24 @@
         'tokens=500,3000,40000 max=60',
         f'traffic call rate=6 from=10 until={stop}',
     ]
-    moment = 12
-    while moment < stop:
+    instant = 12
+    while instant < stop:
         name = rng.choice(list(FAULT_LINES))
         lines.extend(
-            line.replace('at 45', f'at {moment + 9}').replace(
+            line.replace('at 45', f'at {instant + 9}').replace(
                 'at 30',
-                f'at {moment + 6}',
+                f'at {instant + 6}',
             )
-            for line in _at(name, moment)
+            for line in _format_fault(name, instant)
         )
-        lines.append(f'at {moment + 8} heal')
-        moment += rng.randint(3, 9)
+        lines.append(f'at {instant + 8} heal')
+        instant += rng.randint(3, 9)
     names = ('a1', 'a2', 'b1', 'b2', 'c1', 'c2')
     lines.extend(
-        f'at {moment} start entry-{name}'
-        for moment in range(REVIVE_FROM_S, stop + REVIVE_S, REVIVE_S)
+        f'at {instant} start entry-{name}'
+        for instant in range(
+            RESTART_FROM_S, stop + RESTART_INTERVAL_S, RESTART_INTERVAL_S
+        )
         for name in names
     )
     lines.append(f'end {stop + SOAK_TAIL_S}')
--- a/trestledock/proof/_performing.py
+++ b/trestledock/proof/_performing.py
@@ -1,9 +1,9 @@
 """
-Performing actions
-==================
+Actions
+=======
 
-Carries out what the cores of a world ask for, through its delays, cuts and
-other faults, and writes down what callers and targets would have seen.
+Performs the actions of the cores in a world, subject to its delays, partitions
+and other faults, and records what callers and targets would see.
 """
 
 from functools import partial, singledispatch
@@ -33,9 +33,9 @@
     Timing,
     SendToPeer,
 )
-from trestledock.proof._feeds import feed_list, feed_loads, feed_log
+from trestledock.proof._feeds import read_instance_list, read_loads, read_log
 from trestledock.proof._history import EventType
-from trestledock.proof._hosts import DEADLY, Host, Route
+from trestledock.proof._hosts import CRASHING_FINGERPRINT, Host, Route
 from trestledock.proof._world import (
     CONNECT_TIMEOUT_S,
     PLATFORM,
@@ -44,9 +44,9 @@
 )
 from trestledock.standin import Overloaded, Rejected
 
-#: How long a service works on a call, in seconds.
-SERVICE_S = 0.01
-#: How often an instance reads what, in seconds.
+#: The time that a service takes for a call, in seconds.
+SERVICE_TIME_S = 0.01
+#: The intervals in which an instance reads its sources, in seconds.
 LOG_POLL_S = 0.25
 LIST_POLL_S = 1.0
 LOAD_POLL_S = 0.5
@@ -60,17 +60,17 @@
 ) -> World:
     """Return an empty world."""
     feeds = (
-        Feed(LOG_POLL_S, feed_log),
-        Feed(LIST_POLL_S, feed_list),
-        Feed(load_poll_s, feed_loads),
+        Feed(LOG_POLL_S, read_log),
+        Feed(LIST_POLL_S, read_instance_list),
+        Feed(load_poll_s, read_loads),
     )
     return World(perform, feeds, seed, timing, policy)
 
 
 @singledispatch
 def perform(action: Any, world: World, host: Host) -> None:
-    """Carry out an action of an instance."""
-    raise TypeError(f'nothing carries out {type(action).__name__}')
+    """Perform an action of an instance."""
+    raise TypeError(f'no function performs {type(action).__name__}')
 
 
 @perform.register
@@ -78,16 +78,16 @@
     name = action.target
     engine = world.engines[name]
     route = Route(host, action.req_id, action.attempt)
-    if world.stall(host, action):
+    if world.delay_if_stalled(host, action):
         return
-    late = world.now >= action.not_after
-    if late or not engine.alive or not world.can_reach(host.name, name):
-        world.fail(route, name, not_started=True)
+    is_late = world.now >= action.not_after
+    if is_late or not engine.alive or not world.can_reach(host.name, name):
+        world.schedule_failure(route, name, not_started=True)
         return
 
     def submit() -> None:  # noqa: WPS430
         if not engine.alive or world.engines[name] is not engine:
-            world.fail(route, name, not_started=False)
+            world.schedule_failure(route, name, not_started=False)
             return
         prefix = (
             host.requests[action.req_id].prefix
@@ -97,14 +97,14 @@
         seed = host.seeds.get(action.req_id, '')
         engine.routes[action.job.hold] = route
         if not action.job.start:
-            world.note(
+            world.record(
                 EventType.sent,
                 who=host.name,
                 req_id=action.req_id,
                 key=name,
             )
-        if _is_deadly(action, host):
-            world.end_engine(name)
+        if _crashes_engine(action, host):
+            world.crash_engine(name)
             return
         try:
             engine.model.submit(action.job, seed, prefix, world.now)
@@ -118,15 +118,15 @@
                 detail=str(exc),
             )
             world.deliver(host, name, message)
-        world.pump_engine(name)
+        world.advance_engine(name)
 
-    world.at(world.now + world.get_delay(host.name, name), submit)
+    world.schedule(world.now + world.get_delay(host.name, name), submit)
 
 
-def _is_deadly(action: StartJob, host: Host) -> bool:
-    """Whether an engine ends as it begins to write for a request."""
+def _crashes_engine(action: StartJob, host: Host) -> bool:
+    """Return whether an engine crashes as it begins to decode a request."""
     req = host.requests.get(action.req_id)
-    if req is None or req.fingerprint != DEADLY:
+    if req is None or req.fingerprint != CRASHING_FINGERPRINT:
         return False
     return action.job.generate
 
@@ -137,24 +137,28 @@
     engine = world.engines[name]
     route = Route(host, action.req_id, action.attempt)
     model = engine.model
-    hold = model.holds.get(action.hold) or model.finished.get(action.hold)
+    reservation = model.holds.get(action.hold) or model.finished.get(
+        action.hold
+    )
     reachable = engine.alive and world.can_reach(host.name, name)
-    if hold is None or not reachable:
-        world.fail(route, name, not_started=False)
+    if reservation is None or not reachable:
+        world.schedule_failure(route, name, not_started=False)
         return
     engine.routes[action.hold] = route
-    for chunk in hold.produced:
+    for chunk in reservation.produced:
         if chunk.index >= action.index:
             message = ChunkArrived(action.req_id, action.attempt, chunk)
             world.deliver(host, name, message)
-    if hold.final_count is not None:
-        done = StreamDone(action.req_id, action.attempt, hold.final_count)
+    if reservation.final_count is not None:
+        done = StreamDone(
+            action.req_id, action.attempt, reservation.final_count
+        )
         world.deliver(host, name, done)
 
 
 @perform.register
 def _(action: CallService, world: World, host: Host) -> None:
-    if world.stall(host, action):
+    if world.delay_if_stalled(host, action):
         return
     name = action.target
     service = world.services[name]
@@ -173,28 +177,28 @@
             step='call',
             peer=name,
         )
-        world.at(
+        world.schedule(
             world.now + CONNECT_TIMEOUT_S,
-            lambda: world.tell(host, failed),
+            lambda: world.deliver_now(host, failed),
         )
         return
 
-    delay = world.get_delay(host.name, name) + SERVICE_S
-    world.at(world.now + delay, partial(_run_call, action, world, host))
+    delay = world.get_delay(host.name, name) + SERVICE_TIME_S
+    world.schedule(world.now + delay, partial(_run_call, action, world, host))
 
 
 def _run_call(action: CallService, world: World, host: Host) -> None:
-    """Run a call on its service, whose answer may get lost."""
+    """Run a call on its service; the answer may get lost."""
     name = action.target
     service = world.services[name]
     key = host.keys.get(action.req_id, '')
-    world.note(
+    world.record(
         EventType.sent,
         who=host.name,
         req_id=action.req_id,
         key=name,
     )
-    world.note(
+    world.record(
         EventType.ran,
         who=name,
         req_id=action.req_id,
@@ -225,17 +229,17 @@
         return
 
     def cancel() -> None:  # noqa: WPS430
-        for hold in action.holds:
-            engine.model.cancel(hold, world.now)
-            engine.routes.pop(hold, None)
-        world.pump_engine(name)
-        if world.switches.lose_cancels > 0:
-            world.switches.lose_cancels -= 1
+        for reservation in action.holds:
+            engine.model.cancel(reservation, world.now)
+            engine.routes.pop(reservation, None)
+        world.advance_engine(name)
+        if world.faults.lose_cancels > 0:
+            world.faults.lose_cancels -= 1
             return
         confirmed = CancelConfirmed(action.target, action.holds)
         world.deliver(host, name, confirmed)
 
-    world.at(world.now + world.get_delay(host.name, name), cancel)
+    world.schedule(world.now + world.get_delay(host.name, name), cancel)
 
 
 @perform.register
@@ -243,7 +247,7 @@
     peer = world.hosts.get(action.address)
     if peer is None or not world.can_reach(host.name, peer.name):
         return
-    if world.rng.random() < world.switches.loss_share:
+    if world.rng.random() < world.faults.loss_share:
         return
     message = PeerMessage(host.member, action.payload)
     world.deliver(peer, host.name, message)
@@ -251,13 +255,13 @@
 
 @perform.register
 def _(action: AppendRecord, world: World, host: Host) -> None:
-    if world.stall(host, action):
+    if world.delay_if_stalled(host, action):
         return
     reachable = world.can_reach(host.name, PLATFORM)
-    if world.switches.outage or not reachable:
+    if world.faults.outage or not reachable:
         return
-    if world.switches.lose_appends > 0:
-        world.switches.lose_appends -= 1
+    if world.faults.lose_appends > 0:
+        world.faults.lose_appends -= 1
         return
     try:
         world.log.append(action.record, world.now)
@@ -267,7 +271,7 @@
 
 @perform.register
 def _(action: GiveOrder, world: World, host: Host) -> None:
-    if world.stall(host, action):
+    if world.delay_if_stalled(host, action):
         return
     name = action.target
     engine = world.engines[name]
@@ -276,11 +280,11 @@
     if not world.can_reach(host.name, name):
         return
 
-    def take() -> None:  # noqa: WPS430
+    def take_order() -> None:  # noqa: WPS430
         models = frozenset(action.models)
         taken = engine.model.order(models, action.fencing)
         if taken:
-            world.note(
+            world.record(
                 EventType.order,
                 who=host.name,
                 key=name,
@@ -289,7 +293,7 @@
         answered = OrderAnswered(name, refused=not taken)
         world.deliver(host, name, answered)
 
-    world.at(world.now + world.get_delay(host.name, name), take)
+    world.schedule(world.now + world.get_delay(host.name, name), take_order)
 
 
 @perform.register
@@ -301,7 +305,7 @@
     if not world.records_chunks:
         return
     for chunk in action.chunks:
-        world.note(
+        world.record(
             EventType.chunk,
             who=host.name,
             req_id=action.req_id,
@@ -316,7 +320,7 @@
     if host.requests.pop(req_id, None) is None:
         return
     world.finishes[req_id] = action
-    world.note(
+    world.record(
         EventType.outcome,
         who=host.name,
         req_id=req_id,
@@ -329,7 +333,7 @@
 
 @perform.register
 def _(action: Published, world: World, host: Host) -> None:
-    world.note(
+    world.record(
         EventType.published,
         who=host.name,
         key=action.publish_id,
@@ -347,4 +351,4 @@
 
 @perform.register
 def _(action: LogEvent, world: World, host: Host) -> None:
-    """Lines of the log prove nothing, so the history leaves them out."""
+    """Ignore log lines, which are no evidence for the checkers."""
--- a/trestledock/proof/_scenario.py
+++ b/trestledock/proof/_scenario.py
@@ -2,9 +2,10 @@
 Scenarios
 =========
 
-A scenario is a small text file: one verb a line, `#` for comments.  The first
-lines build the fleet, `at SECONDS VERB ...` schedules faults, `expect` lines
-are checked at the end, and every promise is checked always::
+A scenario is a text file with one command a line and comments after `#`.  The
+first lines define the fleet and its traffic, `at SECONDS VERB ...` schedules
+faults, and `expect` lines are checked at the end.  Every run checks all
+promises::
 
     fleet a:2:1:1 b:2:1:1 c:2:1:1
     traffic call rate=4 from=10 until=30
@@ -13,7 +14,7 @@
     expect answered call 0.9
     end 60
 
-All checks run on a history; nothing looks into the instances.
+The checks use the history and the counters, but not the state of instances.
 """
 
 import shlex
@@ -24,15 +25,20 @@
 from trestledock.process import Timing
 from trestledock.proof._callers import Callers, Traffic
 from trestledock.proof._checkers import check_all
-from trestledock.proof._fleets import Plan, Site, build, publish_marked
+from trestledock.proof._fleets import (
+    DataCentre,
+    Plan,
+    populate_world,
+    schedule_publication,
+)
 from trestledock.proof._history import EventType
 from trestledock.proof._performing import make_world
 from trestledock.proof._world import World
 from trestledock.request import Kind, Outcome
 from trestledock.standin import EngineSpec
 
-#: The actions that a pause just before the write can hold back.
-STALLED = MappingProxyType(
+#: The actions that a pause just before their write can delay.
+STALLABLE_ACTIONS = MappingProxyType(
     {
         'call': 'CallService',
         'job': 'StartJob',
@@ -41,19 +47,19 @@
     }
 )
 
-SWITCHES = MappingProxyType({'on': True, 'off': False})
+ON_OFF = MappingProxyType({'on': True, 'off': False})
 
 
 Expectation = Callable[['Run', tuple[str, ...]], list[str]]
 
 
 class ScenarioError(Exception):
-    """A line that is not understood, with its number."""
+    """A scenario line that is not valid, with its number."""
 
 
 @dataclass
 class Run:
-    """A scenario while it is read and run."""
+    """A scenario that is being read or run."""
 
     plan: Plan = field(default_factory=Plan)
     timing: Timing = Timing()
@@ -63,17 +69,17 @@
     end: float = 60
 
     def get_world(self) -> World:
-        """Return the world; the first use builds it."""
+        """Return the world, which the first call creates."""
         if self.world is None:
             self.world = make_world(self.plan.seed, self.timing)
-            self.callers = build(self.plan, self.world)
+            self.callers = populate_world(self.plan, self.world)
         return self.world
 
     def get_callers(self) -> Callers:
-        """Return the callers; the first use builds the world."""
+        """Return the callers; the first call creates the world."""
         self.get_world()
         if self.callers is None:
-            raise ScenarioError('there are no callers')
+            raise ScenarioError('the world has no callers')
         return self.callers
 
 
@@ -83,16 +89,16 @@
 
 
 def read_scenario(text: str, seed: int | None = None) -> Run:
-    """Read a scenario and build its world, without running it."""
+    """Read a scenario and create its world, without running it."""
     run = Run()
     if seed is not None:
         run.plan.seed = seed
     for number, line in enumerate(text.splitlines(), start=1):
-        words = shlex.split(line, comments=True)
-        if not words:
+        arguments = shlex.split(line, comments=True)
+        if not arguments:
             continue
         try:
-            _VERBS[words[0]](run, words[1:])
+            _VERBS[arguments[0]](run, arguments[1:])
         except (KeyError, ValueError, IndexError) as exc:
             raise ScenarioError(f'line {number}: {line}: {exc!r}') from exc
     return run
@@ -102,37 +108,37 @@
     """Run the clock to the end and check every promise."""
     world = run.get_world()
     world.run_until(run.end)
-    world.note_memory()
+    world.record_memory()
     violations = [
         f'{name}: {line}'
         for name, lines in check_all(world.history).items()
         for line in lines
     ]
-    for words in run.expectations:
-        violations.extend(_EXPECTATIONS[words[0]](run, words[1:]))
+    for arguments in run.expectations:
+        violations.extend(_EXPECTATIONS[arguments[0]](run, arguments[1:]))
     return violations
 
 
-def _split(words: list[str]) -> dict[str, str]:
-    pairs = (word.partition('=') for word in words)
+def _parse_options(arguments: list[str]) -> dict[str, str]:
+    pairs = (word.partition('=') for word in arguments)
     return {name: text for name, _, text in pairs}
 
 
-def _seed(run: Run, words: list[str]) -> None:
-    run.plan.seed = int(words[0])
+def _seed(run: Run, arguments: list[str]) -> None:
+    run.plan.seed = int(arguments[0])
 
 
-def _fleet(run: Run, words: list[str]) -> None:
-    sites = []
-    for word in words:
+def _fleet(run: Run, arguments: list[str]) -> None:
+    data_centres = []
+    for word in arguments:
         name, *numbers = word.split(':')
         instances, engines, services = (int(text) for text in numbers)
-        sites.append(Site(name, instances, engines, services))
-    run.plan.sites = tuple(sites)
+        data_centres.append(DataCentre(name, instances, engines, services))
+    run.plan.data_centres = tuple(data_centres)
 
 
-def _engines(run: Run, words: list[str]) -> None:
-    options = _split(words)
+def _engines(run: Run, arguments: list[str]) -> None:
+    options = _parse_options(arguments)
     run.plan.spec = EngineSpec(
         rate=float(options.get('rate', 16_000)),
         itl_s=float(options.get('itl', 0.01)),
@@ -142,25 +148,25 @@
     run.plan.preloaded = options.get('loaded', 'yes') == 'yes'
 
 
-def _claims(run: Run, words: list[str]) -> None:
-    options = _split(words)
+def _claims(run: Run, arguments: list[str]) -> None:
+    options = _parse_options(arguments)
     run.plan.keep_s = float(options.get('keep', 30))
     run.plan.replicas = int(options.get('replicas', 2))
 
 
-def _log(run: Run, words: list[str]) -> None:
-    options = _split(words)
+def _log(run: Run, arguments: list[str]) -> None:
+    options = _parse_options(arguments)
     run.plan.retention_s = float(options['retention'])
     snapshot_s = float(options['snapshot'])
     run.timing = replace(run.timing, snapshot_s=snapshot_s)
 
 
-def _traffic(run: Run, words: list[str]) -> None:
-    options = _split(words[1:])
-    kind = Kind(words[0])
+def _traffic(run: Run, arguments: list[str]) -> None:
+    options = _parse_options(arguments[1:])
+    kind = Kind(arguments[0])
     team = 'kiosks' if kind is Kind.call else 'assistant'
     tokens = options.get('tokens', '1000').split(',')
-    run.get_callers().begin(
+    run.get_callers().start_traffic(
         Traffic(
             kind=kind,
             rate=float(options['rate']),
@@ -172,73 +178,75 @@
             deadline_s=float(options.get('deadline', 15)),
             home=options.get('home', ''),
             first_attempt=options.get('first') == 'declared',
-            deadly=options.get('deadly') == 'yes',
+            crashes_engines=options.get('deadly') == 'yes',
         ),
     )
 
 
-def _at(run: Run, words: list[str]) -> None:
+def _at(run: Run, arguments: list[str]) -> None:
     world = run.get_world()
-    moment = float(words[0])
-    if words[1] == 'publish':
-        host_name = words[3] if len(words) > 3 else ''
-        publish_marked(run.plan, world, moment, words[2], host_name)
+    instant = float(arguments[0])
+    if arguments[1] == 'publish':
+        host_name = arguments[3] if len(arguments) > 3 else ''
+        schedule_publication(run.plan, world, instant, arguments[2], host_name)
         return
-    fault = FAULTS[words[1]]
-    world.at(moment, lambda: fault(world, words[2:]))
+    fault = FAULTS[arguments[1]]
+    world.schedule(instant, lambda: fault(world, arguments[2:]))
 
 
-def _expect(run: Run, words: list[str]) -> None:
-    run.expectations.append(tuple(words))
+def _expect(run: Run, arguments: list[str]) -> None:
+    run.expectations.append(tuple(arguments))
 
 
-def _end(run: Run, words: list[str]) -> None:
-    run.end = float(words[0])
+def _end(run: Run, arguments: list[str]) -> None:
+    run.end = float(arguments[0])
 
 
-def _kill(world: World, words: list[str]) -> None:
-    for name in words:
+def _kill(world: World, arguments: list[str]) -> None:
+    for name in arguments:
         if world.hosts[name].alive:
             world.kill(world.hosts[name])
 
 
-def _start(world: World, words: list[str]) -> None:
-    """Start those of the instances that have ended."""
-    for name in words:
+def _start(world: World, arguments: list[str]) -> None:
+    """Start those instances that have ended."""
+    for name in arguments:
         if not world.hosts[name].alive:
             world.add_host(name, world.hosts[name].data_centre)
 
 
-def _stop(world: World, words: list[str]) -> None:
-    for name in words:
+def _stop(world: World, arguments: list[str]) -> None:
+    for name in arguments:
         if world.hosts[name].alive:
             world.shut_down(world.hosts[name])
 
 
-def _freeze(world: World, words: list[str]) -> None:
-    host = world.hosts[words[0]]
+def _freeze(world: World, arguments: list[str]) -> None:
+    host = world.hosts[arguments[0]]
     world.freeze(host)
-    world.at(world.now + float(words[1]), lambda: world.thaw(host))
+    world.schedule(
+        world.now + float(arguments[1]), lambda: world.unfreeze(host)
+    )
 
 
-def _stall(world: World, words: list[str]) -> None:
-    kind = STALLED[words[2]]
-    world.hosts[words[0]].stalls[kind] = float(words[1])
+def _stall(world: World, arguments: list[str]) -> None:
+    action = STALLABLE_ACTIONS[arguments[2]]
+    world.hosts[arguments[0]].stalls[action] = float(arguments[1])
 
 
-def _hang_up(world: World, words: list[str]) -> None:
-    for name in words:
-        world.hang_up(world.hosts[name])
+def _hang_up(world: World, arguments: list[str]) -> None:
+    for name in arguments:
+        world.disconnect_callers(world.hosts[name])
 
 
-def _cut(world: World, words: list[str]) -> None:
-    left = frozenset(_expand(world, words[0]))
-    right = frozenset(_expand(world, words[1]))
-    world.switches.cuts.append((left, right - left))
+def _cut(world: World, arguments: list[str]) -> None:
+    left = frozenset(_expand_places(world, arguments[0]))
+    right = frozenset(_expand_places(world, arguments[1]))
+    world.faults.cuts.append((left, right - left))
 
 
-def _expand(world: World, text: str) -> list[str]:
-    """Return the places that a word names: hosts, data centres, or `rest`."""
+def _expand_places(world: World, text: str) -> list[str]:
+    """Return the hosts that a text names: hosts, data centres, or `rest`."""
     places = {'platform': 'platform'}
     for name in (*world.hosts, *world.engines, *world.services):
         places[name] = world.get_data_centre(name)
@@ -252,60 +260,60 @@
     ]
 
 
-def _heal(world: World, words: list[str]) -> None:
-    world.switches.cuts.clear()
-    world.note(EventType.healed)
+def _heal(world: World, arguments: list[str]) -> None:
+    world.faults.cuts.clear()
+    world.record(EventType.healed)
 
 
-def _outage(world: World, words: list[str]) -> None:
-    world.switches.outage = SWITCHES[words[0]]
-    world.switches.list_outage = SWITCHES[words[0]]
-    world.note(EventType.healed)
+def _outage(world: World, arguments: list[str]) -> None:
+    world.faults.outage = ON_OFF[arguments[0]]
+    world.faults.list_outage = ON_OFF[arguments[0]]
+    world.record(EventType.healed)
 
 
-def _lose(world: World, words: list[str]) -> None:
-    count = int(words[1])
-    if words[0] == 'appends':
-        world.switches.lose_appends = count
-    elif words[0] == 'cancels':
-        world.switches.lose_cancels = count
+def _lose(world: World, arguments: list[str]) -> None:
+    count = int(arguments[1])
+    if arguments[0] == 'appends':
+        world.faults.lose_appends = count
+    elif arguments[0] == 'cancels':
+        world.faults.lose_cancels = count
     else:
-        world.services[words[0]].lose_answers = count
+        world.services[arguments[0]].lose_answers = count
 
 
-def _network(world: World, words: list[str]) -> None:
-    options = _split(words)
-    world.switches.loss_share = float(options.get('loss', 0))
-    world.switches.duplicate_share = float(options.get('duplicates', 0))
-    world.switches.reorder_s = float(options.get('reorder', 0))
+def _network(world: World, arguments: list[str]) -> None:
+    options = _parse_options(arguments)
+    world.faults.loss_share = float(options.get('loss', 0))
+    world.faults.duplicate_share = float(options.get('duplicates', 0))
+    world.faults.reorder_s = float(options.get('reorder', 0))
 
 
-def _lag(world: World, words: list[str]) -> None:
-    options = _split(words)
-    world.switches.list_lag_s = float(options.get('list', 0.5))
-    world.switches.report_lag_s = float(options.get('reports', 0.2))
+def _lag(world: World, arguments: list[str]) -> None:
+    options = _parse_options(arguments)
+    world.faults.list_lag_s = float(options.get('list', 0.5))
+    world.faults.report_lag_s = float(options.get('reports', 0.2))
 
 
-def _kill_engine(world: World, words: list[str]) -> None:
-    for name in words:
+def _kill_engine(world: World, arguments: list[str]) -> None:
+    for name in arguments:
         world.kill_engine(name)
 
 
-def _revive_engine(world: World, words: list[str]) -> None:
-    for name in words:
+def _revive_engine(world: World, arguments: list[str]) -> None:
+    for name in arguments:
         world.revive_engine(name)
 
 
-def _mute(world: World, words: list[str]) -> None:
-    for name in words:
+def _mute(world: World, arguments: list[str]) -> None:
+    for name in arguments:
         world.engines[name].muted = True
 
 
-def _leave(world: World, words: list[str]) -> None:
-    world.mark_leaving(words[0], listed=words[1] == 'listed')
+def _leave(world: World, arguments: list[str]) -> None:
+    world.mark_draining(arguments[0], listed=arguments[1] == 'listed')
 
 
-#: The faults that `at` schedules.
+#: The faults that `at` schedules, by verb.
 FAULTS: Mapping[str, Callable[[World, list[str]], None]] = MappingProxyType(
     {
         'kill': _kill,
@@ -345,12 +353,15 @@
 def _expect_share(
     run: Run,
     outcome: Outcome,
-    words: tuple[str, ...],
+    arguments: tuple[str, ...],
 ) -> list[str]:
-    """Expect a share of the requests of a kind to end so, between instants."""
-    kind = Kind(words[0])
-    least = float(words[1])
-    bounds = [float(text) for text in words[2:]]
+    """Check the share of requests of a kind that end with an outcome.
+
+    Two optional instants limit the check to the ends between them.
+    """
+    kind = Kind(arguments[0])
+    least = float(arguments[1])
+    bounds = [float(text) for text in arguments[2:]]
     start, stop = bounds or (0, float('inf'))
     events = [
         event
@@ -359,50 +370,52 @@
         and run.get_callers().sent[event.req_id][1].kind is kind
         and start <= event.at <= stop
     ]
-    met = sum(event.text == outcome.value for event in events)
-    share = met / len(events) if events else 0
+    count = sum(event.text == outcome.value for event in events)
+    share = count / len(events) if events else 0
     if share >= least:
         return []
-    return [f'{outcome.value} {kind.value}: {met} of {len(events)} < {least}']
+    return [f'{outcome.value} {kind.value}: {count} of {len(events)} < {least}']
 
 
-def _expect_refused(run: Run, words: tuple[str, ...]) -> list[str]:
-    count = run.get_world().counts.get(('refused', words[0]), 0)
-    return [] if count else [f'nothing was refused as {words[0]}']
+def _expect_refused(run: Run, arguments: tuple[str, ...]) -> list[str]:
+    count = run.get_world().counts.get(('refused', arguments[0]), 0)
+    return [] if count else [f'nothing was refused as {arguments[0]}']
 
 
-def _expect_count(run: Run, words: tuple[str, ...]) -> list[str]:
-    count = run.get_world().counts.get((words[0], words[1]), 0)
-    least = int(words[2])
+def _expect_count(run: Run, arguments: tuple[str, ...]) -> list[str]:
+    count = run.get_world().counts.get((arguments[0], arguments[1]), 0)
+    least = int(arguments[2])
     if count >= least:
         return []
-    return [f'{words[0]} {words[1]}: {count} < {least}']
+    return [f'{arguments[0]} {arguments[1]}: {count} < {least}']
 
 
-def _expect_conflicts(run: Run, words: tuple[str, ...]) -> list[str]:
+def _expect_conflicts(run: Run, arguments: tuple[str, ...]) -> list[str]:
     verdicts = [
         event.text
         for event in run.get_world().history
         if event.kind is EventType.published
     ]
     found = verdicts.count('conflict')
-    wanted = int(words[0])
+    wanted = int(arguments[0])
     return [] if found == wanted else [f'{found} conflicts: {verdicts}']
 
 
 def _make_share_check(outcome: Outcome) -> Expectation:
-    def check(run: Run, words: tuple[str, ...]) -> list[str]:  # noqa: WPS430
-        return _expect_share(run, outcome, words)
+    def check(  # noqa: WPS430
+        run: Run, arguments: tuple[str, ...]
+    ) -> list[str]:
+        return _expect_share(run, outcome, arguments)
 
     return check
 
 
-def _expect_most(run: Run, words: tuple[str, ...]) -> list[str]:
-    count = run.get_world().counts.get((words[0], words[1]), 0)
-    most = int(words[2])
+def _expect_at_most(run: Run, arguments: tuple[str, ...]) -> list[str]:
+    count = run.get_world().counts.get((arguments[0], arguments[1]), 0)
+    most = int(arguments[2])
     if count <= most:
         return []
-    return [f'{words[0]} {words[1]}: {count} > {most}']
+    return [f'{arguments[0]} {arguments[1]}: {count} > {most}']
 
 
 _EXPECTATIONS: Mapping[str, Expectation] = MappingProxyType(
@@ -410,7 +423,7 @@
         **{outcome.value: _make_share_check(outcome) for outcome in Outcome},
         'refused': _expect_refused,
         'count': _expect_count,
-        'most': _expect_most,
+        'most': _expect_at_most,
         'conflicts': _expect_conflicts,
     }
 )
--- a/trestledock/proof/_world.py
+++ b/trestledock/proof/_world.py
@@ -1,14 +1,14 @@
 """
-World
-=====
+Simulated world
+===============
 
-Drives the cores of several instances on one virtual clock, with small fakes
-at their interfaces: engines, plain services, the log, the instance list and a
-network that delays, loses and cuts.  Everything is drawn from one seed, so a
-run can be repeated exactly.
+Runs the process cores of several instances on one virtual clock, with fakes at
+their interfaces: engines, plain services, the log, the instance list, and a
+network with delays, losses and partitions.  All random values come from one
+seed, so that a run can be repeated exactly.
 
-It is no simulator of a cluster: it has no resources or machines, only the
-messages and actions of the core and the faults of the brief.
+The world does not simulate machines or their resources, but only the messages
+and actions of the core, and the faults that the product has to tolerate.
 """
 
 import heapq
@@ -38,10 +38,10 @@
 from trestledock.proof._history import Event, EventType
 from trestledock.proof._hosts import (
     EngineHost,
+    FaultSettings,
     Host,
     Route,
     ServiceHost,
-    Switches,
 )
 from trestledock.request import Request
 from trestledock.standin import (
@@ -53,24 +53,24 @@
 )
 
 PLATFORM = 'platform'
-#: Delays one way, in seconds: inside a data centre and between two.
-NEAR_S = 0.0005
-FAR_S = 0.001
-#: How long a connection attempt into a cut takes to fail, in seconds.
+#: One-way delays in a data centre and between two, in seconds.
+LOCAL_DELAY_S = 0.0005
+REMOTE_DELAY_S = 0.001
+#: The time until a connection attempt fails in a partition, in seconds.
 CONNECT_TIMEOUT_S = 1.0
-#: How long an engine that a request has ended takes to start again, in seconds.
-REVIVAL_S = 3.0
-#: Under what the ends of engines under deadly requests are counted.
-DEADLY_ENDS = ('ends', 'deadly')
-#: The band that delays are drawn from, as factors.
-JITTER = (0.5, 1.5)
-#: How often the end of a graceful shutdown is looked for, in seconds.
-DRAIN_LOOK_S = 0.1
+#: The time until an engine that a request has crashed runs again, in seconds.
+RESTART_DELAY_S = 3.0
+#: The counter for crashes of engines by requests with the crashing fingerprint.
+DEADLY_CRASH_COUNTER = ('ends', 'deadly')
+#: The range of the random factor of delays.
+JITTER_FACTORS = (0.5, 1.5)
+#: The interval of checks for the end of a graceful shutdown, in seconds.
+DRAIN_POLL_S = 0.1
 
 
 @dataclass(frozen=True)
 class Feed:
-    """Something that an instance reads by itself, every so often."""
+    """A source that an instance reads periodically."""
 
     interval_s: float
     read: Callable[['World', Host], None]
@@ -78,7 +78,7 @@
 
 @dataclass
 class World:
-    """All hosts on one clock; `make_world` builds an empty one."""
+    """The hosts, targets and faults on one clock; see `make_world`."""
 
     perform: Callable[[Any, 'World', Host], None]
     feeds: tuple['Feed', ...]
@@ -90,7 +90,7 @@
     engines: dict[str, EngineHost] = field(default_factory=dict)
     services: dict[str, ServiceHost] = field(default_factory=dict)
     log: LogModel = field(default_factory=LogModel)
-    switches: Switches = field(default_factory=Switches)
+    faults: FaultSettings = field(default_factory=FaultSettings)
     history: list[Event] = field(default_factory=list)
     counts: dict[tuple[str, str], int] = field(default_factory=dict)
     finishes: dict[str, Finish] = field(default_factory=dict)
@@ -104,32 +104,32 @@
     )
     _count: int = 0
     _incarnations: int = 0
-    lists: list[tuple[float, tuple[TargetInfo, ...], tuple[PeerInfo, ...]]] = (
-        field(default_factory=list)
-    )
+    instance_lists: list[
+        tuple[float, tuple[TargetInfo, ...], tuple[PeerInfo, ...]]
+    ] = field(default_factory=list)
 
     def __post_init__(self) -> None:
-        """Seed the world."""
+        """Seed the random generator."""
         self.rng = Random(self.seed)
 
-    def at(self, moment: float, call: Callable[[], None]) -> None:
-        """Do something at an instant."""
+    def schedule(self, instant: float, callback: Callable[[], None]) -> None:
+        """Schedule a callback at an instant."""
         self._count += 1
-        heapq.heappush(self._heap, (moment, self._count, call))
+        heapq.heappush(self._heap, (instant, self._count, callback))
 
-    def run_until(self, moment: float) -> None:
-        """Run the clock up to an instant."""
-        while self._heap and self._heap[0][0] <= moment:
-            self.now, _, call = heapq.heappop(self._heap)
-            call()
-        self.now = moment
+    def run_until(self, instant: float) -> None:
+        """Advance the clock to an instant, running what is scheduled."""
+        while self._heap and self._heap[0][0] <= instant:
+            self.now, _, callback = heapq.heappop(self._heap)
+            callback()
+        self.now = instant
 
-    def note(self, kind: EventType, **fields: Any) -> None:
+    def record(self, kind: EventType, **fields: Any) -> None:
         """Add an event to the history."""
         self.history.append(Event(self.now, kind, **fields))
 
     def add_host(self, name: str, data_centre: str) -> Host:
-        """Start an instance, or a new incarnation of one."""
+        """Start an instance, or a new incarnation of it."""
         self._incarnations += 1
         identity = Identity(name, f'{self._incarnations:04d}', data_centre)
         node = Node(
@@ -143,9 +143,9 @@
         self.hosts[name] = host
         for feed in self.feeds:
             first = self.now + self.rng.uniform(0, feed.interval_s)
-            self.at(first, partial(self._feed, host, feed))
-        self.refresh_list()
-        self.tell(host, Tick())
+            self.schedule(first, partial(self._run_feed, host, feed))
+        self.update_instance_list()
+        self.deliver_now(host, Tick())
         return host
 
     def add_engine(
@@ -155,42 +155,42 @@
         spec: EngineSpec,
         models: frozenset[str],
     ) -> None:
-        """Start an engine, or a new incarnation of one."""
+        """Start an engine, or a new incarnation of it."""
         self._incarnations += 1
         info = TargetInfo(name, name, f'{self._incarnations:04d}', labels)
         self.engines[name] = EngineHost(EngineModel(spec, models), info)
-        self.refresh_list()
+        self.update_instance_list()
 
     def add_service(self, name: str, labels: dict[str, str]) -> None:
         """Start a plain service."""
         self._incarnations += 1
         info = TargetInfo(name, name, f'{self._incarnations:04d}', labels)
         self.services[name] = ServiceHost(info)
-        self.refresh_list()
+        self.update_instance_list()
 
-    def refresh_list(self) -> None:
-        """Let the instance list see what is there now."""
-        hosts: list[EngineHost | ServiceHost] = [
+    def update_instance_list(self) -> None:
+        """Add the current instances and targets to the versions of the list."""
+        target_hosts: list[EngineHost | ServiceHost] = [
             *self.engines.values(),
             *self.services.values(),
         ]
-        targets = tuple(one.info for one in hosts if one.alive)
+        targets = tuple(target.info for target in target_hosts if target.alive)
         peers = tuple(
             PeerInfo(
                 host.name,
                 '',
                 host.name,
                 host.data_centre,
-                host.leaving,
+                host.draining,
             )
             for host in self.hosts.values()
             if host.alive
         )
-        self.lists.append((self.now, targets, peers))
+        self.instance_lists.append((self.now, targets, peers))
 
     def invoke(self, host: Host, req: Request, seed: str = '') -> None:
-        """Let a caller send a request to an instance."""
-        self.note(
+        """Send a request of a caller to an instance."""
+        self.record(
             EventType.invoked,
             who=host.name,
             req_id=req.req_id,
@@ -200,60 +200,60 @@
             limit=req.deadline,
         )
         if not host.alive:
-            self._break(host, req.req_id)
+            self._break_connection(host, req.req_id)
             return
         host.requests[req.req_id] = req
         host.seeds[req.req_id] = seed
         host.keys[req.req_id] = '' if req.idempotent else req.idempotency_key
-        self.tell(host, Arrive(req))
-        self.at(
-            req.deadline + NEAR_S,
-            lambda: self._break_if_frozen(host, req),
+        self.deliver_now(host, Arrive(req))
+        self.schedule(
+            req.deadline + LOCAL_DELAY_S,
+            lambda: self._disconnect_if_frozen(host, req),
         )
 
     def publish(
         self, host: Host, publish_id: str, base: int, body: str
     ) -> None:
-        """Let an operator publish through an instance."""
-        self.tell(host, Publish(publish_id, base, body))
+        """Publish a configuration through an instance, as an operator does."""
+        self.deliver_now(host, Publish(publish_id, base, body))
 
     def kill(self, host: Host) -> None:
-        """End an instance at once."""
+        """Kill an instance."""
         host.alive = False
-        self.note(EventType.ended, who=host.name, text='killed')
-        self._break_all(host)
-        self.refresh_list()
+        self.record(EventType.ended, who=host.name, text='killed')
+        self._break_connections(host)
+        self.update_instance_list()
 
     def shut_down(self, host: Host) -> None:
-        """Ask an instance to end and let it."""
-        self.note(EventType.shutdown, who=host.name)
-        host.leaving = True
-        self.refresh_list()
-        self.tell(host, Shutdown())
+        """Begin a graceful shutdown of an instance."""
+        self.record(EventType.shutdown, who=host.name)
+        host.draining = True
+        self.update_instance_list()
+        self.deliver_now(host, Shutdown())
         self._end_when_drained(host)
 
     def freeze(self, host: Host) -> None:
-        """Pause an instance."""
+        """Freeze an instance."""
         host.frozen = True
-        self.note(EventType.frozen, who=host.name)
+        self.record(EventType.frozen, who=host.name)
 
-    def thaw(self, host: Host) -> None:
-        """Let an instance go on; what came meanwhile arrives at once."""
+    def unfreeze(self, host: Host) -> None:
+        """Unfreeze an instance; messages of the meantime arrive at once."""
         host.frozen = False
-        self.note(EventType.healed, who=host.name)
+        self.record(EventType.healed, who=host.name)
         waiting = host.inbox
         host.inbox = []
         for message in waiting:
-            self.tell(host, message)
-        self.tell(host, Tick())
+            self.deliver_now(host, message)
+        self.deliver_now(host, Tick())
 
     def kill_engine(self, name: str) -> None:
-        """End an engine; its connections break."""
+        """Kill an engine; its connections break."""
         engine = self.engines[name]
         engine.alive = False
-        self.refresh_list()
+        self.update_instance_list()
         for route in engine.routes.values():
-            self.fail(route, name, not_started=False, ended=True)
+            self.schedule_failure(route, name, not_started=False, ended=True)
         engine.routes.clear()
 
     def revive_engine(self, name: str) -> None:
@@ -262,21 +262,22 @@
         labels = dict(old.info.labels)
         self.add_engine(name, labels, old.model.spec, old.model.models)
 
-    def mark_leaving(self, name: str, *, listed: bool) -> None:
-        """Let a target begin to leave, known to the list or only itself."""
+    def mark_draining(self, name: str, *, listed: bool) -> None:
+        """Begin to drain a target, by the list or only by its own reports."""
         target = self.engines.get(name) or self.services[name]
-        self.note(EventType.leaving, key=name)
+        self.record(EventType.leaving, key=name)
         if listed:
             target.info = replace(target.info, leaving=True)
-            self.refresh_list()
+            self.update_instance_list()
         else:
-            target.silent_leaving = True
+            target.reports_draining = True
 
-    def can_reach(self, one: str, other: str) -> bool:
-        """Whether no cut lies between two places."""
+    def can_reach(self, source: str, other: str) -> bool:
+        """Return whether no partition separates two hosts."""
         return not any(
-            (one in left and other in right) or (one in right and other in left)
-            for left, right in self.switches.cuts
+            (source in left and other in right)
+            or (source in right and other in left)
+            for left, right in self.faults.cuts
         )
 
     def get_data_centre(self, name: str) -> str:
@@ -286,34 +287,34 @@
         target = self.engines.get(name) or self.services.get(name)
         return target.info.labels['data_centre'] if target else ''
 
-    def get_delay(self, one: str, other: str) -> float:
-        """Return a delay one way between two places."""
+    def get_delay(self, source: str, other: str) -> float:
+        """Return a random one-way delay between two hosts."""
         base = (
-            NEAR_S
-            if self.get_data_centre(one) == self.get_data_centre(other)
-            else FAR_S
+            LOCAL_DELAY_S
+            if self.get_data_centre(source) == self.get_data_centre(other)
+            else REMOTE_DELAY_S
         )
-        jitter = self.rng.uniform(*JITTER)
+        factor = self.rng.uniform(*JITTER_FACTORS)
         extra: float = 0
-        if self.switches.reorder_s:
-            extra = self.rng.uniform(0, self.switches.reorder_s)
-        return base * jitter + extra
+        if self.faults.reorder_s:
+            extra = self.rng.uniform(0, self.faults.reorder_s)
+        return base * factor + extra
 
-    def note_memory(self) -> None:
-        """Record what the living engines hold."""
+    def record_memory(self) -> None:
+        """Record the memory that running engines reserve."""
         for name, engine in self.engines.items():
             if engine.alive:
                 engine.model.advance(self.now)
-                held = ' '.join(sorted(engine.model.holds))
-                self.note(
+                reservations = ' '.join(sorted(engine.model.holds))
+                self.record(
                     EventType.memory,
                     who=name,
                     number=engine.model.used,
-                    text=held,
+                    text=reservations,
                 )
 
-    def tell(self, host: Host, message: Any) -> None:
-        """Hand a message to an instance now."""
+    def deliver_now(self, host: Host, message: Any) -> None:
+        """Deliver a message to an instance now, or once it is unfrozen."""
         if not host.alive:
             return
         if host.frozen:
@@ -321,55 +322,60 @@
             return
         for action in host.node.step(message, self.now):
             self.perform(action, self, host)
-        self._note_version(host)
+        self._record_version(host)
         self._schedule_tick(host)
 
     def deliver(self, host: Host, peer: str, message: Any) -> None:
-        """Hand a message from `peer` to an instance, after a delay."""
-        repeats = 1
-        if self.rng.random() < self.switches.duplicate_share:
-            repeats = 2
-        for _ in range(repeats):
-            moment = self.now + self.get_delay(peer, host.name)
-            self.at(moment, partial(self._arrive, host, peer, message))
-
-    def hang_up(self, host: Host) -> None:
-        """Let every caller of an instance leave."""
+        """Deliver a message from `peer` to an instance after a delay."""
+        copies = 1
+        if self.rng.random() < self.faults.duplicate_share:
+            copies = 2
+        for _ in range(copies):
+            instant = self.now + self.get_delay(peer, host.name)
+            self.schedule(instant, partial(self._receive, host, peer, message))
+
+    def disconnect_callers(self, host: Host) -> None:
+        """Disconnect all callers of an instance."""
         for req_id in tuple(host.requests):
             host.requests.pop(req_id)
-            self._break(host, req_id)
-            self.tell(host, CallerDisconnected(req_id))
+            self._break_connection(host, req_id)
+            self.deliver_now(host, CallerDisconnected(req_id))
+
+    def delay_if_stalled(self, host: Host, action: Any) -> bool:
+        """Delay an action if a stall is set, as a pause before its write would.
 
-    def stall(self, host: Host, action: Any) -> bool:
-        """Hold one action back, as a pause just before its write would."""
+        Return whether the action is delayed.
+        """
         stall_s = host.stalls.pop(type(action).__name__, 0)
         if stall_s:
-            moment = self.now + stall_s
-            self.at(moment, partial(self.perform, action, self, host))
+            instant = self.now + stall_s
+            self.schedule(instant, partial(self.perform, action, self, host))
         return stall_s > 0
 
-    def pump_engine(self, name: str) -> None:
-        """Pass on what an engine has done, and wake up for the next."""
+    def advance_engine(self, name: str) -> None:
+        """Forward the events of an engine, and schedule the next advance."""
         engine = self.engines[name]
         for event in engine.model.advance(self.now):
-            self._pass_on(engine, name, event)
-        moment = engine.model.get_next()
-        if moment < engine.wake_at or engine.wake_at <= self.now:
-            engine.wake_at = moment
-            if moment < float('inf'):
-                self.at(
-                    max(moment, self.now),
+            self._forward_event(engine, name, event)
+        instant = engine.model.get_next()
+        if instant < engine.wake_at or engine.wake_at <= self.now:
+            engine.wake_at = instant
+            if instant < float('inf'):
+                self.schedule(
+                    max(instant, self.now),
                     lambda: self._wake_engine(engine, name),
                 )
 
-    def end_engine(self, name: str) -> None:
-        """Let an engine end under a request; it is back after a while."""
-        known = self.counts.get(DEADLY_ENDS, 0)
-        self.counts[DEADLY_ENDS] = known + 1
+    def crash_engine(self, name: str) -> None:
+        """Crash an engine, and restart it after a delay."""
+        crashes = self.counts.get(DEADLY_CRASH_COUNTER, 0)
+        self.counts[DEADLY_CRASH_COUNTER] = crashes + 1
         self.kill_engine(name)
-        self.at(self.now + REVIVAL_S, lambda: self.revive_engine(name))
+        self.schedule(
+            self.now + RESTART_DELAY_S, lambda: self.revive_engine(name)
+        )
 
-    def fail(
+    def schedule_failure(
         self,
         route: Route,
         name: str,
@@ -377,9 +383,10 @@
         not_started: bool,
         ended: bool = False,
     ) -> None:
-        """Tell an instance that an attempt has failed.
+        """Schedule the failure of an attempt at an instance.
 
-        That an engine has ended is seen at once, all else after a while.
+        The end of an engine is noticed at once, other failures after the
+        connection timeout.
         """
         message = AttemptFailed(
             route.req_id,
@@ -389,15 +396,17 @@
             peer=name,
             ended=ended,
         )
-        wait_s = NEAR_S if ended else CONNECT_TIMEOUT_S
-        self.at(self.now + wait_s, lambda: self.tell(route.host, message))
+        delay_s = LOCAL_DELAY_S if ended else CONNECT_TIMEOUT_S
+        self.schedule(
+            self.now + delay_s, lambda: self.deliver_now(route.host, message)
+        )
 
     def _wake_engine(self, engine: EngineHost, name: str) -> None:
         if self.engines.get(name) is engine and engine.alive:
             engine.wake_at = min(engine.wake_at, self.now)
-            self.pump_engine(name)
+            self.advance_engine(name)
 
-    def _pass_on(
+    def _forward_event(
         self,
         engine: EngineHost,
         name: str,
@@ -408,46 +417,46 @@
             return
         if not self.can_reach(name, route.host.name):
             engine.routes.pop(event.hold)
-            self.fail(route, name, not_started=False)
+            self.schedule_failure(route, name, not_started=False)
             return
         self.deliver(route.host, name, _to_message(route, event))
 
-    def _arrive(self, host: Host, peer: str, message: Any) -> None:
+    def _receive(self, host: Host, peer: str, message: Any) -> None:
         if self.can_reach(peer, host.name):
-            self.tell(host, message)
+            self.deliver_now(host, message)
 
     def _schedule_tick(self, host: Host) -> None:
-        moment = host.node.get_next_timer()
-        if moment < host.tick_at or host.tick_at <= self.now:
-            host.tick_at = moment
-            if moment < float('inf'):
-                self.at(max(moment, self.now), lambda: self._tick(host))
+        instant = host.node.get_next_timer()
+        if instant < host.tick_at or host.tick_at <= self.now:
+            host.tick_at = instant
+            if instant < float('inf'):
+                self.schedule(max(instant, self.now), lambda: self._tick(host))
 
     def _tick(self, host: Host) -> None:
         if host.alive and not host.frozen and self.now >= host.tick_at:
             host.tick_at = float('inf')
-            self.tell(host, Tick())
+            self.deliver_now(host, Tick())
 
-    def _note_version(self, host: Host) -> None:
+    def _record_version(self, host: Host) -> None:
         number = host.node.state.version.number
         if number != host.version:
             host.version = number
-            self.note(EventType.version, who=host.name, number=number)
+            self.record(EventType.version, who=host.name, number=number)
 
-    def _break_if_frozen(self, host: Host, req: Request) -> None:
-        """The caller hangs up on an instance that sleeps."""
+    def _disconnect_if_frozen(self, host: Host, req: Request) -> None:
+        """Disconnect a caller of a frozen instance at its deadline."""
         if host.frozen and req.req_id in host.requests:
             host.requests.pop(req.req_id)
-            self._break(host, req.req_id)
+            self._break_connection(host, req.req_id)
             host.inbox.append(CallerDisconnected(req.req_id))
 
-    def _break_all(self, host: Host) -> None:
+    def _break_connections(self, host: Host) -> None:
         for req_id in tuple(host.requests):
             host.requests.pop(req_id)
-            self._break(host, req_id)
+            self._break_connection(host, req_id)
 
-    def _break(self, host: Host, req_id: str) -> None:
-        self.note(EventType.broken, who=host.name, req_id=req_id)
+    def _break_connection(self, host: Host, req_id: str) -> None:
+        self.record(EventType.broken, who=host.name, req_id=req_id)
         if self.on_broken:
             self.on_broken(req_id)
 
@@ -456,19 +465,19 @@
             return
         if host.node.is_drained():
             host.alive = False
-            self._break_all(host)
-            self.note(EventType.ended, who=host.name, text='drained')
-            self.refresh_list()
+            self._break_connections(host)
+            self.record(EventType.ended, who=host.name, text='drained')
+            self.update_instance_list()
         else:
-            moment = self.now + DRAIN_LOOK_S
-            self.at(moment, partial(self._end_when_drained, host))
+            instant = self.now + DRAIN_POLL_S
+            self.schedule(instant, partial(self._end_when_drained, host))
 
-    def _feed(self, host: Host, feed: 'Feed') -> None:
+    def _run_feed(self, host: Host, feed: 'Feed') -> None:
         if host.alive:
             if not host.frozen:
                 feed.read(self, host)
-            moment = self.now + feed.interval_s
-            self.at(moment, partial(self._feed, host, feed))
+            instant = self.now + feed.interval_s
+            self.schedule(instant, partial(self._run_feed, host, feed))
 
 
 def _to_message(route: Route, event: EngineEvent) -> Any:
