--- a/tests/test_bench_ablation.py
+++ b/tests/test_bench_ablation.py
@@ -18,7 +18,7 @@
     """The disabled mechanisms."""
 
     def test_every_mechanism_alone(self):
-        """Each row disables one mechanism, and each has its row."""
+        """The first row disables none, and each other one a mechanism."""
         disabled = [
             [
                 field.name
--- a/tests/test_bench_rests.py
+++ b/tests/test_bench_rests.py
@@ -37,5 +37,5 @@
             results['spare few'].served, results['spare'].served
         )
         self.assertLess(
-            results['spare few'].second_retries, results['spare'].second_retries
+            results['spare few'].rejected_twice, results['spare'].rejected_twice
         )
--- a/trestledock/bench/_rates.py
+++ b/trestledock/bench/_rates.py
@@ -204,7 +204,7 @@
         )
 
 
-#: The strategies by name; the last one is that of the product.
+#: The strategies by their names in the table; the product uses the last one.
 STRATEGIES: tuple[tuple[str, Callable[[Scenario], Strategy]], ...] = (
     (
         'equal parts, each one at once',
--- a/trestledock/bench/rests.py
+++ b/trestledock/bench/rests.py
@@ -75,15 +75,15 @@
 class Result:
     """The results of a strategy.
 
-    `second_retries` counts the requests whose first retry was rejected, and
-    `returns` the requests that the shedding targets served, by the full seconds
-    since the end of the shedding.
+    `retries` counts the attempts after the first one, `rejected_twice` the
+    requests whose first retry was rejected, and `returns` the requests that the
+    shedding targets served, by the full seconds since the end of the shedding.
     """
 
     served: int = 0
     refused: int = 0
     retries: int = 0
-    second_retries: int = 0
+    rejected_twice: int = 0
     returns: Counter[int] = field(default_factory=Counter)
 
 
@@ -140,20 +140,24 @@
             if self._handle_request(target, entry, at):
                 return
             at += NETWORK_DELAY_S
-            self.result.second_retries += number == 1
+            self.result.rejected_twice += number == 1
         self.result.refused += 1
 
     def _choose_target(self, usable: list[int], now: float) -> int:
         """Return the target with the fewest requests."""
         return min(
-            usable, key=lambda target: (self._count_queued(target, now), target)
+            usable,
+            key=lambda target: (self._count_requests(target, now), target),
         )
 
     def _handle_request(self, target: int, entry: int, now: float) -> bool:
         """Let a target serve a request; return whether it accepts it."""
-        waiting = self._count_queued(target, now)
+        request_count = self._count_requests(target, now)
         name = str(target)
-        if self.scenario.is_shedding(target, now) or waiting >= SLOTS + QUEUE:
+        if (
+            self.scenario.is_shedding(target, now)
+            or request_count >= SLOTS + QUEUE
+        ):
             until = now + BACKOFF_S
             jitter_s = get_jitter_s(BACKOFF_S, self.rng.random())
             backoff = Backoff(until + jitter_s, now, now)
@@ -167,11 +171,11 @@
         heappush(slots, max(heappop(slots), now) + WORK_S)
         self.result.served += 1
         if target < self.scenario.shedding:
-            over_s = now - self.scenario.from_s - self.scenario.for_s
-            self.result.returns[floor(over_s)] += 1
+            since_s = now - self.scenario.from_s - self.scenario.for_s
+            self.result.returns[floor(since_s)] += 1
         return True
 
-    def _count_queued(self, target: int, now: float) -> float:
+    def _count_requests(self, target: int, now: float) -> float:
         """Return the requests at a target, derived from its remaining work."""
         remaining_s = sum(max(0, at - now) for at in self.free_at[target])
         return remaining_s / WORK_S
@@ -204,6 +208,7 @@
     )
 
 
+#: The strategies by their names in the table.
 STRATEGIES: Mapping[str, TargetFilter] = MappingProxyType(
     {
         'alone': use_own_backoffs,
@@ -246,7 +251,7 @@
                 click.echo(
                     f'{entries} {shedding}/{targets} {for_s} {load} {name}: '
                     f'{result.served / total:.3f} {result.retries} '
-                    f'{result.second_retries} {result.returns[0] / usual:.2f} '
+                    f'{result.rejected_twice} {result.returns[0] / usual:.2f} '
                     f'{result.returns[1] / usual:.2f} '
                     f'{result.returns[2] / usual:.2f}'
                 )
--- a/trestledock/proof/_matrix.py
+++ b/trestledock/proof/_matrix.py
@@ -140,13 +140,15 @@
     world = run.get_world()
     world.run_until(run.end)
     world.record_memory()
-    found = check_all(world.history)
+    violations = check_all(world.history)
     requests = sum(event.kind is EventType.invoked for event in world.history)
     return CellResult(
         cell.name,
         requests,
         tuple(
-            f'{name}: {line}' for name, lines in found.items() for line in lines
+            f'{name}: {line}'
+            for name, lines in violations.items()
+            for line in lines
         ),
     )
 
--- a/trestledock/proof/_scenario.py
+++ b/trestledock/proof/_scenario.py
@@ -94,11 +94,11 @@
     if seed is not None:
         run.plan.seed = seed
     for number, line in enumerate(text.splitlines(), start=1):
-        arguments = shlex.split(line, comments=True)
-        if not arguments:
+        words = shlex.split(line, comments=True)
+        if not words:
             continue
         try:
-            _VERBS[arguments[0]](run, arguments[1:])
+            _VERBS[words[0]](run, words[1:])
         except (KeyError, ValueError, IndexError) as exc:
             raise ScenarioError(f'line {number}: {line}: {exc!r}') from exc
     return run
@@ -114,13 +114,13 @@
         for name, lines in check_all(world.history).items()
         for line in lines
     ]
-    for arguments in run.expectations:
-        violations.extend(_EXPECTATIONS[arguments[0]](run, arguments[1:]))
+    for words in run.expectations:
+        violations.extend(_EXPECTATIONS[words[0]](run, words[1:]))
     return violations
 
 
 def _parse_options(arguments: list[str]) -> dict[str, str]:
-    pairs = (word.partition('=') for word in arguments)
+    pairs = (argument.partition('=') for argument in arguments)
     return {name: text for name, _, text in pairs}
 
 
@@ -130,8 +130,8 @@
 
 def _fleet(run: Run, arguments: list[str]) -> None:
     data_centres = []
-    for word in arguments:
-        name, *numbers = word.split(':')
+    for argument in arguments:
+        name, *numbers = argument.split(':')
         instances, engines, services = (int(text) for text in numbers)
         data_centres.append(DataCentre(name, instances, engines, services))
     run.plan.data_centres = tuple(data_centres)
@@ -240,23 +240,23 @@
 
 
 def _cut(world: World, arguments: list[str]) -> None:
-    left = frozenset(_expand_places(world, arguments[0]))
-    right = frozenset(_expand_places(world, arguments[1]))
+    left = frozenset(_expand_hosts(world, arguments[0]))
+    right = frozenset(_expand_hosts(world, arguments[1]))
     world.faults.cuts.append((left, right - left))
 
 
-def _expand_places(world: World, text: str) -> list[str]:
+def _expand_hosts(world: World, text: str) -> list[str]:
     """Return the hosts that a text names: hosts, data centres, or `rest`."""
-    places = {'platform': 'platform'}
+    data_centres_by_host = {'platform': 'platform'}
     for name in (*world.hosts, *world.engines, *world.services):
-        places[name] = world.get_data_centre(name)
+        data_centres_by_host[name] = world.get_data_centre(name)
     names = text.split(',')
     if 'rest' in names:
-        return list(places)
+        return list(data_centres_by_host)
     return [
-        place
-        for place, site in places.items()
-        if place in names or site in names
+        host
+        for host, data_centre in data_centres_by_host.items()
+        if host in names or data_centre in names
     ]
 
 
@@ -396,9 +396,9 @@
         for event in run.get_world().history
         if event.kind is EventType.published
     ]
-    found = verdicts.count('conflict')
+    count = verdicts.count('conflict')
     wanted = int(arguments[0])
-    return [] if found == wanted else [f'{found} conflicts: {verdicts}']
+    return [] if count == wanted else [f'{count} conflicts: {verdicts}']
 
 
 def _make_share_check(outcome: Outcome) -> Expectation:
--- a/trestledock/proof/_world.py
+++ b/trestledock/proof/_world.py
@@ -272,11 +272,11 @@
         else:
             target.reports_draining = True
 
-    def can_reach(self, source: str, other: str) -> bool:
+    def can_reach(self, first: str, second: str) -> bool:
         """Return whether no partition separates two hosts."""
         return not any(
-            (source in left and other in right)
-            or (source in right and other in left)
+            (first in left and second in right)
+            or (first in right and second in left)
             for left, right in self.faults.cuts
         )
 
@@ -287,11 +287,11 @@
         target = self.engines.get(name) or self.services.get(name)
         return target.info.labels['data_centre'] if target else ''
 
-    def get_delay(self, source: str, other: str) -> float:
+    def get_delay(self, source: str, destination: str) -> float:
         """Return a random one-way delay between two hosts."""
         base = (
             LOCAL_DELAY_S
-            if self.get_data_centre(source) == self.get_data_centre(other)
+            if self.get_data_centre(source) == self.get_data_centre(destination)
             else REMOTE_DELAY_S
         )
         factor = self.rng.uniform(*JITTER_FACTORS)
