--- a/tests/processes.py
+++ b/tests/processes.py
@@ -16,7 +16,7 @@
 BINARY = ROOT / 'build' / 'trestledock.pyz'
 MODEL = 'ledger-70b::3'
 SITES = ('halle-landshut', 'halle-passau', 'halle-freising')
-PATIENCE_S = 60
+TIMEOUT_S = 60
 
 
 def build_once():
@@ -28,7 +28,7 @@
 
 def wait_for(check, condition):
     """Wait until `check` returns true; the timeout is very generous."""
-    deadline = time.monotonic() + PATIENCE_S
+    deadline = time.monotonic() + TIMEOUT_S
     while time.monotonic() < deadline:
         try:
             if check():
@@ -112,7 +112,7 @@
         answer = httpx.post(
             f'{self.urls[0]}/admin/publish',
             content=(ROOT / 'examples' / 'huber.yaml').read_bytes(),
-            timeout=PATIENCE_S,
+            timeout=TIMEOUT_S,
         )
         for url in self.urls:
             wait_for(lambda: self.is_settled(url), f'{url} ready')
--- a/tests/test_entry_gossip.py
+++ b/tests/test_entry_gossip.py
@@ -87,7 +87,7 @@
                     ([name for name, _ in changes], len(addresses), whole)
                 )
 
-            gossip.state.board.own.update(own)
+            gossip.state.load_table.own.update(own)
             gossip._send_flights = send_flights
             gossip._send_remote_states()
             self.assertEqual(sent, [(['b'], MAX_FULL_MESH, True)])
@@ -118,7 +118,9 @@
             now = anyio.current_time()
             gossip._drop_silent(now + MIN_TIMEOUT_S + 0.5)
             self.assertEqual(len(gossip.peers.known), MAX_FULL_MESH)
-            self.assertEqual(gossip.state.board.count_peers(), MAX_FULL_MESH)
+            self.assertEqual(
+                gossip.state.load_table.count_peers(), MAX_FULL_MESH
+            )
             gossip._drop_silent(now + 3 * TIMEOUT_INTERVALS + 0.5)
             self.assertEqual(gossip.peers.known, {})
 
--- a/tests/test_entry_leaving.py
+++ b/tests/test_entry_leaving.py
@@ -207,7 +207,7 @@
         async def scenario(world):
             now = anyio.current_time()
             for name in 'xyz':
-                world.state.board.put(
+                world.state.load_table.put(
                     Flight(name, 't1', 230_000, 900, Phase.prefill, since=now)
                 )
             return await world.ask(headers=SIZES)
--- a/tests/test_entry_loads.py
+++ b/tests/test_entry_loads.py
@@ -72,10 +72,10 @@
 
     def test_remote_flights_are_known(self):
         async def scenario(own, other, calls):
-            other.state.board.put(make_flight('a', 't1'))
+            other.state.load_table.put(make_flight('a', 't1'))
             await own.state.refresh_loads()
             now = anyio.current_time()
-            flights = own.state.board.get_flights('t1')
+            flights = own.state.load_table.get_flights('t1')
             return [
                 flight.target for flight in flights
             ], own.state.get_known_remote_loads(now)
@@ -84,11 +84,11 @@
 
     def test_remote_flights_expire(self):
         async def scenario(own, other, calls):
-            other.state.board.put(make_flight('a', 't1'))
+            other.state.load_table.put(make_flight('a', 't1'))
             await own.state.refresh_loads()
             await anyio.sleep(1)
             known = own.state.get_known_remote_loads(anyio.current_time())
-            return known, tuple(own.state.board.get_flights('t1'))
+            return known, tuple(own.state.load_table.get_flights('t1'))
 
         self.assertEqual(self.run_pair(scenario), (set(), ()))
 
@@ -97,9 +97,11 @@
 
         async def scenario(own, other, calls):
             flight = make_flight('a', 't1')
-            other.state.board.apply_update('p0', 9, [('a', flight)], whole=True)
+            other.state.load_table.apply_update(
+                'p0', 9, [('a', flight)], whole=True
+            )
             await own.state.refresh_loads()
-            return tuple(own.state.board.get_flights('t1'))
+            return tuple(own.state.load_table.get_flights('t1'))
 
         self.assertEqual(self.run_pair(scenario), ())
 
@@ -147,13 +149,13 @@
 
         async def main():
             entry = Entry(OWN)
-            board = entry.state.board
+            load_table = entry.state.load_table
             entry.sent.clear()
-            board.put(make_flight('a', target))
-            changes = list(board.pop_changes().items())
+            load_table.put(make_flight('a', target))
+            changes = list(load_table.pop_changes().items())
             entry.gossip._send_remote_changes(changes)
-            board.remove('a')
-            changes = list(board.pop_changes().items())
+            load_table.remove('a')
+            changes = list(load_table.pop_changes().items())
             entry.gossip._send_remote_changes(changes)
             places = entry.gossip.addresses.data_centres
             return [
--- a/tests/test_entry_notices.py
+++ b/tests/test_entry_notices.py
@@ -47,7 +47,9 @@
     found = set()
 
     async def scenario(world):
-        world.state.board.put(Flight('x', 't1', 9, 9, Phase.prefill, since=0))
+        world.state.load_table.put(
+            Flight('x', 't1', 9, 9, Phase.prefill, since=0)
+        )
         await world.ask()
         found.update(world.state.fleet.draining)
 
--- a/tests/test_entry_selecting.py
+++ b/tests/test_entry_selecting.py
@@ -55,7 +55,7 @@
             )
             state.fleet.put(target)
             if place == OWN:
-                state.board.put(make_reading(name))
+                state.load_table.put(make_reading(name))
     return state
 
 
--- a/tests/test_entry_sending.py
+++ b/tests/test_entry_sending.py
@@ -126,16 +126,16 @@
         results = []
 
         async def scenario(world):
-            board = world.state.board
+            load_table = world.state.load_table
             send_own = world.state.send_own_changes
 
             def send_and_receive():
                 send_own()
                 if not results:
-                    flight = next(iter(board.own.values()))
+                    flight = next(iter(load_table.own.values()))
                     results.append(flight)
                     other = make_other(flight)
-                    board.apply_update(
+                    load_table.apply_update(
                         'p', 1, [(other.flight_id, other)], whole=True
                     )
 
--- a/tests/test_entry_words.py
+++ b/tests/test_entry_words.py
@@ -181,11 +181,11 @@
                         replace_field(message, name, {}), SENDER
                     )
             self.assertEqual(
-                (gossip.peers.known, state.board.count_peers()), ({}, 0)
+                (gossip.peers.known, state.load_table.count_peers()), ({}, 0)
             )
             self.assertFalse(exchange.renew_proof('e'))
             gossip.handle_datagram(encode_message(MESSAGES[0], now=2), SENDER)
             self.assertEqual(set(gossip.peers.known), {'e'})
-            self.assertEqual(len(list(state.board.get_flights('t1@5'))), 1)
+            self.assertEqual(len(list(state.load_table.get_flights('t1@5'))), 1)
 
         anyio.run(main)
--- a/tests/test_processes.py
+++ b/tests/test_processes.py
@@ -7,7 +7,7 @@
 
 import httpx
 
-from tests.processes import PATIENCE_S, ROOT, Processes, wait_for
+from tests.processes import TIMEOUT_S, ROOT, Processes, wait_for
 
 TEAM = {'trestledock-team': 'retail-assistant'}
 KIOSK = {'trestledock-team': 'kiosks'}
@@ -27,7 +27,7 @@
         f'{url}/v1/completions',
         json={**BODY, 'stream': True, **changes},
         headers=TEAM,
-        timeout=PATIENCE_S,
+        timeout=TIMEOUT_S,
     ) as response:
         for line in response.iter_lines():
             if line.startswith('data: {'):
@@ -47,7 +47,7 @@
             f'{self.processes.urls[number]}/call/booking/topup',
             json={'amount': 10},
             headers={**KIOSK, 'idempotency-key': key, **headers},
-            timeout=PATIENCE_S,
+            timeout=TIMEOUT_S,
         )
 
     def complete(self, number=0, **changes):
@@ -55,7 +55,7 @@
             f'{self.processes.urls[number]}/v1/completions',
             json={**BODY, **changes},
             headers=TEAM,
-            timeout=PATIENCE_S,
+            timeout=TIMEOUT_S,
         )
 
     def test_a_published_to_all_instances(self):
@@ -135,7 +135,7 @@
             f'{self.processes.urls[0]}/v1/completions',
             json={**BODY, 'prompt': 'word' * 200_000},
             headers={**TEAM, 'trestledock-deadline-ms': '3000'},
-            timeout=PATIENCE_S,
+            timeout=TIMEOUT_S,
         )
         self.assertEqual(response.json()['reason'], 'deadline_unreachable')
         self.assertGreater(int(response.headers['retry-after']), 0)
@@ -154,7 +154,7 @@
         response = httpx.post(
             f'{self.processes.urls[0]}/admin/publish',
             content=b'teams: [{nam: x}]',
-            timeout=PATIENCE_S,
+            timeout=TIMEOUT_S,
         )
         self.assertEqual(response.json()['verdict'], 'conflict')
         self.assertIn('nearest known: name', response.json()['detail'])
@@ -179,7 +179,7 @@
         child.send_signal(signal.SIGTERM)
         caller.join()
         self.assertEqual(events[-1]['outcome'], 'answered')
-        self.assertEqual(child.wait(PATIENCE_S), 0)
+        self.assertEqual(child.wait(TIMEOUT_S), 0)
 
     def test_y_killed_with_a_caller(self):
         url = self.processes.urls[1]
@@ -197,7 +197,7 @@
             lambda: any(self.processes.get_used_tokens()), 'a running stream'
         )
         self.processes.kill(1)
-        caller.join(PATIENCE_S)
+        caller.join(TIMEOUT_S)
         self.assertEqual(len(results), 1)
 
     def test_z_engines_are_free_in_the_end(self):
--- a/tests/test_relaying.py
+++ b/tests/test_relaying.py
@@ -78,7 +78,7 @@
         targets = [StubTarget(*repeat(other, 9)), StubTarget(make_answer())]
 
         async def scenario(world):
-            world.state.board.put(
+            world.state.load_table.put(
                 Flight('x', 't1', 9, 9, Phase.prefill, since=0)
             )
             outcome = await world.ask()
@@ -382,6 +382,6 @@
                 group.cancel_scope.cancel()
             with anyio.fail_after(5):
                 await target.closed.wait()
-            self.assertEqual(world.state.board.own, {})
+            self.assertEqual(world.state.load_table.own, {})
 
         run_world(ONCE, [target], scenario)
--- a/tests/test_standin_crashes.py
+++ b/tests/test_standin_crashes.py
@@ -7,7 +7,7 @@
 
 import httpx
 
-from tests.processes import PATIENCE_S, Processes, wait_for
+from tests.processes import TIMEOUT_S, Processes, wait_for
 
 TEAM = {'trestledock-team': 'kiosks'}
 MARKER = 'deadly'
@@ -68,9 +68,9 @@
         """Send the marked call; restart the service if the call crashed it."""
         url = processes.urls[number % len(processes.urls)]
         response = httpx.post(
-            f'{url}/call/booking/{MARKER}', headers=TEAM, timeout=PATIENCE_S
+            f'{url}/call/booking/{MARKER}', headers=TEAM, timeout=TIMEOUT_S
         )
         if not response.json()['type'].endswith('not_run'):
-            processes.child.wait(PATIENCE_S)
+            processes.child.wait(TIMEOUT_S)
             processes.start_service()
         return response
--- a/trestledock/entry/_gossip.py
+++ b/trestledock/entry/_gossip.py
@@ -166,7 +166,7 @@
 
     def send_own_changes(self) -> None:
         """Send the own in-flight requests that changed since the last time."""
-        changes = list(self.state.board.pop_changes().items())
+        changes = list(self.state.load_table.pop_changes().items())
         if changes:
             again_s = self._get_full_state_interval_s()
             self._send_flights(
@@ -186,7 +186,7 @@
         self._record_sender(message, now)
         if is_new:
             self._add_peer(message.sender, sender)
-        return self.state.board.apply_update(
+        return self.state.load_table.apply_update(
             message.sender,
             message.sequence,
             message.changes,
@@ -229,7 +229,7 @@
     def _send_full_state(
         self, addresses: Sequence[Address], again_s: float
     ) -> None:
-        own = list(self.state.board.own.items())[:MAX_FLIGHTS]
+        own = list(self.state.load_table.own.items())[:MAX_FLIGHTS]
         self._send_flights(own, addresses, whole=True, again_s=again_s)
 
     async def _poll(self) -> None:
@@ -313,7 +313,7 @@
 
     def _send_remote_states(self) -> None:
         """Send other data centres the in-flight requests at their targets."""
-        own = list(self.state.board.own.items())[:MAX_FLIGHTS]
+        own = list(self.state.load_table.own.items())[:MAX_FLIGHTS]
         remote = self.addresses.get_far(many=self.state.many_entries)
         for data_centre, addresses in remote.items():
             changes = [
@@ -352,7 +352,7 @@
         peer = self.peers.known.pop(name)
         if peer.draining:
             self.addresses.record_shutdown(peer.address)
-        self.state.board.drop_sender(name)
+        self.state.load_table.drop_sender(name)
         emit(events.PeerLost(name))
 
     def _get_near(self) -> list[Address]:
--- a/trestledock/entry/_loads.py
+++ b/trestledock/entry/_loads.py
@@ -86,7 +86,7 @@
             for name, peer in self.gossip.peers.known.items()
             if peer.data_centre == data_centre
         }
-        flights = self.state.board.get_flights_except(left_out)
+        flights = self.state.load_table.get_flights_except(left_out)
         rows = [
             encode_change(flight.flight_id, flight, now)
             for flight in summarize_load(flights, targets, now)
@@ -122,7 +122,7 @@
             return
         self._silent_at.pop(data_centre, None)
         self.state.remote_loads[data_centre] = RemoteLoad(asked_at, flights)
-        self.state.board.set_remote_load(data_centre, flights)
+        self.state.load_table.set_remote_load(data_centre, flights)
 
 
 def _read_flights(answer: Mapping[str, Any], now: float) -> tuple[Flight, ...]:
--- a/trestledock/entry/_selecting.py
+++ b/trestledock/entry/_selecting.py
@@ -68,7 +68,7 @@
     try:
         return await _select_in_turn(state, job)
     finally:
-        state.turns.remove(job.call.req_id)
+        state.wait_queue.remove(job.call.req_id)
 
 
 async def _select_in_turn(state: EntryState, job: Job) -> Placement | Refusal:
@@ -86,7 +86,7 @@
         if isinstance(chosen, Placement) or (chosen and not waits):
             return chosen
         if _is_throttled(state, job, now):
-            state.turns.add(job.waiting_request)
+            state.wait_queue.add(job.waiting_request)
         await state.wait_for_change(PLACEMENT_RETRY_S)
 
 
@@ -260,7 +260,7 @@
     now: float,
 ) -> Placement | Refusal:
     chosen = choose_least_busy(
-        state.board,
+        state.load_table,
         state.health,
         targets,
         now,
--- a/trestledock/entry/_sending.py
+++ b/trestledock/entry/_sending.py
@@ -68,7 +68,7 @@
             self.state.budgets.record_request(job.service, now)
         reservation_ids: dict[str, str] = {}
         known = self._get_known_flights(flight, placement)
-        self.state.board.put(flight)
+        self.state.load_table.put(flight)
         self.state.record_sent(flight.target, now)
         self.state.notify_own()
         try:
@@ -104,7 +104,8 @@
         if not claims or not needs_claim(placement, flight.worth):
             return None
         return {
-            other.flight_id for other in self.state.board.get_colocated(flight)
+            other.flight_id
+            for other in self.state.load_table.get_colocated(flight)
         }
 
     async def _claim(
@@ -120,13 +121,13 @@
         await anyio.sleep(CLAIM_DELAY_S)
         self.state.receive_messages()
         return find_prior_claim(
-            flight, self.state.board.get_colocated(flight), known
+            flight, self.state.load_table.get_colocated(flight), known
         )
 
     def _clean_up(
         self, flight_id: str, reservation_ids: dict[str, str]
     ) -> None:
-        self.state.board.remove(flight_id)
+        self.state.load_table.remove(flight_id)
         self.state.notify_own()
         self.tickets.release(reservation_ids)
 
@@ -201,7 +202,7 @@
                 AttemptOutcome.not_sent, step.value, restrained.incarnation
             )
         if any(map(self.state.throttle.is_restrained, targets)):
-            self.state.turns.record_served(job.waiting_request, now)
+            self.state.wait_queue.record_served(job.waiting_request, now)
         return None
 
     async def _write_and_receive(
--- a/trestledock/entry/_state.py
+++ b/trestledock/entry/_state.py
@@ -97,10 +97,10 @@
     catalog: Catalog | None = None
     document: str = ''
     fleet: Fleet = field(default_factory=Fleet)
-    board: LoadTable = field(default_factory=LoadTable)
+    load_table: LoadTable = field(default_factory=LoadTable)
     health: Health = field(default_factory=Health)
     reach: Reachability = field(default_factory=Reachability)
-    turns: WaitQueue = field(default_factory=WaitQueue)
+    wait_queue: WaitQueue = field(default_factory=WaitQueue)
     ignored_notices: dict[str, dict[str, str]] = field(default_factory=dict)
     restores: RestoreTracker = field(default_factory=RestoreTracker)
     waits: set[Wait] = field(default_factory=set)
@@ -129,7 +129,7 @@
         self.isolation = Isolation(self.health, self.fleet)
         self.proof = FreshnessProof(self.settings.revoke_s)
         self.placer = Placer(
-            self.board,
+            self.load_table,
             self.health,
             self.member,
             self.settings.data_centre,
@@ -249,7 +249,7 @@
         for data_centre, load in tuple(self.remote_loads.items()):
             if not load.is_fresh(now):
                 self.remote_loads.pop(data_centre)
-                self.board.set_remote_load(data_centre, ())
+                self.load_table.set_remote_load(data_centre, ())
         return set(self.remote_loads)
 
     def count_entries(self) -> int:
@@ -258,7 +258,7 @@
         Silent entries count too in what all entries share, as they may only be
         cut off.
         """
-        active = self.board.count_peers() + 1
+        active = self.load_table.count_peers() + 1
         return max(active, self.throttle.get_members().known_count)
 
     def record_list(
@@ -326,7 +326,7 @@
             'targets_held': len(self.fleet.retained),
             'targets_leaving': self.fleet.count_draining(),
             'list_age_seconds': self.get_list_age_s(now),
-            'peers': self.board.count_peers(),
+            'peers': self.load_table.count_peers(),
             'targets_resting': self._count_backed_off(now),
             'rate_limits': len(self.notices.get_in_force(RateLimit)),
             'rate_quota_per_second': self._get_quota_sum(),
--- a/trestledock/entry/_store_repair.py
+++ b/trestledock/entry/_store_repair.py
@@ -79,7 +79,7 @@
         """Write the data that the copy lacks, once in each epoch."""
         restores = self.state.restores
         epoch = restores.epoch
-        if not restores.has_lived_through or epoch == self._repaired_epoch:
+        if not restores.has_seen_restore or epoch == self._repaired_epoch:
             return
         await anyio.sleep(self.state.rng.uniform(0, MAX_DELAY_S))
         await self._write_addresses()
--- a/trestledock/entry/_streaming.py
+++ b/trestledock/entry/_streaming.py
@@ -115,7 +115,7 @@
 
     def _record_first_event(self) -> None:
         now = anyio.current_time()
-        flight = self.state.board.own.get(self.job.call.req_id)
+        flight = self.state.load_table.own.get(self.job.call.req_id)
         emit(
             events.FirstEvent(
                 req=self.job.call.req_id,
@@ -124,7 +124,7 @@
                 predicted_ms=round(self.placement.first_token_s * MS),
             ),
         )
-        self.state.board.start_decode(self.job.call.req_id, now)
+        self.state.load_table.start_decode(self.job.call.req_id, now)
         self.state.notify_own()
 
     async def _start(self, head: Head) -> None:
--- a/trestledock/entry/_throttling.py
+++ b/trestledock/entry/_throttling.py
@@ -39,7 +39,7 @@
         now,
     )
     if all(map(state.throttle.is_restrained, free)):
-        return [] if state.turns.count_ahead(job.waiting_request) else free
+        return [] if state.wait_queue.count_ahead(job.waiting_request) else free
     return free
 
 
@@ -73,7 +73,7 @@
     back-off it is spread at random, so that callers return at different times.
     """
     restrained = get_restrained(state, job)
-    ahead = state.turns.count_ahead(job.waiting_request)
+    ahead = state.wait_queue.count_ahead(job.waiting_request)
     wait_s = state.throttle.get_wait_s(restrained, ahead, now)
     timing = job.timing
     if (
--- a/trestledock/entry/_timeouts.py
+++ b/trestledock/entry/_timeouts.py
@@ -89,10 +89,12 @@
     def is_waiting_for_memory(self, job: Job, placement: Placement) -> bool:
         """Return whether a silent target is known to wait for memory."""
         engine = get_engine_model(self.state, job)
-        own = self.state.board.own.get(job.call.req_id)
+        own = self.state.load_table.own.get(job.call.req_id)
         if engine is None or own is None:
             return False
-        flights = self.state.board.get_flights(placement.target.incarnation)
+        flights = self.state.load_table.get_flights(
+            placement.target.incarnation
+        )
         return is_waiting_for_memory(own, flights, engine.capacity_tokens)
 
     def may_fail_over(self, job: Job, placement: Placement) -> bool:
--- a/trestledock/relay/_restore_tracker.py
+++ b/trestledock/relay/_restore_tracker.py
@@ -25,7 +25,7 @@
     never restored.  `peer_epoch` is the newest epoch that another instance
     reported.  `recorded_epoch` is the newest epoch of which the store says that
     an instance waited there for missing records, and `complete_epoch` the
-    newest one known to be complete for that reason.  `has_lived_through` is set
+    newest one known to be complete for that reason.  `has_seen_restore` is set
     if the store was restored while this instance ran.
 
     >>> restores = RestoreTracker()
@@ -45,14 +45,14 @@
     recorded_epoch: int | None = None
     complete_epoch: int | None = None
     epoch_seen_at: float = float('-inf')
-    has_lived_through: bool = False
+    has_seen_restore: bool = False
 
     def record_epoch(self, epoch: int | None, now: float) -> bool:
         """Record the epoch of a read; return whether the store was restored."""
         if epoch == self.epoch:
             return False
         is_restored = self.epoch is not None
-        self.has_lived_through = is_restored
+        self.has_seen_restore = is_restored
         self.epoch = epoch
         self.epoch_seen_at = now
         return is_restored and epoch != self.peer_epoch
@@ -79,7 +79,7 @@
         self.recorded_epoch = recorded
         if recorded is not None:
             self.complete_epoch = recorded
-        elif _rank(self.epoch) <= FIRST_EPOCH and not self.has_lived_through:
+        elif _rank(self.epoch) <= FIRST_EPOCH and not self.has_seen_restore:
             self.complete_epoch = self.epoch
 
     def needs_record(self, now: float) -> bool:
--- a/trestledock/standin/_engine.py
+++ b/trestledock/standin/_engine.py
@@ -160,13 +160,13 @@
                 media_type='text/event-stream',
             )
         event = await receive.receive()
-        return JSONResponse({'hold': event.hold, 'stop': event.stop})
+        return JSONResponse({'hold': event.reservation_id, 'stop': event.stop})
 
     async def resume_stream(self, request: Request) -> Response:
         """Resume a stream from a token index on, starting with past tokens."""
         body = await request.json()
         reservation_id = body['hold']
-        active = self.model.holds.get(reservation_id)
+        active = self.model.reservations.get(reservation_id)
         reservation = active or self.model.finished.get(reservation_id)
         if reservation is None:
             return JSONResponse({'detail': 'no such hold'}, status_code=404)
@@ -189,7 +189,7 @@
         The token count stands for the KV cache that a real engine would send.
         """
         body = await request.json()
-        reservation = self.model.holds.get(body['hold'])
+        reservation = self.model.reservations.get(body['hold'])
         if reservation is None:
             return JSONResponse({'detail': 'no such hold'}, status_code=404)
         return JSONResponse(
@@ -254,7 +254,10 @@
     async def get_reservations(self, request: Request) -> Response:
         """Return the KV memory in use and the reservations, for tests."""
         return JSONResponse(
-            {'used': self.model.used, 'holds': sorted(self.model.holds)},
+            {
+                'used': self.model.reserved_tokens,
+                'holds': sorted(self.model.reservations),
+            },
         )
 
     async def _stream_events(self, receive: Any) -> AsyncIterator[str]:
@@ -272,14 +275,14 @@
         while True:
             now = anyio.current_time()
             for event in self.model.advance(now):
-                listener = self.listeners.get(event.hold)
+                listener = self.listeners.get(event.reservation_id)
                 if listener:
                     _send_or_drop(listener, event)
                 if event.kind is not EventKind.chunk:
-                    self.listeners.pop(event.hold, None)
+                    self.listeners.pop(event.reservation_id, None)
             self._record_reports(now)
             self.wakeup = anyio.Event()
-            wait_s = min(MAX_SLEEP_S, self.model.get_next() - now)
+            wait_s = min(MAX_SLEEP_S, self.model.get_next_event_at() - now)
             with anyio.move_on_after(max(0, wait_s)):
                 await self.wakeup.wait()
 
--- a/trestledock/standin/_engine_model.py
+++ b/trestledock/standin/_engine_model.py
@@ -38,11 +38,11 @@
 class EventKind(str, Enum):
     """Kind of an event of a reservation.
 
-    `piece_done`: a job that only prefills is complete.  `chunk`: part of a
+    `prefill_done`: a job that only prefills is complete.  `chunk`: part of a
     stream was decoded.  `done`: the stream is complete.
     """
 
-    piece_done = 'piece_done'
+    prefill_done = 'piece_done'
     chunk = 'chunk'
     done = 'done'
 
@@ -52,7 +52,7 @@
     """An event of the reservation `hold` at the time `at`, in seconds."""
 
     at: float
-    hold: str
+    reservation_id: str
     kind: EventKind
     stop: int = 0
     chunk: Chunk | None = None
@@ -114,14 +114,14 @@
 
     spec: EngineSpec
     models: frozenset[str] = frozenset()
-    holds: dict[str, Reservation] = field(default_factory=dict)
+    reservations: dict[str, Reservation] = field(default_factory=dict)
     finished: OrderedDict[str, Reservation] = field(default_factory=OrderedDict)
     cancelled: OrderedDict[str, None] = field(default_factory=OrderedDict)
     cache: OrderedDict[str, None] = field(default_factory=OrderedDict)
     cache_log: list[tuple[str, bool]] = field(default_factory=list)
     accepted_tokens: int = 0
     fencing: int = -1
-    used: int = 0
+    reserved_tokens: int = 0
     _prefill_queue: list[tuple[int, int, float, str]] = field(
         default_factory=list
     )
@@ -134,7 +134,9 @@
     @property
     def running(self) -> int:
         """Number of streams that are being decoded."""
-        return sum(reservation.running for reservation in self.holds.values())
+        return sum(
+            reservation.running for reservation in self.reservations.values()
+        )
 
     def submit(
         self,
@@ -146,15 +148,15 @@
         """Accept a job, or raise `Rejected` if it certainly was not started."""
         self._run_until(now)
         self._check_job(job)
-        reservation = self.holds.get(job.hold)
+        reservation = self.reservations.get(job.hold)
         if reservation is None:
             reservation = Reservation(job.reserve, seed, job, prefix)
-            self.holds[job.hold] = reservation
-            self.used += job.reserve
+            self.reservations[job.hold] = reservation
+            self.reserved_tokens += job.reserve
         reservation.job = job
         tokens = job.stop - job.start
         if tokens == 0 and not job.generate:
-            self._emit(now, job.hold, EventKind.piece_done, stop=job.stop)
+            self._emit(now, job.hold, EventKind.prefill_done, stop=job.stop)
             return
         self.accepted_tokens += tokens
         self._job_count += 1
@@ -171,7 +173,7 @@
             self.cancelled.popitem(last=False)
         self._release(reservation_id)
 
-    def order(self, models: frozenset[str], fencing: int) -> bool:
+    def load_models(self, models: frozenset[str], fencing: int) -> bool:
         """Load exactly these models; return False if the order is outdated."""
         accepted = self.accept_fencing(fencing)
         if accepted:
@@ -192,7 +194,7 @@
         self._events = []
         return events
 
-    def get_next(self) -> float:
+    def get_next_event_at(self) -> float:
         """Return the time of the next event, or infinity if there is none."""
         event_times = (
             [self._current_prefill[0]] if self._current_prefill else []
@@ -209,7 +211,7 @@
         queued_tokens = [0 for _ in range(PRIORITY_COUNT)]
         waiting = [(entry[0], entry[2]) for entry in self._prefill_queue]
         if self._current_prefill:
-            reservation = self.holds.get(self._current_prefill[1])
+            reservation = self.reservations.get(self._current_prefill[1])
             remaining_s = self._current_prefill[0] - now
             waiting.append(
                 (reservation.job.priority if reservation else 0, remaining_s)
@@ -219,7 +221,7 @@
         return LoadReport(
             age_s=age_s,
             queued=tuple(queued_tokens),
-            free_tokens=self.spec.capacity_tokens - self.used,
+            free_tokens=self.spec.capacity_tokens - self.reserved_tokens,
             capacity_tokens=self.spec.capacity_tokens,
             rate=self.spec.rate,
             itl_s=self._get_itl(),
@@ -234,11 +236,11 @@
             raise Rejected('the hold was cancelled')
         if str(job.model) not in self.models:
             raise Rejected('the model is not loaded')
-        if job.hold in self.holds:
+        if job.hold in self.reservations:
             return
         if job.hold in self.finished:
             raise Rejected('the hold is finished')
-        if self.used + job.reserve > self.spec.capacity_tokens:
+        if self.reserved_tokens + job.reserve > self.spec.capacity_tokens:
             raise Rejected('not enough memory')
         if job.generate and self.running >= self.spec.max_batch:
             raise Rejected('the batch is full')
@@ -284,7 +286,7 @@
     def _start_next_prefill(self, now: float) -> None:
         while self._current_prefill is None and self._prefill_queue:
             _, _, prefill_s, reservation_id = heapq.heappop(self._prefill_queue)
-            if reservation_id in self.holds:
+            if reservation_id in self.reservations:
                 self._current_prefill = (now + prefill_s, reservation_id)
 
     def _finish_prefill(self) -> None:
@@ -292,7 +294,7 @@
             return
         at, reservation_id = self._current_prefill
         self._current_prefill = None
-        reservation = self.holds.get(reservation_id)
+        reservation = self.reservations.get(reservation_id)
         if reservation:
             self._fill_cache(reservation)
             if reservation.job.generate:
@@ -301,12 +303,14 @@
                 heapq.heappush(self._streams, entry)
             else:
                 stop = reservation.job.stop
-                self._emit(at, reservation_id, EventKind.piece_done, stop=stop)
+                self._emit(
+                    at, reservation_id, EventKind.prefill_done, stop=stop
+                )
         self._start_next_prefill(at)
 
     def _decode_next(self) -> None:
         at, reservation_id, index = heapq.heappop(self._streams)
-        reservation = self.holds.get(reservation_id)
+        reservation = self.reservations.get(reservation_id)
         if reservation is None:
             return
         end = reservation.job.first_index + reservation.job.max_tokens
@@ -328,9 +332,9 @@
         heapq.heappush(self._streams, (due_at, reservation_id, next_index))
 
     def _release(self, reservation_id: str) -> None:
-        reservation = self.holds.pop(reservation_id, None)
+        reservation = self.reservations.pop(reservation_id, None)
         if reservation:
-            self.used -= reservation.reserved_tokens
+            self.reserved_tokens -= reservation.reserved_tokens
             reservation.running = False
 
     def _fill_cache(self, reservation: Reservation) -> None:
