--- a/tests/test_entry_limits.py
+++ b/tests/test_entry_limits.py
@@ -152,7 +152,7 @@
     """Wait until an attempt has ended, and then longer than any timeout."""
     while not any(target.requests for target in targets):
         await anyio.sleep(0.01)
-    while state.board.own:
+    while state.load_table.own:
         await anyio.sleep(0.01)
     await anyio.sleep(0.4)
 
--- a/tests/test_entry_notices.py
+++ b/tests/test_entry_notices.py
@@ -112,7 +112,9 @@
 
         async def scenario(world):
             state = world.state
-            state.board.put(Flight('x', 't1', 9, 9, Phase.prefill, since=0))
+            state.load_table.put(
+                Flight('x', 't1', 9, 9, Phase.prefill, since=0)
+            )
             for number in range(1, len(later) + 2):
                 await world.ask(f'r{number}', **fields)
                 await anyio.sleep(0.4)
