--- a/tests/soak/__main__.py
+++ b/tests/soak/__main__.py
@@ -15,7 +15,7 @@
 import click
 
 from tests.soak.faults import PLANS
-from tests.soak.playing import Report, get_size, play
+from tests.soak.playing import Report, make_size, play
 from tests.soak.seeds import FAILED
 from tests.soak.world import PRODUCT, Size
 
@@ -52,7 +52,7 @@
     if again:
         runs = list(FAILED)
     for kind, number in runs:
-        size = replace(get_size(kind, number), run_s=run_s)
+        size = replace(make_size(kind, number), run_s=run_s)
         if entries:
             size = replace(size, entries=entries)
         folder = FOLDER / f'{kind}-{number}{patch}'
--- a/tests/soak/callers.py
+++ b/tests/soak/callers.py
@@ -20,55 +20,55 @@
 
 from tests.soak.client import Connection, connect
 from tests.soak.entries import Entry
-from tests.soak.ledger import Ask, Attempt, Ledger
-from tests.soak.serving import ENDS
+from tests.soak.ledger import RequestSpec, RequestRecord, Ledger
+from tests.soak.serving import CONNECTION_ERRORS
 from tests.soak.targets import DEADLY, count_events, get_body, make_event
 
 HOST = 'a.example'
 #: Paths by kind of request; the configuration has a route for each.
-KINDS = {
+REQUEST_KINDS = {
     'short': ('/notes/x', 'streaming', 'engines'),
     'long': ('/ledgers/x', 'streaming', 'engines'),
     'giant': ('/giants/x', 'streaming', 'engines'),
     'book': ('/book/x', 'non_idempotent', 'booking'),
     'look': ('/look/x', 'idempotent', 'booking'),
 }
-WEIGHTS = {'short': 10, 'long': 2, 'giant': 1, 'book': 6, 'look': 6}
+KIND_WEIGHTS = {'short': 10, 'long': 2, 'giant': 1, 'book': 6, 'look': 6}
 #: Prompt and output tokens, at least and at most, by kind of request.
-SIZES = {
+TOKEN_RANGES = {
     'short': ((1000, 9000), (300, 1500)),
     'long': ((40_000, 120_000), (200, 800)),
     'giant': ((240_000, 500_000), (200, 600)),
 }
 TIMEOUT_S = {'short': 8, 'long': 8, 'giant': 10, 'book': 3, 'look': 3}
 #: Share of requests whose caller leaves, and when at most, in seconds.
-LEAVE_SHARE = 0.05
-LEAVE_S = 0.6
+ABANDON_SHARE = 0.05
+ABANDON_MAX_S = 0.6
 #: Share of requests with a key that was taken away before.
 REVOKED_SHARE = 0.15
 #: Pause between two requests of a caller, in seconds; in a share of them a long
 #: one, so that some connections are idle until an entry that ends closes them.
 THINK_S = (0.02, 0.3)
 LONG_THINK_S = (2.5, 4.5)
-LONG_SHARE = 0.06
+LONG_THINK_SHARE = 0.06
 #: When callers that are idle as their entry is asked to end ask again, after
 #: that in seconds: around the end of its notice.
-AT_END_S = (2.85, 3.25)
+CLOSE_RACE_S = (2.85, 3.25)
 #: Requests that end their targets, their tokens, and the pauses between two
 #: series of them, in seconds; they are as short as others beside.
 DEADLY_KINDS = ('short', 'look', 'book')
 DEADLY_SIZES = '3000,600'
-DEADLY_REST_SHARE = 0.4
-DEADLY_REST_S = (0.5, 4)
+DEADLY_PAUSE_SHARE = 0.4
+DEADLY_PAUSE_S = (0.5, 4)
 #: Pieces of a body at most, bytes of a piece at most, and the longest pause
 #: before each, in seconds.
-PIECES = 4
-PIECE_BYTES = 20_000
-PIECE_S = 0.5
+MAX_CHUNKS = 4
+MAX_CHUNK_BYTES = 20_000
+MAX_CHUNK_PAUSE_S = 0.5
 #: Share of connections whose caller takes answers slowly.
 SLOW_SHARE = 0.3
-END = b'\n\n'
-OK = 200
+EVENT_END = b'\n\n'
+OK_STATUS = 200
 HALF = 0.5
 
 
@@ -106,12 +106,12 @@
     ledger: Ledger
     keys: Keys
     rng: Random
-    is_over: Callable[[], bool]
+    is_finished: Callable[[], bool]
 
     async def run(self) -> None:
         """Ask until the run is over."""
         numbers = count()
-        while not self.is_over():
+        while not self.is_finished():
             entry = self._pick_entry()
             if entry is None:
                 await anyio.sleep(0.1)
@@ -122,39 +122,45 @@
                 await anyio.sleep(THINK_S[1])
                 continue
             async with conn.stream:
-                kept = True
-                while kept and not self.is_over() and conn.is_open():
-                    kept = await self._ask(conn, entry, next(numbers))
+                reusable = True
+                while reusable and not self.is_finished() and conn.is_open():
+                    reusable = await self._perform_request(
+                        conn, entry, next(numbers)
+                    )
                     await self._think()
-                    await self._wait_for_end(entry)
+                    await self._wait_until_close(entry)
 
     async def _think(self) -> None:
-        is_long = self.rng.random() < LONG_SHARE
+        is_long = self.rng.random() < LONG_THINK_SHARE
         await anyio.sleep(
             self.rng.uniform(*LONG_THINK_S if is_long else THINK_S)
         )
 
-    async def _wait_for_end(self, entry: Entry) -> None:
+    async def _wait_until_close(self, entry: Entry) -> None:
         """Ask an entry just as it closes, at times."""
         if self.rng.random() < HALF:
-            at = entry.asked_at + self.rng.uniform(*AT_END_S)
+            at = entry.asked_at + self.rng.uniform(*CLOSE_RACE_S)
             wait_s = at - time.monotonic()
-            if wait_s < AT_END_S[1]:
+            if wait_s < CLOSE_RACE_S[1]:
                 await anyio.sleep(max(0, wait_s))
 
     def _pick_entry(self) -> Entry | None:
         ready = [one for one in self.entries if one.in_rotation]
         return self.rng.choice(ready) if ready else None
 
-    def _draw(self, req_id: str, body: bytes) -> Ask:
-        kind = self.rng.choices(list(WEIGHTS), list(WEIGHTS.values()))[0]
+    def _draw_request(self, req_id: str, body: bytes) -> RequestSpec:
+        kind = self.rng.choices(
+            list(KIND_WEIGHTS), list(KIND_WEIGHTS.values())
+        )[0]
         key, team = self.keys.pick_any(self.rng)
-        path, route_kind, service = KINDS[kind]
+        path, route_kind, service = REQUEST_KINDS[kind]
         sizes = ''
-        if kind in SIZES:
-            prompt, output = (self.rng.randint(*one) for one in SIZES[kind])
+        if kind in TOKEN_RANGES:
+            prompt, output = (
+                self.rng.randint(*one) for one in TOKEN_RANGES[kind]
+            )
             sizes = f'{prompt},{output}'
-        return Ask(
+        return RequestSpec(
             req_id=req_id,
             kind=route_kind,
             key=key,
@@ -167,60 +173,64 @@
             timeout_s=TIMEOUT_S[kind],
         )
 
-    def _draw_pieces(self) -> list[bytes]:
+    def _draw_chunks(self) -> list[bytes]:
         return [
-            self.rng.randbytes(self.rng.randint(1, PIECE_BYTES))
-            for _ in range(self.rng.randint(0, PIECES))
+            self.rng.randbytes(self.rng.randint(1, MAX_CHUNK_BYTES))
+            for _ in range(self.rng.randint(0, MAX_CHUNKS))
         ]
 
-    async def _ask(self, conn: Connection, entry: Entry, number: int) -> bool:
+    async def _perform_request(
+        self, conn: Connection, entry: Entry, number: int
+    ) -> bool:
         """Send one request; return whether the connection may be kept."""
-        pieces = self._draw_pieces()
-        ask = self._draw(f'{self.name}-{number}', b''.join(pieces))
+        chunks = self._draw_chunks()
+        spec = self._draw_request(f'{self.name}-{number}', b''.join(chunks))
         now = time.monotonic()
-        attempt = Attempt(ask, entry.name, now, slow=conn.slow)
-        self.ledger.attempts[ask.req_id] = attempt
-        leaving = self.rng.random() < LEAVE_SHARE
-        wait_s = ask.timeout_s + 2
-        if leaving:
-            wait_s = self.rng.uniform(0, LEAVE_S)
+        request = RequestRecord(spec, entry.name, now, slow=conn.slow)
+        self.ledger.requests[spec.req_id] = request
+        abandons = self.rng.random() < ABANDON_SHARE
+        wait_s = spec.timeout_s + 2
+        if abandons:
+            wait_s = self.rng.uniform(0, ABANDON_MAX_S)
         with anyio.move_on_after(wait_s) as scope:
             async with anyio.create_task_group() as group:
-                group.start_soon(self._send, conn, attempt, pieces)
-                await _take(conn, attempt)
+                group.start_soon(self._send, conn, request, chunks)
+                await _receive(conn, request)
                 group.cancel_scope.cancel()
         now = time.monotonic()
-        if scope.cancelled_caught and leaving:
-            attempt.left_at = now
+        if scope.cancelled_caught and abandons:
+            request.left_at = now
         elif not scope.cancelled_caught:
-            attempt.ended_at = now
-        return attempt.whole and conn.is_kept()
+            request.ended_at = now
+        return request.whole and conn.reuse()
 
     async def _send(
-        self, conn: Connection, attempt: Attempt, pieces: list[bytes]
+        self, conn: Connection, request: RequestRecord, chunks: list[bytes]
     ) -> None:
-        ask = attempt.ask
+        spec = request.ask
         headers = {
             'Host': HOST,
-            'Trestledock-Request-Id': ask.req_id,
-            'Trestledock-Request-Deadline': str(ask.timeout_s * 1000),
-            'Authorization': f'Bearer {ask.key}',
+            'Trestledock-Request-Id': spec.req_id,
+            'Trestledock-Request-Deadline': str(spec.timeout_s * 1000),
+            'Authorization': f'Bearer {spec.key}',
         }
-        if ask.sizes:
+        if spec.sizes:
             headers['Trestledock-Model'] = 'm'
-            headers['Trestledock-Token-Counts'] = ask.sizes
+            headers['Trestledock-Token-Counts'] = spec.sizes
         method = 'POST'
-        if ask.kind == 'idempotent':
-            method, pieces = 'GET', []
+        if spec.kind == 'idempotent':
+            method, chunks = 'GET', []
         else:
-            headers.update(_frame(pieces, chunked=self.rng.random() < HALF))
+            headers.update(
+                _get_framing_headers(chunks, chunked=self.rng.random() < HALF)
+            )
         head = h11.Request(
-            method=method, target=ask.path, headers=list(headers.items())
+            method=method, target=spec.path, headers=list(headers.items())
         )
-        pause_s = self.rng.uniform(0, PIECE_S)
-        with suppress(*ENDS):
-            await conn.send(head, pieces, pause_s)
-            attempt.whole_at = time.monotonic()
+        pause_s = self.rng.uniform(0, MAX_CHUNK_PAUSE_S)
+        with suppress(*CONNECTION_ERRORS):
+            await conn.send(head, chunks, pause_s)
+            request.whole_at = time.monotonic()
 
 
 @dataclass
@@ -230,18 +240,20 @@
     It asks now and then, in series, with keys of one team.
     """
 
-    which: int = 0
+    request_index: int = 0
 
-    def _draw(self, req_id: str, body: bytes) -> Ask:
-        kind = DEADLY_KINDS[self.which]
-        path, route_kind, service = KINDS[kind]
+    def _draw_request(self, req_id: str, body: bytes) -> RequestSpec:
+        kind = DEADLY_KINDS[self.request_index]
+        path, route_kind, service = REQUEST_KINDS[kind]
         team = min(self.keys.by_key.values())
-        mine = [key for key, one in self.keys.by_key.items() if one == team]
-        sizes = DEADLY_SIZES if kind in SIZES else ''
-        return Ask(
+        team_keys = [
+            key for key, one in self.keys.by_key.items() if one == team
+        ]
+        sizes = DEADLY_SIZES if kind in TOKEN_RANGES else ''
+        return RequestSpec(
             req_id=req_id,
             kind=route_kind,
-            key=min(mine),
+            key=min(team_keys),
             team=team,
             service=service,
             path=f'{path}-{DEADLY}',
@@ -251,69 +263,71 @@
             timeout_s=TIMEOUT_S[kind],
         )
 
-    def _draw_pieces(self) -> list[bytes]:
+    def _draw_chunks(self) -> list[bytes]:
         return [DEADLY.encode()]
 
     async def _think(self) -> None:
-        is_long = self.rng.random() < DEADLY_REST_SHARE
+        is_long = self.rng.random() < DEADLY_PAUSE_SHARE
         await anyio.sleep(
-            self.rng.uniform(*DEADLY_REST_S if is_long else THINK_S)
+            self.rng.uniform(*DEADLY_PAUSE_S if is_long else THINK_S)
         )
 
 
-def _frame(pieces: list[bytes], *, chunked: bool) -> dict[str, str]:
+def _get_framing_headers(
+    chunks: list[bytes], *, chunked: bool
+) -> dict[str, str]:
     if chunked:
         return {'Transfer-Encoding': 'chunked'}
-    return {'Content-Length': str(sum(map(len, pieces)))}
+    return {'Content-Length': str(sum(map(len, chunks)))}
 
 
-async def _take(conn: Connection, attempt: Attempt) -> None:
+async def _receive(conn: Connection, request: RequestRecord) -> None:
     """Take an answer to its end, or to the connection's."""
     try:
-        await _take_answer(conn, attempt)
-    except ENDS as exc:
+        await _receive_answer(conn, request)
+    except CONNECTION_ERRORS as exc:
         is_reset = isinstance(exc, anyio.BrokenResourceError)
-        attempt.unread = is_reset and not conn.used
+        request.unread = is_reset and not conn.used
 
 
-async def _take_answer(conn: Connection, attempt: Attempt) -> None:
+async def _receive_answer(conn: Connection, request: RequestRecord) -> None:
     body = b''
     event = await conn.receive()
     while not isinstance(event, h11.EndOfMessage):
         if isinstance(event, h11.Response):
             headers = {name.decode(): text for name, text in event.headers}
-            attempt.status = event.status_code
-            attempt.first_at = time.monotonic()
+            request.status = event.status_code
+            request.first_at = time.monotonic()
             seal = headers.get('trestledock-response-seal', b'')
-            attempt.seal = seal.decode()
+            request.seal = seal.decode()
         elif isinstance(event, h11.Data):
             body += event.data
-            if attempt.status == OK and attempt.ask.events:
-                body = _take_events(attempt, body)
+            if request.status == OK_STATUS and request.ask.events:
+                body = _check_events(request, body)
         elif isinstance(event, h11.ConnectionClosed):
             return
         event = await conn.receive()
-    attempt.whole = True
-    if attempt.status == OK:
-        _check_rest(attempt, body)
+    request.whole = True
+    if request.status == OK_STATUS:
+        _check_body(request, body)
 
 
-def _check_rest(attempt: Attempt, body: bytes) -> None:
+def _check_body(request: RequestRecord, body: bytes) -> None:
     """Note what is wrong with a body, beside the events already taken."""
     expected = b''
-    if not attempt.ask.events:
-        target = attempt.seal.partition('.')[0]
-        expected = get_body(target, attempt.ask.req_id)
+    if not request.ask.events:
+        target = request.seal.partition('.')[0]
+        expected = get_body(target, request.ask.req_id)
     if body != expected:
-        attempt.problem = f'{len(body)} bytes {body[:40]!r}'
+        request.problem = f'{len(body)} bytes {body[:40]!r}'
 
 
-def _take_events(attempt: Attempt, body: bytes) -> bytes:
+def _check_events(request: RequestRecord, body: bytes) -> bytes:
     """Check whole events; return the bytes of the one that is not whole."""
-    *whole, rest = body.split(END)
+    *whole, remainder = body.split(EVENT_END)
     for raw in whole:
-        expected = make_event(attempt.ask.req_id, attempt.last_event + 1)
-        if b''.join((raw, END)) != expected:
-            attempt.problem = attempt.problem or f'event {raw[:40]!r}'
-        attempt.last_event += 1
-    return rest
+        expected = make_event(request.ask.req_id, request.last_event + 1)
+        if b''.join((raw, EVENT_END)) != expected:
+            request.problem = request.problem or f'event {raw[:40]!r}'
+        request.last_event += 1
+    return remainder
--- a/tests/soak/client.py
+++ b/tests/soak/client.py
@@ -16,11 +16,11 @@
 import h11
 from anyio.abc import SocketAttribute, SocketStream
 
-from tests.soak.serving import ENDS, READ_BYTES
+from tests.soak.serving import CONNECTION_ERRORS, READ_BYTES
 
 #: What a slow caller takes at once and leaves unread, and how long it pauses.
-SLOW_BYTES = 65_536
-SLOW_S = 0.02
+SLOW_READ_BYTES = 65_536
+SLOW_PAUSE_S = 0.02
 
 
 @dataclass(eq=False)
@@ -44,14 +44,14 @@
     async def send(
         self,
         head: h11.Request,
-        pieces: Sequence[bytes],
+        chunks: Sequence[bytes],
         pause_s: float,
     ) -> None:
         """Send a request, its body in pieces."""
         await self._send(head)
-        for piece in pieces:
+        for chunk in chunks:
             await anyio.sleep(pause_s)
-            await self._send(h11.Data(data=piece))
+            await self._send(h11.Data(data=chunk))
         await self._send(h11.EndOfMessage())
 
     async def receive(self) -> Any:
@@ -59,8 +59,8 @@
         event = self.http.next_event()
         while event is h11.NEED_DATA:
             if self.slow:
-                await anyio.sleep(SLOW_S)
-            size = SLOW_BYTES if self.slow else READ_BYTES
+                await anyio.sleep(SLOW_PAUSE_S)
+            size = SLOW_READ_BYTES if self.slow else READ_BYTES
             try:
                 raw = await self.stream.receive(size)
             except anyio.EndOfStream:
@@ -69,7 +69,7 @@
             event = self.http.next_event()
         return event
 
-    def is_kept(self) -> bool:
+    def reuse(self) -> bool:
         """Whether the next request may follow; makes ready for it."""
         self.used = True
         states = {self.http.our_state, self.http.their_state}
@@ -89,9 +89,9 @@
     parts = urlsplit(url)
     try:
         stream = await anyio.connect_tcp(str(parts.hostname), parts.port or 0)
-    except ENDS:
+    except CONNECTION_ERRORS:
         return None
     if slow:
         raw = stream.extra(SocketAttribute.raw_socket)
-        raw.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, SLOW_BYTES)
+        raw.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, SLOW_READ_BYTES)
     return Connection(stream, slow)
--- a/tests/soak/entries.py
+++ b/tests/soak/entries.py
@@ -24,14 +24,14 @@
 ROOT = Path(__file__).parent.parent.parent
 GRACE_S = 8
 #: How long after its end a process is started again, in seconds.
-RESTART_S = 0.5
+RESTART_DELAY_S = 0.5
 #: The balancer asks so often, and turns away after so many misses.
-LOOK_S = 1.0
+LOOK_INTERVAL_S = 1.0
 #: How long a process may take to its handlers on a busy machine, in seconds.
-STARTING_S = 3.0
+STARTUP_S = 3.0
 #: How long Python itself may take to the product's first line, in seconds.
-INTERPRETER_S = 0.2
-MISSES = 2
+INTERPRETER_STARTUP_S = 0.2
+MAX_MISSES = 2
 PORTS = {'front': 8227, 'ready': 8220, 'control': 8229, 'peers': 7340}
 
 TEMPLATE = """
@@ -73,9 +73,9 @@
     ending: bool = False
     started_at: float = 0
     asked_at: float = float('inf')
-    hung_up_at: float = float('inf')
+    sighup_at: float = float('inf')
     last: bool = False
-    misses: int = MISSES
+    misses: int = MAX_MISSES
     ended: anyio.Event = field(default_factory=anyio.Event)
 
     @property
@@ -86,7 +86,7 @@
     @property
     def in_rotation(self) -> bool:
         """Whether the balancer sends new connections here."""
-        return self.misses < MISSES
+        return self.misses < MAX_MISSES
 
     def write_settings(self) -> Path:
         """Write the settings file as it is now."""
@@ -110,7 +110,7 @@
         env = {**os.environ, 'TRESTLEDOCK_BOOT': str(self.write_settings())}
         self.started_at = time.monotonic()
         self.asked_at = float('inf')
-        self.hung_up_at = float('inf')
+        self.sighup_at = float('inf')
         log = (self.folder / f'{self.name}.log').open('ab')
         self.child = subprocess.Popen(
             (sys.executable, '-m', *self.command),
@@ -125,29 +125,29 @@
         """Send a signal to the process, if it lives."""
         if self.child and self.child.poll() is None:
             self.child.send_signal(signum)
-            self.ledger.note_change(signum.name, self.name)
+            self.ledger.record_change(signum.name, self.name)
             if signum is signal.SIGHUP:
-                self.hung_up_at = min(self.hung_up_at, time.monotonic())
+                self.sighup_at = min(self.sighup_at, time.monotonic())
 
-    async def keep(self) -> None:
+    async def supervise(self) -> None:
         """Start the process again whenever it ends, until the last end."""
         while True:
             self.start()
             while self.child.poll() is None:
                 await anyio.sleep(0.02)
-            self._note_exit(self.child.returncode)
+            self._record_exit(self.child.returncode)
             if self.last:
                 self.ended.set()
                 return
             self.ending = False
-            await anyio.sleep(RESTART_S)
+            await anyio.sleep(RESTART_DELAY_S)
 
-    async def watch(self) -> None:
+    async def poll_readiness(self) -> None:
         """Ask for readiness as the balancer does."""
         async with httpx.AsyncClient(timeout=0.9) as client:
             while True:
-                await self._look(client)
-                await anyio.sleep(LOOK_S)
+                await self._check_readiness(client)
+                await anyio.sleep(LOOK_INTERVAL_S)
 
     async def stop_gracefully(self) -> None:
         """Send SIGTERM, and SIGKILL after the grace period."""
@@ -158,11 +158,11 @@
         while child.poll() is None:
             await anyio.sleep(0.02)
             if time.monotonic() - self.asked_at > self.grace_s:
-                self.ledger.note_change('overrun', self.name)
+                self.ledger.record_change('overrun', self.name)
                 child.kill()
                 child.wait()
 
-    async def _look(self, client: httpx.AsyncClient) -> None:
+    async def _check_readiness(self, client: httpx.AsyncClient) -> None:
         url = f'http://{self.host}:{PORTS["ready"]}/ready'
         try:
             ready = (await client.get(url)).status_code == 200
@@ -170,15 +170,15 @@
             ready = False
         self.misses = 0 if ready else self.misses + 1
 
-    def _note_exit(self, code: int) -> None:
-        self.ledger.note_change(f'exit {code}', self.name)
+    def _record_exit(self, code: int) -> None:
+        self.ledger.record_change(f'exit {code}', self.name)
         expected = {-signal.SIGKILL}
         if self.ending:
             expected.add(0)
-        if self.asked_at - self.started_at < STARTING_S:
+        if self.asked_at - self.started_at < STARTUP_S:
             # Python has not come to the product's handlers yet.
             expected.add(-signal.SIGTERM)
-        if self.hung_up_at - self.started_at < INTERPRETER_S:
+        if self.sighup_at - self.started_at < INTERPRETER_STARTUP_S:
             expected.add(-signal.SIGHUP)
         if code not in expected:
             self.ledger.exits.append(f'{self.name} ended with {code}')
@@ -187,5 +187,5 @@
 async def run_entries(entries: list[Entry], group: TaskGroup) -> None:
     """Start all entries and the balancer's questions."""
     for entry in entries:
-        group.start_soon(entry.keep)
-        group.start_soon(entry.watch)
+        group.start_soon(entry.supervise)
+        group.start_soon(entry.poll_readiness)
--- a/tests/soak/ledger.py
+++ b/tests/soak/ledger.py
@@ -15,13 +15,13 @@
 
 #: After a fault has ended an entry is out of touch for so long, in seconds
 #: (`contactMs` of the settings).
-CONTACT_S = 3.0
+CONTACT_TIMEOUT_S = 3.0
 #: What stands for all entries in a fault.
-ALL = '*'
+ALL_ENTRIES = '*'
 
 
 @dataclass(frozen=True)
-class Ask:
+class RequestSpec:
     """What a caller asks for; `events` is zero for plain calls."""
 
     req_id: str
@@ -42,7 +42,7 @@
 
 
 @dataclass
-class Attempt:
+class RequestRecord:
     """One request of a caller, and what came of it.
 
     `status` is zero where the connection ended before an answer, `last_event`
@@ -53,7 +53,7 @@
     that ended with a reset: the entry may never have accepted or read it.
     """
 
-    ask: Ask
+    ask: RequestSpec
     entry: str
     sent_at: float
     status: int = 0
@@ -109,7 +109,7 @@
 
 
 @dataclass(frozen=True)
-class Rest:
+class BackoffRequest:
     """A target turned a request away and wants rest from its entry."""
 
     req_id: str
@@ -128,7 +128,7 @@
 
 
 @dataclass(frozen=True)
-class End:
+class Crash:
     """A target that ended as it began to run a request, by its path."""
 
     path: str
@@ -137,7 +137,7 @@
 
 
 @dataclass(frozen=True)
-class Naming:
+class LimitChange:
     """A target asks for another number of requests a second from now on.
 
     `per_s` is None where it takes any number.
@@ -158,12 +158,12 @@
     ended_at: float = float('inf')
     target: str = ''
 
-    def touches(self, name: str, start: float, end: float) -> bool:
+    def affects(self, name: str, start: float, end: float) -> bool:
         """Whether the fault disturbs an entry or a target in a span."""
         return (
             name in {self.entry, self.target}
             and self.began_at <= end
-            and start <= self.ended_at + CONTACT_S
+            and start <= self.ended_at + CONTACT_TIMEOUT_S
         )
 
 
@@ -171,40 +171,44 @@
 class Ledger:
     """Everything that was seen in one run."""
 
-    attempts: dict[str, Attempt] = field(default_factory=dict)
+    requests: dict[str, RequestRecord] = field(default_factory=dict)
     runs: list[Run] = field(default_factory=list)
     changes: list[Change] = field(default_factory=list)
     faults: list[Fault] = field(default_factory=list)
-    ends: list[End] = field(default_factory=list)
-    namings: list[Naming] = field(default_factory=list)
+    crashes: list[Crash] = field(default_factory=list)
+    limit_changes: list[LimitChange] = field(default_factory=list)
     arrivals: list[Arrival] = field(default_factory=list)
-    rests: list[Rest] = field(default_factory=list)
-    ticket_clashes: set[str] = field(default_factory=set)
-    ticket_leaks: set[str] = field(default_factory=set)
+    backoffs: list[BackoffRequest] = field(default_factory=list)
+    reservation_clashes: set[str] = field(default_factory=set)
+    reservation_leaks: set[str] = field(default_factory=set)
     exits: list[str] = field(default_factory=list)
     timeouts_s: dict[str, float] = field(default_factory=dict)
     began_at: float = field(default_factory=time.monotonic)
 
-    def note_change(self, what: str, name: str) -> None:
+    def record_change(self, what: str, name: str) -> None:
         """Note a change that has just been acknowledged."""
         self.changes.append(Change(what, name, time.monotonic()))
 
-    def note_end(self, path: str, target: str) -> None:
+    def record_crash(self, path: str, target: str) -> None:
         """Note that a target has just ended under a request."""
-        self.ends.append(End(path, target, time.monotonic()))
+        self.crashes.append(Crash(path, target, time.monotonic()))
 
-    def note_arrival(self, req_id: str, target: str) -> None:
+    def record_arrival(self, req_id: str, target: str) -> None:
         """Note that a request has just reached a target."""
         self.arrivals.append(Arrival(req_id, target, time.monotonic()))
 
-    def note_rest(self, req_id: str, target: str, rest_s: float) -> None:
+    def record_backoff(
+        self, req_id: str, target: str, backoff_s: float
+    ) -> None:
         """Note that a target turns a request away and asks for rest."""
         now = time.monotonic()
-        self.rests.append(Rest(req_id, target, now, now + rest_s))
+        self.backoffs.append(
+            BackoffRequest(req_id, target, now, now + backoff_s)
+        )
 
-    def note_naming(self, target: str, per_s: float | None) -> None:
+    def record_limit_change(self, target: str, per_s: float | None) -> None:
         """Note what a target asks for from now on."""
-        self.namings.append(Naming(target, per_s, time.monotonic()))
+        self.limit_changes.append(LimitChange(target, per_s, time.monotonic()))
 
     def begin_fault(
         self, kind: str, entry: str = '', target: str = ''
@@ -214,25 +218,25 @@
         self.faults.append(fault)
         return fault
 
-    def is_calm(
+    def is_undisturbed(
         self,
         name: str,
         start: float,
         end: float,
-        besides: Collection[str] = (),
+        ignored_kinds: Collection[str] = (),
     ) -> bool:
         """Whether an entry or a target was undisturbed in a span.
 
         Faults of the kinds `besides` don't count.
         """
         return not any(
-            fault.touches(one, start, end)
+            fault.affects(one, start, end)
             for fault in self.faults
-            if fault.kind not in besides
-            for one in (name, ALL)
+            if fault.kind not in ignored_kinds
+            for one in (name, ALL_ENTRIES)
         )
 
-    def get_stops(self, name: str) -> list[float]:
+    def get_stop_times(self, name: str) -> list[float]:
         """Return when an entry was asked to end gracefully."""
         return [
             one.began_at
@@ -242,13 +246,13 @@
 
     def get_entry(self, req_id: str) -> str:
         """Return the entry that took a request."""
-        attempt = self.attempts.get(req_id)
-        return attempt.entry if attempt else ''
+        request = self.requests.get(req_id)
+        return request.entry if request else ''
 
     def get_sent_at(self, req_id: str) -> float:
         """Return when a request's caller sent it, or before all time."""
-        attempt = self.attempts.get(req_id)
-        return attempt.sent_at if attempt else float('-inf')
+        request = self.requests.get(req_id)
+        return request.sent_at if request else float('-inf')
 
     def get_runs_by_request(self) -> dict[str, list[Run]]:
         """Return the runs of each request."""
@@ -257,15 +261,15 @@
             found.setdefault(run.req_id, []).append(run)
         return found
 
-    def note_timeout(self, path: str, timeout_s: float) -> None:
+    def record_timeout(self, path: str, timeout_s: float) -> None:
         """Note the time that a route allows; the least ever counts."""
         known_s = self.timeouts_s.get(path, timeout_s)
         self.timeouts_s[path] = min(known_s, timeout_s)
 
-    def is_timed_out(self, attempt: Attempt) -> bool:
+    def may_have_timed_out(self, request: RequestRecord) -> bool:
         """Whether a request may have reached its route's time."""
-        limit_s = self.timeouts_s.get(attempt.ask.path, float('inf'))
-        return attempt.end - attempt.sent_at >= limit_s
+        limit_s = self.timeouts_s.get(request.ask.path, float('inf'))
+        return request.end - request.sent_at >= limit_s
 
     def get_changes(self, what: str) -> dict[str, float]:
         """Return when changes of a kind were first acknowledged, by name."""
@@ -281,11 +285,11 @@
         for kind, at, seen in (
             ('fault', 'began_at', self.faults),
             ('change', 'at', self.changes),
-            ('end', 'at', self.ends),
-            ('naming', 'at', self.namings),
-            ('rest', 'at', self.rests),
+            ('end', 'at', self.crashes),
+            ('naming', 'at', self.limit_changes),
+            ('rest', 'at', self.backoffs),
             ('run', 'began_at', self.runs),
-            ('attempt', 'sent_at', self.attempts.values()),
+            ('attempt', 'sent_at', self.requests.values()),
         ):
             rows.extend(
                 (getattr(one, at), {'seen': kind, **asdict(one)})
--- a/tests/soak/links.py
+++ b/tests/soak/links.py
@@ -18,10 +18,10 @@
     TaskGroup,
 )
 
-from tests.soak.serving import ENDS, READ_BYTES, reset
+from tests.soak.serving import CONNECTION_ERRORS, READ_BYTES, reset
 
 
-class Cut(Flag):
+class Blocked(Flag):
     """Directions in which nothing passes."""
 
     none = 0
@@ -31,13 +31,13 @@
 
 
 @dataclass(eq=False)
-class _Pair:
+class _Connection:
     """An open connection through a link."""
 
-    near: SocketStream
-    far: SocketStream
-    silent: bool = False
-    resets: anyio.Event = field(default_factory=anyio.Event)
+    client: SocketStream
+    server: SocketStream
+    silenced: bool = False
+    reset_requested: anyio.Event = field(default_factory=anyio.Event)
 
 
 @dataclass(eq=False)
@@ -47,11 +47,11 @@
     address: str
     host: str = '127.0.0.1'
     port: int = 0
-    cut: Cut = Cut.none
+    blocked: Blocked = Blocked.none
     delay_s: float = 0
     closed: anyio.Event = field(default_factory=anyio.Event)
-    pairs: set[_Pair] = field(default_factory=set)
-    healed: anyio.Event = field(default_factory=anyio.Event)
+    connections: set[_Connection] = field(default_factory=set)
+    unblocked: anyio.Event = field(default_factory=anyio.Event)
 
     @property
     def listed(self) -> str:
@@ -71,21 +71,21 @@
         self.closed.set()
         self.reset_all()
 
-    def set_cut(self, cut: Cut) -> None:
+    def set_blocked(self, blocked: Blocked) -> None:
         """Hold back what goes in some directions, or let it go on."""
-        self.cut = cut
-        self.healed.set()
-        self.healed = anyio.Event()
+        self.blocked = blocked
+        self.unblocked.set()
+        self.unblocked = anyio.Event()
 
     def reset_all(self) -> None:
         """Reset the open connections on both sides."""
-        for pair in tuple(self.pairs):
-            pair.resets.set()
+        for connection in tuple(self.connections):
+            connection.reset_requested.set()
 
     def silence_open(self) -> None:
         """Let the open connections fall silent for good."""
-        for pair in self.pairs:
-            pair.silent = True
+        for connection in self.connections:
+            connection.silenced = True
 
     async def _serve(self, listener: SocketListener) -> None:
         """Listen until the link is closed; what is open then goes on."""
@@ -100,47 +100,51 @@
         except* anyio.ClosedResourceError:
             self.closed.set()
 
-    async def _forward(self, near: SocketStream) -> None:
+    async def _forward(self, client: SocketStream) -> None:
         host, _, port = self.address.rpartition(':')
         try:
-            far = await anyio.connect_tcp(host, int(port))
+            server = await anyio.connect_tcp(host, int(port))
         except OSError:
-            reset(near)
-            await near.aclose()
+            reset(client)
+            await client.aclose()
             return
-        pair = _Pair(near, far)
-        self.pairs.add(pair)
-        async with near, far, anyio.create_task_group() as group:
-            group.start_soon(self._pump, group, pair, near, far, Cut.up)
-            group.start_soon(self._pump, group, pair, far, near, Cut.down)
-            await pair.resets.wait()
-            reset(near)
-            reset(far)
+        connection = _Connection(client, server)
+        self.connections.add(connection)
+        async with client, server, anyio.create_task_group() as group:
+            group.start_soon(
+                self._pump, group, connection, client, server, Blocked.up
+            )
+            group.start_soon(
+                self._pump, group, connection, server, client, Blocked.down
+            )
+            await connection.reset_requested.wait()
+            reset(client)
+            reset(server)
             group.cancel_scope.cancel()
-        self.pairs.discard(pair)
+        self.connections.discard(connection)
 
     async def _pump(
         self,
         group: TaskGroup,
-        pair: _Pair,
+        connection: _Connection,
         source: SocketStream,
         sink: SocketStream,
-        direction: Cut,
+        direction: Blocked,
     ) -> None:
         try:
             while True:
                 raw = await source.receive(READ_BYTES)
                 if self.delay_s:
                     await anyio.sleep(self.delay_s)
-                while pair.silent or direction in self.cut:
-                    await self.healed.wait()
+                while connection.silenced or direction in self.blocked:
+                    await self.unblocked.wait()
                 await sink.send(raw)
         except anyio.EndOfStream:
             pass
-        except ENDS:
-            reset(pair.near)
-            reset(pair.far)
+        except CONNECTION_ERRORS:
+            reset(connection.client)
+            reset(connection.server)
         # An end passes a link that is cut as little as bytes do.
-        while pair.silent or direction in self.cut:
-            await self.healed.wait()
+        while connection.silenced or direction in self.blocked:
+            await self.unblocked.wait()
         group.cancel_scope.cancel()
--- a/tests/soak/narrow.py
+++ b/tests/soak/narrow.py
@@ -17,21 +17,21 @@
 SEND_BUFFER_BYTES = 4096
 
 
-def narrow() -> None:
+def use_small_send_buffers() -> None:
     """Let connections of callers inherit a small buffer."""
     create_sockets = Config.create_sockets
 
-    def create_narrow(config: Any) -> Sockets:
-        found = create_sockets(config)
-        for sock in found.insecure_sockets:
+    def create_small_sockets(config: Any) -> Sockets:
+        sockets = create_sockets(config)
+        for sock in sockets.insecure_sockets:
             sock.setsockopt(
                 socket.SOL_SOCKET, socket.SO_SNDBUF, SEND_BUFFER_BYTES
             )
-        return found
+        return sockets
 
-    Config.create_sockets = create_narrow
+    Config.create_sockets = create_small_sockets
 
 
 if __name__ == '__main__':
-    narrow()
+    use_small_send_buffers()
     run()
--- a/tests/soak/playing.py
+++ b/tests/soak/playing.py
@@ -12,20 +12,25 @@
 
 import anyio
 
-from tests.soak.checks import OK, OWN_FAILURES, PROMISES, run_checks
+from tests.soak.checks import (
+    OK_STATUS,
+    OWN_FAILURE_STATUSES,
+    NOT_EXECUTED_STATUSES,
+    run_checks,
+)
 from tests.soak.faults import disturb
 from tests.soak.world import PRODUCT, Size, World
 
 #: How long entries may take to be ready, and the last requests to end.
-START_S = 30
-SETTLE_S = 16
+STARTUP_TIMEOUT_S = 30
+SETTLE_TIMEOUT_S = 16
 #: How long is waited after the last end, for leases to lapse, in seconds.
-LAPSE_S = 4.5
+LEASE_EXPIRY_S = 4.5
 #: Sizes of runs; among the plans without kills, every so many seeds play with
 #: some dozens of processes.
-FEW = Size(entries=6, engines=8, plain=5, callers=60)
-MANY = Size(entries=24, engines=12, plain=8, callers=72)
-MANY_EVERY = 8
+SMALL_SIZE = Size(entries=6, engines=8, plain=5, callers=60)
+LARGE_SIZE = Size(entries=24, engines=12, plain=8, callers=72)
+LARGE_EVERY = 8
 
 
 @dataclass(frozen=True)
@@ -43,11 +48,11 @@
     violations: tuple[str, ...]
 
 
-def get_size(plan: str, seed: int) -> Size:
+def make_size(plan: str, seed: int) -> Size:
     """Return how large the run of a seed is."""
     if plan == Size.plan:
         return Size()
-    return replace(FEW if seed % MANY_EVERY else MANY, plan=plan)
+    return replace(SMALL_SIZE if seed % LARGE_EVERY else LARGE_SIZE, plan=plan)
 
 
 def play(
@@ -81,13 +86,16 @@
         group.cancel_scope.cancel()
     world.ledger.write(folder / 'timeline.jsonl')
     violations = run_checks(world.ledger, timed=timed)
-    attempts = world.ledger.attempts.values()
+    records = world.ledger.requests.values()
     return Report(
-        requests=len(attempts),
-        answered=sum(one.status == OK for one in attempts),
-        refused=sum(one.status in PROMISES for one in attempts),
-        failed=sum(one.status in OWN_FAILURES - PROMISES for one in attempts),
-        cut=sum(bool(one.ended_at) and not one.whole for one in attempts),
+        requests=len(records),
+        answered=sum(one.status == OK_STATUS for one in records),
+        refused=sum(one.status in NOT_EXECUTED_STATUSES for one in records),
+        failed=sum(
+            one.status in OWN_FAILURE_STATUSES - NOT_EXECUTED_STATUSES
+            for one in records
+        ),
+        cut=sum(bool(one.ended_at) and not one.whole for one in records),
         faults=len(world.ledger.faults),
         changes=len(world.ledger.changes),
         late_s=world.late_s,
@@ -97,25 +105,25 @@
 
 async def _run(world: World, rng: Random) -> None:
     await world.start()
-    with anyio.fail_after(START_S):
+    with anyio.fail_after(STARTUP_TIMEOUT_S):
         while not world.is_ready():
             await anyio.sleep(0.1)
     world.start_callers()
     async with anyio.create_task_group() as group:
         group.start_soon(disturb, world, rng)
         await anyio.sleep(world.size.run_s)
-        world.over = True
-    with anyio.move_on_after(SETTLE_S):
+        world.finished = True
+    with anyio.move_on_after(SETTLE_TIMEOUT_S):
         while _is_waiting(world):
             await anyio.sleep(0.1)
-    await anyio.sleep(LAPSE_S)
+    await anyio.sleep(LEASE_EXPIRY_S)
     await _stop(world)
 
 
 def _is_waiting(world: World) -> bool:
     return any(
         one.ended_at is None and one.left_at is None
-        for one in world.ledger.attempts.values()
+        for one in world.ledger.requests.values()
     )
 
 
--- a/tests/soak/serving.py
+++ b/tests/soak/serving.py
@@ -17,7 +17,7 @@
 import h11
 from anyio.abc import SocketAttribute, SocketStream
 
-ENDS = (
+CONNECTION_ERRORS = (
     OSError,
     anyio.EndOfStream,
     anyio.BrokenResourceError,
@@ -86,7 +86,7 @@
         try:
             while True:
                 self.http.receive_data(await self.stream.receive(READ_BYTES))
-        except ENDS:
+        except CONNECTION_ERRORS:
             return
 
     async def _send(self, event: Any) -> None:
@@ -108,7 +108,7 @@
                 http.start_next_cycle()
         except Reset:
             reset(stream)
-        except ENDS:
+        except CONNECTION_ERRORS:
             return
 
 
--- a/tests/soak/store.py
+++ b/tests/soak/store.py
@@ -20,11 +20,11 @@
 CONFIG = ('keyed.op', 'config')
 TARGETS = 'keyed.servers'
 #: Topics that only the operator and the targets write.
-OTHERS = (CONFIG[0], TARGETS)
-BOUNDS = struct.Struct('>QQ')
+OPERATOR_TOPICS = (CONFIG[0], TARGETS)
+OFFSETS = struct.Struct('>QQ')
 LENGTH = struct.Struct('>I')
 #: The header that tells how often the store came back from a copy.
-ERA = 'Store-Era'
+EPOCH_HEADER = 'Store-Era'
 #: Records on one page of the newest ones.
 PAGE = 500
 
@@ -37,7 +37,7 @@
     newest: dict[str, tuple[int, bytes]] = field(default_factory=dict)
     end: int = 0
     first: int = 0
-    grown: anyio.Event = field(default_factory=anyio.Event)
+    changed: anyio.Event = field(default_factory=anyio.Event)
 
     def put(self, key: str, text: bytes) -> None:
         """Append a record; without a text the key is dropped."""
@@ -47,10 +47,10 @@
         else:
             self.newest.pop(key, None)
         self.end += 1
-        self.grown.set()
-        self.grown = anyio.Event()
+        self.changed.set()
+        self.changed = anyio.Event()
 
-    def forget(self) -> None:
+    def drop_history(self) -> None:
         """Drop the history, but for the newest record of each key."""
         self.records.clear()
         self.first = self.end
@@ -71,7 +71,7 @@
 
     def read(self, start: int) -> bytes:
         """Return the framed records from an offset on."""
-        parts = [BOUNDS.pack(self.end, self.first)]
+        parts = [OFFSETS.pack(self.end, self.first)]
         for offset, key, text in self.records:
             if offset >= start:
                 raw = bytes((len(key),)) + key.encode() + text
@@ -86,11 +86,11 @@
     topics: dict[str, Topic] = field(default_factory=dict)
     status: int = 200
     delay_s: float = 0.002
-    losing: bool = False
+    drops_answers: bool = False
     calls: int = 0
     era: int | None = None
-    written: list[tuple[float, str, str, bytes]] = field(default_factory=list)
-    lost: dict[tuple[str, str], bytes] = field(default_factory=dict)
+    writes: list[tuple[float, str, str, bytes]] = field(default_factory=list)
+    lost_writes: dict[tuple[str, str], bytes] = field(default_factory=dict)
 
     def get_topic(self, name: str) -> Topic:
         """Return a topic, made at its first use."""
@@ -103,8 +103,8 @@
 
     def put(self, topic: str, key: str, text: bytes) -> None:
         """Append a record, and remember when."""
-        self.written.append((anyio.current_time(), topic, key, text))
-        self.lost.pop((topic, key), None)
+        self.writes.append((anyio.current_time(), topic, key, text))
+        self.lost_writes.pop((topic, key), None)
         self.get_topic(topic).put(key, text)
 
     def go_back(self, back_s: float) -> None:
@@ -115,49 +115,49 @@
         """
         until = anyio.current_time() - back_s
         before, self.topics = self.topics, {}
-        lost = {
+        lost_writes = {
             (topic, key): text
-            for written_at, topic, key, text in self.written
-            if written_at > until and topic in OTHERS
+            for written_at, topic, key, text in self.writes
+            if written_at > until and topic in OPERATOR_TOPICS
         }
         # What an earlier restore has lost is newer than all that is here.
-        self.lost = {**lost, **self.lost}
-        self.written = [one for one in self.written if one[0] <= until]
-        for _, topic, key, text in self.written:
+        self.lost_writes = {**lost_writes, **self.lost_writes}
+        self.writes = [one for one in self.writes if one[0] <= until]
+        for _, topic, key, text in self.writes:
             self.get_topic(topic).put(key, text)
         if self.era is not None:
             self.era += 1
         for topic in before.values():
-            topic.grown.set()
+            topic.changed.set()
 
     def write_again(self) -> None:
         """Write what operator and targets have lost, and not written since."""
-        for (topic, key), text in list(self.lost.items()):
+        for (topic, key), text in list(self.lost_writes.items()):
             self.put(topic, key, text)
 
     async def handle(self, exchange: Exchange) -> None:
         """Answer one call."""
         self.calls += 1
         await anyio.sleep(self.delay_s)
-        await self._wait_for_news(exchange)
+        await self._wait_for_records(exchange)
         if self.status != 200:
             await exchange.answer(self.status, headers=self._get_headers())
             return
         status, body = self._call(exchange)
-        if self.losing:
+        if self.drops_answers:
             raise Reset
         await exchange.answer(status, body, self._get_headers())
 
     def _get_headers(self) -> Headers:
-        return [] if self.era is None else [(ERA, str(self.era))]
+        return [] if self.era is None else [(EPOCH_HEADER, str(self.era))]
 
-    async def _wait_for_news(self, exchange: Exchange) -> None:
+    async def _wait_for_records(self, exchange: Exchange) -> None:
         """Keep a read that is to wait until there is something new."""
         wait_s = int(exchange.query.get('waitMs', 0)) / 1000
         topic = self.get_topic(exchange.query['topic'])
         if wait_s and int(exchange.query['from']) == topic.end:
             with anyio.move_on_after(wait_s):
-                await topic.grown.wait()
+                await topic.changed.wait()
 
     def _call(self, exchange: Exchange) -> tuple[int, bytes]:
         topic = self.get_topic(exchange.query['topic'])
--- a/tests/soak/targets.py
+++ b/tests/soak/targets.py
@@ -26,31 +26,31 @@
 SLOTS = 8
 QUEUE = 16
 #: Tokens that are read in a second, and the time of one event, in seconds.
-READ_RATE = 200_000
-EVENT_S = 0.05
-PLAIN_S = 0.02
-HEARTBEAT_S = 1.2
-TOKENS_AN_EVENT = 43
+PREFILL_TOKENS_PER_S = 200_000
+EVENT_INTERVAL_S = 0.05
+PLAIN_CALL_S = 0.02
+HEARTBEAT_INTERVAL_S = 1.2
+TOKENS_PER_EVENT = 43
 #: A target that has left the store, with or without saying so, serves on for so
 #: long, in seconds.
-LINGER_S = (5.0, 9.0)
+SHUTDOWN_DELAY_S = (5.0, 9.0)
 #: What only the store is asked: entries of another run on this machine may
 #: still ask for it at a port that has been its store's.
-STORE_PATHS = '/log-'
+STORE_PATH_PREFIX = '/log-'
 #: States of targets; one that has vanished writes nothing to the store.
-READY, LEAVING, VANISHED = 'ready', 'draining', 'vanished'
+READY, DRAINING, VANISHED = 'ready', 'draining', 'vanished'
 #: What the path of a request holds that ends whatever begins to run it.
 DEADLY = 'deadly'
 #: How much of its answer is written before: nothing, the head, an event.
-LAST_WORDS = ('', 'head', 'events')
+PARTIAL_ANSWERS = ('', 'head', 'events')
 #: Times that the text of a plain answer is repeated: in one answer of so many
 #: it is long, four megabytes, more than the system's buffers hold on the way to
 #: a slow caller.
 REPEATS, LONG_REPEATS, LONG_EVERY = 20, 250_000, 25
 #: How long a ticket may lie idle after its last use, and without any, in
 #: seconds (`freeMs` and `idleMaxMs` of the settings).
-FREE_S = 4.0
-UNUSED_S = 9.0
+USED_IDLE_MAX_S = 4.0
+UNUSED_IDLE_MAX_S = 9.0
 NS_IN_MS = 1_000_000
 
 
@@ -60,7 +60,7 @@
 
 
 @dataclass
-class Ticket:
+class Reservation:
     """Reserved memory: when its lease ends, and how many requests use it."""
 
     until: float
@@ -93,7 +93,7 @@
     return f'{req_id} by {incarnation}; '.encode() * repeats
 
 
-def _do_nothing(_: 'Target') -> None:
+def _ignore_crash(_: 'Target') -> None:
     """Stand for what follows the end of a target."""
 
 
@@ -104,7 +104,7 @@
 
 def count_events(sizes: str) -> int:
     """Return how many events a stream has by its token counts."""
-    return max(1, int(sizes.partition(',')[2]) // TOKENS_AN_EVENT)
+    return max(1, int(sizes.partition(',')[2]) // TOKENS_PER_EVENT)
 
 
 @dataclass(eq=False)
@@ -121,24 +121,24 @@
     store: Store
     rng: Random
     quirks: Quirks = field(default_factory=Quirks)
-    tickets: dict[str, Ticket] = field(default_factory=dict)
+    reservations: dict[str, Reservation] = field(default_factory=dict)
     state: str = READY
     running: int = 0
     limit: str = ''
     rest: str = ''
-    says_leaving: bool = False
+    announces_draining: bool = False
     sequence: int = 0
     link: Link = field(default_factory=lambda: Link(''))
-    gone: anyio.Event = field(default_factory=anyio.Event)
+    stopped: anyio.Event = field(default_factory=anyio.Event)
     born: int = field(default_factory=get_unix_ms)
-    on_crash: Callable[['Target'], None] = _do_nothing
+    on_crash: Callable[['Target'], None] = _ignore_crash
 
     @property
     def incarnation(self) -> str:
         """The name of this start of the target, for the ledger."""
         return f'{self.target_id}@{self.born}'
 
-    async def live(self, group: TaskGroup) -> None:
+    async def start_serving(self, group: TaskGroup) -> None:
         """Start, register, and end when `gone` is set."""
         listener = await anyio.create_tcp_listener(
             local_host='127.0.0.1', local_port=0
@@ -146,13 +146,15 @@
         port = listener.extra(SocketAttribute.local_port)
         self.link.address = f'127.0.0.1:{port}'
         await self.link.open(group)
-        group.start_soon(self._work, listener)
+        group.start_soon(self._serve_until_stopped, listener)
 
-    async def _work(self, listener: anyio.abc.SocketListener) -> None:
+    async def _serve_until_stopped(
+        self, listener: anyio.abc.SocketListener
+    ) -> None:
         async with anyio.create_task_group() as group:
             group.start_soon(listener.serve, self._serve)
             group.start_soon(self._register)
-            await self.gone.wait()
+            await self.stopped.wait()
             self.link.close()
             group.cancel_scope.cancel()
         await listener.aclose()
@@ -162,23 +164,23 @@
 
     async def _register(self) -> None:
         while self.state != VANISHED:
-            self.write_entry()
-            await anyio.sleep(HEARTBEAT_S)
+            self.write_record()
+            await anyio.sleep(HEARTBEAT_INTERVAL_S)
 
     async def leave(self, state: str) -> None:
         """Say in the store that it leaves, or vanish from it; serve on."""
         self.state = state
-        self.says_leaving = self.says_leaving or state == LEAVING
+        self.announces_draining = self.announces_draining or state == DRAINING
         while self.store.status != 200:
             await anyio.sleep(0.1)
         if state == VANISHED:
             self.store.put_json(TARGETS, self.target_id, None)
         else:
-            self.write_entry()
-        self.ledger.note_change('leaving', self.incarnation)
-        await anyio.sleep(self.rng.uniform(*LINGER_S))
+            self.write_record()
+        self.ledger.record_change('leaving', self.incarnation)
+        await anyio.sleep(self.rng.uniform(*SHUTDOWN_DELAY_S))
 
-    def make_entry(self) -> dict[str, Any]:
+    def make_record(self) -> dict[str, Any]:
         """Return the own entry."""
         return {
             'service': self.service,
@@ -191,16 +193,16 @@
             'born': self.born,
         }
 
-    def write_entry(self) -> None:
+    def write_record(self) -> None:
         """Write the own entry, unless the store is down."""
         if self.store.status != 200:
             return
         self.sequence += 1
-        plain = self.make_entry()
+        plain = self.make_record()
         self.store.put_json(TARGETS, self.target_id, plain)
 
     async def _handle(self, exchange: Exchange) -> None:
-        if exchange.path.startswith(STORE_PATHS):
+        if exchange.path.startswith(STORE_PATH_PREFIX):
             await exchange.answer(404)
             return
         headers = exchange.headers
@@ -209,39 +211,41 @@
             await exchange.answer(421)
             return
         if exchange.path == '/order':
-            await self._take_order(exchange)
+            await self._handle_order(exchange)
             return
         req_id = headers.get('trestledock-request-id', '')
-        self.ledger.note_arrival(req_id, self.incarnation)
+        self.ledger.record_arrival(req_id, self.incarnation)
         full = self.running >= SLOTS + QUEUE
         if full or self.rest or self.rng.random() < self.quirks.sheds:
-            await self._turn_away(exchange, req_id)
+            await self._refuse(exchange, req_id)
             return
         self.running += 1
         try:
-            await self._run(exchange)
+            await self._execute(exchange)
         finally:
             self.running -= 1
 
-    async def _turn_away(self, exchange: Exchange, req_id: str) -> None:
+    async def _refuse(self, exchange: Exchange, req_id: str) -> None:
         refused = [('Trestledock-Not-Executed', '1'), *self._get_notices()]
         if self.rest:
             refused.append(('Retry-After', self.rest))
-            self.ledger.note_rest(req_id, self.incarnation, float(self.rest))
+            self.ledger.record_backoff(
+                req_id, self.incarnation, float(self.rest)
+            )
         await exchange.answer(503, b'', refused)
 
-    def name_limit(self, text: str, per_s: float | None) -> None:
+    def set_limit(self, text: str, per_s: float | None) -> None:
         """Name a limit in all answers from now on; no text for none."""
         self.limit = text
-        self.ledger.note_naming(self.incarnation, per_s)
+        self.ledger.record_limit_change(self.incarnation, per_s)
 
     def _get_notices(self) -> Headers:
         """Return what the target says of itself in all its answers."""
         limit = [('Server-Limit', self.limit)] if self.limit else []
-        leaving = [('Server-Leaving', '1')] if self.says_leaving else []
+        leaving = [('Server-Leaving', '1')] if self.announces_draining else []
         return [*limit, *leaving]
 
-    async def _run(self, exchange: Exchange) -> None:
+    async def _execute(self, exchange: Exchange) -> None:
         headers = exchange.headers
         req_id = headers.get('trestledock-request-id', '')
         run = Run(
@@ -258,7 +262,7 @@
         self.ledger.runs.append(run)
         try:
             async with anyio.create_task_group() as group:
-                group.start_soon(self._cancel_when_left, exchange, group)
+                group.start_soon(self._cancel_on_disconnect, exchange, group)
                 await self._respond(exchange, run)
                 group.cancel_scope.cancel()
         except BaseExceptionGroup as exc:
@@ -266,28 +270,28 @@
         finally:
             run.ended_at = time.monotonic()
 
-    async def _cancel_when_left(
+    async def _cancel_on_disconnect(
         self, exchange: Exchange, group: TaskGroup
     ) -> None:
         await exchange.wait_for_end()
         group.cancel_scope.cancel()
 
     async def _respond(self, exchange: Exchange, run: Run) -> None:
-        drawn = self.rng.random
-        if drawn() < self.quirks.mute:
+        draw = self.rng.random
+        if draw() < self.quirks.mute:
             await anyio.sleep_forever()
         own_id = run.req_id
-        if drawn() < self.quirks.mixes:
+        if draw() < self.quirks.mixes:
             own_id = 'another'
         headers = [
             ('Trestledock-Request-Id', own_id),
             ('Trestledock-Response-Seal', run.seal),
             *self._get_notices(),
         ]
-        run.leaves = self.says_leaving
+        run.leaves = self.announces_draining
         if DEADLY in exchange.path:
             await self._crash(exchange, run, headers)
-        elif drawn() < self.quirks.fails:
+        elif draw() < self.quirks.fails:
             run.status = 500
             await exchange.answer(500, b'failed', headers)
         elif run.sizes:
@@ -300,20 +304,20 @@
     ) -> None:
         """End with the request that is begun, and with all others."""
         if run.sizes:
-            await self._read_prompt(exchange, run)
-        words = self.rng.choice(LAST_WORDS)
-        if words:
+            await self._prefill(exchange, run)
+        partial_answer = self.rng.choice(PARTIAL_ANSWERS)
+        if partial_answer:
             await exchange.start(200, headers)
-        if words == 'events' and run.sizes:
+        if partial_answer == 'events' and run.sizes:
             await exchange.write(make_event(run.req_id, 1))
-        self.ledger.note_end(exchange.path, self.incarnation)
+        self.ledger.record_crash(exchange.path, self.incarnation)
         self.on_crash(self)
         await anyio.sleep_forever()
 
     async def _answer_plain(
         self, exchange: Exchange, run: Run, headers: Headers
     ) -> None:
-        await anyio.sleep(PLAIN_S * self.rng.uniform(0.5, 2))
+        await anyio.sleep(PLAIN_CALL_S * self.rng.uniform(0.5, 2))
         run.status = 200
         if self.rng.random() < self.quirks.loses:
             raise Reset
@@ -328,29 +332,29 @@
     async def _stream(
         self, exchange: Exchange, run: Run, headers: Headers
     ) -> None:
-        tickets = self._use_tickets(exchange)
+        reservations = self._use_reservations(exchange)
         try:
             await self._answer_stream(exchange, run, headers)
         finally:
-            for ticket in tickets:
-                ticket.users -= 1
-                ticket.free_since = time.monotonic()
+            for reservation in reservations:
+                reservation.users -= 1
+                reservation.free_since = time.monotonic()
 
     async def _answer_stream(
         self, exchange: Exchange, run: Run, headers: Headers
     ) -> None:
-        await self._read_prompt(exchange, run)
+        await self._prefill(exchange, run)
         run.status = 200
         if self.rng.random() < self.quirks.loses:
             raise Reset
         await exchange.start(200, headers)
         await self._write_events(exchange, run)
 
-    async def _read_prompt(self, exchange: Exchange, run: Run) -> None:
+    async def _prefill(self, exchange: Exchange, run: Run) -> None:
         tokens = int(run.sizes.partition(',')[0])
         helpers = exchange.headers.get('trestledock-helpers', '')
         parts = 1 + len([one for one in helpers.split(',') if one])
-        await anyio.sleep(tokens / READ_RATE / parts)
+        await anyio.sleep(tokens / PREFILL_TOKENS_PER_S / parts)
 
     async def _write_events(self, exchange: Exchange, run: Run) -> None:
         first = int(exchange.headers.get('last-event-id') or 0) + 1
@@ -362,52 +366,54 @@
                 await exchange.write(event[: len(event) // 2])
                 raise Reset
             await exchange.write(event)
-            await anyio.sleep(EVENT_S)
+            await anyio.sleep(EVENT_INTERVAL_S)
         await exchange.finish()
 
-    def _use_tickets(self, exchange: Exchange) -> list[Ticket]:
+    def _use_reservations(self, exchange: Exchange) -> list[Reservation]:
         """Note the use of tickets; all are looked up at this target's peers."""
         helpers = exchange.headers.get('trestledock-helpers', '')
         names = [
             one.partition('/')[2] for one in helpers.split(',') if '/' in one
         ]
         used = [
-            ticket
+            reservation
             for name in names
-            if (ticket := TICKETS_BY_NAME.get(name)) is not None
+            if (reservation := RESERVATIONS_BY_ID.get(name)) is not None
         ]
-        for ticket in used:
-            ticket.users += 1
-            ticket.used = True
-            if ticket.users > 1:
-                self.ledger.ticket_clashes.add(','.join(names))
+        for reservation in used:
+            reservation.users += 1
+            reservation.used = True
+            if reservation.users > 1:
+                self.ledger.reservation_clashes.add(','.join(names))
         return used
 
-    async def _take_order(self, exchange: Exchange) -> None:
+    async def _handle_order(self, exchange: Exchange) -> None:
         order = json.loads(exchange.body)
         now = time.monotonic()
         name = order['id']
         if order['operation'] == 'release':
-            self.tickets.pop(name, None)
-            TICKETS_BY_NAME.pop(name, None)
+            self.reservations.pop(name, None)
+            RESERVATIONS_BY_ID.pop(name, None)
             await exchange.answer(200, b'{}', self._get_notices())
             return
         until = now + order['holdMs'] / 1000
-        if name in self.tickets:
-            self.tickets[name].until = until
+        if name in self.reservations:
+            self.reservations[name].until = until
         else:
-            self.tickets[name] = Ticket(until, now)
-            TICKETS_BY_NAME[name] = self.tickets[name]
+            self.reservations[name] = Reservation(until, now)
+            RESERVATIONS_BY_ID[name] = self.reservations[name]
         await exchange.answer(200, b'{"available":1}', self._get_notices())
 
-    def note_leaks(self, now: float) -> None:
+    def record_leaks(self, now: float) -> None:
         """Note the tickets that lie idle for longer than they may."""
-        for name, ticket in self.tickets.items():
-            idle_s = min(now, ticket.until) - ticket.free_since
-            limit_s = FREE_S if ticket.used else UNUSED_S
-            if not ticket.users and idle_s > limit_s:
-                self.ledger.ticket_leaks.add(f'{name} at {self.incarnation}')
+        for name, reservation in self.reservations.items():
+            idle_s = min(now, reservation.until) - reservation.free_since
+            limit_s = USED_IDLE_MAX_S if reservation.used else UNUSED_IDLE_MAX_S
+            if not reservation.users and idle_s > limit_s:
+                self.ledger.reservation_leaks.add(
+                    f'{name} at {self.incarnation}'
+                )
 
 
 #: All tickets of a run by name, so that the first target can note their use.
-TICKETS_BY_NAME: dict[str, Ticket] = {}
+RESERVATIONS_BY_ID: dict[str, Reservation] = {}
--- a/tests/soak/world.py
+++ b/tests/soak/world.py
@@ -18,7 +18,7 @@
 
 from tests.soak.callers import (
     HOST,
-    KINDS,
+    REQUEST_KINDS,
     TIMEOUT_S,
     Caller,
     DeadlyCaller,
@@ -30,27 +30,27 @@
 from tests.soak.serving import serve_stream
 from tests.soak.store import CONFIG, TARGETS, Store
 from tests.soak.targets import (
-    HEARTBEAT_S,
-    LEAVING,
+    HEARTBEAT_INTERVAL_S,
+    DRAINING,
     READY,
     SLOTS,
-    TICKETS_BY_NAME,
+    RESERVATIONS_BY_ID,
     Target,
 )
 
 DATA_CENTRES = ('dc-a', 'dc-b', 'dc-c')
 TEAMS = ('kiosks', 'desk', 'audit')
-KEYS_A_TEAM = 4
+KEYS_PER_TEAM = 4
 #: How long a target takes to start again under its id, in seconds.
-RECOVERY_S = (0.3, 2.5)
+RESTART_DELAY_S = (0.3, 2.5)
 HALF = 0.5
 #: How often tickets are looked at, in seconds.
-LOOK_S = 0.5
+LOOK_INTERVAL_S = 0.5
 #: Different requests that end their targets, and who asks for each.
 DEADLY_REQUESTS = 3
 DEADLY_CALLERS = 4
 #: How often the driver looks whether it is held up itself, in seconds.
-BEAT_S = 0.02
+LATENESS_INTERVAL_S = 0.02
 ENGINE = {
     'slots': SLOTS,
     'kvCapacity': 232_000,
@@ -95,19 +95,19 @@
     version: int = 0
     timeouts_s: dict[str, float] = field(default_factory=dict)
     objective_s: float = 1
-    numbers: int = 0
+    target_count: int = 0
     variant: int = 0
     late_s: float = 0
-    over: bool = False
+    finished: bool = False
 
     async def start(self) -> None:
         """Start everything but the callers."""
-        TICKETS_BY_NAME.clear()
+        RESERVATIONS_BY_ID.clear()
         if self.size.plan == 'restored':
             self.store.era = 1
         self.timeouts_s = dict(TIMEOUT_S)
         for team in TEAMS:
-            for number in range(KEYS_A_TEAM):
+            for number in range(KEYS_PER_TEAM):
                 self.keys.by_key[f'key-{team}-{number}'] = team
         self.publish()
         listener = await anyio.create_tcp_listener(
@@ -124,8 +124,8 @@
         for number in range(self.size.entries):
             await self._add_entry(number, f'127.0.0.1:{port}')
         self.group.start_soon(run_entries, self.entries, self.group)
-        self.group.start_soon(self._look_at_tickets)
-        self.group.start_soon(self._note_lateness)
+        self.group.start_soon(self._check_reservations)
+        self.group.start_soon(self._measure_lateness)
 
     def start_callers(self) -> None:
         """Let the callers begin."""
@@ -136,7 +136,7 @@
                 self.ledger,
                 self.keys,
                 Random(self.rng.random()),
-                lambda: self.over,
+                lambda: self.finished,
             )
             self.group.start_soon(caller.run)
         if self.size.plan == 'deadly':
@@ -154,8 +154,8 @@
                 self.ledger,
                 self.keys,
                 Random(self.rng.random()),
-                lambda: self.over,
-                which=number % DEADLY_REQUESTS,
+                lambda: self.finished,
+                request_index=number % DEADLY_REQUESTS,
             )
             self.group.start_soon(caller.run)
 
@@ -163,10 +163,10 @@
         """Write the configuration as it should be now."""
         self.version += self.rng.randint(1, 3)
         for name, timeout_s in self.timeouts_s.items():
-            self.ledger.note_timeout(KINDS[name][0], timeout_s)
+            self.ledger.record_timeout(REQUEST_KINDS[name][0], timeout_s)
         plain = {
             'version': self.version,
-            'routes': [self._make_route(name) for name in KINDS],
+            'routes': [self._make_route(name) for name in REQUEST_KINDS],
             'services': [
                 {
                     'name': 'engines',
@@ -180,26 +180,26 @@
                     'name': team,
                     'apiKeys': [
                         key
-                        for key, holder in self.keys.by_key.items()
-                        if holder == team
+                        for key, owner in self.keys.by_key.items()
+                        if owner == team
                     ],
                 }
                 for team in TEAMS
             ],
         }
         self.store.put_json(*CONFIG, plain)
-        self.ledger.note_change('version', str(self.version))
+        self.ledger.record_change('version', str(self.version))
 
     def revoke(self) -> None:
         """Take one key away; some callers go on using it."""
         key = self.keys.revoke(self.rng)
         self.publish()
-        self.ledger.note_change('revoked', key)
+        self.ledger.record_change('revoked', key)
 
     async def add_target(self, service: str, data_centre: str) -> Target:
         """Add a new incarnation of a target."""
-        self.numbers += 1
-        name = f'i-{self.numbers}'
+        self.target_count += 1
+        name = f'i-{self.target_count}'
         return await self._start_target(name, service, data_centre)
 
     async def _start_target(
@@ -217,11 +217,11 @@
             Random(self.rng.random()),
             on_crash=self._recover_later,
         )
-        await target.live(self.group)
+        await target.start_serving(self.group)
         self.targets.append(target)
         return target
 
-    async def replace(self, target: Target, state: str = LEAVING) -> None:
+    async def replace(self, target: Target, state: str = DRAINING) -> None:
         """Let a target leave as planned, after another has come."""
         await self.add_target(target.service, target.data_centre)
         await target.leave(state)
@@ -231,9 +231,9 @@
     async def crash(self, target: Target) -> None:
         """Let a target die; its entry goes after three heartbeats."""
         self.remove(target)
-        await anyio.sleep(HEARTBEAT_S * 3)
+        await anyio.sleep(HEARTBEAT_INTERVAL_S * 3)
         self.store.put_json(TARGETS, target.target_id, None)
-        self.ledger.note_change('leaving', target.incarnation)
+        self.ledger.record_change('leaving', target.incarnation)
         await self.add_target(target.service, target.data_centre)
 
     async def restart(self, target: Target, pause_s: float) -> None:
@@ -253,7 +253,7 @@
         fault.ended_at = time.monotonic()
         rng = Random(self.rng.random())
         if rng.random() < HALF:
-            pause_s = rng.uniform(*RECOVERY_S)
+            pause_s = rng.uniform(*RESTART_DELAY_S)
             self.group.start_soon(self.restart, target, pause_s)
         else:
             self.group.start_soon(self.crash, target)
@@ -261,8 +261,8 @@
 
     def remove(self, target: Target) -> None:
         """End a target at once."""
-        target.gone.set()
-        self.ledger.note_change('ended', target.incarnation)
+        target.stopped.set()
+        self.ledger.record_change('ended', target.incarnation)
         if target in self.targets:
             self.targets.remove(target)
 
@@ -311,9 +311,9 @@
         self.entries.append(entry)
 
     def _make_route(self, name: str) -> dict:
-        path, kind, service = KINDS[name]
+        path, kind, service = REQUEST_KINDS[name]
         streaming = kind == 'streaming'
-        aim_ms = round(self.objective_s * 1000) if streaming else 300
+        objective_ms = round(self.objective_s * 1000) if streaming else 300
         return {
             'name': name,
             'host': HOST,
@@ -321,7 +321,7 @@
             'kind': kind,
             'service': service,
             'timeoutMs': round(self.timeouts_s[name] * 1000),
-            'sloMs': aim_ms + self.variant,
+            'sloMs': objective_ms + self.variant,
             'maxAttempts': 1 if kind == 'non_idempotent' else 2,
             'resumable': streaming,
             'gapAimMs': 500 + self.variant,
@@ -330,16 +330,16 @@
     async def _serve_store(self, stream: anyio.abc.SocketStream) -> None:
         await serve_stream(stream, self.store.handle)
 
-    async def _note_lateness(self) -> None:
+    async def _measure_lateness(self) -> None:
         """Keep the longest time for which the driver itself was held up."""
         while True:
             began_at = time.monotonic()
-            await anyio.sleep(BEAT_S)
-            over_s = time.monotonic() - began_at - BEAT_S
+            await anyio.sleep(LATENESS_INTERVAL_S)
+            over_s = time.monotonic() - began_at - LATENESS_INTERVAL_S
             self.late_s = max(self.late_s, over_s)
 
-    async def _look_at_tickets(self) -> None:
+    async def _check_reservations(self) -> None:
         while True:
-            await anyio.sleep(LOOK_S)
+            await anyio.sleep(LOOK_INTERVAL_S)
             for target in self.targets:
-                target.note_leaks(time.monotonic())
+                target.record_leaks(time.monotonic())
--- a/tests/test_entry_processes.py
+++ b/tests/test_entry_processes.py
@@ -12,7 +12,7 @@
 import httpx
 
 from tests.soak.callers import HOST
-from tests.soak.checks import SAFE
+from tests.soak.checks import UNTIMED_CHECKS
 from tests.soak.entries import ROOT
 from tests.soak.world import PRODUCT, Size, World
 
@@ -227,15 +227,17 @@
     def test_run_without_faults(self):
         async def scenario(world):
             world.start_callers()
-            await wait_for(lambda: len(world.ledger.attempts) > 60)
-            world.over = True
+            await wait_for(lambda: len(world.ledger.requests) > 60)
+            world.finished = True
             await wait_for(
                 lambda: all(
-                    attempt.ended_at or attempt.left_at
-                    for attempt in world.ledger.attempts.values()
+                    request.ended_at or request.left_at
+                    for request in world.ledger.requests.values()
                 )
             )
-            broken = [line for check in SAFE for line in check(world.ledger)]
+            broken = [
+                line for check in UNTIMED_CHECKS for line in check(world.ledger)
+            ]
             self.assertEqual(broken, [])
 
         play(scenario, Size(entries=2, engines=3, plain=2, callers=8))
--- a/tests/test_soak_checks.py
+++ b/tests/test_soak_checks.py
@@ -5,55 +5,55 @@
 
 from tests.soak.checks import run_checks
 from tests.soak.ledger import (
-    ALL,
+    ALL_ENTRIES,
     Arrival,
-    Ask,
-    Attempt,
+    RequestSpec,
+    RequestRecord,
     Change,
-    End,
+    Crash,
     Fault,
     Ledger,
-    Naming,
-    Rest,
+    LimitChange,
+    BackoffRequest,
     Run,
 )
 from tests.soak.targets import get_seal
 
-STREAM = Ask(
+STREAM = RequestSpec(
     'r1', 'streaming', 'k1', 'desk', 'engines', '/x', '100,86', 2, timeout_s=5
 )
-BOOKING = Ask('r2', 'non_idempotent', 'k1', 'desk', 'booking')
+BOOKING = RequestSpec('r2', 'non_idempotent', 'k1', 'desk', 'booking')
 ENTRY = 'entry-0'
 CUT_ONCE = f'lost: r1 at {ENTRY} was cut after 1 runs'
 
 
-def make_run(ask, began_at=10, **fields):
+def make_run(spec, began_at=10, **fields):
     """Return a run of a request as it should be."""
-    fields.setdefault('seal', get_seal('i-1', ask.req_id))
+    fields.setdefault('seal', get_seal('i-1', spec.req_id))
     fields.setdefault('ended_at', began_at + 1)
-    fields.setdefault('team', ask.team)
+    fields.setdefault('team', spec.team)
     return Run(
-        ask.req_id,
+        spec.req_id,
         'i-1',
-        ask.service,
+        spec.service,
         began_at,
-        sizes=ask.sizes,
+        sizes=spec.sizes,
         status=200,
         **fields,
     )
 
 
-def make_attempt(ask, **fields):
+def make_attempt(spec, **fields):
     """Return a request that was answered whole."""
     known = {
         'status': 200,
-        'seal': get_seal('i-1', ask.req_id),
+        'seal': get_seal('i-1', spec.req_id),
         'whole': True,
-        'last_event': ask.events,
+        'last_event': spec.events,
         'whole_at': 10,
         'ended_at': 11.2,
     }
-    return Attempt(ask, ENTRY, 9.9, **{**known, **fields})
+    return RequestRecord(spec, ENTRY, 9.9, **{**known, **fields})
 
 
 def make_cut(**fields):
@@ -62,9 +62,9 @@
     return make_attempt(STREAM, **{**known, **fields})
 
 
-def make_ledger(attempt, *runs):
+def make_ledger(request, *runs):
     """Return a ledger of one request."""
-    ledger = Ledger(attempts={attempt.ask.req_id: attempt})
+    ledger = Ledger(requests={request.ask.req_id: request})
     ledger.runs.extend(runs)
     return ledger
 
@@ -73,8 +73,8 @@
     """What is as it should be breaks nothing."""
 
     def test_answered(self):
-        for ask in (STREAM, BOOKING):
-            ledger = make_ledger(make_attempt(ask), make_run(ask))
+        for spec in (STREAM, BOOKING):
+            ledger = make_ledger(make_attempt(spec), make_run(spec))
             self.assertEqual(run_checks(ledger), [])
 
     def test_resumed_stream(self):
@@ -84,27 +84,27 @@
         self.assertEqual(run_checks(ledger), [])
 
     def test_failure_after_a_run(self):
-        attempt = make_attempt(BOOKING, status=502, seal='')
+        request = make_attempt(BOOKING, status=502, seal='')
         self.assertEqual(
-            run_checks(make_ledger(attempt, make_run(BOOKING))), []
+            run_checks(make_ledger(request, make_run(BOOKING))), []
         )
 
     def test_cut_by_its_routes_time(self):
-        attempt = make_attempt(STREAM, whole=False, last_event=1)
-        ledger = make_ledger(attempt, make_run(STREAM))
-        ledger.note_timeout(STREAM.path, 8)
-        ledger.note_timeout(STREAM.path, 1.2)
+        request = make_attempt(STREAM, whole=False, last_event=1)
+        ledger = make_ledger(request, make_run(STREAM))
+        ledger.record_timeout(STREAM.path, 8)
+        ledger.record_timeout(STREAM.path, 1.2)
         self.assertEqual(run_checks(ledger), [])
 
     def test_cut_by_a_kill(self):
-        attempt = make_attempt(STREAM, whole=False, last_event=1)
-        ledger = make_ledger(attempt, make_run(STREAM))
+        request = make_attempt(STREAM, whole=False, last_event=1)
+        ledger = make_ledger(request, make_run(STREAM))
         ledger.faults.append(Fault('kill_entry', ENTRY, 11, 11.1))
         self.assertEqual(run_checks(ledger), [])
 
     def test_taken_slowly(self):
-        attempt = make_attempt(STREAM, slow=True, first_at=11, ended_at=15.9)
-        ledger = make_ledger(attempt, make_run(STREAM))
+        request = make_attempt(STREAM, slow=True, first_at=11, ended_at=15.9)
+        ledger = make_ledger(request, make_run(STREAM))
         self.assertEqual(run_checks(ledger), [])
 
     def test_cut_by_a_kill_of_its_target(self):
@@ -138,7 +138,7 @@
         self.ask_to_end(ledger, 4.3)
         self.assertEqual(run_checks(ledger), [CUT_ONCE])
         ledger = make_ledger(make_cut(), make_run(STREAM, ended_at=11.2))
-        ledger.attempts['r1'].sent_at = 7.2
+        ledger.requests['r1'].sent_at = 7.2
         self.ask_to_end(ledger, 4.3)
         self.assertEqual(run_checks(ledger), [])
 
@@ -159,24 +159,24 @@
         self.expect('once', make_ledger(make_attempt(BOOKING), *runs))
 
     def test_refused_though_run(self):
-        attempt = make_attempt(BOOKING, status=503, seal='')
-        self.expect('refusals', make_ledger(attempt, make_run(BOOKING)))
+        request = make_attempt(BOOKING, status=503, seal='')
+        self.expect('refusals', make_ledger(request, make_run(BOOKING)))
 
     def test_bytes_of_another(self):
-        attempt = make_attempt(STREAM, problem="event b'id: 9'")
-        self.expect('answers', make_ledger(attempt, make_run(STREAM)))
+        request = make_attempt(STREAM, problem="event b'id: 9'")
+        self.expect('answers', make_ledger(request, make_run(STREAM)))
 
     def test_foreign_seal(self):
-        attempt = make_attempt(BOOKING, seal='i-9.x')
-        self.expect('answers', make_ledger(attempt, make_run(BOOKING)))
+        request = make_attempt(BOOKING, seal='i-9.x')
+        self.expect('answers', make_ledger(request, make_run(BOOKING)))
 
     def test_complete_too_soon(self):
-        attempt = make_attempt(STREAM, last_event=1)
-        self.expect('answers', make_ledger(attempt, make_run(STREAM)))
+        request = make_attempt(STREAM, last_event=1)
+        self.expect('answers', make_ledger(request, make_run(STREAM)))
 
     def test_failed_inside(self):
-        attempt = make_attempt(BOOKING, status=500, seal='')
-        self.expect('failures', make_ledger(attempt))
+        request = make_attempt(BOOKING, status=500, seal='')
+        self.expect('failures', make_ledger(request))
 
     def test_asked_by_nobody(self):
         ledger = make_ledger(make_attempt(STREAM), make_run(STREAM))
@@ -192,7 +192,7 @@
         self.expect('runs', make_ledger(make_attempt(BOOKING), run))
 
     def test_ticket_used_twice(self):
-        self.expect('tickets', Ledger(ticket_clashes={'t1'}))
+        self.expect('tickets', Ledger(reservation_clashes={'t1'}))
 
     def test_process_ended(self):
         self.expect('exits', Ledger(exits=['entry-0 ended with 1']))
@@ -207,7 +207,7 @@
         self.expect('revoked', ledger)
 
     def test_leak(self):
-        self.expect('leaks', Ledger(ticket_leaks={'t1 at i-1'}))
+        self.expect('leaks', Ledger(reservation_leaks={'t1 at i-1'}))
 
     def test_target_has_left(self):
         ledger = make_ledger(make_attempt(BOOKING), make_run(BOOKING))
@@ -222,24 +222,24 @@
         self.expect('leaving', ledger)
 
     def test_no_end(self):
-        attempt = make_attempt(STREAM, ended_at=15.9)
-        self.expect('ends', make_ledger(attempt, make_run(STREAM)))
+        request = make_attempt(STREAM, ended_at=15.9)
+        self.expect('ends', make_ledger(request, make_run(STREAM)))
 
     def test_cut_by_a_graceful_end(self):
-        attempt = make_attempt(STREAM, whole=False, last_event=1)
-        ledger = make_ledger(attempt, make_run(STREAM))
+        request = make_attempt(STREAM, whole=False, last_event=1)
+        ledger = make_ledger(request, make_run(STREAM))
         ledger.faults.append(
             Fault('restart_entry', f'graceful {ENTRY}', 10.5, 14)
         )
         self.expect('lost', ledger)
 
     def test_no_beginning_for_a_slow_caller(self):
-        attempt = make_attempt(STREAM, slow=True, first_at=15.9, ended_at=16)
-        self.expect('ends', make_ledger(attempt, make_run(STREAM)))
+        request = make_attempt(STREAM, slow=True, first_at=15.9, ended_at=16)
+        self.expect('ends', make_ledger(request, make_run(STREAM)))
 
     def test_no_answer_for_a_slow_caller(self):
-        attempt = make_cut(slow=True, ended_at=None)
-        self.expect('ends', make_ledger(attempt, make_run(STREAM)))
+        request = make_cut(slow=True, ended_at=None)
+        self.expect('ends', make_ledger(request, make_run(STREAM)))
 
     def test_cut_in_a_queue(self):
         self.expect('lost', make_ledger(make_cut()))
@@ -265,27 +265,29 @@
     def test_works_on_for_nobody(self):
         ledger = Ledger()
         for number in range(4):
-            ask = replace(STREAM, req_id=f'r{number}')
-            ledger.attempts[ask.req_id] = make_attempt(
-                ask, status=0, whole=False, left_at=10.1, ended_at=None
+            spec = replace(STREAM, req_id=f'r{number}')
+            ledger.requests[spec.req_id] = make_attempt(
+                spec, status=0, whole=False, left_at=10.1, ended_at=None
             )
-            ledger.runs.append(make_run(ask, ended_at=11))
+            ledger.runs.append(make_run(spec, ended_at=11))
         found = run_checks(ledger)
         self.assertEqual(len(found), 4)
         self.assertTrue(all(one.startswith('gone') for one in found))
 
     def test_deadly_request_goes_on(self):
         """Four targets get it later than an entry needs to be in touch."""
-        ledger = Ledger(ends=[End('/x', f'i-{one}', one) for one in range(3)])
+        ledger = Ledger(
+            crashes=[Crash('/x', f'i-{one}', one) for one in range(3)]
+        )
         for number in range(4):
-            ask = replace(STREAM, req_id=f'r{number}')
-            ledger.attempts[ask.req_id] = make_attempt(ask)
-            ledger.runs.append(make_run(ask))
+            spec = replace(STREAM, req_id=f'r{number}')
+            ledger.requests[spec.req_id] = make_attempt(spec)
+            ledger.runs.append(make_run(spec))
         self.assertEqual(
             run_checks(ledger), ['budget: /x reached 4 targets more, ended 3']
         )
         ledger.runs.pop()
-        ledger.attempts.popitem()
+        ledger.requests.popitem()
         self.assertEqual(run_checks(ledger), [])
 
     def make_told(self, *sent_at):
@@ -293,18 +295,18 @@
         first = make_attempt(STREAM, first_at=10)
         ledger = make_ledger(first, make_run(STREAM, leaves=True))
         for number, at in enumerate(sent_at):
-            ask = replace(STREAM, req_id=f'w{number}')
-            attempt = make_attempt(ask, status=503, seal='', last_event=0)
-            attempt.sent_at = at
-            ledger.attempts[ask.req_id] = attempt
-            ledger.arrivals.append(Arrival(ask.req_id, 'i-1', at))
+            spec = replace(STREAM, req_id=f'w{number}')
+            request = make_attempt(spec, status=503, seal='', last_event=0)
+            request.sent_at = at
+            ledger.requests[spec.req_id] = request
+            ledger.arrivals.append(Arrival(spec.req_id, 'i-1', at))
         return ledger
 
     def test_target_that_told_an_entry_that_it_leaves(self):
         """More than 2 s later, whatever the store went through meanwhile."""
         self.assertEqual(run_checks(self.make_told(11, 12.2)), [])
         ledger = self.make_told(12.5)
-        ledger.faults.append(Fault('store_down', ALL, 9, 12))
+        ledger.faults.append(Fault('store_down', ALL_ENTRIES, 9, 12))
         self.assertEqual(
             run_checks(ledger), ['words: w0 reached i-1 after 2.5 s']
         )
@@ -315,7 +317,7 @@
         """Two requests may come in it, three may not."""
         ledger = self.make_told(10.7, 11, 11.5, 12)
         ledger.runs[0].leaves = False
-        ledger.rests.append(Rest('r1', 'i-1', 10, 13))
+        ledger.backoffs.append(BackoffRequest('r1', 'i-1', 10, 13))
         self.assertEqual(
             run_checks(ledger), [f'rests: i-1 got 3 in a rest from {ENTRY}']
         )
@@ -324,13 +326,18 @@
 
     def test_limited_target_gets_too_much(self):
         """From contact on; twelve in 4 s, where eleven are allowed."""
-        ledger = Ledger(namings=[Naming('i-1', 1, 6), Naming('i-1', None, 20)])
+        ledger = Ledger(
+            limit_changes=[
+                LimitChange('i-1', 1, 6),
+                LimitChange('i-1', None, 20),
+            ]
+        )
         for number in range(12):
-            ask = replace(STREAM, req_id=f'r{number}')
-            ledger.attempts[ask.req_id] = make_attempt(ask)
-            ledger.runs.append(make_run(ask, 10 + number / 4))
+            spec = replace(STREAM, req_id=f'r{number}')
+            ledger.requests[spec.req_id] = make_attempt(spec)
+            ledger.runs.append(make_run(spec, 10 + number / 4))
         self.assertEqual(
             run_checks(ledger), ['limit: i-1 takes 1 a second, got 12']
         )
-        ledger.namings[1] = Naming('i-1', None, 12.7)
+        ledger.limit_changes[1] = LimitChange('i-1', None, 12.7)
         self.assertEqual(run_checks(ledger), [])
