--- a/tests/soak/mutants.py
+++ b/tests/soak/mutants.py
@@ -1,9 +1,10 @@
 """
-Broken products
-===============
+Mutants of the product
+======================
 
-Entries with one thing broken on purpose, each to show that a check of the soak
-catches it: `python -m tests.soak --patch NAME` must end with violations.
+Each function patches one deliberate defect into the entry, to show that a check
+of the soak test catches it: `python -m tests.soak --patch NAME` must report
+violations.  The functions' names are the names of the patches.
 """
 
 import sys
@@ -34,23 +35,23 @@
 
 
 def once() -> None:
-    """Repeat whatever failed, also what may have run."""
+    """Retry every failure, including requests that may have run."""
     AttemptHistory.may_repeat = lambda history, route: len(history.attempts) < 4
 
 
 def refusals() -> None:
-    """Say of what may have run that it has not."""
-    wrong = {**STATUSES, Refusal.failed: 503, Refusal.timeout: 503}
-    _relaying.STATUSES = MappingProxyType(wrong)
+    """Answer 503, which rules out a run, to requests that may have run."""
+    statuses = {**STATUSES, Refusal.failed: 503, Refusal.timeout: 503}
+    _relaying.STATUSES = MappingProxyType(statuses)
 
 
 def answers() -> None:
-    """Take a body that is cut for a whole one."""
-    whole = _wire.Wire.iter_body
+    """Treat a truncated body as complete."""
+    original = _wire.Wire.iter_body
 
     async def iter_body(self: Any) -> AsyncIterator[bytes]:
         try:
-            async for raw in whole(self):
+            async for raw in original(self):
                 yield raw
         except _wire.WireError:
             return
@@ -59,19 +60,19 @@
 
 
 def failures() -> None:
-    """Fail while a target is chosen."""
+    """Fail while selecting a target."""
     _relaying.select = None
 
 
 def runs() -> None:
-    """Pass callers' keys on to targets."""
+    """Forward callers' API keys to targets."""
     _headers.REPLACED_HEADERS = _headers.REPLACED_HEADERS - {
         _headers.AUTHORIZATION
     }
 
 
 def exits() -> None:
-    """End a process some seconds after its start."""
+    """Exit 8 s after the start."""
 
     async def fail(*args: Any) -> None:
         await anyio.sleep(8)
@@ -81,72 +82,72 @@
 
 
 def revoked() -> None:
-    """Serve keys without a recent proof."""
+    """Accept API keys without a recent proof that the keys are valid."""
     FreshnessProof.is_fresh = lambda proof, now: True
 
 
 def leaks() -> None:
-    """Never give tickets back, and go on renewing them."""
-    _tickets.Tickets.release = lambda tickets, held: None
+    """Never release reservations, and go on renewing them."""
+    _tickets.Tickets.release = lambda tickets, held_tickets: None
 
 
 def leaving() -> None:
-    """Go on using targets that are leaving."""
+    """Go on using targets that are draining."""
     Fleet.get_usable = lambda fleet, service: (
         one for one in fleet.targets.values() if one.service == service
     )
 
 
 def ends() -> None:
-    """Give requests more time than their routes do."""
+    """Extend the deadlines of requests beyond their routes' timeouts."""
     admit = _relaying.admit
 
-    def admit_long(*args: Any) -> Any:
+    def admit_with_longer_deadline(*args: Any) -> Any:
         job = admit(*args)
         if isinstance(job, Job):
             job.deadline += 5
         return job
 
-    _relaying.admit = admit_long
+    _relaying.admit = admit_with_longer_deadline
 
 
 def lost() -> None:
-    """End at once when asked to stop."""
+    """Stop at once, without drain delay or time for running requests."""
     _daemon.DRAIN_DELAY_S = 0
     _daemon.END_MARGIN_S = 8
 
 
 def gone() -> None:
-    """Don't notice callers that leave."""
-    _app._cancel_on_disconnect = _sleep_on
+    """Ignore callers that disconnect."""
+    _app._cancel_on_disconnect = _sleep_forever
 
 
 def budget() -> None:
-    """Hold no request for the targets that ended under it."""
+    """Never quarantine requests that crash targets."""
     Quarantine.is_quarantined = lambda quarantine, fingerprint: False
 
 
 def copies() -> None:
-    """Take the word of any copy of the store, as if it were the only one."""
+    """Ignore the epoch of the store, so that any older copy is trusted."""
     _epochs.StoreEpochs.record = lambda epochs, head: None
 
 
 def limit() -> None:
-    """Send to targets whatever they ask for."""
+    """Ignore the rate limits and back-offs of targets."""
     Throttle.can_send = lambda throttle, target, now: True
 
 
 def words() -> None:
-    """Go on using targets that say in answers that they leave."""
+    """Ignore targets that announce in answers that they are draining."""
     _notices._record_drain = lambda *args: None
 
 
 def rests() -> None:
-    """Give targets no rest."""
-    BackoffGate.can_send = lambda resting, target, now: True
+    """Ignore the back-offs that targets ask for."""
+    BackoffGate.can_send = lambda gate, target, now: True
 
 
-async def _sleep_on(*args: Any) -> None:
+async def _sleep_forever(*args: Any) -> None:
     await anyio.sleep_forever()
 
 
--- a/tests/soak/narrow.py
+++ b/tests/soak/narrow.py
@@ -1,9 +1,9 @@
 """
-Narrow ways back
-================
+Entry with small send buffers
+=============================
 
-Entries whose connections take few bytes at a time, as on links with small
-windows: what a caller doesn't read stays in the process.
+Starts an entry whose sockets to callers have small send buffers, as on links
+with small TCP windows: what a caller doesn't read stays in the process.
 """
 
 import socket
@@ -13,12 +13,12 @@
 
 from trestledock.platform import run
 
-#: What the system keeps of an answer that isn't read, in bytes.
+#: Bytes of an unread answer that the kernel buffers.
 SEND_BUFFER_BYTES = 4096
 
 
 def use_small_send_buffers() -> None:
-    """Let connections of callers inherit a small buffer."""
+    """Make connections of callers inherit a small send buffer."""
     create_sockets = Config.create_sockets
 
     def create_small_sockets(config: Any) -> Sockets:
