--- a/tests/soak/client.py
+++ b/tests/soak/client.py
@@ -1,9 +1,9 @@
 """
-Connections of callers
-======================
+HTTP/1.1 client
+===============
 
-HTTP/1.1 as callers speak it: a body may arrive in pieces, an answer may be
-taken slowly, and the time of the last byte sent is known.
+Connections of callers that can send a body in chunks with pauses, and read an
+answer slowly.  The caller knows when the last byte was sent.
 """
 
 import select
@@ -18,14 +18,15 @@
 
 from tests.soak.serving import CONNECTION_ERRORS, READ_BYTES
 
-#: What a slow caller takes at once and leaves unread, and how long it pauses.
+#: Bytes a slow caller reads at once (also its receive buffer), and its pause
+#: before each read, in seconds.
 SLOW_READ_BYTES = 65_536
 SLOW_PAUSE_S = 0.02
 
 
 @dataclass(eq=False)
 class Connection:
-    """One connection to an entry, for one request after the other."""
+    """One persistent connection to an entry, without pipelining."""
 
     stream: SocketStream
     slow: bool = False
@@ -47,7 +48,7 @@
         chunks: Sequence[bytes],
         pause_s: float,
     ) -> None:
-        """Send a request, its body in pieces."""
+        """Send a request, with a pause before each chunk of its body."""
         await self._send(head)
         for chunk in chunks:
             await anyio.sleep(pause_s)
@@ -55,7 +56,7 @@
         await self._send(h11.EndOfMessage())
 
     async def receive(self) -> Any:
-        """Return the next event of the answer."""
+        """Return the next h11 event of the answer."""
         event = self.http.next_event()
         while event is h11.NEED_DATA:
             if self.slow:
@@ -70,7 +71,7 @@
         return event
 
     def reuse(self) -> bool:
-        """Whether the next request may follow; makes ready for it."""
+        """Prepare for the next request; return whether one may follow."""
         self.used = True
         states = {self.http.our_state, self.http.their_state}
         if states == {h11.DONE}:
@@ -85,7 +86,7 @@
 
 
 async def connect(url: str, *, slow: bool) -> Connection | None:
-    """Return a connection, or None where none is taken."""
+    """Return a connection, or None if it isn't accepted."""
     parts = urlsplit(url)
     try:
         stream = await anyio.connect_tcp(str(parts.hostname), parts.port or 0)
--- a/tests/soak/store.py
+++ b/tests/soak/store.py
@@ -1,9 +1,9 @@
 """
-Stand-in of the store
-=====================
+Fake store
+==========
 
-The platform's log with its keyed topics.  It can be down, slow, lose
-answers of writes that it has carried out, forget its history, and come back
+The platform's log with its keyed topics.  It can be unavailable or slow, drop
+the answers of writes that it has executed, drop its history, and be restored
 from an older copy of itself.
 """
 
@@ -19,19 +19,19 @@
 
 CONFIG = ('keyed.op', 'config')
 TARGETS = 'keyed.servers'
-#: Topics that only the operator and the targets write.
-OPERATOR_TOPICS = (CONFIG[0], TARGETS)
+#: Topics that only the operator and the targets write; entries don't.
+READ_ONLY_TOPICS = (CONFIG[0], TARGETS)
 OFFSETS = struct.Struct('>QQ')
 LENGTH = struct.Struct('>I')
-#: The header that tells how often the store came back from a copy.
+#: The header with the epoch of the store, which grows with each restore.
 EPOCH_HEADER = 'Store-Era'
-#: Records on one page of the newest ones.
+#: Records on one page of `/log-newest`.
 PAGE = 500
 
 
 @dataclass
 class Topic:
-    """The records of one topic; `first` is the oldest that is retained."""
+    """The records of one topic; `first` is the oldest offset retained."""
 
     records: list[tuple[int, str, bytes]] = field(default_factory=list)
     newest: dict[str, tuple[int, bytes]] = field(default_factory=dict)
@@ -40,7 +40,7 @@
     changed: anyio.Event = field(default_factory=anyio.Event)
 
     def put(self, key: str, text: bytes) -> None:
-        """Append a record; without a text the key is dropped."""
+        """Append a record; an empty text deletes the key."""
         self.records.append((self.end, key, text))
         if text:
             self.newest[key] = (self.end, text)
@@ -51,12 +51,12 @@
         self.changed = anyio.Event()
 
     def drop_history(self) -> None:
-        """Drop the history, but for the newest record of each key."""
+        """Drop the history; the newest record of each key stays."""
         self.records.clear()
         self.first = self.end
 
     def get_page(self, after: str) -> dict[str, Any]:
-        """Return a page of the newest records, by their keys."""
+        """Return a page of the newest records, in order of their keys."""
         later = sorted(key for key in self.newest if key > after)
         items = [
             {
@@ -70,7 +70,7 @@
         return {'items': items, 'hasMore': has_more, 'endOffset': self.end}
 
     def read(self, start: int) -> bytes:
-        """Return the framed records from an offset on."""
+        """Return the length-prefixed records from an offset on."""
         parts = [OFFSETS.pack(self.end, self.first)]
         for offset, key, text in self.records:
             if offset >= start:
@@ -81,7 +81,10 @@
 
 @dataclass
 class Store:
-    """All topics, and how the store misbehaves."""
+    """All topics, and the faults of the store.
+
+    `era` is the epoch that the store reports in `Store-Era`, None for none.
+    """
 
     topics: dict[str, Topic] = field(default_factory=dict)
     status: int = 200
@@ -93,34 +96,34 @@
     lost_writes: dict[tuple[str, str], bytes] = field(default_factory=dict)
 
     def get_topic(self, name: str) -> Topic:
-        """Return a topic, made at its first use."""
+        """Return a topic, which is created at its first use."""
         return self.topics.setdefault(name, Topic())
 
     def put_json(self, topic: str, key: str, plain: dict | None) -> None:
-        """Write as the operator or a target does."""
+        """Write a record as the operator or a target does."""
         text = json.dumps(plain).encode() if plain else b''
         self.put(topic, key, text)
 
     def put(self, topic: str, key: str, text: bytes) -> None:
-        """Append a record, and remember when."""
+        """Append a record and keep its time, for restores."""
         self.writes.append((anyio.current_time(), topic, key, text))
         self.lost_writes.pop((topic, key), None)
         self.get_topic(topic).put(key, text)
 
     def go_back(self, back_s: float) -> None:
-        """Come back from a copy that is `back_s` seconds old.
+        """Restore the store from a copy that is `back_s` seconds old.
 
-        What was written since is gone, its offsets are given out again, and
-        reads that wait go on at what is there now.
+        Later writes are lost, their offsets are assigned again, and waiting
+        reads continue on the restored records.
         """
         until = anyio.current_time() - back_s
         before, self.topics = self.topics, {}
         lost_writes = {
             (topic, key): text
             for written_at, topic, key, text in self.writes
-            if written_at > until and topic in OPERATOR_TOPICS
+            if written_at > until and topic in READ_ONLY_TOPICS
         }
-        # What an earlier restore has lost is newer than all that is here.
+        # Writes lost in an earlier restore are newer than all others here.
         self.lost_writes = {**lost_writes, **self.lost_writes}
         self.writes = [one for one in self.writes if one[0] <= until]
         for _, topic, key, text in self.writes:
@@ -131,7 +134,7 @@
             topic.changed.set()
 
     def write_again(self) -> None:
-        """Write what operator and targets have lost, and not written since."""
+        """Rewrite lost records of operator and targets not written since."""
         for (topic, key), text in list(self.lost_writes.items()):
             self.put(topic, key, text)
 
@@ -143,7 +146,7 @@
         if self.status != 200:
             await exchange.answer(self.status, headers=self._get_headers())
             return
-        status, body = self._call(exchange)
+        status, body = self._handle_call(exchange)
         if self.drops_answers:
             raise Reset
         await exchange.answer(status, body, self._get_headers())
@@ -152,14 +155,14 @@
         return [] if self.era is None else [(EPOCH_HEADER, str(self.era))]
 
     async def _wait_for_records(self, exchange: Exchange) -> None:
-        """Keep a read that is to wait until there is something new."""
+        """Delay a long-polling read until there are new records."""
         wait_s = int(exchange.query.get('waitMs', 0)) / 1000
         topic = self.get_topic(exchange.query['topic'])
         if wait_s and int(exchange.query['from']) == topic.end:
             with anyio.move_on_after(wait_s):
                 await topic.changed.wait()
 
-    def _call(self, exchange: Exchange) -> tuple[int, bytes]:
+    def _handle_call(self, exchange: Exchange) -> tuple[int, bytes]:
         topic = self.get_topic(exchange.query['topic'])
         if exchange.path == '/log-append':
             return self._append(topic, exchange)
