--- a/tests/soak/checks.py
+++ b/tests/soak/checks.py
@@ -1,29 +1,31 @@
 """
-Checks
-======
+Checks of a run
+===============
 
-The promises, each as a function of the ledger that returns what broke it.
-These hold however busy the machine is; `timed_checks` has the others.
+Each check is a function that yields the violations of one guarantee that it
+finds in a ledger.  These hold however busy the machine is; `timed_checks` has
+those that depend on time.
 """
 
 from typing import Callable, Iterator
 
-from tests.soak.ledger import RequestRecord, Ledger, Run
+from tests.soak.ledger import Ledger, RequestRecord, Run
 from tests.soak.timed_checks import OK_STATUS, TIMED_CHECKS
 
-#: Answers that promise that nothing has run and nothing will.
+#: Statuses that guarantee that the request has not run and will not.
 NOT_EXECUTED_STATUSES = frozenset((408, 421, 429, 503))
-#: Failures that the product answers itself: lost, refused, out of time.
+#: Failures that the product itself answers: connection lost, refused, timeout.
 OWN_FAILURE_STATUSES = frozenset((502, 503, 504))
 INTERNAL_ERROR_STATUS = 500
-#: The bound of the settings on keys taken away, in seconds.
+#: How long a revoked key may still be served, in seconds (`revokeMs` of the
+#: settings).
 REVOKE_TIMEOUT_S = 5.0
 
 Check = Callable[[Ledger], Iterator[str]]
 
 
 def check_once(ledger: Ledger) -> Iterator[str]:
-    """What must not be repeated runs at most once."""
+    """Requests that aren't repeatable run at most once."""
     for req_id, runs in ledger.get_runs_by_request().items():
         request = ledger.requests.get(req_id)
         if request and not request.ask.repeatable and len(runs) > 1:
@@ -31,7 +33,7 @@
 
 
 def check_refusals(ledger: Ledger) -> Iterator[str]:
-    """What is said not to have run has not."""
+    """A request whose answer guarantees that it has not run has not run."""
     ran = ledger.get_runs_by_request()
     for req_id, request in ledger.requests.items():
         if (
@@ -44,7 +46,7 @@
 
 
 def check_answers(ledger: Ledger) -> Iterator[str]:
-    """Every success is whole and the target's own."""
+    """Every success is complete and is the answer that the target sent."""
     ran = ledger.get_runs_by_request()
     for req_id, request in ledger.requests.items():
         if request.status != OK_STATUS:
@@ -62,7 +64,7 @@
 
 
 def check_failures(ledger: Ledger) -> Iterator[str]:
-    """A failure is the target's own, or one with a reason of ours."""
+    """A 5xx answer comes from a target, or is one the product may give."""
     for req_id, request in ledger.requests.items():
         is_own = request.status >= INTERNAL_ERROR_STATUS and not request.seal
         if is_own and request.status not in OWN_FAILURE_STATUSES:
@@ -70,7 +72,7 @@
 
 
 def check_runs(ledger: Ledger) -> Iterator[str]:
-    """Targets run only what callers asked for, as they asked it."""
+    """Targets run only requests that callers sent, unchanged."""
     for run in ledger.runs:
         request = ledger.requests.get(run.req_id)
         if request is None:
@@ -87,18 +89,18 @@
 
 
 def check_tickets(ledger: Ledger) -> Iterator[str]:
-    """No ticket serves two requests at once."""
+    """No reservation is used by two requests at once."""
     for names in ledger.reservation_clashes:
         yield f'{names} used twice at once'
 
 
 def check_exits(ledger: Ledger) -> Iterator[str]:
-    """Processes end only when they are told to."""
+    """Processes exit only when they are told to."""
     yield from ledger.exits
 
 
 def check_revoked(ledger: Ledger) -> Iterator[str]:
-    """A key that was taken away is not served for long, whatever happens."""
+    """A revoked key is refused from `REVOKE_TIMEOUT_S` on, under any fault."""
     revoked = ledger.get_changes('revoked')
     ran = ledger.get_runs_by_request()
     for req_id, request in ledger.requests.items():
@@ -121,10 +123,10 @@
 
 
 def run_checks(ledger: Ledger, *, timed: bool = True) -> list[str]:
-    """Return what broke which promise."""
+    """Return the violations, each with the name of its check."""
     checks = UNTIMED_CHECKS + TIMED_CHECKS if timed else UNTIMED_CHECKS
     return [
-        f'{check.__name__.removeprefix("check_")}: {found}'
+        f'{check.__name__.removeprefix("check_")}: {violation}'
         for check in checks
-        for found in check(ledger)
+        for violation in check(ledger)
     ]
--- a/tests/soak/ledger.py
+++ b/tests/soak/ledger.py
@@ -2,9 +2,10 @@
 Ledger of a run
 ===============
 
-What was seen from outside the product: requests as callers sent and got them,
-runs as targets saw them, acknowledged changes and injected faults.  Times are
-seconds on the driver's monotonic clock.
+Everything that is observed outside the product: requests and answers of
+callers, executions at targets, acknowledged changes and injected faults.  Times
+are seconds on the driver's monotonic clock.  `Ledger.write` writes the
+dataclasses out, so their field names are keys of the timeline.
 """
 
 import json
@@ -13,16 +14,16 @@
 from pathlib import Path
 from typing import Any, Collection
 
-#: After a fault has ended an entry is out of touch for so long, in seconds
-#: (`contactMs` of the settings).
+#: How long after the end of a fault an entry may still be out of contact, in
+#: seconds (`contactMs` of the settings).
 CONTACT_TIMEOUT_S = 3.0
-#: What stands for all entries in a fault.
+#: The entry name of a fault that affects all entries.
 ALL_ENTRIES = '*'
 
 
 @dataclass(frozen=True)
 class RequestSpec:
-    """What a caller asks for; `events` is zero for plain calls."""
+    """A request as its caller sends it; `events` is zero for plain calls."""
 
     req_id: str
     kind: str
@@ -37,20 +38,21 @@
 
     @property
     def repeatable(self) -> bool:
-        """Whether more than one target may run it."""
+        """Whether it may run more than once."""
         return self.kind != 'non_idempotent'
 
 
 @dataclass
 class RequestRecord:
-    """One request of a caller, and what came of it.
-
-    `status` is zero where the connection ended before an answer, `last_event`
-    the last event in an unbroken row from the first, `problem` says what was
-    wrong with the answer's bytes.  `whole_at` is when the last byte of the
-    request was sent, `first_at` when its answer began; a `slow` caller takes
-    the rest when it likes.  `unread` tells of a first request on a connection
-    that ended with a reset: the entry may never have accepted or read it.
+    """One request of a caller and its answer.
+
+    `status` is zero if the connection ended before an answer, `whole` is set by
+    a complete answer, `last_event` is the number of the last event received,
+    and `problem` describes wrong bytes in the answer.  `whole_at` is when the
+    last byte of the request was sent, `first_at` when its answer began; a
+    `slow` caller reads the rest at its own pace.  `left_at` is when the caller
+    abandoned the request.  `unread` marks a first request on a connection that
+    ended with a reset: the entry may never have accepted or read it.
     """
 
     ask: RequestSpec
@@ -70,20 +72,20 @@
 
     @property
     def served_at(self) -> float:
-        """When the entry had done all that didn't depend on the caller."""
+        """When the entry had done all that doesn't depend on the caller."""
         if self.slow and self.first_at:
             return self.first_at
         return self.end
 
     @property
     def end(self) -> float:
-        """When the caller had all that it got."""
+        """When the answer or its connection ended; infinite until then."""
         return self.ended_at or float('inf')
 
 
 @dataclass
 class Run:
-    """One run of a request at a target, whose answer may say that it leaves."""
+    """One execution at a target; `leaves`: the answer announced draining."""
 
     req_id: str
     target: str
@@ -110,7 +112,7 @@
 
 @dataclass(frozen=True)
 class BackoffRequest:
-    """A target turned a request away and wants rest from its entry."""
+    """A target refused a request and asked its entry for back-off."""
 
     req_id: str
     target: str
@@ -120,7 +122,7 @@
 
 @dataclass(frozen=True)
 class Change:
-    """A change that the store has acknowledged: what, whose, and when."""
+    """A change or event: its kind, the name of its subject, and its time."""
 
     what: str
     name: str
@@ -129,7 +131,7 @@
 
 @dataclass(frozen=True)
 class Crash:
-    """A target that ended as it began to run a request, by its path."""
+    """A crash of a target that began to run a request, with its path."""
 
     path: str
     target: str
@@ -138,9 +140,9 @@
 
 @dataclass(frozen=True)
 class LimitChange:
-    """A target asks for another number of requests a second from now on.
+    """A target's new rate limit, in requests a second.
 
-    `per_s` is None where it takes any number.
+    `per_s` is None if there is no limit.
     """
 
     target: str
@@ -150,7 +152,7 @@
 
 @dataclass
 class Fault:
-    """An injected fault on an entry (or all of them), or on a target."""
+    """An injected fault on an entry, on all entries, or on a target."""
 
     kind: str
     entry: str
@@ -159,7 +161,7 @@
     target: str = ''
 
     def affects(self, name: str, start: float, end: float) -> bool:
-        """Whether the fault disturbs an entry or a target in a span."""
+        """Whether the fault disturbs an entry or a target in an interval."""
         return (
             name in {self.entry, self.target}
             and self.began_at <= end
@@ -169,7 +171,7 @@
 
 @dataclass
 class Ledger:
-    """Everything that was seen in one run."""
+    """Everything that was observed in one run."""
 
     requests: dict[str, RequestRecord] = field(default_factory=dict)
     runs: list[Run] = field(default_factory=list)
@@ -186,34 +188,34 @@
     began_at: float = field(default_factory=time.monotonic)
 
     def record_change(self, what: str, name: str) -> None:
-        """Note a change that has just been acknowledged."""
+        """Record a change that has just been acknowledged."""
         self.changes.append(Change(what, name, time.monotonic()))
 
     def record_crash(self, path: str, target: str) -> None:
-        """Note that a target has just ended under a request."""
+        """Record that a request has just crashed a target."""
         self.crashes.append(Crash(path, target, time.monotonic()))
 
     def record_arrival(self, req_id: str, target: str) -> None:
-        """Note that a request has just reached a target."""
+        """Record that a request has just reached a target."""
         self.arrivals.append(Arrival(req_id, target, time.monotonic()))
 
     def record_backoff(
         self, req_id: str, target: str, backoff_s: float
     ) -> None:
-        """Note that a target turns a request away and asks for rest."""
+        """Record that a target refuses a request and asks for back-off."""
         now = time.monotonic()
         self.backoffs.append(
             BackoffRequest(req_id, target, now, now + backoff_s)
         )
 
     def record_limit_change(self, target: str, per_s: float | None) -> None:
-        """Note what a target asks for from now on."""
+        """Record the rate limit of a target from now on."""
         self.limit_changes.append(LimitChange(target, per_s, time.monotonic()))
 
     def begin_fault(
         self, kind: str, entry: str = '', target: str = ''
     ) -> Fault:
-        """Note the beginning of a fault; its end is set by the caller."""
+        """Record the beginning of a fault; the caller sets its end."""
         fault = Fault(kind, entry, time.monotonic(), target=target)
         self.faults.append(fault)
         return fault
@@ -225,9 +227,9 @@
         end: float,
         ignored_kinds: Collection[str] = (),
     ) -> bool:
-        """Whether an entry or a target was undisturbed in a span.
+        """Whether no fault disturbed an entry or a target in an interval.
 
-        Faults of the kinds `besides` don't count.
+        Faults of the kinds `ignored_kinds` don't count.
         """
         return not any(
             fault.affects(one, start, end)
@@ -237,7 +239,7 @@
         )
 
     def get_stop_times(self, name: str) -> list[float]:
-        """Return when an entry was asked to end gracefully."""
+        """Return when an entry was told to stop gracefully."""
         return [
             one.began_at
             for one in self.faults
@@ -245,12 +247,12 @@
         ]
 
     def get_entry(self, req_id: str) -> str:
-        """Return the entry that took a request."""
+        """Return the entry to which a request was sent."""
         request = self.requests.get(req_id)
         return request.entry if request else ''
 
     def get_sent_at(self, req_id: str) -> float:
-        """Return when a request's caller sent it, or before all time."""
+        """Return when a caller sent a request; -inf if none did."""
         request = self.requests.get(req_id)
         return request.sent_at if request else float('-inf')
 
@@ -262,12 +264,12 @@
         return found
 
     def record_timeout(self, path: str, timeout_s: float) -> None:
-        """Note the time that a route allows; the least ever counts."""
+        """Record the timeout of a route; the shortest one ever set counts."""
         known_s = self.timeouts_s.get(path, timeout_s)
         self.timeouts_s[path] = min(known_s, timeout_s)
 
     def may_have_timed_out(self, request: RequestRecord) -> bool:
-        """Whether a request may have reached its route's time."""
+        """Whether a request may have reached its route's timeout."""
         limit_s = self.timeouts_s.get(request.ask.path, float('inf'))
         return request.end - request.sent_at >= limit_s
 
@@ -280,7 +282,11 @@
         return found
 
     def write(self, path: Path) -> None:
-        """Write the time line, a line of JSON for each thing seen."""
+        """Write the timeline, one line of JSON for each observation.
+
+        The kinds in `seen` and the field names are its format: `attempt` is a
+        request, `naming` a limit change, `rest` a back-off, `end` a crash.
+        """
         rows: list[tuple[float, dict[str, Any]]] = []
         for kind, at, seen in (
             ('fault', 'began_at', self.faults),
--- a/tests/soak/timed_checks.py
+++ b/tests/soak/timed_checks.py
@@ -2,9 +2,8 @@
 Timed checks
 ============
 
-Promises with a bound in time.  Whether they hold depends on how busy the
-machine is, too, so they are left out where a run must give the same verdict
-every time.
+Checks of guarantees with a time limit.  Their result also depends on how busy
+the machine is, so runs that must give the same result every time skip them.
 """
 
 from typing import Iterator
@@ -12,54 +11,58 @@
 from tests.soak.entries import GRACE_S
 from tests.soak.ledger import (
     CONTACT_TIMEOUT_S,
-    RequestRecord,
     Ledger,
     LimitChange,
+    RequestRecord,
     Run,
 )
 
 OK_STATUS = 200
-#: The bound of the settings on targets that leave, in seconds.
+#: How long a draining target may still get requests (a bound of the settings),
+#: in seconds.
 DRAIN_TIMEOUT_S = 2.0
-#: What is allowed after a route's time is over, in seconds.
+#: How long after its deadline a request may be answered, in seconds.
 ANSWER_MARGIN_S = 0.5
-#: What the driver itself may add, in seconds.
+#: How much the driver itself may delay an observation, in seconds.
 DRIVER_MARGIN_S = 0.3
-#: How long a request may cross the end of its connection, in seconds
-#: (`lossSlackMs` of the settings).
+#: How long after a request was sent its connection may end without an answer,
+#: as the close and the request crossed, in seconds (`lossSlackMs` of the
+#: settings).
 CLOSE_RACE_S = 0.2
-#: Until when a target must have done its work for an entry that ends, in
-#: seconds, and for requests sent until when (the bounds on graceful ends).
+#: Bounds of a graceful stop, in seconds after SIGTERM: until when a target must
+#: have finished its work, and until when its request must have been sent.
 TARGET_WORK_S = GRACE_S * 5 / 6
 DRAIN_NOTICE_S = 3.0
-#: A target that still works so long after its caller left was not told.
+#: A target that still works on a request so long after its caller left, in
+#: seconds, was not told to cancel it.
 CANCEL_TIMEOUT_S = 0.5
-#: How many late cancellations in a run are still no pattern.
+#: Late cancellations that are tolerated in a run: a few show no pattern.
 MAX_LATE_CANCELLATIONS = 3
-#: So many targets may end under a request, and so many more may get it later
-#: than an entry needs to be in touch.
+#: How many crashes it takes to quarantine a request, and how many more runs may
+#: begin later than `CONTACT_TIMEOUT_S` after that.
 MIN_CRASHES = 3
 MAX_LATE_RUNS = 3
-#: In such a stretch a target that asks for fewer requests may get so many times
-#: as many, and so many more.
+#: In a window of `WINDOW_S` seconds a rate-limited target may get
+#: `LIMIT_TOLERANCE` times as many requests as its limit allows, plus
+#: `LIMIT_BURST`.
 WINDOW_S = 4.0
 LIMIT_TOLERANCE = 1.5
 LIMIT_BURST = 5
-#: From so long after a target has asked for rest, in seconds, so many requests
-#: may come from the entry until the rest is over.
+#: How long after a target's refusal its back-off starts to bind the entry, in
+#: seconds, and how many requests the entry may send from then until its end.
 BACKOFF_DELAY_S = 0.5
 MAX_IN_BACKOFF = 2
-#: Faults that excuse nothing where a target has told an entry something itself.
+#: Faults that excuse nothing if the target itself has sent the entry a notice.
 STORE_FAULTS = ('store_down', 'cut_store', 'reset_store', 'restore_store')
 
 
 def check_leaks(ledger: Ledger) -> Iterator[str]:
-    """Memory that nobody uses is given back."""
+    """Unused reservations are released."""
     yield from ledger.reservation_leaks
 
 
 def check_leaving(ledger: Ledger) -> Iterator[str]:
-    """A target that leaves gets nothing new after a moment."""
+    """A draining target gets no new request after `DRAIN_TIMEOUT_S`."""
     leaving = ledger.get_changes('leaving')
     for run in ledger.runs:
         late_s = run.began_at - leaving.get(run.target, float('inf'))
@@ -70,7 +73,7 @@
 
 
 def check_ends(ledger: Ledger) -> Iterator[str]:
-    """Every request has its final answer within its time."""
+    """Every request is answered within its deadline."""
     for req_id, request in ledger.requests.items():
         limit = (
             request.sent_at
@@ -90,7 +93,7 @@
 
 
 def check_lost(ledger: Ledger) -> Iterator[str]:
-    """What was read whole gets an answer, also around planned work."""
+    """A request read completely is answered, also during planned work."""
     ran = ledger.get_runs_by_request()
     for req_id, request in ledger.requests.items():
         cut = request.ended_at and request.whole_at and not request.whole
@@ -105,7 +108,7 @@
 
 
 def check_graces(ledger: Ledger) -> Iterator[str]:
-    """What is asked to end does so within the grace period."""
+    """Entries told to stop exit within the grace period."""
     for one in ledger.changes:
         asked_at = one.at - GRACE_S
         if one.what == 'overrun' and ledger.is_undisturbed(
@@ -115,7 +118,7 @@
 
 
 def check_gone(ledger: Ledger) -> Iterator[str]:
-    """Targets stop working for callers that have left."""
+    """Targets stop working on abandoned requests."""
     late = [
         f'{run.req_id} ran on for {delay_s:.1f} s'
         for run in ledger.runs
@@ -126,11 +129,11 @@
 
 
 def check_budget(ledger: Ledger) -> Iterator[str]:
-    """A request that ends its targets reaches few more after the third end."""
-    end_times: dict[str, list[float]] = {}
-    for end in ledger.crashes:
-        end_times.setdefault(end.path, []).append(end.at)
-    for path, times in end_times.items():
+    """A request that crashes targets reaches few after the third crash."""
+    crash_times: dict[str, list[float]] = {}
+    for crash in ledger.crashes:
+        crash_times.setdefault(crash.path, []).append(crash.at)
+    for path, times in crash_times.items():
         if len(times) < MIN_CRASHES:
             continue
         known_at = sorted(times)[MIN_CRASHES - 1] + CONTACT_TIMEOUT_S
@@ -145,11 +148,9 @@
 
 
 def check_limit(ledger: Ledger) -> Iterator[str]:
-    """A target gets no more than it asks for, from a moment later on."""
+    """A target's rate limit is kept, from `CONTACT_TIMEOUT_S` on."""
     end_times = _get_limit_end_times(ledger)
-    for change, until in zip(
-        ledger.limit_changes, end_times, strict=True
-    ):
+    for change, until in zip(ledger.limit_changes, end_times, strict=True):
         if change.per_s is None:
             continue
         times = _get_undisturbed_arrivals(ledger, change, until)
@@ -162,23 +163,20 @@
 
 
 def check_words(ledger: Ledger) -> Iterator[str]:
-    """A target gets nothing from entries that it told that it leaves."""
-    told_at_by_entry = _get_drain_times(ledger)
+    """A target gets nothing from entries it told that it is draining."""
+    drain_times = _get_drain_times(ledger)
     for one in ledger.arrivals:
         entry = ledger.get_entry(one.req_id)
-        told_at = told_at_by_entry.get((entry, one.target), float('inf'))
-        late_s = ledger.get_sent_at(one.req_id) - told_at
-        if (
-            late_s > DRAIN_TIMEOUT_S + DRIVER_MARGIN_S
-            and _is_undisturbed_except_store(
-                ledger, entry, one.target, told_at, one.at
-            )
+        drain_at = drain_times.get((entry, one.target), float('inf'))
+        late_s = ledger.get_sent_at(one.req_id) - drain_at
+        if late_s > DRAIN_TIMEOUT_S + DRIVER_MARGIN_S and _are_undisturbed(
+            ledger, entry, one.target, drain_at, one.at
         ):
             yield f'{one.req_id} reached {one.target} after {late_s:.1f} s'
 
 
 def check_rests(ledger: Ledger) -> Iterator[str]:
-    """A target gets no more than two requests in a rest that it asked for."""
+    """A target gets at most two requests during a back-off it asked for."""
     for backoff in ledger.backoffs:
         entry = ledger.get_entry(backoff.req_id)
         since = backoff.at + BACKOFF_DELAY_S + DRIVER_MARGIN_S
@@ -188,29 +186,32 @@
             and ledger.get_entry(one.req_id) == entry
             for one in ledger.arrivals
         )
-        if count > MAX_IN_BACKOFF and _is_undisturbed_except_store(
+        if count > MAX_IN_BACKOFF and _are_undisturbed(
             ledger, entry, backoff.target, backoff.at, backoff.until
         ):
             yield f'{backoff.target} got {count} in a rest from {entry}'
 
 
 def _get_drain_times(ledger: Ledger) -> dict[tuple[str, str], float]:
-    """Return when entries had first passed on that a target leaves."""
-    told_at_by_entry: dict[tuple[str, str], float] = {}
+    """Return when entries first passed on a drain notice in an answer.
+
+    The keys are entry and target.
+    """
+    drain_times: dict[tuple[str, str], float] = {}
     for run in filter(lambda one: one.leaves, ledger.runs):
         request = ledger.requests.get(run.req_id)
         if request and request.first_at and request.seal == run.seal:
             key = (request.entry, run.target)
-            told_at_by_entry[key] = min(
-                told_at_by_entry.get(key, float('inf')), request.first_at
+            drain_times[key] = min(
+                drain_times.get(key, float('inf')), request.first_at
             )
-    return told_at_by_entry
+    return drain_times
 
 
-def _is_undisturbed_except_store(
+def _are_undisturbed(
     ledger: Ledger, entry: str, target: str, start: float, end: float
 ) -> bool:
-    """Whether nothing happened to an entry and a target; the store may."""
+    """Whether entry and target had no stop and no fault but the store's."""
     stopped = any(start <= at <= end for at in ledger.get_stop_times(entry))
     return not stopped and all(
         ledger.is_undisturbed(name, start, end, ignored_kinds=STORE_FAULTS)
@@ -219,7 +220,7 @@
 
 
 def _get_limit_end_times(ledger: Ledger) -> list[float]:
-    """Return until when each number is named."""
+    """Return until when each rate limit applies."""
     end_times: list[float] = []
     next_at: dict[str, float] = {}
     for limit_change in reversed(ledger.limit_changes):
@@ -231,7 +232,7 @@
 def _get_undisturbed_arrivals(
     ledger: Ledger, limit_change: LimitChange, until: float
 ) -> list[float]:
-    """Return when requests came that entries in touch had sent."""
+    """Return when requests of entries in contact began to run."""
     since = limit_change.at + CONTACT_TIMEOUT_S
     return sorted(
         run.began_at
@@ -252,7 +253,7 @@
 
 
 def _is_undisturbed_run_of(ledger: Ledger, run: Run, path: str) -> bool:
-    """Whether a run is of a request, sent by an entry in touch."""
+    """Whether a run has the path and came from an entry in contact."""
     request = ledger.requests.get(run.req_id)
     if request is None or request.ask.path != path:
         return False
@@ -260,7 +261,7 @@
 
 
 def _was_path_undisturbed(ledger: Ledger, run: Run) -> bool:
-    """Whether the entry and the way to the target were in order."""
+    """Whether entry and target were undisturbed until the run began."""
     request = ledger.requests.get(run.req_id)
     return request is not None and all(
         ledger.is_undisturbed(name, request.sent_at, run.began_at)
@@ -269,7 +270,7 @@
 
 
 def _is_lost(ledger: Ledger, request: RequestRecord, runs: list[Run]) -> bool:
-    """Whether only the entry can have cut a request."""
+    """Whether only the entry can have cut a request off."""
     if not runs:
         waited_s = request.end - (request.whole_at or request.end)
         return waited_s > CLOSE_RACE_S + DRIVER_MARGIN_S and not request.unread
@@ -285,7 +286,7 @@
 def _exceeds_grace_period(
     ledger: Ledger, request: RequestRecord, run: Run
 ) -> bool:
-    """Whether a target took too long for an entry that was asked to end."""
+    """Whether a target took too long for a stopping entry."""
     run_end = run.ended_at or float('inf')
     return any(
         request.sent_at <= asked_at + DRAIN_NOTICE_S
@@ -296,18 +297,18 @@
 
 
 def _get_cancel_delay_s(ledger: Ledger, run: Run) -> Iterator[float]:
-    """Yield for how long a run outlived its caller's leaving, if too long."""
+    """Yield how long a run went on after its caller left, if too long."""
     request = ledger.requests.get(run.req_id)
     if request is None or request.left_at is None:
         return
     delay_s = (run.ended_at or float('inf')) - request.left_at
-    seen = all(
+    undisturbed = all(
         ledger.is_undisturbed(
             name, request.left_at, request.left_at + CANCEL_TIMEOUT_S
         )
         for name in (request.entry, run.target)
     )
-    if seen and delay_s > CANCEL_TIMEOUT_S + DRIVER_MARGIN_S:
+    if undisturbed and delay_s > CANCEL_TIMEOUT_S + DRIVER_MARGIN_S:
         yield delay_s
 
 
