--- a/tests/soak/__init__.py
+++ b/tests/soak/__init__.py
@@ -1,12 +1,11 @@
 """
-Fault soak
-==========
+Fault-injection soak test
+=========================
 
-Runs entries as real processes on loopback behind a stand-in balancer, before
-stand-in targets and a stand-in store, while connections, processes and
-configurations are disturbed in an order that a seed draws.  What callers,
-targets and the operator saw is written to a ledger, and the promises are
-checked on the ledger.
+Runs entries as real processes on loopback between a fake load balancer and
+fake targets with a fake store.  A seed decides which faults hit connections,
+processes and configurations, and when.  What callers, targets and the operator
+observe is recorded in a ledger, and the guarantees are checked on the ledger.
 
     python -m tests.soak --seed 7
 """
--- a/tests/soak/__main__.py
+++ b/tests/soak/__main__.py
@@ -1,10 +1,10 @@
 """
-Command of the soak
-===================
+Command line of the soak test
+=============================
 
-`python -m tests.soak --seed 7` plays one run; `--seeds 50` plays as many from
-that seed on.  The time line and the logs of a run that broke something stay in
-`build/soak/PLAN-SEED`.
+`python -m tests.soak --seed 7` does one run; `--seeds 50` does 50 runs with
+consecutive seeds from that one.  Timeline and logs of a run stay in
+`build/soak/PLAN-SEED`, whether or not it violated a check.
 """
 
 import signal
@@ -15,8 +15,8 @@
 import click
 
 from tests.soak.faults import PLANS
-from tests.soak.playing import Report, make_size, play
-from tests.soak.seeds import FAILED
+from tests.soak.runner import Report, execute_run, make_size
+from tests.soak.seeds import FAILED_SEEDS
 from tests.soak.world import PRODUCT, Size
 
 FOLDER = Path('build') / 'soak'
@@ -24,14 +24,18 @@
 
 @click.command()
 @click.option('--seed', default=1, help='The first seed.')
-@click.option('--seeds', default=1, help='How many seeds to play.')
+@click.option('--seeds', default=1, help='Number of seeds to run.')
 @click.option('--plan', type=click.Choice(list(PLANS)), default=Size.plan)
-@click.option('--again', is_flag=True, help='Play all seeds that failed.')
-@click.option('--run-s', default=Size.run_s, help='How long callers ask.')
-@click.option('--entries', default=0, help="Instead of the seed's number.")
-@click.option('--untimed', is_flag=True, help='Leave timed checks out.')
-@click.option('--product', default=PRODUCT[0], help='The module to start.')
-@click.option('--patch', default='', help='A fault of tests.soak.mutants.')
+@click.option('--again', is_flag=True, help='Run all seeds that ever failed.')
+@click.option(
+    '--run-s', default=Size.run_s, help='Seconds that callers send requests.'
+)
+@click.option('--entries', default=0, help='Number of entries, if not 0.')
+@click.option('--untimed', is_flag=True, help='Skip the timed checks.')
+@click.option(
+    '--product', default=PRODUCT[0], help='Module to run as the entry.'
+)
+@click.option('--patch', default='', help='A patch of tests.soak.mutants.')
 def main(  # noqa: WPS211, WPS216 - options of a command
     seed: int,
     seeds: int,
@@ -43,27 +47,27 @@
     product: str,
     patch: str,
 ) -> None:
-    """Play runs with random faults and check the promises."""
-    # Processes of the run must end with it, also when it is told to stop.
+    """Run the product under random faults and check its guarantees."""
+    # SIGTERM must raise, so that the run's processes are killed as well.
     signal.signal(signal.SIGTERM, signal.default_int_handler)
     command = ('tests.soak.mutants', patch) if patch else (product,)
     broken = 0
     runs = [(plan, number) for number in range(seed, seed + seeds)]
     if again:
-        runs = list(FAILED)
-    for kind, number in runs:
-        size = replace(make_size(kind, number), run_s=run_s)
+        runs = list(FAILED_SEEDS)
+    for plan_name, number in runs:
+        size = replace(make_size(plan_name, number), run_s=run_s)
         if entries:
             size = replace(size, entries=entries)
-        folder = FOLDER / f'{kind}-{number}{patch}'
-        report = play(number, size, folder, command, timed=not untimed)
-        _print(f'{kind} {number}', report)
+        folder = FOLDER / f'{plan_name}-{number}{patch}'
+        report = execute_run(number, size, folder, command, timed=not untimed)
+        _print_report(f'{plan_name} {number}', report)
         broken += bool(report.violations)
     click.echo(f'runs: {len(runs)}, broken: {broken}')
     sys.exit(1 if broken else 0)
 
 
-def _print(seed: str, report: Report) -> None:
+def _print_report(seed: str, report: Report) -> None:
     click.echo(
         f'seed {seed}: {report.requests} requests, {report.answered} answered, '
         f'{report.refused} refused, {report.failed} failed, '
--- a/tests/soak/callers.py
+++ b/tests/soak/callers.py
@@ -2,9 +2,9 @@
 Callers
 =======
 
-Each caller keeps its connection for as long as it may and asks for one thing
-after the other; some leave before they have their answer.  Bodies come in
-pieces, and some callers take their answers slowly.
+Each caller reuses its connection for as long as it can and sends one request
+after the other; some disconnect before they have their answer.  Bodies are sent
+in chunks, and some callers read their answers slowly.
 """
 
 import time
@@ -20,12 +20,13 @@
 
 from tests.soak.client import Connection, connect
 from tests.soak.entries import Entry
-from tests.soak.ledger import RequestSpec, RequestRecord, Ledger
+from tests.soak.ledger import Ledger, RequestRecord, RequestSpec
 from tests.soak.serving import CONNECTION_ERRORS
 from tests.soak.targets import DEADLY, count_events, get_body, make_event
 
 HOST = 'a.example'
-#: Paths by kind of request; the configuration has a route for each.
+#: Path, kind of route and service by kind of request; the configuration has a
+#: route for each.
 REQUEST_KINDS = {
     'short': ('/notes/x', 'streaming', 'engines'),
     'long': ('/ledgers/x', 'streaming', 'engines'),
@@ -34,38 +35,40 @@
     'look': ('/look/x', 'idempotent', 'booking'),
 }
 KIND_WEIGHTS = {'short': 10, 'long': 2, 'giant': 1, 'book': 6, 'look': 6}
-#: Prompt and output tokens, at least and at most, by kind of request.
+#: Ranges of prompt and output tokens by kind of request.
 TOKEN_RANGES = {
     'short': ((1000, 9000), (300, 1500)),
     'long': ((40_000, 120_000), (200, 800)),
     'giant': ((240_000, 500_000), (200, 600)),
 }
 TIMEOUT_S = {'short': 8, 'long': 8, 'giant': 10, 'book': 3, 'look': 3}
-#: Share of requests whose caller leaves, and when at most, in seconds.
+#: Share of requests that the caller abandons, and after how long at most, in
+#: seconds.
 ABANDON_SHARE = 0.05
 ABANDON_MAX_S = 0.6
-#: Share of requests with a key that was taken away before.
+#: Share of requests with a revoked key.
 REVOKED_SHARE = 0.15
-#: Pause between two requests of a caller, in seconds; in a share of them a long
-#: one, so that some connections are idle until an entry that ends closes them.
+#: Pause between two requests of a caller, in seconds.  A share of the pauses is
+#: long, so that some connections stay idle until a stopping entry closes them.
 THINK_S = (0.02, 0.3)
 LONG_THINK_S = (2.5, 4.5)
 LONG_THINK_SHARE = 0.06
-#: When callers that are idle as their entry is asked to end ask again, after
-#: that in seconds: around the end of its notice.
+#: When idle callers of a stopping entry send their next request, in seconds
+#: after its SIGTERM: around the end of its drain delay.
 CLOSE_RACE_S = (2.85, 3.25)
-#: Requests that end their targets, their tokens, and the pauses between two
-#: series of them, in seconds; they are as short as others beside.
+#: Kinds of requests that crash their targets, their token counts, and the share
+#: and length (in seconds) of the pauses between series of them.  Pauses within
+#: a series are `THINK_S`, as for other callers.
 DEADLY_KINDS = ('short', 'look', 'book')
 DEADLY_SIZES = '3000,600'
 DEADLY_PAUSE_SHARE = 0.4
 DEADLY_PAUSE_S = (0.5, 4)
-#: Pieces of a body at most, bytes of a piece at most, and the longest pause
-#: before each, in seconds.
+#: Maximum chunks of a body, maximum bytes of a chunk, and the longest pause
+#: before each chunk, in seconds.
 MAX_CHUNKS = 4
 MAX_CHUNK_BYTES = 20_000
 MAX_CHUNK_PAUSE_S = 0.5
-#: Share of connections whose caller takes answers slowly.
+#: Share of connections whose caller reads answers slowly.
 SLOW_SHARE = 0.3
 EVENT_END = b'\n\n'
 OK_STATUS = 200
@@ -74,23 +77,23 @@
 
 @dataclass
 class Keys:
-    """The teams of the keys in force, and of those taken away."""
+    """The teams of the valid and of the revoked API keys."""
 
     by_key: dict[str, str] = field(default_factory=dict)
     revoked: dict[str, str] = field(default_factory=dict)
 
     def pick(self, rng: Random) -> tuple[str, str]:
-        """Return a key in force and its team."""
+        """Return a valid key and its team."""
         return rng.choice(sorted(self.by_key.items()))
 
     def pick_any(self, rng: Random) -> tuple[str, str]:
-        """Return a key as callers use them, at times one taken away."""
+        """Return a key and its team; a share of them is revoked."""
         if self.revoked and rng.random() < REVOKED_SHARE:
             return rng.choice(sorted(self.revoked.items()))
         return self.pick(rng)
 
     def revoke(self, rng: Random) -> str:
-        """Replace a key by another; return the one taken away."""
+        """Replace a key by a new one; return the revoked key."""
         key, team = self.pick(rng)
         self.revoked[key] = self.by_key.pop(key)
         self.by_key[f'{key}+'] = team
@@ -109,7 +112,7 @@
     is_finished: Callable[[], bool]
 
     async def run(self) -> None:
-        """Ask until the run is over."""
+        """Send requests until the run is finished."""
         numbers = count()
         while not self.is_finished():
             entry = self._pick_entry()
@@ -137,7 +140,7 @@
         )
 
     async def _wait_until_close(self, entry: Entry) -> None:
-        """Ask an entry just as it closes, at times."""
+        """With a chance of one half, wait until a stopping entry closes."""
         if self.rng.random() < HALF:
             at = entry.asked_at + self.rng.uniform(*CLOSE_RACE_S)
             wait_s = at - time.monotonic()
@@ -182,7 +185,7 @@
     async def _perform_request(
         self, conn: Connection, entry: Entry, number: int
     ) -> bool:
-        """Send one request; return whether the connection may be kept."""
+        """Send one request; return whether the connection can be reused."""
         chunks = self._draw_chunks()
         spec = self._draw_request(f'{self.name}-{number}', b''.join(chunks))
         now = time.monotonic()
@@ -235,9 +238,9 @@
 
 @dataclass
 class DeadlyCaller(Caller):
-    """A caller that asks for one request that ends whatever runs it.
+    """A caller that repeats one request that crashes every target.
 
-    It asks now and then, in series, with keys of one team.
+    The requests come in series with pauses between them, for one team.
     """
 
     request_index: int = 0
@@ -282,7 +285,7 @@
 
 
 async def _receive(conn: Connection, request: RequestRecord) -> None:
-    """Take an answer to its end, or to the connection's."""
+    """Receive an answer until it is complete or the connection ends."""
     try:
         await _receive_answer(conn, request)
     except CONNECTION_ERRORS as exc:
@@ -313,7 +316,7 @@
 
 
 def _check_body(request: RequestRecord, body: bytes) -> None:
-    """Note what is wrong with a body, beside the events already taken."""
+    """Record a wrong body, or bytes left over after the last event."""
     expected = b''
     if not request.ask.events:
         target = request.seal.partition('.')[0]
@@ -323,7 +326,7 @@
 
 
 def _check_events(request: RequestRecord, body: bytes) -> bytes:
-    """Check whole events; return the bytes of the one that is not whole."""
+    """Check complete events; return the bytes of the incomplete one."""
     *whole, remainder = body.split(EVENT_END)
     for raw in whole:
         expected = make_event(request.ask.req_id, request.last_event + 1)
--- a/tests/soak/entries.py
+++ b/tests/soak/entries.py
@@ -1,9 +1,9 @@
 """
-Entries of a run
-================
+Entry processes
+===============
 
-The real programs: each entry is a process of its own with a settings file, a
-link to the store, and a place in the balancer's rotation.
+The product under test: each entry is a process with a settings file, a link to
+the store, and a place in the rotation of the fake load balancer.
 """
 
 import os
@@ -23,13 +23,15 @@
 
 ROOT = Path(__file__).parent.parent.parent
 GRACE_S = 8
-#: How long after its end a process is started again, in seconds.
+#: How long after its exit a process is started again, in seconds.
 RESTART_DELAY_S = 0.5
-#: The balancer asks so often, and turns away after so many misses.
-LOOK_INTERVAL_S = 1.0
-#: How long a process may take to its handlers on a busy machine, in seconds.
+#: Interval of the balancer's readiness checks, in seconds; after `MAX_MISSES`
+#: failures in a row it sends no new connections.
+READINESS_INTERVAL_S = 1.0
+#: How long a process may take to install its signal handlers on a busy machine,
+#: in seconds.
 STARTUP_S = 3.0
-#: How long Python itself may take to the product's first line, in seconds.
+#: How long Python may take before the product's first line runs, in seconds.
 INTERPRETER_STARTUP_S = 0.2
 MAX_MISSES = 2
 PORTS = {'front': 8227, 'ready': 8220, 'control': 8229, 'peers': 7340}
@@ -58,7 +60,11 @@
 
 @dataclass(eq=False)
 class Entry:
-    """One entry; `ending` while it is meant to stop."""
+    """One entry.
+
+    `ending` is set while the process is expected to stop, `asked_at` is when it
+    got SIGTERM from `stop_gracefully`, and `last` prevents another start.
+    """
 
     name: str
     host: str
@@ -80,7 +86,7 @@
 
     @property
     def front(self) -> str:
-        """Where callers come."""
+        """The URL for callers."""
         return f'http://{self.host}:{PORTS["front"]}'
 
     @property
@@ -89,14 +95,14 @@
         return self.misses < MAX_MISSES
 
     def write_settings(self) -> Path:
-        """Write the settings file as it is now."""
+        """Write the settings file with the current values."""
         path = self.folder / f'{self.name}.toml'
         path.write_text(
             TEMPLATE.format(
                 name=self.name,
                 host=self.host,
                 data_centre=self.data_centre,
-                store=self.store_link.listed,
+                store=self.store_link.listen_address,
                 grace=self.grace_s,
                 slack=self.slack,
                 last=PORTS['peers'] + 15,
@@ -122,7 +128,7 @@
         log.close()
 
     def send(self, signum: signal.Signals) -> None:
-        """Send a signal to the process, if it lives."""
+        """Send a signal to the process, if it is running."""
         if self.child and self.child.poll() is None:
             self.child.send_signal(signum)
             self.ledger.record_change(signum.name, self.name)
@@ -130,7 +136,7 @@
                 self.sighup_at = min(self.sighup_at, time.monotonic())
 
     async def supervise(self) -> None:
-        """Start the process again whenever it ends, until the last end."""
+        """Restart the process whenever it exits, unless `last` is set."""
         while True:
             self.start()
             while self.child.poll() is None:
@@ -143,11 +149,11 @@
             await anyio.sleep(RESTART_DELAY_S)
 
     async def poll_readiness(self) -> None:
-        """Ask for readiness as the balancer does."""
+        """Check readiness periodically, as the balancer does."""
         async with httpx.AsyncClient(timeout=0.9) as client:
             while True:
                 await self._check_readiness(client)
-                await anyio.sleep(LOOK_INTERVAL_S)
+                await anyio.sleep(READINESS_INTERVAL_S)
 
     async def stop_gracefully(self) -> None:
         """Send SIGTERM, and SIGKILL after the grace period."""
@@ -176,7 +182,7 @@
         if self.ending:
             expected.add(0)
         if self.asked_at - self.started_at < STARTUP_S:
-            # Python has not come to the product's handlers yet.
+            # The product may not have installed its handlers yet.
             expected.add(-signal.SIGTERM)
         if self.sighup_at - self.started_at < INTERPRETER_STARTUP_S:
             expected.add(-signal.SIGHUP)
@@ -185,7 +191,7 @@
 
 
 async def run_entries(entries: list[Entry], group: TaskGroup) -> None:
-    """Start all entries and the balancer's questions."""
+    """Start all entries and the balancer's readiness checks."""
     for entry in entries:
         group.start_soon(entry.supervise)
         group.start_soon(entry.poll_readiness)
--- a/tests/soak/faults.py
+++ b/tests/soak/faults.py
@@ -2,9 +2,9 @@
 Faults
 ======
 
-What is done to a run from outside.  Each kind is a function that disturbs one
-thing for a time that it draws; several may overlap.  What is noted as a fault
-excuses what it touches; planned work is not noted and excuses nothing.
+Each kind of fault is a function that disturbs one component for a random time;
+several may overlap.  A recorded fault excuses violations of timed checks at the
+entries and targets it affects.  Planned work isn't recorded and excuses none.
 """
 
 import signal
@@ -21,11 +21,11 @@
 from tests.soak.ledger import ALL_ENTRIES, Fault
 from tests.soak.links import Blocked
 from tests.soak.notices import (
+    back_off_service,
+    back_off_target,
     drain_unlisted,
     limit_service,
     limit_target,
-    back_off_service,
-    back_off_target,
 )
 from tests.soak.store import TARGETS
 from tests.soak.targets import DRAINING, VANISHED
@@ -33,32 +33,32 @@
 
 #: How long a fault lasts, in seconds.
 FAULT_S = (0.5, 5)
-#: Chances of the variants of a fault.
+#: Probabilities of the variants of a fault.
 HALF = 0.5
 MOSTLY = 0.7
-#: The least and the longest pauses between the beginnings of two faults, in
-#: seconds: a run has one of them as its longest, so that some runs have many
-#: faults at once, and in others one can be told from the next.
+#: The shortest pause between the beginnings of two faults, and the choices for
+#: the longest pause of a run, in seconds: some runs have many faults at once,
+#: in others the effects of single faults can be told apart.
 MIN_GAP_S = 0.1
 MAX_GAPS_S = (1.2, 3, 6)
-#: The same of planned work, which begins more often.
+#: Choices for the longest pause of planned work, which is more frequent.
 MAX_PLANNED_GAPS_S = (0.8, 1.5, 3)
-#: Steps of a series, and the pauses between them: between targets that are
-#: replaced, and between versions or changed settings at most, in seconds.
+#: Number of steps of a series; the pause between replacements of targets; and
+#: the longest pause between versions or changes of settings, in seconds.
 SERIES_LENGTH = (3, 8)
 REPLACEMENT_GAP_S = (0.5, 1.2)
 MAX_CHANGE_GAP_S = 0.3
-#: For how long the entry that reads the store stands still, in seconds.
+#: How long the entry that reads the store is frozen, in seconds.
 FREEZE_READER_S = (2, 4)
-#: After what pause a target that has crashed starts again, in seconds: before
-#: its entry has lapsed, and after that.
+#: How long after a crash a target starts again, in seconds: the range reaches
+#: from before the expiry of its record in the store to after it.
 TARGET_RESTART_S = (0.2, 5)
-#: For how long the store is away before it comes back from a copy, how old that
-#: is, and after how long its writers have written again, in seconds.
+#: How long the store is down before it is restored from a copy, the age of the
+#: copy, and when operator and targets rewrite their records, in seconds.
 STORE_OUTAGE_S = (0.05, 1.5)
 COPY_AGE_S = (1, 8)
 REWRITE_DELAY_S = (0, 1.8)
-#: Names of entries that name no target, and what no field of one may be.
+#: Key prefix of records that describe no target, and invalid values of fields.
 INVALID_KEY_PREFIX = 'x-'
 INVALID_VALUES = (None, True, 0.5, [], {'a': 1})
 
@@ -69,7 +69,7 @@
 def recorded_fault(
     world: World, kind: str, entry: str = '', target: str = ''
 ) -> Iterator[Fault]:
-    """Note a fault for as long as it lasts."""
+    """Record a fault that lasts as long as the context."""
     fault = world.ledger.begin_fault(kind, entry, target)
     try:
         yield fault
@@ -86,7 +86,7 @@
 
 
 async def kill_entry(world: World, rng: Random) -> None:
-    """Kill one entry; it starts again after a moment."""
+    """Kill one entry, which is then started again."""
     entry = _pick_entry(world, rng)
     with recorded_fault(world, 'kill_entry', entry.name):
         entry.send(signal.SIGKILL)
@@ -102,10 +102,10 @@
 
 
 async def freeze_reader(world: World, rng: Random) -> None:
-    """Stop the entry that reads the store for all, and let it go on.
+    """Freeze the entry that reads the store for all, and resume it.
 
-    By its name it is the first.  Between two stops it goes on for long enough
-    to read and to be asked.
+    The first entry by name is the reader.  Between two freezes it runs for
+    long enough to read the store and answer its peers.
     """
     entry = world.entries[0]
     if rng.random() > MOSTLY:
@@ -120,7 +120,7 @@
 
 
 async def freeze_entry(world: World, rng: Random) -> None:
-    """Stop one entry and let it go on; a key may be revoked meanwhile."""
+    """Freeze one entry and resume it; a key may be revoked meanwhile."""
     entry = _pick_entry(world, rng)
     with recorded_fault(world, 'freeze_entry', entry.name):
         entry.send(signal.SIGSTOP)
@@ -131,7 +131,7 @@
 
 
 async def restart_entry(world: World, rng: Random) -> None:
-    """End one entry gracefully; it starts again."""
+    """Stop one entry gracefully; it is started again."""
     entry = _pick_entry(world, rng)
     if not entry.ending:
         with recorded_fault(world, 'restart_entry', f'graceful {entry.name}'):
@@ -139,7 +139,7 @@
 
 
 async def hang_up(world: World, rng: Random) -> None:
-    """Change the settings file of some entries, with a hang-up or without."""
+    """Change settings files of two entries, with a hang-up or without."""
     for entry in rng.sample(world.entries, 2):
         entry.slack += 1
         entry.write_settings()
@@ -149,14 +149,14 @@
 
 
 async def hang_up_in_series(world: World, rng: Random) -> None:
-    """Change settings several times, each time before the last is settled."""
+    """Change settings repeatedly, each time before the last has settled."""
     for _ in range(rng.randint(*SERIES_LENGTH)):
         await hang_up(world, rng)
         await anyio.sleep(rng.uniform(0, MAX_CHANGE_GAP_S))
 
 
 async def publish_in_series(world: World, rng: Random) -> None:
-    """Publish versions in quick succession; routes' times only grow."""
+    """Publish versions quickly; timeouts stay at or above their start."""
     for _ in range(rng.randint(*SERIES_LENGTH)):
         world.variant = rng.randint(0, 200)
         name = rng.choice(list(TIMEOUT_S))
@@ -166,7 +166,7 @@
 
 
 async def cut_store(world: World, rng: Random) -> None:
-    """Cut one entry from the store, in one direction or in both."""
+    """Block one entry's link to the store in one or both directions."""
     entry = _pick_entry(world, rng)
     with recorded_fault(world, 'cut_store', entry.name):
         entry.store_link.set_blocked(
@@ -179,7 +179,7 @@
 
 
 async def reset_store(world: World, rng: Random) -> None:
-    """Reset an entry's connections to the store, or let them fall silent."""
+    """Reset or stall an entry's connections to the store."""
     entry = _pick_entry(world, rng)
     with recorded_fault(world, 'reset_store', entry.name):
         if rng.random() < HALF:
@@ -190,16 +190,16 @@
 
 
 async def store_down(world: World, rng: Random) -> None:
-    """Let the store answer 503 or 429, be slow, or lose its answers.
+    """Make the store answer 503 or 429, be slow, or drop its answers.
 
-    The operator still reaches it, and may take a key away.
+    The operator can still reach it and may revoke a key.
     """
     store = world.store
     with recorded_fault(world, 'store_down', ALL_ENTRIES):
-        how = rng.choice(('status', 'slow', 'losing'))
-        if how == 'status':
+        mode = rng.choice(('status', 'slow', 'losing'))
+        if mode == 'status':
             store.status = rng.choice((503, 429))
-        elif how == 'slow':
+        elif mode == 'slow':
             store.delay_s = 0.5
         else:
             store.drops_answers = True
@@ -210,17 +210,17 @@
 
 
 async def forget_history(world: World, rng: Random) -> None:
-    """Let the store forget the history of its topics."""
+    """Make the store drop the history of its topics."""
     for topic in world.store.topics.values():
         topic.drop_history()
     await anyio.sleep(0)
 
 
 async def restore_store(world: World, rng: Random) -> None:
-    """Let the store be away for a moment and come back from an older copy.
+    """Take the store down for a moment and restore it from an older copy.
 
-    The operator and the targets write again what they had written.  A key may
-    have been taken away in a version that is lost before anybody has read it.
+    The operator and the targets rewrite their lost records.  A key may have
+    been revoked in a version that is lost before any entry has read it.
     """
     store = world.store
     with recorded_fault(world, 'restore_store', ALL_ENTRIES):
@@ -237,21 +237,21 @@
 
 
 async def crash_target(world: World, rng: Random) -> None:
-    """Let a target die, and another come."""
+    """Crash a target and start another."""
     target = world.pick_target()
     with recorded_fault(world, 'crash_target', target=target.incarnation):
         await world.crash(target)
 
 
 async def restart_target(world: World, rng: Random) -> None:
-    """Let a target crash and start again under the id that it had."""
+    """Crash a target and start it again under its id."""
     target = world.pick_target()
     with recorded_fault(world, 'restart_target', target=target.incarnation):
         await world.restart(target, rng.uniform(*TARGET_RESTART_S))
 
 
 async def write_invalid_records(world: World, rng: Random) -> None:
-    """Write entries that name no target, beside those of targets."""
+    """Write invalid records into the topic of the targets' records."""
     for _ in range(rng.randint(1, 4)):
         plain = world.pick_target().make_record()
         name = rng.choice(list(plain))
@@ -262,14 +262,14 @@
 
 
 async def drain_target(world: World, rng: Random) -> None:
-    """Replace a target as planned."""
+    """Replace a target as planned, after draining it."""
     target = world.pick_target()
     with recorded_fault(world, 'drain_target'):
         await world.replace(target)
 
 
 async def replace_in_series(world: World, rng: Random) -> None:
-    """Replace targets one after the other; some vanish without a word."""
+    """Replace targets in a series; some vanish without draining."""
     async with anyio.create_task_group() as group:
         for _ in range(rng.randint(*SERIES_LENGTH)):
             state = rng.choice((DRAINING, VANISHED))
@@ -278,7 +278,7 @@
 
 
 async def cut_target(world: World, rng: Random) -> None:
-    """Cut a target off, in one direction or in both."""
+    """Block the link to a target in one or both directions."""
     target = world.pick_target()
     link = target.link
     with recorded_fault(world, 'cut_target', target=target.incarnation):
@@ -288,14 +288,14 @@
 
 
 async def shake_target(world: World, rng: Random) -> None:
-    """Reset, silence or delay the connections of a target."""
+    """Reset, stall or delay the connections of a target."""
     target = world.pick_target()
     link = target.link
     with recorded_fault(world, 'shake_target', target=target.incarnation):
-        how = rng.choice(('reset', 'silence', 'delay'))
-        if how == 'reset':
+        mode = rng.choice(('reset', 'silence', 'delay'))
+        if mode == 'reset':
             link.reset_all()
-        elif how == 'silence':
+        elif mode == 'silence':
             link.silence_open()
         else:
             link.delay_s = rng.uniform(0.05, 0.6)
@@ -304,26 +304,26 @@
 
 
 async def spoil_target(world: World, rng: Random) -> None:
-    """Let a target do something wrong with a share of its requests."""
+    """Make a target misbehave on a share of its requests."""
     target = world.pick_target()
-    quirks = target.quirks
+    fault_shares = target.fault_shares
     name = rng.choice(('fails', 'sheds', 'loses', 'breaks', 'mixes', 'mute'))
     with recorded_fault(
         world, f'spoil_target {name}', target=target.incarnation
     ):
-        setattr(quirks, name, rng.uniform(0.1, 0.8))
+        setattr(fault_shares, name, rng.uniform(0.1, 0.8))
         await _wait_for_fault(rng)
-        setattr(quirks, name, 0)
+        setattr(fault_shares, name, 0)
 
 
 async def revoke_key(world: World, rng: Random) -> None:
-    """Take a key away."""
+    """Revoke a key."""
     world.revoke()
     await anyio.sleep(0)
 
 
 async def change_timeouts(world: World, rng: Random) -> None:
-    """Publish some versions in quick succession with other time-outs."""
+    """Publish some versions quickly, with other timeouts."""
     for _ in range(rng.randint(1, 4)):
         for name in world.timeouts_s:
             world.timeouts_s[name] = rng.uniform(2, 8)
@@ -331,8 +331,8 @@
         await anyio.sleep(rng.uniform(0, 0.3))
 
 
-#: Kinds of faults with their weights.  New kinds go into plans of their own:
-#: the seeds of a plan that is known to have failed must draw what they drew.
+#: Kinds of faults with their weights.  New kinds go into new plans, so that the
+#: seeds known to have failed in a plan still draw the same faults.
 MIXED: dict[FaultKind, int] = {
     kill_entry: 3,
     kill_all: 1,
@@ -436,8 +436,8 @@
 )
 
 
-async def disturb(world: World, rng: Random) -> None:
-    """Begin one fault after the other until the run is over."""
+async def inject_faults(world: World, rng: Random) -> None:
+    """Start faults at random until the run is finished."""
     kinds = PLANS[world.size.plan]
     names = list(kinds)
     is_planned = kinds is PLANNED
--- a/tests/soak/links.py
+++ b/tests/soak/links.py
@@ -1,10 +1,10 @@
 """
-Links
-=====
+Faulty network links
+====================
 
-A loopback proxy for one way of the system.  It forwards bytes, and can delay
-them, hold them back in one or both directions, refuse new connections, reset
-the open ones, or let just the open ones fall silent.
+A TCP proxy on loopback for one network path.  It can delay bytes, hold them
+back in one or both directions, refuse new connections, reset the open ones, or
+stall only the open ones.
 """
 
 from dataclasses import dataclass, field
@@ -22,7 +22,7 @@
 
 
 class Blocked(Flag):
-    """Directions in which nothing passes."""
+    """Directions in which the link holds bytes back."""
 
     none = 0
     up = 1
@@ -32,7 +32,7 @@
 
 @dataclass(eq=False)
 class _Connection:
-    """An open connection through a link."""
+    """An open connection through a link, as a pair of streams."""
 
     client: SocketStream
     server: SocketStream
@@ -42,7 +42,7 @@
 
 @dataclass(eq=False)
 class Link:
-    """A port that forwards to `address`."""
+    """A listening port that forwards to `address`."""
 
     address: str
     host: str = '127.0.0.1'
@@ -54,12 +54,12 @@
     unblocked: anyio.Event = field(default_factory=anyio.Event)
 
     @property
-    def listed(self) -> str:
-        """The address that others are told."""
+    def listen_address(self) -> str:
+        """The address of the link itself, for settings and records."""
         return f'{self.host}:{self.port}'
 
     async def open(self, group: TaskGroup) -> None:
-        """Listen on a free port from now on."""
+        """Start to listen on a free port."""
         listener = await anyio.create_tcp_listener(
             local_host=self.host, local_port=0
         )
@@ -72,7 +72,7 @@
         self.reset_all()
 
     def set_blocked(self, blocked: Blocked) -> None:
-        """Hold back what goes in some directions, or let it go on."""
+        """Set the directions in which bytes are held back; `none` resumes."""
         self.blocked = blocked
         self.unblocked.set()
         self.unblocked = anyio.Event()
@@ -83,12 +83,12 @@
             connection.reset_requested.set()
 
     def silence_open(self) -> None:
-        """Let the open connections fall silent for good."""
+        """Stall the open connections permanently."""
         for connection in self.connections:
             connection.silenced = True
 
     async def _serve(self, listener: SocketListener) -> None:
-        """Listen until the link is closed; what is open then goes on."""
+        """Listen until the link is closed."""
         async with anyio.create_task_group() as group:
             group.start_soon(self._listen, listener, group)
             await self.closed.wait()
@@ -144,7 +144,7 @@
         except CONNECTION_ERRORS:
             reset(connection.client)
             reset(connection.server)
-        # An end passes a link that is cut as little as bytes do.
+        # A blocked direction holds back the end of a stream as well as bytes.
         while connection.silenced or direction in self.blocked:
             await self.unblocked.wait()
         group.cancel_scope.cancel()
--- a/tests/soak/notices.py
+++ b/tests/soak/notices.py
@@ -1,9 +1,9 @@
 """
-Notices of targets as faults
-============================
+Notices of targets
+==================
 
-Targets that say something of themselves in their answers, for a while or for
-good.  None of it is noted as a fault: it excuses nothing.
+Disturbances in which targets announce rate limits, draining or back-offs in
+their answers.  They aren't recorded as faults, so they excuse no violation.
 """
 
 from random import Random
@@ -14,27 +14,27 @@
 from tests.soak.world import World
 
 HALF = 0.5
-#: How many requests a second a target asks for, for how long it names one
-#: number, in seconds, and what is no number.
+#: Rate limits that targets announce, in requests a second, how long one limit
+#: applies, in seconds, and invalid texts of limits.
 LIMITS_PER_S = (0.2, 1, 2, 5, 10)
 LIMITED_S = (6, 10)
 INVALID_LIMITS = ('-1', 'none', '1,5', 'NaN')
 INVALID_LIMIT_S = 0.3
-#: For how long a target says only in its answers that it leaves, in seconds.
+#: How long a target announces draining only in its answers, in seconds.
 UNLISTED_DRAIN_S = (2, 9)
-#: The rest that a target asks for, and for how long it turns all away, in
+#: Back-offs that targets ask for, and how long they refuse all requests, in
 #: seconds.
 BACKOFFS_S = ('0.4', '1', '2.5', '4')
 REFUSING_S = (1, 8)
 
 
 async def limit_target(world: World, rng: Random) -> None:
-    """Let a target take fewer requests for a while; it may change its mind."""
+    """Rate-limit a target for a while; the limit may change once."""
     await _set_limits([world.pick_target()], rng)
 
 
 async def limit_service(world: World, rng: Random) -> None:
-    """Let all targets of a service take fewer requests for a while."""
+    """Rate-limit all targets of a service for a while."""
     service = world.pick_target().service
     same_service = [one for one in world.targets if one.service == service]
     await _set_limits(same_service, rng)
@@ -47,7 +47,7 @@
             target.set_limit(str(per_s), per_s)
         await anyio.sleep(rng.uniform(*LIMITED_S))
     if rng.random() < HALF:
-        # What makes no sense takes nothing back.
+        # An invalid limit must not lift the limit before it.
         for target in targets:
             target.limit = rng.choice(INVALID_LIMITS)
         await anyio.sleep(INVALID_LIMIT_S)
@@ -56,7 +56,7 @@
 
 
 async def drain_unlisted(world: World, rng: Random) -> None:
-    """Let a target say that it leaves some time before the store knows."""
+    """Announce draining in answers some time before the store lists it."""
     target = world.pick_target()
     target.announces_draining = True
     await anyio.sleep(rng.uniform(*UNLISTED_DRAIN_S))
@@ -64,12 +64,12 @@
 
 
 async def back_off_target(world: World, rng: Random) -> None:
-    """Let a target turn all away for a while and ask for rest."""
+    """Make a target refuse all requests for a while and ask for back-off."""
     await _request_backoff([world.pick_target()], rng)
 
 
 async def back_off_service(world: World, rng: Random) -> None:
-    """Let all targets of a service do so at once."""
+    """Make all targets of a service ask for back-off at once."""
     service = world.pick_target().service
     same_service = [one for one in world.targets if one.service == service]
     await _request_backoff(same_service, rng)
@@ -77,7 +77,7 @@
 
 async def _request_backoff(targets: list[Target], rng: Random) -> None:
     for target in targets:
-        target.rest = rng.choice(BACKOFFS_S)
+        target.retry_after = rng.choice(BACKOFFS_S)
     await anyio.sleep(rng.uniform(*REFUSING_S))
     for target in targets:
-        target.rest = ''
+        target.retry_after = ''
--- a/tests/soak/playing.py
+++ b/tests/soak/runner.py
@@ -1,8 +1,8 @@
 """
-Playing a run
-=============
+Execution of a run
+==================
 
-From the start of the processes to the verdict.
+Starts the processes, disturbs them, stops them, and checks the ledger.
 """
 
 import shutil
@@ -13,21 +13,22 @@
 import anyio
 
 from tests.soak.checks import (
+    NOT_EXECUTED_STATUSES,
     OK_STATUS,
     OWN_FAILURE_STATUSES,
-    NOT_EXECUTED_STATUSES,
     run_checks,
 )
-from tests.soak.faults import disturb
+from tests.soak.faults import inject_faults
 from tests.soak.world import PRODUCT, Size, World
 
-#: How long entries may take to be ready, and the last requests to end.
+#: How long entries may take to be ready, and how long to wait for the last
+#: requests to end, in seconds.
 STARTUP_TIMEOUT_S = 30
 SETTLE_TIMEOUT_S = 16
-#: How long is waited after the last end, for leases to lapse, in seconds.
+#: How long to wait after the last request, for leases to expire, in seconds.
 LEASE_EXPIRY_S = 4.5
-#: Sizes of runs; among the plans without kills, every so many seeds play with
-#: some dozens of processes.
+#: Sizes of runs of all plans but `mixed`; every eighth seed has some dozens of
+#: processes.
 SMALL_SIZE = Size(entries=6, engines=8, plain=5, callers=60)
 LARGE_SIZE = Size(entries=24, engines=12, plain=8, callers=72)
 LARGE_EVERY = 8
@@ -35,7 +36,7 @@
 
 @dataclass(frozen=True)
 class Report:
-    """What a run came to."""
+    """Counts and violations of a run."""
 
     requests: int
     answered: int
@@ -49,13 +50,13 @@
 
 
 def make_size(plan: str, seed: int) -> Size:
-    """Return how large the run of a seed is."""
+    """Return the size of the run of a seed."""
     if plan == Size.plan:
         return Size()
     return replace(SMALL_SIZE if seed % LARGE_EVERY else LARGE_SIZE, plan=plan)
 
 
-def play(
+def execute_run(
     seed: int,
     size: Size,
     folder: Path,
@@ -63,13 +64,15 @@
     *,
     timed: bool = True,
 ) -> Report:
-    """Play one run; return what broke."""
+    """Execute one run and check its ledger."""
     shutil.rmtree(folder, ignore_errors=True)
     folder.mkdir(parents=True)
-    return anyio.run(_play, seed, size, folder.absolute(), command, timed)
+    return anyio.run(
+        _execute_run, seed, size, folder.absolute(), command, timed
+    )
 
 
-async def _play(
+async def _execute_run(
     seed: int,
     size: Size,
     folder: Path,
@@ -80,7 +83,7 @@
     async with anyio.create_task_group() as group:
         world = World(size, rng, folder, group, command)
         try:
-            await _run(world, rng)
+            await _run_faults(world, rng)
         finally:
             world.end_processes()
         group.cancel_scope.cancel()
@@ -103,32 +106,32 @@
     )
 
 
-async def _run(world: World, rng: Random) -> None:
+async def _run_faults(world: World, rng: Random) -> None:
     await world.start()
     with anyio.fail_after(STARTUP_TIMEOUT_S):
         while not world.is_ready():
             await anyio.sleep(0.1)
     world.start_callers()
     async with anyio.create_task_group() as group:
-        group.start_soon(disturb, world, rng)
+        group.start_soon(inject_faults, world, rng)
         await anyio.sleep(world.size.run_s)
         world.finished = True
     with anyio.move_on_after(SETTLE_TIMEOUT_S):
-        while _is_waiting(world):
+        while _has_pending_requests(world):
             await anyio.sleep(0.1)
     await anyio.sleep(LEASE_EXPIRY_S)
-    await _stop(world)
+    await _stop_entries(world)
 
 
-def _is_waiting(world: World) -> bool:
+def _has_pending_requests(world: World) -> bool:
     return any(
         one.ended_at is None and one.left_at is None
         for one in world.ledger.requests.values()
     )
 
 
-async def _stop(world: World) -> None:
-    """End all entries as an operator does."""
+async def _stop_entries(world: World) -> None:
+    """Stop all entries gracefully, as an operator does."""
     async with anyio.create_task_group() as group:
         for entry in world.entries:
             entry.last = True
--- a/tests/soak/seeds.py
+++ b/tests/soak/seeds.py
@@ -2,47 +2,51 @@
 Seeds that failed
 =================
 
-Every plan and seed in which a check ever fired, or should have, and why;
-`python -m tests.soak --again` plays them.  A cause that several share stands at
-the first of them.
+Every plan and seed in which a check reported a violation, or should have, with
+the cause.  `python -m tests.soak --again` runs them all.
 """
 
 from types import MappingProxyType
 from typing import Mapping
 
 _STALE_RETAINED = (
-    'the reader stood still, held what had vanished meanwhile as lapsing, and '
-    'handed it on as listed; others that had dropped it took it back'
+    'the reader was frozen, retained targets that had been removed meanwhile '
+    'as if about to expire, and passed them on as listed; entries that had '
+    'dropped them added them again'
 )
-_LATE_SIGHUP = 'SIGHUP after the handlers of an ending process were gone'
+_LATE_SIGHUP = 'SIGHUP after a stopping process had removed its signal handlers'
 _DRIVER_LATE = (
-    'answers that entries gave in time were read late: the driver was held up '
-    'for 2 s beside other runs; 2 and 5 sound with less beside'
+    'answers that entries gave in time were read late: other runs delayed the '
+    'driver by 2 s; seeds 2 and 5 passed with fewer runs beside them'
 )
 _REPEATED_CRASHES = (
     'a request was answered at one entry while another asked the store for a '
-    'trial of it: 500; and entries that had not heard of the answer told the '
-    'old ends on'
+    'probe of it: 500; and entries that had not learned of the answer passed '
+    'the old crashes on'
 )
 
-FAILED: Mapping[tuple[str, int], str] = MappingProxyType(
+FAILED_SEEDS: Mapping[tuple[str, int], str] = MappingProxyType(
     {
-        ('mixed', 22): 'ended by SIGTERM 0.2 s after its start; the check was '
-        'wrong',
-        ('mixed', 106): 'a stream reached a time that a new version had '
+        ('mixed', 22): 'terminated by SIGTERM 0.2 s after its start; the check '
+        'was wrong',
+        ('mixed', 106): 'a stream reached a timeout that a new version had '
         'shortened; the check was wrong',
-        ('mixed', 109): 'ended by SIGHUP while it imported its modules; mended',
+        (
+            'mixed',
+            109,
+        ): 'terminated by SIGHUP while importing its modules; fixed',
         ('mixed', 131): 'the same as 109',
-        ('mixed', 137): 'sources that were half edited; own failures are '
-        'checked since',
-        ('planned', 100): 'the caller took a long answer too slowly; the check '
+        ('mixed', 137): 'the sources were being edited during the run; 5xx '
+        'answers of the product itself have been checked since',
+        ('planned', 100): 'the caller read a long answer too slowly; the check '
         'was wrong',
         ('planned', 102): 'the same as 100',
         ('standstill', 100): 'the same as planned 100',
         ('standstill', 101): _STALE_RETAINED,
         ('standstill', 102): _STALE_RETAINED,
-        ('standstill', 200): 'a target vanished just after the reader went on, '
-        'which took its own gap for a disturbance and held it for 2.2 s',
+        ('standstill', 200): 'a target was removed just after the reader '
+        'resumed; the reader took its own pause for a disturbance of the list '
+        'and retained the target for 2.2 s',
         ('standstill', 202): _STALE_RETAINED,
         ('standstill', 205): _STALE_RETAINED,
         ('standstill', 207): _STALE_RETAINED,
@@ -51,25 +55,28 @@
         ('planned', 409): _LATE_SIGHUP,
         ('planned', 500): _LATE_SIGHUP,
         ('planned', 501): _LATE_SIGHUP,
-        ('planned', 504): 'the reader ended as a target vanished; others that '
-        'had dropped it took it back',
+        ('planned', 504): 'the reader stopped as a target was removed; entries '
+        'that had dropped the target added it again',
         (
             'planned',
             505,
-        ): 'a target was listed for 2.5 s after it had vanished, '
-        'while one reader ended and the next had not come',
+        ): 'a target was listed for 2.5 s after its removal, '
+        'while one reader had stopped and the next had not started',
         ('planned', 506): _LATE_SIGHUP,
-        ('planned', 507): 'two requests that came as an entry, idle at the end '
-        'of its notice, cancelled all its work at once: 500',
-        ('planned', 508): 'slow callers that were cut counted as waiting; the '
-        'check was wrong',
+        (
+            'planned',
+            507,
+        ): 'two requests arrived as an entry, idle at the end of '
+        'its drain delay, cancelled all its work at once: 500',
+        ('planned', 508): 'slow callers whose connection was cut counted as '
+        'waiting; the check was wrong',
         ('planned', 511): 'the same as 508',
         ('planned', 602): _LATE_SIGHUP,
-        ('restored', 5): 'two restores overlapped, and the stand-in had the '
-        'operator write again an older version than it had written last; the '
+        ('restored', 5): 'two restores overlapped, and the fake store made the '
+        'operator rewrite an older version than the last one written; the '
         'check was wrong',
-        ('restored', 10): 'two pairs of restores and a kill of all; no record '
-        'of an epoch was left, which was taken for the first start; mended',
+        ('restored', 10): 'two pairs of restores, and all entries killed; no '
+        'record of an epoch was left, which was taken for a first start; fixed',
         ('limited', 2): _DRIVER_LATE,
         ('limited', 5): _DRIVER_LATE,
         ('limited', 7): _DRIVER_LATE,
@@ -77,7 +84,7 @@
         (
             'deadly',
             104,
-        ): 'starts of 24 entries took over 6 s beside other runs, '
-        'longer than the check allows; sound with less beside it',
+        ): '24 entries took over 6 s to start beside other runs, '
+        'longer than the check allows; passed with fewer runs beside it',
     }
 )
--- a/tests/soak/serving.py
+++ b/tests/soak/serving.py
@@ -1,9 +1,9 @@
 """
-Serving of stand-ins
-====================
+HTTP/1.1 server of the fakes
+============================
 
-HTTP/1.1 on a plain stream, so that a stand-in can also break off, fall silent,
-reset or answer with bytes that belong to nothing.
+Serves HTTP/1.1 on a raw stream, so that a fake can also close the connection in
+the middle, stall, reset it, or answer with invalid bytes.
 """
 
 import socket
@@ -35,7 +35,7 @@
 
 
 def reset(stream: SocketStream) -> None:
-    """Make the close of a stream a reset; one that is closed stays so."""
+    """Make the close of a stream send a TCP reset; no-op if it is closed."""
     option = struct.pack('ii', 1, 0)
     with suppress(OSError):
         raw = stream.extra(SocketAttribute.raw_socket)
@@ -44,7 +44,7 @@
 
 @dataclass
 class Exchange:
-    """One request on a connection, and the way to answer it."""
+    """One request on a connection, with methods to answer it."""
 
     stream: SocketStream
     http: h11.Connection
@@ -60,9 +60,9 @@
         body: bytes = b'',
         headers: Headers | None = None,
     ) -> None:
-        """Answer whole."""
-        listed = [*(headers or []), ('Content-Length', str(len(body)))]
-        await self.start(status, listed)
+        """Send a complete answer."""
+        all_headers = [*(headers or []), ('Content-Length', str(len(body)))]
+        await self.start(status, all_headers)
         await self.write(body)
         await self.finish()
 
@@ -71,17 +71,17 @@
         await self._send(h11.Response(status_code=status, headers=headers))
 
     async def write(self, raw: bytes) -> None:
-        """Send a part of the body."""
+        """Send a chunk of the body."""
         await self._send(h11.Data(data=raw))
 
     async def finish(self) -> None:
         """End the answer."""
         await self._send(h11.EndOfMessage())
 
-    async def wait_for_end(self) -> None:
+    async def wait_for_disconnect(self) -> None:
         """Return when the other side closes the connection.
 
-        What comes meanwhile belongs to the next request and is kept for it.
+        Bytes received meanwhile belong to the next request and are kept for it.
         """
         try:
             while True:
@@ -99,7 +99,7 @@
 
 
 async def serve_stream(stream: SocketStream, handle: Handler) -> None:
-    """Serve the requests of one connection, one after the other."""
+    """Serve the requests of one connection in sequence."""
     http = h11.Connection(h11.SERVER)
     async with stream:
         try:
--- a/tests/soak/targets.py
+++ b/tests/soak/targets.py
@@ -1,10 +1,10 @@
 """
-Stand-ins of targets
-====================
+Fake targets
+============
 
 One incarnation of an engine or a plain service: it registers in the store,
-works on requests, keeps tickets, and misbehaves on demand.  Every run is
-written to the ledger.
+executes requests, keeps reservations, and misbehaves on demand.  Every
+execution is recorded in the ledger.
 """
 
 import json
@@ -22,33 +22,35 @@
 from tests.soak.serving import Exchange, Headers, Reset, serve_stream
 from tests.soak.store import TARGETS, Store
 
-#: Requests that a target works on at once, and that may wait besides.
+#: Requests that a target runs at once, and that may wait in addition.
 SLOTS = 8
 QUEUE = 16
-#: Tokens that are read in a second, and the time of one event, in seconds.
+#: Prefill speed in tokens a second, and the time between two events and of a
+#: plain call, in seconds.
 PREFILL_TOKENS_PER_S = 200_000
 EVENT_INTERVAL_S = 0.05
 PLAIN_CALL_S = 0.02
 HEARTBEAT_INTERVAL_S = 1.2
 TOKENS_PER_EVENT = 43
-#: A target that has left the store, with or without saying so, serves on for so
-#: long, in seconds.
+#: How long a target goes on serving after it has announced draining or deleted
+#: its record in the store, in seconds.
 SHUTDOWN_DELAY_S = (5.0, 9.0)
-#: What only the store is asked: entries of another run on this machine may
-#: still ask for it at a port that has been its store's.
+#: Prefix of the store's paths: entries of another run on this machine may still
+#: send such requests to a port that was their store's before.
 STORE_PATH_PREFIX = '/log-'
-#: States of targets; one that has vanished writes nothing to the store.
+#: States of targets; a vanished target writes nothing more to the store.
 READY, DRAINING, VANISHED = 'ready', 'draining', 'vanished'
-#: What the path of a request holds that ends whatever begins to run it.
+#: Part of the path of requests that crash every target that begins to run them.
 DEADLY = 'deadly'
-#: How much of its answer is written before: nothing, the head, an event.
+#: What a crashing target has written of its answer: nothing, the head, or the
+#: head and one event.
 PARTIAL_ANSWERS = ('', 'head', 'events')
-#: Times that the text of a plain answer is repeated: in one answer of so many
-#: it is long, four megabytes, more than the system's buffers hold on the way to
-#: a slow caller.
+#: Repetitions of the text in a plain answer.  One of `LONG_EVERY` answers is
+#: long: four megabytes, more than the kernel's buffers hold on the way to a
+#: slow caller.
 REPEATS, LONG_REPEATS, LONG_EVERY = 20, 250_000, 25
-#: How long a ticket may lie idle after its last use, and without any, in
-#: seconds (`freeMs` and `idleMaxMs` of the settings).
+#: How long a reservation may be idle after its last use, and if it was never
+#: used, in seconds (`freeMs` and `idleMaxMs` of the settings).
 USED_IDLE_MAX_S = 4.0
 UNUSED_IDLE_MAX_S = 9.0
 NS_IN_MS = 1_000_000
@@ -61,7 +63,7 @@
 
 @dataclass
 class Reservation:
-    """Reserved memory: when its lease ends, and how many requests use it."""
+    """Reserved memory with the end of its lease and its current users."""
 
     until: float
     free_since: float
@@ -70,8 +72,13 @@
 
 
 @dataclass
-class Quirks:
-    """The share of requests with which a target does something wrong."""
+class FaultShares:
+    """Shares of requests on which a target misbehaves, by kind of fault.
+
+    `fails`: answers 500; `sheds`: refuses; `loses`: resets before the answer;
+    `breaks`: resets in the middle of it; `mixes`: names another request;
+    `mute`: never answers.
+    """
 
     fails: float = 0
     sheds: float = 0
@@ -82,7 +89,7 @@
 
 
 def get_seal(incarnation: str, req_id: str) -> str:
-    """Return what proves that a target made an answer."""
+    """Return the seal, which identifies the target that made an answer."""
     return f'{incarnation}.{crc32(req_id.encode()):08x}'
 
 
@@ -94,7 +101,7 @@
 
 
 def _ignore_crash(_: 'Target') -> None:
-    """Stand for what follows the end of a target."""
+    """Do nothing after a crash, as the default of `on_crash`."""
 
 
 def make_event(req_id: str, number: int) -> bytes:
@@ -103,7 +110,7 @@
 
 
 def count_events(sizes: str) -> int:
-    """Return how many events a stream has by its token counts."""
+    """Return how many events a stream of these token counts has."""
     return max(1, int(sizes.partition(',')[2]) // TOKENS_PER_EVENT)
 
 
@@ -111,7 +118,8 @@
 class Target:
     """One incarnation of a target behind a link of its own.
 
-    While there is a `rest`, it turns all away and asks for as many seconds.
+    While `retry_after` is set, the target refuses all requests and asks for a
+    back-off of as many seconds.
     """
 
     target_id: str
@@ -120,12 +128,12 @@
     ledger: Ledger
     store: Store
     rng: Random
-    quirks: Quirks = field(default_factory=Quirks)
+    fault_shares: FaultShares = field(default_factory=FaultShares)
     reservations: dict[str, Reservation] = field(default_factory=dict)
     state: str = READY
     running: int = 0
     limit: str = ''
-    rest: str = ''
+    retry_after: str = ''
     announces_draining: bool = False
     sequence: int = 0
     link: Link = field(default_factory=lambda: Link(''))
@@ -135,11 +143,11 @@
 
     @property
     def incarnation(self) -> str:
-        """The name of this start of the target, for the ledger."""
+        """The name of this incarnation in the ledger."""
         return f'{self.target_id}@{self.born}'
 
     async def start_serving(self, group: TaskGroup) -> None:
-        """Start, register, and end when `gone` is set."""
+        """Start and register; the target ends when `stopped` is set."""
         listener = await anyio.create_tcp_listener(
             local_host='127.0.0.1', local_port=0
         )
@@ -168,7 +176,7 @@
             await anyio.sleep(HEARTBEAT_INTERVAL_S)
 
     async def leave(self, state: str) -> None:
-        """Say in the store that it leaves, or vanish from it; serve on."""
+        """Announce draining or delete the record; serve on for a while."""
         self.state = state
         self.announces_draining = self.announces_draining or state == DRAINING
         while self.store.status != 200:
@@ -181,10 +189,10 @@
         await anyio.sleep(self.rng.uniform(*SHUTDOWN_DELAY_S))
 
     def make_record(self) -> dict[str, Any]:
-        """Return the own entry."""
+        """Return the target's record in the store."""
         return {
             'service': self.service,
-            'address': self.link.listed,
+            'address': self.link.listen_address,
             'zone': self.data_centre,
             'version': 'v1',
             'slots': SLOTS,
@@ -194,7 +202,7 @@
         }
 
     def write_record(self) -> None:
-        """Write the own entry, unless the store is down."""
+        """Write the target's record, unless the store is down."""
         if self.store.status != 200:
             return
         self.sequence += 1
@@ -216,7 +224,11 @@
         req_id = headers.get('trestledock-request-id', '')
         self.ledger.record_arrival(req_id, self.incarnation)
         full = self.running >= SLOTS + QUEUE
-        if full or self.rest or self.rng.random() < self.quirks.sheds:
+        if (
+            full
+            or self.retry_after
+            or self.rng.random() < self.fault_shares.sheds
+        ):
             await self._refuse(exchange, req_id)
             return
         self.running += 1
@@ -227,20 +239,20 @@
 
     async def _refuse(self, exchange: Exchange, req_id: str) -> None:
         refused = [('Trestledock-Not-Executed', '1'), *self._get_notices()]
-        if self.rest:
-            refused.append(('Retry-After', self.rest))
+        if self.retry_after:
+            refused.append(('Retry-After', self.retry_after))
             self.ledger.record_backoff(
-                req_id, self.incarnation, float(self.rest)
+                req_id, self.incarnation, float(self.retry_after)
             )
         await exchange.answer(503, b'', refused)
 
     def set_limit(self, text: str, per_s: float | None) -> None:
-        """Name a limit in all answers from now on; no text for none."""
+        """Announce a rate limit in all answers; an empty text ends it."""
         self.limit = text
         self.ledger.record_limit_change(self.incarnation, per_s)
 
     def _get_notices(self) -> Headers:
-        """Return what the target says of itself in all its answers."""
+        """Return the headers with which the target announces its state."""
         limit = [('Server-Limit', self.limit)] if self.limit else []
         leaving = [('Server-Leaving', '1')] if self.announces_draining else []
         return [*limit, *leaving]
@@ -273,15 +285,15 @@
     async def _cancel_on_disconnect(
         self, exchange: Exchange, group: TaskGroup
     ) -> None:
-        await exchange.wait_for_end()
+        await exchange.wait_for_disconnect()
         group.cancel_scope.cancel()
 
     async def _respond(self, exchange: Exchange, run: Run) -> None:
         draw = self.rng.random
-        if draw() < self.quirks.mute:
+        if draw() < self.fault_shares.mute:
             await anyio.sleep_forever()
         own_id = run.req_id
-        if draw() < self.quirks.mixes:
+        if draw() < self.fault_shares.mixes:
             own_id = 'another'
         headers = [
             ('Trestledock-Request-Id', own_id),
@@ -291,7 +303,7 @@
         run.leaves = self.announces_draining
         if DEADLY in exchange.path:
             await self._crash(exchange, run, headers)
-        elif draw() < self.quirks.fails:
+        elif draw() < self.fault_shares.fails:
             run.status = 500
             await exchange.answer(500, b'failed', headers)
         elif run.sizes:
@@ -302,7 +314,7 @@
     async def _crash(
         self, exchange: Exchange, run: Run, headers: Headers
     ) -> None:
-        """End with the request that is begun, and with all others."""
+        """Crash with the request just begun and all others."""
         if run.sizes:
             await self._prefill(exchange, run)
         partial_answer = self.rng.choice(PARTIAL_ANSWERS)
@@ -319,12 +331,12 @@
     ) -> None:
         await anyio.sleep(PLAIN_CALL_S * self.rng.uniform(0.5, 2))
         run.status = 200
-        if self.rng.random() < self.quirks.loses:
+        if self.rng.random() < self.fault_shares.loses:
             raise Reset
         body = get_body(run.target, run.req_id)
-        if self.rng.random() < self.quirks.breaks:
-            listed = [*headers, ('Content-Length', str(len(body)))]
-            await exchange.start(200, listed)
+        if self.rng.random() < self.fault_shares.breaks:
+            all_headers = [*headers, ('Content-Length', str(len(body)))]
+            await exchange.start(200, all_headers)
             await exchange.write(body[: len(body) // 2])
             raise Reset
         await exchange.answer(200, body, headers)
@@ -345,7 +357,7 @@
     ) -> None:
         await self._prefill(exchange, run)
         run.status = 200
-        if self.rng.random() < self.quirks.loses:
+        if self.rng.random() < self.fault_shares.loses:
             raise Reset
         await exchange.start(200, headers)
         await self._write_events(exchange, run)
@@ -359,7 +371,7 @@
     async def _write_events(self, exchange: Exchange, run: Run) -> None:
         first = int(exchange.headers.get('last-event-id') or 0) + 1
         last = count_events(run.sizes)
-        breaking = self.rng.random() < self.quirks.breaks
+        breaking = self.rng.random() < self.fault_shares.breaks
         for number in range(first, last + 1):
             event = make_event(run.req_id, number)
             if breaking and number > (first + last) // 2:
@@ -370,7 +382,7 @@
         await exchange.finish()
 
     def _use_reservations(self, exchange: Exchange) -> list[Reservation]:
-        """Note the use of tickets; all are looked up at this target's peers."""
+        """Mark the reservations of a request as used; peers may hold them."""
         helpers = exchange.headers.get('trestledock-helpers', '')
         names = [
             one.partition('/')[2] for one in helpers.split(',') if '/' in one
@@ -405,7 +417,7 @@
         await exchange.answer(200, b'{"available":1}', self._get_notices())
 
     def record_leaks(self, now: float) -> None:
-        """Note the tickets that lie idle for longer than they may."""
+        """Record the reservations that were idle for too long."""
         for name, reservation in self.reservations.items():
             idle_s = min(now, reservation.until) - reservation.free_since
             limit_s = USED_IDLE_MAX_S if reservation.used else UNUSED_IDLE_MAX_S
@@ -415,5 +427,6 @@
                 )
 
 
-#: All tickets of a run by name, so that the first target can note their use.
+#: All reservations of a run by id.  The first target of a request marks those
+#: of its helpers as used.
 RESERVATIONS_BY_ID: dict[str, Reservation] = {}
--- a/tests/soak/world.py
+++ b/tests/soak/world.py
@@ -1,9 +1,9 @@
 """
-World of a run
-==============
+Environment of a run
+====================
 
-Puts store, targets, entries and callers together, and makes the changes that
-operators make: configurations, keys, targets that leave.
+Connects store, targets, entries and callers, and makes the changes of
+operators: configurations, keys and replacements of targets.
 """
 
 import os
@@ -30,26 +30,26 @@
 from tests.soak.serving import serve_stream
 from tests.soak.store import CONFIG, TARGETS, Store
 from tests.soak.targets import (
-    HEARTBEAT_INTERVAL_S,
     DRAINING,
+    HEARTBEAT_INTERVAL_S,
     READY,
-    SLOTS,
     RESERVATIONS_BY_ID,
+    SLOTS,
     Target,
 )
 
 DATA_CENTRES = ('dc-a', 'dc-b', 'dc-c')
 TEAMS = ('kiosks', 'desk', 'audit')
 KEYS_PER_TEAM = 4
-#: How long a target takes to start again under its id, in seconds.
+#: How long after a crash a target starts again under its id, in seconds.
 RESTART_DELAY_S = (0.3, 2.5)
 HALF = 0.5
-#: How often tickets are looked at, in seconds.
-LOOK_INTERVAL_S = 0.5
-#: Different requests that end their targets, and who asks for each.
+#: Interval of the checks for idle reservations, in seconds.
+RESERVATION_CHECK_S = 0.5
+#: Number of different requests that crash targets, and of callers of each.
 DEADLY_REQUESTS = 3
 DEADLY_CALLERS = 4
-#: How often the driver looks whether it is held up itself, in seconds.
+#: Interval at which the driver measures its own delay, in seconds.
 LATENESS_INTERVAL_S = 0.02
 ENGINE = {
     'slots': SLOTS,
@@ -63,10 +63,11 @@
 
 @dataclass(frozen=True)
 class Size:
-    """How large a run is, and what disturbs it.
+    """Size of a run and its plan of faults.
 
-    `run_s` is how long callers ask; `plan` is one of `faults.PLANS`; `grace_s`
-    is the time that entries are given to stop.
+    `plain` is the number of targets that aren't engines; `run_s` is how long
+    callers send requests; `plan` is one of `faults.PLANS`; `grace_s` is the
+    grace period of stopping entries.
     """
 
     entries: int = 4
@@ -80,7 +81,10 @@
 
 @dataclass
 class World:
-    """One run."""
+    """All components of one run.
+
+    `late_s` is the longest delay of the driver itself.
+    """
 
     size: Size
     rng: Random
@@ -101,7 +105,7 @@
     finished: bool = False
 
     async def start(self) -> None:
-        """Start everything but the callers."""
+        """Start everything except the callers."""
         RESERVATIONS_BY_ID.clear()
         if self.size.plan == 'restored':
             self.store.era = 1
@@ -128,7 +132,7 @@
         self.group.start_soon(self._measure_lateness)
 
     def start_callers(self) -> None:
-        """Let the callers begin."""
+        """Start the callers."""
         for number in range(self.size.callers):
             caller = Caller(
                 f'c{number}',
@@ -143,9 +147,9 @@
             self._start_deadly_callers()
 
     def _start_deadly_callers(self) -> None:
-        """Let some callers ask for requests that end their targets.
+        """Start callers of requests that crash targets.
 
-        Each such request is asked for by several, as by callers that repeat.
+        Several callers send each of these requests, as callers do that retry.
         """
         for number in range(DEADLY_REQUESTS * DEADLY_CALLERS):
             caller = DeadlyCaller(
@@ -160,7 +164,7 @@
             self.group.start_soon(caller.run)
 
     def publish(self) -> None:
-        """Write the configuration as it should be now."""
+        """Write the current configuration as a new version."""
         self.version += self.rng.randint(1, 3)
         for name, timeout_s in self.timeouts_s.items():
             self.ledger.record_timeout(REQUEST_KINDS[name][0], timeout_s)
@@ -191,13 +195,13 @@
         self.ledger.record_change('version', str(self.version))
 
     def revoke(self) -> None:
-        """Take one key away; some callers go on using it."""
+        """Revoke one key; some callers go on using it."""
         key = self.keys.revoke(self.rng)
         self.publish()
         self.ledger.record_change('revoked', key)
 
     async def add_target(self, service: str, data_centre: str) -> Target:
-        """Add a new incarnation of a target."""
+        """Start a new target."""
         self.target_count += 1
         name = f'i-{self.target_count}'
         return await self._start_target(name, service, data_centre)
@@ -215,21 +219,21 @@
             self.ledger,
             self.store,
             Random(self.rng.random()),
-            on_crash=self._recover_later,
+            on_crash=self._recover_crashed,
         )
         await target.start_serving(self.group)
         self.targets.append(target)
         return target
 
     async def replace(self, target: Target, state: str = DRAINING) -> None:
-        """Let a target leave as planned, after another has come."""
+        """Drain or delist a target as planned, after starting another."""
         await self.add_target(target.service, target.data_centre)
         await target.leave(state)
         self.remove(target)
         self.store.put_json(TARGETS, target.target_id, None)
 
     async def crash(self, target: Target) -> None:
-        """Let a target die; its entry goes after three heartbeats."""
+        """Crash a target; its record is deleted after three heartbeats."""
         self.remove(target)
         await anyio.sleep(HEARTBEAT_INTERVAL_S * 3)
         self.store.put_json(TARGETS, target.target_id, None)
@@ -237,9 +241,9 @@
         await self.add_target(target.service, target.data_centre)
 
     async def restart(self, target: Target, pause_s: float) -> None:
-        """Let a target die and start again under its id, after a pause.
+        """Crash a target and start it again under its id, after a pause.
 
-        It knows nothing of before, and its entry may never have gone.
+        It has lost all state, and its record may have stayed in the store.
         """
         self.remove(target)
         await anyio.sleep(pause_s)
@@ -247,8 +251,8 @@
             target.target_id, target.service, target.data_centre
         )
 
-    def _recover_later(self, target: Target) -> None:
-        """Have a target that a request has ended start again."""
+    def _recover_crashed(self, target: Target) -> None:
+        """Replace a target that a request has crashed, or restart it later."""
         fault = self.ledger.begin_fault('deadly', target=target.incarnation)
         fault.ended_at = time.monotonic()
         rng = Random(self.rng.random())
@@ -260,14 +264,14 @@
         self.remove(target)
 
     def remove(self, target: Target) -> None:
-        """End a target at once."""
+        """Stop a target at once."""
         target.stopped.set()
         self.ledger.record_change('ended', target.incarnation)
         if target in self.targets:
             self.targets.remove(target)
 
     def end_processes(self) -> None:
-        """Kill all entries, and let none start again."""
+        """Kill all entries for good."""
         for entry in self.entries:
             entry.last = True
             entry.send(signal.SIGCONT)
@@ -276,13 +280,13 @@
                 entry.child.wait()
 
     def pick_target(self) -> Target:
-        """Return a target that is not leaving."""
+        """Return a random target that isn't draining or delisted."""
         return self.rng.choice(
             [one for one in self.targets if one.state == READY]
         )
 
     def has_targets(self) -> bool:
-        """Whether any target is not leaving."""
+        """Whether any target isn't draining or delisted."""
         return any(one.state == READY for one in self.targets)
 
     def get_elapsed_s(self) -> float:
@@ -331,7 +335,7 @@
         await serve_stream(stream, self.store.handle)
 
     async def _measure_lateness(self) -> None:
-        """Keep the longest time for which the driver itself was held up."""
+        """Keep the longest delay of the driver itself."""
         while True:
             began_at = time.monotonic()
             await anyio.sleep(LATENESS_INTERVAL_S)
@@ -340,6 +344,6 @@
 
     async def _check_reservations(self) -> None:
         while True:
-            await anyio.sleep(LOOK_INTERVAL_S)
+            await anyio.sleep(RESERVATION_CHECK_S)
             for target in self.targets:
                 target.record_leaks(time.monotonic())
--- a/tests/test_entry_shutdown.py
+++ b/tests/test_entry_shutdown.py
@@ -195,7 +195,7 @@
 
         async def scenario(world, entry, group):
             for target in world.targets:
-                target.quirks.mute = 1
+                target.fault_shares.mute = 1
             sent = Asked(group, entry, '/book/x', 'b', wait_s=LONG_S)
             await wait_for(lambda: world.ledger.runs)
             await begin_shutdown(entry)
@@ -241,7 +241,7 @@
 
         async def scenario(world, entry, group):
             for target in world.targets:
-                target.quirks.mute = 1
+                target.fault_shares.mute = 1
             sent = Asked(group, entry, '/book/x', 'b', wait_s=LONG_S)
             await wait_for(lambda: world.ledger.runs)
             entry.grace_s = SIZE.grace_s
--- a/tests/test_entry_unread.py
+++ b/tests/test_entry_unread.py
@@ -63,7 +63,7 @@
 
         async def scenario(world, entry, group):
             for target in world.targets:
-                target.quirks.mute = 1
+                target.fault_shares.mute = 1
             sent = Asked(group, entry, '/book/x', 'b', wait_s=40)
             await wait_for(
                 lambda: 'b' in [run.req_id for run in world.ledger.runs]
