--- a/tests/soak/narrow.py
+++ b/tests/soak/narrow.py
@@ -1,9 +1,9 @@
 """
-Narrow ways back
-================
+Entry with small send buffers
+=============================
 
-Entries whose connections take few bytes at a time, as on links with small
-windows: what a caller doesn't read stays in the process.
+Starts an entry whose sockets to callers have small send buffers, as on links
+with small TCP windows: what a caller doesn't read stays in the process.
 """
 
 import socket
@@ -13,25 +13,25 @@
 
 from trestledock.platform import run
 
-#: What the system keeps of an answer that isn't read, in bytes.
+#: Bytes of an unread answer that the kernel buffers.
 SEND_BUFFER_BYTES = 4096
 
 
-def narrow() -> None:
-    """Let connections of callers inherit a small buffer."""
+def use_small_send_buffers() -> None:
+    """Make connections of callers inherit a small send buffer."""
     create_sockets = Config.create_sockets
 
-    def create_narrow(config: Any) -> Sockets:
-        found = create_sockets(config)
-        for sock in found.insecure_sockets:
+    def create_small_sockets(config: Any) -> Sockets:
+        sockets = create_sockets(config)
+        for sock in sockets.insecure_sockets:
             sock.setsockopt(
                 socket.SOL_SOCKET, socket.SO_SNDBUF, SEND_BUFFER_BYTES
             )
-        return found
+        return sockets
 
-    Config.create_sockets = create_narrow
+    Config.create_sockets = create_small_sockets
 
 
 if __name__ == '__main__':
-    narrow()
+    use_small_send_buffers()
     run()
