--- a/tests/test_entry_news.py
+++ b/tests/test_entry_news.py
@@ -161,3 +161,30 @@
 
         self.run_async(scenario)
         return found[0]
+
+
+class ClearedRequestTest(unittest.TestCase):
+    """Updates about requests that were cleared of crashes unknown here."""
+
+    # Guards against an infinite quarantine age that spoils the whole update.
+    def test_request_cleared_by_another_entry(self):
+        """An entry that only heard of the clearing still sends its list."""
+
+        async def main():
+            reader, follower = make_exchange(), make_exchange()
+            reader.state.fleet.put(make_listed(1, 80))
+            reader.state.isolation.merge_cleared(
+                'f1', ('t2', 't3', 't4'), 'entry-3#c'
+            )
+
+            async def get(address, asked):
+                return json.loads(reader.encode_update())
+
+            follower._get = get
+            news = await follower.fetch(READER, 1)
+            self.assertIsNotNone(news)
+            self.assertEqual(
+                [target.target_id for target in news.targets], ['t1']
+            )
+
+        anyio.run(main)
