--- a/trestledock/bench/_bursts.py
+++ b/trestledock/bench/_bursts.py
@@ -18,7 +18,7 @@
 LONGER = Kind('longer', 1.5, 0.6, 6.0, 10.0)
 LONG = Kind('long', 3.0, 1.0, 12.0, 15.0)
 #: The same kinds in the shifted workload, with shorter pauses; long prompts are
-#: longer, with a larger objective and patience.
+#: longer, with a larger objective and event timeout.
 SHIFTED_SHORT = Kind('short', 0.3, 0.2, 2.0, 10.0)
 SHIFTED_LONGER = Kind('longer', 1.5, 0.5, 6.0, 10.0)
 SHIFTED_LONG = Kind('long', 4.0, 0.8, 16.0, 15.0)
--- a/trestledock/entry/_follower.py
+++ b/trestledock/entry/_follower.py
@@ -29,9 +29,9 @@
 #: if an own read is due soon: some hundred times the network latency.
 FETCH_TIMEOUT_S = 1.0
 MIN_FETCH_TIMEOUT_S = 0.25
-#: After so many failed fetches in a row an entry is not asked for the given
-#: time, in seconds: a single one may fail while many entries ask at once, and
-#: the others find another reader in less than that time.
+#: The number of failed fetches in a row after which an entry is not asked for a
+#: time, and that time in seconds: a single fetch may fail while many entries ask
+#: at once, and the others find another reader in less than that time.
 MAX_FETCH_FAILURES = 2
 EXCLUSION_S = 1.5
 #: Interval of reading the list of peers, in seconds. Each entry announces
--- a/trestledock/relay/_claims.py
+++ b/trestledock/relay/_claims.py
@@ -19,7 +19,7 @@
 #: instances chose the same engines, the second choice came up to 35 ms after
 #: the first: the choice took a few milliseconds on half a core, and the message
 #: waited behind the bytes of the prompt (30 KB take 12 ms at 20 Mbit/s).
-#: Messages are now sent before these bytes.
+#: Messages are sent before these bytes, which avoids that wait.
 CLAIM_DELAY_S = 0.03
 #: The least ratio of the time to the first token to `CLAIM_DELAY_S` at which a
 #: claim is worth its delay.
--- a/trestledock/relay/_engine_load.py
+++ b/trestledock/relay/_engine_load.py
@@ -130,7 +130,7 @@
     left_s: float = 0
     at = now
     prefilling = [flight for flight in flights if flight.phase is Phase.prefill]
-    for flight in sorted(prefilling, key=lambda request: request.since):
+    for flight in sorted(prefilling, key=lambda flight: flight.since):
         chunk_s = (
             get_prefill_s(engine, flight.prompt_tokens) / flight.chunk_count
         )
--- a/trestledock/relay/_freshness.py
+++ b/trestledock/relay/_freshness.py
@@ -22,8 +22,8 @@
     """The newest proof; with a `max_age_s` of zero none is required.
 
     `read_at` is the instant of the last read of the configuration, by this
-    instance or by the one that it asks.  A read need not prove freshness, and
-    if it doesn't, further reads would not either.
+    instance or by the reader.  A read doesn't always prove freshness; if it
+    doesn't, further reads would not either.
 
     >>> proof = FreshnessProof(max_age_s=4.0)
     >>> proof.renew(asked_at=1.0)
--- a/trestledock/relay/_readers.py
+++ b/trestledock/relay/_readers.py
@@ -3,10 +3,11 @@
 ==============================
 
 Which instance reads the platform's store for the others.  Calls of the store
-are expensive and limited, so one instance reads and the others ask it.  The
-instance that has read most recently is preferred, and names break ties, so that
-all instances that know each other make the same choice.  If no instance has
-read lately, all try, at intervals that grow with their position in this order.
+are expensive and limited, so one instance reads and the others ask it: the
+first by name of those whose knowledge of the store is fresh.  Instances that
+know each other so make the same choice.  If no instance's knowledge is fresh,
+all try to read, at intervals that grow with their position in the order of
+names.
 """
 
 from dataclasses import dataclass
@@ -89,6 +90,9 @@
 ) -> str:
     """Return the name of the instance that reads for all.
 
+    This is the first by name of the instances that are fresh, or of all if none
+    is.
+
     >>> choose_reader([ReaderCandidate('a', 9.0), ReaderCandidate('b', 0.2)])
     'b'
     """
