--- a/tests/test_entry_gossip.py
+++ b/tests/test_entry_gossip.py
@@ -49,7 +49,7 @@
     def check(self, near, far, told, readers):
         async def main():
             gossip = make_gossip(near, far)
-            self.assertEqual(len(gossip._get_near()), told)
+            self.assertEqual(len(gossip._get_full_state_receivers()), told)
             found = gossip.get_candidates(anyio.current_time())
             self.assertEqual(len(found), readers)
 
@@ -99,7 +99,9 @@
 
         async def main():
             gossip = make_gossip(near=3, far=3)
-            self.assertEqual(gossip.addresses.get_far(many=False), {})
+            self.assertEqual(
+                gossip.addresses.get_remote_by_data_centre(many=False), {}
+            )
 
         anyio.run(main)
 
--- a/trestledock/bench/_sharing.py
+++ b/trestledock/bench/_sharing.py
@@ -68,14 +68,14 @@
     """A kind of request.
 
     The first event is due after `objective_s`, later ones after pauses of up to
-    `pause_s`; the caller leaves after `patience_s` without an event, and at
+    `pause_s`; the caller leaves after `event_timeout_s` without an event, and at
     `deadline_s`.
     """
 
     name: str
     objective_s: float
     pause_s: float
-    patience_s: float
+    event_timeout_s: float
     deadline_s: float
 
 
@@ -239,9 +239,9 @@
         retry_after_s = max(MIN_RETRY_AFTER_S, refusal.retry_after_s)
         if retry_after_s > (timing.deadline - self.now) / RETRY_TIME_DIVISOR:
             return
-        patience_s = state.prompt.kind.patience_s
+        event_timeout_s = state.prompt.kind.event_timeout_s
         abandoned_at = min(
-            timing.deadline, self.now + retry_after_s + patience_s
+            timing.deadline, self.now + retry_after_s + event_timeout_s
         )
         state.request = replace(
             state.request, timing=replace(timing, abandoned_at=abandoned_at)
@@ -327,7 +327,7 @@
         """Abandon the request on a timeout; otherwise check later."""
         if state.done_at is not None or state.abandoned:
             return
-        abandoned_at = state.heard_at + state.prompt.kind.patience_s
+        abandoned_at = state.heard_at + state.prompt.kind.event_timeout_s
         abandoned_at = min(abandoned_at, state.request.timing.deadline)
         if self.now >= abandoned_at:
             self._abandon(state)
@@ -460,9 +460,9 @@
     timing = Timing(
         arrived_at=prompt.at,
         due_at=prompt.at + kind.objective_s,
-        abandoned_at=prompt.at + min(kind.patience_s, kind.deadline_s),
+        abandoned_at=prompt.at + min(kind.event_timeout_s, kind.deadline_s),
         deadline=prompt.at + kind.deadline_s,
     )
     return PlacementRequest(
-        req_id, prompt.size, timing, kind.pause_s, kind.patience_s
+        req_id, prompt.size, timing, kind.pause_s, kind.event_timeout_s
     )
--- a/trestledock/entry/_gossip.py
+++ b/trestledock/entry/_gossip.py
@@ -162,7 +162,10 @@
         """Announce that this entry has just read the store."""
         if not self.state.draining:
             age_s = self.state.get_advertised_age_s(anyio.current_time())
-            self.send(Fresh(self.state.member, age_s), self._get_near())
+            self.send(
+                Fresh(self.state.member, age_s),
+                self._get_full_state_receivers(),
+            )
 
     def send_own_changes(self) -> None:
         """Send the own in-flight requests that changed since the last time."""
@@ -170,7 +173,10 @@
         if changes:
             again_s = self._get_full_state_interval_s()
             self._send_flights(
-                changes, self._get_near(), whole=False, again_s=again_s
+                changes,
+                self._get_full_state_receivers(),
+                whole=False,
+                again_s=again_s,
             )
             self._send_remote_changes(changes)
 
@@ -273,7 +279,9 @@
         centres. An ended request names no target, so its end goes where its
         start was sent.
         """
-        remote = self.addresses.get_far(many=self.state.many_entries)
+        remote = self.addresses.get_remote_by_data_centre(
+            many=self.state.many_entries
+        )
         for flight_id, flight in changes:
             previous = self._remote_by_flight.pop(flight_id, set())
             data_centres = self._get_data_centres(flight) if flight else set()
@@ -301,9 +309,10 @@
         while True:
             now = anyio.current_time()
             self._send_full_state(
-                self._get_near(), self._get_full_state_interval_s()
+                self._get_full_state_receivers(),
+                self._get_full_state_interval_s(),
             )
-            self._notify_full_state_sent(self._get_near())
+            self._notify_full_state_sent(self._get_full_state_receivers())
             if now >= next_remote_at:
                 self._send_remote_states()
                 next_remote_at = now + self._get_remote_interval_s()
@@ -314,7 +323,9 @@
     def _send_remote_states(self) -> None:
         """Send other data centres the in-flight requests at their targets."""
         own = list(self.state.load_table.own.items())[:MAX_FLIGHTS]
-        remote = self.addresses.get_far(many=self.state.many_entries)
+        remote = self.addresses.get_remote_by_data_centre(
+            many=self.state.many_entries
+        )
         for data_centre, addresses in remote.items():
             changes = [
                 change
@@ -335,7 +346,8 @@
 
     def _get_full_state_interval_s(self) -> float:
         return max(
-            FULL_STATE_INTERVAL_S, len(self._get_near()) / MAX_FULL_STATES_PER_S
+            FULL_STATE_INTERVAL_S,
+            len(self._get_full_state_receivers()) / MAX_FULL_STATES_PER_S,
         )
 
     def _get_remote_interval_s(self) -> float:
@@ -355,8 +367,10 @@
         self.state.load_table.drop_sender(name)
         emit(events.PeerLost(name))
 
-    def _get_near(self) -> list[Address]:
-        return self.addresses.get_near(many=self.state.many_entries)
+    def _get_full_state_receivers(self) -> list[Address]:
+        return self.addresses.get_full_state_receivers(
+            many=self.state.many_entries
+        )
 
     def _get_data_centres(self, flight: Flight) -> set[str]:
         """Return the data centres of the targets that a request occupies."""
--- a/trestledock/entry/_loads.py
+++ b/trestledock/entry/_loads.py
@@ -96,7 +96,9 @@
     def _choose_peers(self) -> Mapping[str, Sequence[Address]]:
         """Return entries to query in some data centres that answer."""
         now = anyio.current_time()
-        remote = self.gossip.addresses.get_far(many=self.state.many_entries)
+        remote = self.gossip.addresses.get_remote_by_data_centre(
+            many=self.state.many_entries
+        )
         answering = [
             data_centre
             for data_centre in remote
--- a/trestledock/entry/_peer_addresses.py
+++ b/trestledock/entry/_peer_addresses.py
@@ -31,7 +31,7 @@
         self.data_centre = data_centre
         self.data_centres: dict[Address, str] = {}
         self._seen_at: dict[Address, float] = {}
-        self._near: list[Address] | None = None
+        self._full_state_receivers: list[Address] | None = None
 
     def add_addresses(
         self, addresses: Iterable[Address], now: float
@@ -53,7 +53,7 @@
         self._seen_at[address] = now
         if self.data_centres.get(address) != data_centre:
             self.data_centres[address] = data_centre
-            self._near = None
+            self._full_state_receivers = None
 
     def record_shutdown(self, address: Address) -> None:
         """Record that an entry has shut down as planned."""
@@ -70,7 +70,7 @@
         """Return the addresses of all other entries."""
         return list(self.data_centres)
 
-    def get_near(self, *, many: bool) -> list[Address]:
+    def get_full_state_receivers(self, *, many: bool) -> list[Address]:
         """Return the entries that get the full state often.
 
         These are all if there are not `many`, otherwise those that are in this
@@ -78,17 +78,22 @@
         """
         if not many:
             return self.get_all()
-        if self._near is None:
-            near = (self.data_centre, UNKNOWN)
-            self._near = [
+        if self._full_state_receivers is None:
+            included = (self.data_centre, UNKNOWN)
+            self._full_state_receivers = [
                 address
                 for address, data_centre in self.data_centres.items()
-                if data_centre in near
+                if data_centre in included
             ]
-        return self._near
+        return self._full_state_receivers
 
-    def get_far(self, *, many: bool) -> Mapping[str, list[Address]]:
-        """Return the entries elsewhere by data centre, if there are `many`."""
+    def get_remote_by_data_centre(
+        self, *, many: bool
+    ) -> Mapping[str, list[Address]]:
+        """Return the entries of other data centres, by data centre.
+
+        The result is empty unless there are `many` entries.
+        """
         by_data_centre: dict[str, list[Address]] = defaultdict(list)
         if many:
             for address, data_centre in self.data_centres.items():
