--- a/tests/test_bench_passes.py
+++ b/tests/test_bench_passes.py
@@ -2,7 +2,11 @@
 
 import unittest
 
-from trestledock.bench._passes import PrefillChunk, PassEngine, DecodingRequest
+from trestledock.bench._engine_simulation import (
+    PrefillChunk,
+    PassEngine,
+    DecodingRequest,
+)
 from trestledock.relay import EngineModel, get_prefill_s
 
 ENGINE = EngineModel(8, 232_000, 0.001, 200_000, stride=40)
--- a/trestledock/bench/_sharing.py
+++ b/trestledock/bench/_sharing.py
@@ -20,7 +20,7 @@
 from itertools import count
 from typing import Callable
 
-from trestledock.bench._passes import (
+from trestledock.bench._engine_simulation import (
     DecodingRequest,
     PassEngine,
     PassResult,
--- a/trestledock/proof/__init__.py
+++ b/trestledock/proof/__init__.py
@@ -24,7 +24,7 @@
     run_cell,
     run_cells,
 )
-from trestledock.proof._performing import make_world
+from trestledock.proof._actions import make_world
 from trestledock.proof._scenario import (
     FAULTS,
     Run,
--- a/trestledock/proof/_performing.py
+++ b/trestledock/proof/_actions.py
@@ -33,7 +33,11 @@
     Timing,
     SendToPeer,
 )
-from trestledock.proof._feeds import read_instance_list, read_loads, read_log
+from trestledock.proof._periodic_reads import (
+    read_instance_list,
+    read_loads,
+    read_log,
+)
 from trestledock.proof._history import EventType
 from trestledock.proof._hosts import CRASHING_FINGERPRINT, Host, Route
 from trestledock.proof._world import (
--- a/trestledock/proof/_scenario.py
+++ b/trestledock/proof/_scenario.py
@@ -32,7 +32,7 @@
     schedule_publication,
 )
 from trestledock.proof._history import EventType
-from trestledock.proof._performing import make_world
+from trestledock.proof._actions import make_world
 from trestledock.proof._world import World
 from trestledock.request import Kind, Outcome
 from trestledock.standin import EngineSpec
