--- a/tests/limiting.py
+++ b/tests/limiting.py
@@ -2,9 +2,9 @@
 
 The network between entries and the connections to targets are calls within the
 process.  The requests at a target are counted as its operators would count
-them.  For a rate limit: those of the entries that were told at least half a
+them.  For a rate limit: those of entries that received it at least half a
 second before, and those of all entries.  For a drain: those of each entry since
-it was told.  For a back-off: those of the entry that was asked for it.
+it received the notice.  For a back-off: those of the entry that received it.
 """
 
 from contextlib import contextmanager
@@ -32,7 +32,7 @@
 NETWORK_DELAY_S = 0.001
 #: The time in which a target runs one request, in seconds.
 SERVICE_TIME_S = 0.02
-#: A rate limit binds an entry this long after the entry was told, and all
+#: A rate limit binds an entry this long after the entry received it, and all
 #: entries this long after it was first set, in seconds.
 NOTICE_LATENCY_S = 0.5
 LIMIT_EFFECT_S = 3.0
@@ -42,10 +42,10 @@
 BURST_FACTOR = 1.5
 BURST_COUNT = 5
 #: How long requests from an entry may still reach a draining target after the
-#: entry was told, in seconds.
+#: entry received the drain notice, in seconds.
 DRAIN_S = 2.0
-#: A back-off binds an entry this long after it was asked for, in seconds; until
-#: it is over, at most this many requests may come from that entry.
+#: A back-off binds an entry this long after the refusal with it, in seconds;
+#: from then until its end at most this many requests may come from that entry.
 BACKOFF_EFFECT_S = 0.5
 MAX_REQUESTS_IN_BACKOFF = 2
 
@@ -61,7 +61,7 @@
 
 @dataclass(frozen=True)
 class RequestedBackoff:
-    """A back-off that a target asked of an entry."""
+    """A back-off that a target requested from an entry."""
 
     entry: str
     at: float
@@ -75,7 +75,7 @@
     With `retry_after` it rejects all requests, with that text as Retry-After.
     With `leaves` its answers say that it drains, and `sealed` is true if its
     answers have its seal.  `limit_told_at` and `drain_told_at` have the times
-    at which entries were told of the rate limit and of the drain.
+    at which entries received the rate limit and the drain notice.
     """
 
     number: int
@@ -120,7 +120,7 @@
         """Return how many requests came within a period."""
         return sum(since <= arrival.at < until for arrival in self.arrivals)
 
-    def count_told(self, since, until):
+    def count_from_bound(self, since, until):
         """Return how many came from entries that the rate limit binds."""
         return sum(
             since <= arrival.at < until
@@ -139,7 +139,7 @@
         self.retry_after = retry_after
 
     def get_late_s(self):
-        """Return how long after its entry was told the latest request came."""
+        """Return the longest delay of a request after its entry's notice."""
         return max(
             (
                 arrival.at - self.drain_told_at[arrival.entry]
@@ -301,13 +301,13 @@
     def connect_slowly(self, wait_s):
         """Delay each connection to a target from now on."""
         pool = self.relayer.sender.pool
-        take = pool.acquire
+        acquire = pool.acquire
 
-        async def take_slowly(listed):
+        async def acquire_slowly(listed):
             await anyio.sleep(wait_s)
-            return await take(listed)
+            return await acquire(listed)
 
-        pool.acquire = take_slowly
+        pool.acquire = acquire_slowly
 
     def kill(self):
         """End without a message to the others."""
--- a/tests/restoring.py
+++ b/tests/restoring.py
@@ -54,13 +54,13 @@
         query = dict(parse_qsl(parts.query))
         self.requests.append((parts.path, query['topic']))
         exchange = Exchange(None, None, method, parts.path, query, {}, body)
-        exchange.answer = self._take
+        exchange.answer = self._store_answer
         try:
             await self.store.handle(exchange)
         except Reset as exc:
             raise WireError('answer', 'reset') from exc
 
-    async def _take(self, status, body=b'', headers=()):
+    async def _store_answer(self, status, body=b'', headers=()):
         raw = tuple((name.encode(), value.encode()) for name, value in headers)
         self._answer = Head(status, raw), body
 
@@ -152,11 +152,11 @@
         other = self.network.get(address)
         if other is None:
             raise WireError('connect', 'refused')
-        news = other.exchange.encode_update(
+        update = other.exchange.encode_update(
             self.state.version, with_removed=bool(asked)
         )
         await anyio.sleep(WAY_S)
-        return json.loads(news)
+        return json.loads(update)
 
 
 class World:
@@ -194,7 +194,7 @@
         }
         self.store.put_json(TARGETS, target_id, plain)
 
-    def leave(self, target_id):
+    def remove_target(self, target_id):
         """Remove a target's record; it writes no more."""
         self.targets.pop(target_id)
         self.store.put_json(TARGETS, target_id, None)
--- a/tests/test_bench_sharing.py
+++ b/tests/test_bench_sharing.py
@@ -100,13 +100,13 @@
 
 
 class ManyEntriesTest(unittest.TestCase):
-    """A wave of long prompts at state data centre of a large deployment.
+    """A wave of long prompts at one data centre of a large deployment.
 
     Its engines are busy, and those of the two other data centres are idle.
     """
 
     def simulate(self, **policy):
-        """Simulate eight long prompts at state of three data centres."""
+        """Simulate eight long prompts at one of three data centres."""
         fleet = make_fleet(
             ENGINE,
             engines=18,
@@ -128,7 +128,7 @@
         self.assertGreater(with_remote, without + 0.2)
 
     def test_two_at_the_same_moment(self):
-        """Two entries place prompts before either hears of the other.
+        """Two entries place prompts before either knows of the other.
 
         Each prompt takes all four engines.  With claims, the later one yields,
         and the other is in time; without, both are late.
--- a/tests/test_clock.py
+++ b/tests/test_clock.py
@@ -89,8 +89,10 @@
         async def main():
             state = EntryState(SETTINGS, 'entry-1#a', Random(1), None)
             listing = TargetListUpdater(state, Pool(state.spawn))
-            news = (TargetUpdate('t0', make_listed(0, 1)),)
-            listing.apply(StoreUpdate(targets=news, as_of=anyio.current_time()))
+            updates = (TargetUpdate('t0', make_listed(0, 1)),)
+            listing.apply(
+                StoreUpdate(targets=updates, as_of=anyio.current_time())
+            )
             self.pause()
             return state.get_list_age_s(anyio.current_time())
 
--- a/tests/test_entry_anew.py
+++ b/tests/test_entry_anew.py
@@ -1,7 +1,7 @@
 """An entry that starts while the reader of the list is paused.
 
-It reads only the newest record of each target, so it never knew the removed
-ones.
+It reads only the newest record of each target, so it has never known those that
+were removed.
 """
 
 import unittest
@@ -26,33 +26,33 @@
 
     async def read_targets(self):
         begins = not self.position
-        news = await super().read_targets()
+        update = await super().read_targets()
         if not begins:
-            return news
-        newest = {record.target_id: record for record in news.targets}
+            return update
+        newest = {record.target_id: record for record in update.targets}
         present = [record for record in newest.values() if record.listed]
         return StoreUpdate(targets=tuple(present), is_complete=True)
 
 
-async def start_anew(life):
+async def start_entry(life):
     """Run one more entry, and exchange addresses with the others."""
     first = life.entries[0]
     number = len(life.entries)
     entry = LivingEntry(number, life.store, first.network, first.state.group)
     entry.follower.store_reader.directory = NewestReading(life.store)
     entry.disturbed_until = anyio.current_time()
-    everybody = [*life.entries, entry]
+    members = [*life.entries, entry]
     addresses = {
-        member.name: f'127.0.0.1:{member.address[1]}' for member in everybody
+        member.name: f'127.0.0.1:{member.address[1]}' for member in members
     }
     entry.gossip.addresses.own = entry.address
-    for member in everybody:
+    for member in members:
         member.gossip.add_addresses(addresses)
     life.entries.append(entry)
     await entry.live()
 
 
-class AnewTest(unittest.TestCase):
+class NewEntryTest(unittest.TestCase):
     """A target is removed while the reader is paused, and an entry starts."""
 
     def test_new_entry_does_not_use_removed_target(self):
@@ -73,7 +73,7 @@
             life.store.remove(1)
             removed_at = anyio.current_time()
             await anyio.sleep(NEW_S)
-            group.start_soon(start_anew, life)
+            group.start_soon(start_entry, life)
             await anyio.sleep(BOUND_S)
             for _ in range(round(EXCUSED_S * 2 / STEP_S)):
                 await anyio.sleep(STEP_S)
--- a/tests/test_entry_budgets.py
+++ b/tests/test_entry_budgets.py
@@ -3,7 +3,7 @@
 
 Guards against two groups of entries that are cut off from each other and retry
 twice as often as the budget allows: if each entry divided the budget by the
-entries that it hears, each group would use the whole budget.
+entries that it receives messages from, each group would use the whole budget.
 """
 
 import unittest
@@ -19,7 +19,7 @@
 
 
 def spend_all(fleet):
-    """Return how many retries all entries together take at once."""
+    """Return how many retries all entries together make at once."""
     now = anyio.current_time()
     count = 0
     for entry in fleet.entries:
--- a/tests/test_entry_gossip.py
+++ b/tests/test_entry_gossip.py
@@ -46,10 +46,10 @@
 class GroupTest(unittest.TestCase):
     """The own data centre gets the full state often, the others rarely."""
 
-    def check(self, near, far, told, readers):
+    def check(self, near, far, receivers, readers):
         async def main():
             gossip = make_gossip(near, far)
-            self.assertEqual(len(gossip._get_full_state_receivers()), told)
+            self.assertEqual(len(gossip._get_full_state_receivers()), receivers)
             found = gossip.get_candidates(anyio.current_time())
             self.assertEqual(len(found), readers)
 
@@ -57,12 +57,12 @@
 
     def test_few_entries(self):
         """A few entries all exchange everything, and share one reader."""
-        self.check(near=4, far=4, told=8, readers=9)
+        self.check(near=4, far=4, receivers=8, readers=9)
 
     def test_many_entries(self):
         """With many entries each data centre is separate, with its reader."""
         far = MAX_FULL_MESH
-        self.check(near=5, far=far, told=5, readers=6)
+        self.check(near=5, far=far, receivers=5, readers=6)
 
 
 class RemoteTest(unittest.TestCase):
--- a/tests/test_entry_incarnations.py
+++ b/tests/test_entry_incarnations.py
@@ -213,7 +213,7 @@
     """Memory reserved at the old incarnation."""
 
     def test_not_renewed_at_new_incarnation(self):
-        """A renewal would reserve memory there that nobody uses."""
+        """A renewal would reserve memory there in vain."""
         target = StubTarget(Hang)
         orders = []
 
--- a/tests/test_entry_isolation.py
+++ b/tests/test_entry_isolation.py
@@ -25,17 +25,17 @@
     """Run `scenario(isolation)`; each new connection yields `seen`."""
 
     async def reconnect(target):
-        isolation.looks.append(target.incarnation)
+        isolation.reconnected.append(target.incarnation)
         return seen
 
     async def main():
         await scenario(isolation)
 
     isolation = EntryState(SETTINGS, 'e#a', Random(1), None).isolation
-    isolation.looks = []
-    isolation.told = []
+    isolation.reconnected = []
+    isolation.sent_crashes = []
     isolation.hooks.reconnect = reconnect
-    isolation.hooks.send_crashes = isolation.told.extend
+    isolation.hooks.send_crashes = isolation.sent_crashes.extend
     run_virtually(main)
     return isolation
 
@@ -51,7 +51,9 @@
                 await isolation.investigate_failure('f', sign, [target])
 
         isolation = run_isolation(scenario, seen)
-        return isolation.quarantine.count_crashes('f'), len(isolation.looks)
+        return isolation.quarantine.count_crashes('f'), len(
+            isolation.reconnected
+        )
 
     def test_closed_and_connection_refused(self):
         self.assertEqual(
@@ -104,7 +106,9 @@
             )
 
         isolation = run_isolation(scenario)
-        self.assertEqual(isolation.told, [Crash('f', TARGETS[1].incarnation)])
+        self.assertEqual(
+            isolation.sent_crashes, [Crash('f', TARGETS[1].incarnation)]
+        )
 
 
 class AnsweredTest(unittest.TestCase):
@@ -120,7 +124,7 @@
 
         isolation = run_isolation(scenario)
         self.assertFalse(isolation.is_quarantined('f'))
-        self.assertEqual(isolation.told, [])
+        self.assertEqual(isolation.sent_crashes, [])
 
     def test_answered_request_that_now_crashes_targets(self):
         """The targets may have been updated since it was answered."""
@@ -210,10 +214,10 @@
         self.assertFalse(isolation.unsaved)
 
     def test_answer_is_sent_to_entries_with_crashes(self):
-        told = []
+        cleared = []
 
         async def scenario(isolation):
-            isolation.hooks.send_cleared = lambda name, _: told.append(name)
+            isolation.hooks.send_cleared = lambda name, _: cleared.append(name)
             isolation.merge_crashes([(Crash('one', 'a'), 0)], 'e#b')
             isolation.merge_crashes([(Crash('two', x), 0) for x in 'ab'], 'e#b')
             isolation.merge_crashes(
@@ -223,7 +227,7 @@
                 isolation.record_answered(name)
 
         isolation = run_isolation(scenario)
-        self.assertEqual(told, ['two', 'held'])
+        self.assertEqual(cleared, ['two', 'held'])
         self.assertEqual(isolation.unsaved, {'held'})
 
         async def main():
--- a/tests/test_entry_lists.py
+++ b/tests/test_entry_lists.py
@@ -138,8 +138,8 @@
             other.exchange.gossip.peers.known[reader.name] = Peer(
                 reader.address, anyio.current_time(), 0
             )
-            news = await other.exchange.fetch(reader.name, 1)
-            other.follower._apply_list(news)
+            update = await other.exchange.fetch(reader.name, 1)
+            other.follower._apply_list(update)
             return other.get_usable()
 
         self.assertEqual(run_entries(2, store, scenario), {'t1', 't2', 't3'})
--- a/tests/test_entry_logs.py
+++ b/tests/test_entry_logs.py
@@ -49,7 +49,7 @@
     """Many lines, and a reader that does not read."""
 
     def test_full_pipe_never_blocks(self):
-        """Lines that nobody reads are dropped, and their number is logged."""
+        """Lines beyond the queue are dropped, and their number is logged."""
         times = iter(range(10_000_000))
         pipe = Pipe(lambda: next(times))
         count = MAX_WAITING * 4
@@ -76,8 +76,10 @@
         kinds = [line['message'] for line in lines]
         self.assertEqual(kinds.count('answered'), MAX_LINES_PER_S)
         self.assertEqual(kinds.count('refused'), MAX_FAILURE_LINES_PER_S)
-        told = {line['kind']: line['count'] for line in lines if 'kind' in line}
-        self.assertEqual(told['answered'], 1000 - MAX_LINES_PER_S)
+        dropped = {
+            line['kind']: line['count'] for line in lines if 'kind' in line
+        }
+        self.assertEqual(dropped['answered'], 1000 - MAX_LINES_PER_S)
 
 
 class PageTest(unittest.TestCase):
--- a/tests/test_entry_neighbour.py
+++ b/tests/test_entry_neighbour.py
@@ -1,8 +1,8 @@
 """
 The planned shutdown of the only entry of a data centre.
 
-The entries of other data centres must not take its silence for a network cut:
-no other entry was there to be heard, and the targets there go on working.
+The entries of other data centres must not treat its silence as a network cut:
+no other entry there could send messages, and the targets there go on working.
 """
 
 import unittest
--- a/tests/test_entry_news.py
+++ b/tests/test_entry_news.py
@@ -94,8 +94,8 @@
                 return {**plain, 'list_age_s': 3, 'targets': []}
 
             exchange._get = get
-            news = await exchange.fetch(READER, 1)
-            self.assertLess(news.as_of, state.fleet.watch.read_at)
+            update = await exchange.fetch(READER, 1)
+            self.assertLess(update.as_of, state.fleet.watch.read_at)
 
         self.run_async(scenario)
 
@@ -114,8 +114,8 @@
                 return {**plain, 'list_age_s': 0.1}
 
             exchange._get = get
-            news = await exchange.fetch(READER, 1)
-            self.assertTrue(news.is_complete)
+            update = await exchange.fetch(READER, 1)
+            self.assertTrue(update.is_complete)
 
         self.run_async(scenario)
 
@@ -132,10 +132,10 @@
 
     def test_update_of_older_program_version(self):
         """Without retained targets an update is no evidence of removals."""
-        news = self.fetch(held=None, settled=None)
-        self.assertTrue(news.is_complete)
-        self.assertFalse(news.is_synchronized)
-        self.assertEqual(news.retained, ())
+        update = self.fetch(held=None, settled=None)
+        self.assertTrue(update.is_complete)
+        self.assertFalse(update.is_synchronized)
+        self.assertEqual(update.retained, ())
 
     def test_invalid_update(self):
         """An invalid update counts as none."""
--- a/tests/test_entry_notices.py
+++ b/tests/test_entry_notices.py
@@ -98,7 +98,7 @@
             self.assertEqual(get_draining(answer), set(), text)
 
 
-REST = 'Retry-After: 3'
+RETRY_AFTER = 'Retry-After: 3'
 #: Prompt that engines prefill in chunks.
 LONG = {'trestledock-token-counts': '100000,400'}
 
@@ -119,9 +119,12 @@
                 await world.ask(f'r{number}', **fields)
                 await anyio.sleep(0.4)
             now = anyio.current_time()
-            rests = state.notices.get_all(Backoff)
+            backoffs = state.notices.get_all(Backoff)
             found.append(
-                {name: rest.is_over(now) for name, rest in rests.items()}
+                {
+                    name: backoff.is_over(now)
+                    for name, backoff in backoffs.items()
+                }
             )
             found.append(
                 {
@@ -145,14 +148,18 @@
                 status=status,
                 req_id='',
                 seal=False,
-                more=(REST, *NOT_RUN, 'At-Server: t0'),
+                more=(RETRY_AFTER, *NOT_RUN, 'At-Server: t0'),
+            )
+            backoffs, suspects = self.play(answer)
+            self.assertEqual(
+                (backoffs, suspects), ({'t0': False}, set()), status
             )
-            rests, ill = self.play(answer)
-            self.assertEqual((rests, ill), ({'t0': False}, set()), status)
 
-    # Guards against a sound target that rests for a word of somebody else.
+    # Guards against a back-off for a target that another sender's answer names.
     def test_foreign_answer_is_ignored(self):
-        answer = make_answer(status=503, req_id='', seal=False, more=(REST,))
+        answer = make_answer(
+            status=503, req_id='', seal=False, more=(RETRY_AFTER,)
+        )
         self.assertEqual(self.play(answer)[0], {})
 
     def test_success_ends_backoff(self):
@@ -167,7 +174,7 @@
     # Guards against a success that overtakes a refusal and ends the back-off.
     def test_earlier_success_does_not_end_backoff(self):
         refusal = make_answer(
-            status=503, req_id='r2', seal=False, more=(REST, *NOT_RUN)
+            status=503, req_id='r2', seal=False, more=(RETRY_AFTER, *NOT_RUN)
         )
         late = DelayedAnswer(b'', make_answer(req_id='r1'), pause_s=0.3)
         found = []
@@ -224,16 +231,16 @@
     # Guards against missing the notices of engines that only hold memory or
     # prefill chunks, as these answer nothing but orders.
     def test_drain_and_backoff_in_order_answers(self):
-        for status, more in ((200, LEAVING), (503, (REST,))):
+        for status, more in ((200, LEAVING), (503, (RETRY_AFTER,))):
             answer = make_answer(status=status, seal=False, more=more)
-            heard, _ = self.release_memory(answer, make_answer(seal=False))
-            self.assertEqual(heard, {'t0'}, status)
+            noticed, _ = self.release_memory(answer, make_answer(seal=False))
+            self.assertEqual(noticed, {'t0'}, status)
 
     # Guards against an order that another process at the address executes.
     def test_misdirected_order_is_ignored(self):
         other = make_answer(status=421, seal=False, more=LEAVING)
-        heard, requests = self.release_memory(other)
-        self.assertEqual(heard, set())
+        noticed, requests = self.release_memory(other)
+        self.assertEqual(noticed, set())
         self.assertEqual(len(requests), 1)
         self.assertIn('trestledock-expect-instance: t0', requests[0].lower())
 
@@ -248,10 +255,10 @@
     async def _talk(self, stream):
         while True:
             request = await read_request(stream)
-            _, _, rest = request.lower().partition('trestledock-helpers: ')
-            named = rest.partition('\r\n')[0].split(',')[0].partition('/')[0]
+            _, _, tail = request.lower().partition('trestledock-helpers: ')
+            named = tail.partition('\r\n')[0].split(',')[0].partition('/')[0]
             self.helpers.append(named)
-            more = (REST, *NOT_RUN, f'At-Server: {named}')
+            more = (RETRY_AFTER, *NOT_RUN, f'At-Server: {named}')
             await stream.send(make_answer(status=503, seal=False, more=more))
 
 
--- a/tests/test_entry_notices_exchange.py
+++ b/tests/test_entry_notices_exchange.py
@@ -140,7 +140,7 @@
         self.assertLessEqual(most, get_allowed(per_s))
         return used
 
-    def test_undisturbed(self):
+    def test_without_faults(self):
         async def disturb(fleet):
             """Change nothing."""
 
--- a/tests/test_entry_peers.py
+++ b/tests/test_entry_peers.py
@@ -7,7 +7,7 @@
 from trestledock.entry._messages import Flights
 
 
-def hear(peers, name, *, data_centre='dc', now=0.0, port=1):
+def receive(peers, name, *, data_centre='dc', now=0.0, port=1):
     """Record a message of an entry."""
     message = Flights(name, 1, True, data_centre, False, 0.1, 0.5, ())
     return peers.update(message, ('10.0.0.1', port), now)
@@ -20,8 +20,8 @@
         """Among many only the entries of the own data centre are near."""
         peers = Peers('dc')
         for number in range(MAX_FULL_MESH + 1):
-            hear(peers, f'p{number}', data_centre='other', port=number)
-        hear(peers, 'near', port=99)
+            receive(peers, f'p{number}', data_centre='other', port=number)
+        receive(peers, 'near', port=99)
         self.assertEqual(peers.get_near(), ['near'])
         self.assertTrue(peers.is_near('near'))
         self.assertFalse(peers.is_near('p0'))
@@ -29,7 +29,7 @@
     def test_age_of_peer_state(self):
         """The age of a peer's state grows until its next message."""
         peers = Peers('dc')
-        hear(peers, 'a')
+        receive(peers, 'a')
         found = next(peers.get_candidates(now=2))
         self.assertAlmostEqual(found.age_s, 2.1)
         peers.record_read('a', 0, now=3)
@@ -38,7 +38,7 @@
     def test_new_process_at_known_address(self):
         """A new process replaces the earlier one at its address."""
         peers = Peers('dc')
-        hear(peers, 'a#1')
-        hear(peers, 'b#1', port=2)
-        self.assertTrue(hear(peers, 'a#2'))
+        receive(peers, 'a#1')
+        receive(peers, 'b#1', port=2)
+        self.assertTrue(receive(peers, 'a#2'))
         self.assertEqual(peers.get_previous_at('a#2'), ['a#1'])
--- a/tests/test_entry_restoring.py
+++ b/tests/test_entry_restoring.py
@@ -95,7 +95,7 @@
         async def scenario(world, *entries):
             world.keys = []
             world.publish()
-            world.leave('t0')
+            world.remove_target('t0')
             await anyio.sleep(3)
             world.store.go_back(5)
             late = await world.start(5)
@@ -252,7 +252,7 @@
         """Its record is back, but older than its last one."""
 
         async def scenario(world, *entries):
-            world.leave('t0')
+            world.remove_target('t0')
             await anyio.sleep(2)
             world.store.go_back(4)
             found = await watch(
--- a/tests/test_entry_sending.py
+++ b/tests/test_entry_sending.py
@@ -31,17 +31,17 @@
 
         async def scenario(world):
             pool = world.relayer.sender.pool
-            take = pool.acquire
+            acquire = pool.acquire
             connected = []
 
-            async def take_late(target):
-                wire = await take(target)
+            async def acquire_late(target):
+                wire = await acquire(target)
                 connected.append(target.target_id)
                 if len(connected) == 1:
                     change(world.state.fleet, target)
                 return wire
 
-            pool.acquire = take_late
+            pool.acquire = acquire_late
             results.append((await world.ask(), connected))
 
         run_world(make_route(), targets, scenario)
@@ -94,17 +94,17 @@
         async def scenario(world):
             state = world.state
             pool = world.relayer.sender.pool
-            take = pool.acquire
+            acquire = pool.acquire
             moved = replace(state.fleet.targets['t1'], service='new')
             state.fleet.put(replace(moved, sequence=1))
 
-            async def take_late(target):
-                wire = await take(target)
+            async def acquire_late(target):
+                wire = await acquire(target)
                 if state.catalog.version == 1:
                     move(state, route)
                 return wire
 
-            pool.acquire = take_late
+            pool.acquire = acquire_late
             await world.ask()
 
         run_world(route, targets, scenario)
--- a/tests/test_entry_stale.py
+++ b/tests/test_entry_stale.py
@@ -67,7 +67,7 @@
             meet(other, second)
             await anyio.sleep(BUSY_S * 2)
             store.put(1, 5)
-            news = other.exchange.fetch(first.name, 1)
+            update = other.exchange.fetch(first.name, 1)
             get = other.exchange._get
 
             async def get_slowly(address, asked):
@@ -80,7 +80,7 @@
                 return await get(address, asked)
 
             other.exchange._get = get_slowly
-            other.follower._apply_list(await news)
+            other.follower._apply_list(await update)
             other.exchange._get = get
             before = other.get_usable()
             await other.ask(second)
--- a/tests/test_leaving_targets.py
+++ b/tests/test_leaving_targets.py
@@ -45,7 +45,7 @@
 class DrainInAnswersTest(unittest.TestCase):
     """The list still has the target as ready, as in a store outage."""
 
-    # Guards against requests to a target that told this entry that it drains.
+    # Guards against requests to a target after its drain notice to this entry.
     def test_draining_plain_target_gets_no_late_requests(self):
         late_s, demand = ask_while_some_drain([0])
         self.assertLessEqual(late_s, DRAIN_S)
@@ -254,16 +254,18 @@
             for target in draining:
                 target.drain()
             await fleet.ask_for(1, RATE, SIZES)
-            told = [target for target in draining if target.drain_told_at]
+            notified = [target for target in draining if target.drain_told_at]
             told_at = anyio.current_time()
             await fleet.ask_for(6, 1, LONG)
             chunks = sum(
                 count_after(target, told_at) for target in fleet.targets
             )
-            late = sum(count_after(target, told_at) for target in told)
-            return len(told), chunks, late
+            late = sum(count_after(target, told_at) for target in notified)
+            return len(notified), chunks, late
 
-        told, chunks, late = run_fleet(scenario, [ROUTE], engine=SMALL_ENGINE)
-        self.assertGreater(told, 0)
+        notified, chunks, late = run_fleet(
+            scenario, [ROUTE], engine=SMALL_ENGINE
+        )
+        self.assertGreater(notified, 0)
         self.assertGreater(chunks, 40)
         self.assertEqual(late, 0)
--- a/tests/test_limited_targets.py
+++ b/tests/test_limited_targets.py
@@ -39,7 +39,7 @@
             group.start_soon(ask)
         most = [
             target.get_max(
-                target.count_told,
+                target.count_from_bound,
                 target.rate_limited_at + LIMIT_EFFECT_S,
                 float('inf'),
             )
--- a/tests/test_relay_fleet.py
+++ b/tests/test_relay_fleet.py
@@ -135,7 +135,7 @@
     """Targets that are missing but may only have lapsed."""
 
     def test_retained_is_not_listed(self):
-        """Other instances are told that it is missing, as a change."""
+        """Other instances receive that it is missing, as a change."""
         fleet = make_fleet()
         revision = fleet.revision
         disturb(fleet, 8.6, 9)
--- a/tests/test_relay_placement_request.py
+++ b/tests/test_relay_placement_request.py
@@ -72,7 +72,7 @@
         self.assertIsInstance(result, Placement)
         self.assertLess(result.first_token_s, 9.6)
 
-    def test_not_placed_beyond_patience(self):
+    def test_not_placed_beyond_abandonment(self):
         """Beside other prompts the prefill never outlasts its caller.
 
         Guards against a flat cost of lateness, by which two helpers prefilled
@@ -141,7 +141,7 @@
             shared = names & set(flight.engaged_targets)
             self.assertEqual(shared, set())
 
-    def test_pause_beyond_patience(self):
+    def test_pause_beyond_event_timeout(self):
         """A pause at which callers leave costs more than a late answer."""
         estimator = self.placer.estimator
         for name, target, timeout_s in (('a', 't00', 2.0), ('b', 't01', 9.0)):
--- a/tests/test_resting_targets.py
+++ b/tests/test_resting_targets.py
@@ -179,7 +179,7 @@
         return run_fleet(scenario, [ROUTE], entries=12, targets=targets)
 
     # Guards against one rejected request for each entry.
-    def test_avoided_by_entries_that_were_told(self):
+    def test_avoided_by_entries_with_notice(self):
         asked, demand = self.play(1, 5)
         self.assertLessEqual(asked, 2)
         self.assertEqual(set(demand.statuses), {200})
--- a/trestledock/bench/_sharing.py
+++ b/trestledock/bench/_sharing.py
@@ -68,8 +68,8 @@
     """A kind of request.
 
     The first event is due after `objective_s`, later ones after pauses of up to
-    `pause_s`; the caller leaves after `event_timeout_s` without an event, and at
-    `deadline_s`.
+    `pause_s`; the caller leaves after `event_timeout_s` without an event, and
+    at `deadline_s`.
     """
 
     name: str
--- a/trestledock/entry/_follower.py
+++ b/trestledock/entry/_follower.py
@@ -29,9 +29,9 @@
 #: if an own read is due soon: some hundred times the network latency.
 FETCH_TIMEOUT_S = 1.0
 MIN_FETCH_TIMEOUT_S = 0.25
-#: The number of failed fetches in a row after which an entry is not asked for a
-#: time, and that time in seconds: a single fetch may fail while many entries ask
-#: at once, and the others find another reader in less than that time.
+#: The number of failed fetches in a row after which an entry is not asked for
+#: some time, and that time in seconds: a single fetch may fail while many
+#: entries ask at once, and the others find another reader in less time.
 MAX_FETCH_FAILURES = 2
 EXCLUSION_S = 1.5
 #: Interval of reading the list of peers, in seconds. Each entry announces
@@ -42,10 +42,10 @@
 #: seconds.
 PEERS_RETRY_S = 1.0
 #: Maximum number of near peers asked by an entry that starts after a restore of
-#: the store: some of them may have just started too, and know no more.
+#: the store: some of them may also have just started, and know no more.
 MAX_CONSULTED = 3
-#: How long such an entry first waits for answers to its first messages, in
-#: seconds: some tens of round trips.
+#: How long an entry that starts after a restore waits for answers to its first
+#: messages, in seconds: some tens of round trips.
 GREETING_S = 0.06
 #: Range of the random factor for pauses, so that entries don't synchronize.
 JITTER = (0.9, 1.1)
--- a/trestledock/entry/_metrics.py
+++ b/trestledock/entry/_metrics.py
@@ -105,7 +105,7 @@
     }
 )
 
-#: Histograms without an event, in seconds.
+#: Histograms that are not filled from events, in seconds.
 OTHER_HISTOGRAMS: Mapping[str, str] = MappingProxyType(
     {
         'pause': 'Pauses between the events of streams',
--- a/trestledock/entry/_tickets.py
+++ b/trestledock/entry/_tickets.py
@@ -131,7 +131,7 @@
         """Renew a reservation until it is released or its target restarts.
 
         A new incarnation doesn't know the id, and a renewal would reserve
-        memory there that nobody uses.
+        memory there in vain.
         """
         with scope:
             while True:
--- a/trestledock/process/_orders.py
+++ b/trestledock/process/_orders.py
@@ -13,8 +13,8 @@
 from trestledock.process._state import State
 from trestledock.version import TargetKind, matches
 
-#: The maximum number of engines that load models at once, to spare the weight
-#: store.
+#: The maximum number of engines that load models at once, which limits the load
+#: on the weight store.
 MAX_CONCURRENT_LOADS = 2
 #: The time after which an unfulfilled order is repeated, in seconds.
 ORDER_TIMEOUT_S = 30.0
--- a/trestledock/process/_queue.py
+++ b/trestledock/process/_queue.py
@@ -88,7 +88,7 @@
         self.running.pop(req_id, None)
 
     def has_waiting_before(self, waiting: QueuedRequest) -> bool:
-        """Whether other requests of its or a shorter class are waiting."""
+        """Whether other requests of the same or a shorter class wait."""
         return any(
             other.rank <= waiting.rank and other is not waiting
             for other in self.waiting.values()
--- a/trestledock/proof/_checkers.py
+++ b/trestledock/proof/_checkers.py
@@ -14,12 +14,13 @@
 from trestledock.request import Outcome
 from trestledock.standin import get_token_text
 
-#: The time after its deadline in which an answer may still arrive, in seconds.
+#: The time after a request's deadline in which its answer may still arrive, in
+#: seconds.
 DEADLINE_SLACK_S = 0.25
 #: The time after the start of draining in which new work may still reach a
 #: target, in seconds.
 DRAINING_SLACK_S = 5.0
-#: The time after its acceptance until a version is in force, in seconds.
+#: The time from a version's acceptance until it is in force, in seconds.
 VERSION_SLACK_S = 9.0
 
 History = list[Event]
@@ -234,7 +235,7 @@
 
 
 def check_orders(history: History) -> list[str]:
-    """Check that no engine takes an order of an outdated lease holder."""
+    """Check that no engine accepts an order of an outdated lease holder."""
     highest: dict[str, int] = {}
     violations = []
     for event in _filter(history, EventType.order):
--- a/trestledock/proof/_history.py
+++ b/trestledock/proof/_history.py
@@ -2,7 +2,7 @@
 History
 =======
 
-The events of a run as callers, stand-ins and instances saw them, one a line.
+The events of a run as callers, stand-ins and instances saw them, one per line.
 They are the only input of the checkers.
 """
 
--- a/trestledock/proof/_world.py
+++ b/trestledock/proof/_world.py
@@ -238,7 +238,7 @@
         self.record(EventType.frozen, who=host.name)
 
     def unfreeze(self, host: Host) -> None:
-        """Unfreeze an instance; messages of the meantime arrive at once."""
+        """Unfreeze an instance; messages held meanwhile arrive at once."""
         host.frozen = False
         self.record(EventType.healed, who=host.name)
         waiting = host.inbox
--- a/trestledock/relay/_remote_load.py
+++ b/trestledock/relay/_remote_load.py
@@ -4,7 +4,7 @@
 
 In a large deployment each instance knows the load of its own data centre's
 targets at once, and little of the others.  A long prompt without a good
-placement nearby asks an instance of another data centre for the load of its
+placement there asks an instance of another data centre for the load of its
 targets, and can be placed on these as well while the answer is fresh.
 """
 
@@ -14,8 +14,8 @@
 from trestledock.relay._admission import SMALL_WORTH
 from trestledock.relay._load_table import Flight, Phase
 
-#: Other data centres are asked if the best nearby placement costs more than
-#: this share of the prompt's worth.  Late prompts cost about two thirds of
+#: Other data centres are asked if the best placement in the own one costs more
+#: than this share of the prompt's worth.  Late prompts cost about two thirds of
 #: their worth, prompts that wait for others or exceed the allowed pauses a
 #: fifth or more, and a prompt alone on idle engines a fiftieth.
 LOCAL_COST_SHARE = 0.1
@@ -29,7 +29,8 @@
 def should_query_remote(worth: float, cost: float | None) -> bool:
     """Return whether to ask other data centres for the load of their targets.
 
-    `cost` is that of the best nearby placement, None if there is none now.
+    `cost` is that of the best placement in the own data centre, None if there
+    is none now.
 
     >>> should_query_remote(20.0, cost=0.6), should_query_remote(20.0, cost=4.0)
     (False, True)
--- a/trestledock/relay/_throttle.py
+++ b/trestledock/relay/_throttle.py
@@ -138,7 +138,7 @@
     def _get_wait_s(
         self, target: ListedTarget, count: int, now: float
     ) -> float:
-        """Return after how many seconds `count` requests have been sent.
+        """Return in how many seconds the last of `count` requests can be sent.
 
         After a back-off, they follow the first one within moments.
         """
