--- a/trestledock/relay/_policy.py
+++ b/trestledock/relay/_policy.py
@@ -19,8 +19,9 @@
     engines.  `prefer_local`: the own data centre is preferred, since the
     network path to others may be cut.  `weigh_cost_to_others`: the loss of
     other requests at an engine counts.  `abandonment`: callers are
-    expected to leave after the event timeout.  `waiting`: a request with an
-    expensive placement waits for a better one while it can still be in time.
+    expected to leave after the event timeout and at the deadline.  `waiting`: a
+    request with an expensive placement waits for a better one while it can
+    still be in time.
     `queueing`: a request that can't be in time waits for others.
     `remote_targets`: in a large deployment, a request without a good placement
     in its own data centre asks the others for the load of their targets.
--- a/trestledock/relay/_recent_answers.py
+++ b/trestledock/relay/_recent_answers.py
@@ -9,9 +9,9 @@
 
 from dataclasses import dataclass
 
-#: How long an answer excuses crashes, in seconds: if the request became deadly
-#: with a new version of its targets, it is quarantined after this time at the
-#: latest.
+#: How long an answer excuses crashes, in seconds: if the request has become
+#: deadly since, with a new version of its targets, crashes count against it
+#: after this time at the latest.
 ANSWER_TTL_S = 60.0
 #: The maximum number of crashes that an answer excuses: as many as quarantine a
 #: request without any answer.
