--- a/tests/test_bench_passes.py
+++ b/tests/test_bench_engine_simulation.py
@@ -3,9 +3,9 @@
 import unittest
 
 from trestledock.bench._engine_simulation import (
-    PrefillChunk,
-    PassEngine,
     DecodingRequest,
+    PassEngine,
+    PrefillChunk,
 )
 from trestledock.relay import EngineModel, get_prefill_s
 
--- a/tests/test_entry_leaving.py
+++ b/tests/test_entry_failover.py
@@ -12,12 +12,12 @@
 import anyio
 
 from tests.relaying import (
-    SCENARIO_TIMEOUT_S,
     RESUMABLE,
+    SCENARIO_TIMEOUT_S,
     WHOLE,
+    AbortedAnswer,
     DelayedAnswer,
     StubTarget,
-    AbortedAnswer,
     get_event_ids,
     make_answer,
     make_listed,
@@ -28,14 +28,14 @@
 )
 from trestledock.demo import get_free_port
 from trestledock.entry._timeouts import RECHECK_INTERVAL_S, ResponseTimeouts
-from trestledock.relay import Drain
 from trestledock.relay import (
     BEAT_INTERVAL_S,
-    RetryLimits,
+    Drain,
     EngineModel,
     Flight,
     Phase,
     RetryBudget,
+    RetryLimits,
     RouteKind,
 )
 
--- a/tests/test_entry_signs.py
+++ b/tests/test_entry_failure_kinds.py
@@ -5,17 +5,17 @@
 import anyio
 
 from tests.relaying import (
+    AbortedAnswer,
     Hang,
     Reset,
     StubTarget,
-    AbortedAnswer,
     make_answer,
     make_route,
     make_stream,
     run_world,
 )
 from trestledock.entry._wire import Wire, WireError
-from trestledock.relay import RouteKind, FailureKind
+from trestledock.relay import FailureKind, RouteKind
 
 STREAM = make_route(
     RouteKind.streaming, resumable=True, objective_s=0.1, pause_s=0.1
--- a/tests/test_entry_following.py
+++ b/tests/test_entry_follower.py
@@ -8,15 +8,15 @@
 from tests.relaying import SETTINGS, make_listed
 from trestledock.entry import DirectoryError, StoreUpdate, TargetUpdate
 from trestledock.entry._follower import (
-    MIN_FETCH_TIMEOUT_S,
     FETCH_TIMEOUT_S,
+    MIN_FETCH_TIMEOUT_S,
     Follower,
 )
 from trestledock.entry._gossip import Gossip
 from trestledock.entry._peers import Peer
-from trestledock.entry._update_exchange import UpdateExchange
 from trestledock.entry._pool import Pool
 from trestledock.entry._state import EntryState
+from trestledock.entry._update_exchange import UpdateExchange
 from trestledock.platform._settings import decode_settings
 from trestledock.relay import Catalog
 
--- a/tests/test_entry_words.py
+++ b/tests/test_entry_messages.py
@@ -16,8 +16,6 @@
 
 from tests.relaying import SETTINGS
 from trestledock.entry._gossip import Gossip
-from trestledock.entry._update_exchange import UpdateExchange
-from trestledock.entry._state import EntryState
 from trestledock.entry._message_codec import (
     DECODERS,
     InvalidMessage,
@@ -35,14 +33,16 @@
     TargetNotice,
     ToldNotices,
 )
+from trestledock.entry._state import EntryState
+from trestledock.entry._update_exchange import UpdateExchange
 from trestledock.relay import (
+    Backoff,
     Crash,
-    Flight,
     Drain,
+    Flight,
+    PeerBackoff,
     Phase,
     RateLimit,
-    Backoff,
-    PeerBackoff,
 )
 
 FLIGHT = Flight(
--- a/tests/test_entry_listing.py
+++ b/tests/test_entry_target_list.py
@@ -8,9 +8,9 @@
 
 from tests.relaying import SETTINGS, make_listed
 from trestledock.entry import StoreUpdate, TargetUpdate
-from trestledock.entry._target_list import TargetListUpdater
 from trestledock.entry._pool import Pool
 from trestledock.entry._state import EntryState
+from trestledock.entry._target_list import TargetListUpdater
 from trestledock.relay import UNKNOWN_BIRTH
 
 #: A removal among sequence numbers.
--- a/tests/test_entry_limits.py
+++ b/tests/test_entry_timeouts.py
@@ -16,12 +16,12 @@
 
 from tests.relaying import (
     HOST,
-    SCENARIO_TIMEOUT_S,
     RESUMABLE,
+    SCENARIO_TIMEOUT_S,
     SILENT,
+    AbortedAnswer,
     DelayedAnswer,
     StubTarget,
-    AbortedAnswer,
     get_event_ids,
     make_answer,
     make_listed,
@@ -30,11 +30,11 @@
     run_world,
 )
 from trestledock.relay import (
-    RetryLimits,
     EngineModel,
     Flight,
     Phase,
     RetryBudget,
+    RetryLimits,
     Share,
 )
 
--- a/tests/test_entry_news.py
+++ b/tests/test_entry_update_exchange.py
@@ -8,10 +8,10 @@
 
 from tests.relaying import SETTINGS, make_listed
 from trestledock.entry._gossip import Gossip
+from trestledock.entry._messages import Reply
 from trestledock.entry._peers import Peer
-from trestledock.entry._update_exchange import UpdateExchange
 from trestledock.entry._state import EntryState
-from trestledock.entry._messages import Reply
+from trestledock.entry._update_exchange import UpdateExchange
 from trestledock.relay import Catalog
 
 READER = 'entry-2#b'
