--- a/tests/engines.py
+++ b/tests/engines.py
@@ -1,12 +1,12 @@
-"""Engines and fleets that tests of placement share."""
+"""Engines and fleets shared by placement tests."""
 
 from trestledock.bench.ablation import ENGINE
 from trestledock.relay import EngineModel, ListedTarget, Standing
 
-#: Engines with memory for 405,000 tokens: 182,000 are read in 3.9 s, 790,000
-#: in 55 s.
+#: Engines with memory for 405,000 tokens; prefill takes 3.9 s for 182,000 and
+#: 55 s for 790,000.
 LARGE_ENGINE = ENGINE
-#: Engines with memory for 232,000 tokens: 133,000 are read in 1.9 s.
+#: Engines with memory for 232,000 tokens; prefill of 133,000 takes 1.9 s.
 SMALL_ENGINE = EngineModel(
     batch=8,
     capacity_tokens=232_000,
@@ -19,6 +19,8 @@
 )
 #: A fleet of 18 in one data centre.
 TARGETS = tuple(
-    ListedTarget(f't{one:02}', 's', f'10.0.0.{one}:80', 'dc', Standing.ready, 8)
-    for one in range(18)
+    ListedTarget(
+        f't{number:02}', 's', f'10.0.0.{number}:80', 'dc', Standing.ready, 8
+    )
+    for number in range(18)
 )
--- a/tests/following.py
+++ b/tests/following.py
@@ -1,4 +1,4 @@
-"""Entries that follow a store and ask one another, without sockets."""
+"""Entries without sockets that follow a store and ask one another."""
 
 import json
 from dataclasses import replace
@@ -19,34 +19,35 @@
 from trestledock.relay import Catalog
 
 CATALOG = Catalog(1, {}, {}, None)
-#: Between one step of a scenario and the next, on a virtual clock.
+#: Time between two steps of a scenario, on a virtual clock, in seconds.
 STEP_S = 0.01
 
 
 class Store:
-    """The list of targets that all entries read, and whether it answers."""
+    """List of targets that all entries read; may be unavailable."""
 
     def __init__(self, *numbers):
         self.records = [
-            TargetUpdate(f't{one}', make_listed(one, 80)) for one in numbers
+            TargetUpdate(f't{number}', make_listed(number, 80))
+            for number in numbers
         ]
         self.down = False
 
     async def wait(self):
-        """Take no time."""
+        """Return at once."""
 
     def remove(self, number):
-        """Remove a target that never said that it leaves."""
+        """Remove a target that was never marked as draining."""
         self.records.append(TargetUpdate(f't{number}', None))
 
     def put(self, number, sequence):
-        """Write a heartbeat."""
+        """Write a heartbeat of a target."""
         listed = replace(make_listed(number, 80), sequence=sequence)
         self.records.append(TargetUpdate(f't{number}', listed))
 
 
 class Reading:
-    """One entry's reads of the store, each from where the last one ended."""
+    """Reads of one entry, each from the end of the previous one."""
 
     epoch = None
 
@@ -76,7 +77,7 @@
 
 
 class FollowingEntry:
-    """One entry; `network` has all of them by address."""
+    """Entry without sockets; `network` has all entries by address."""
 
     def __init__(self, number, store, network, group):
         self.address = ('127.0.0.1', number)
@@ -95,34 +96,36 @@
         self.follower._sleep = _sleep
 
     async def read(self):
-        """Read the store, a moment later."""
+        """Read the store after a step."""
         await anyio.sleep(STEP_S)
-        await self.follower.reading.read()
+        await self.follower.store_reader.read()
 
     async def ask(self, reader):
-        """Ask another entry a moment later, as is done again and again."""
+        """Ask another entry after a step, as the follower does periodically."""
         await anyio.sleep(STEP_S)
         peer = Peer(reader.address, anyio.current_time(), 0)
         self.gossip.peers.known[reader.name] = peer
         await self.follower._ask(reader.name)
 
     def stand_still(self, pause_s):
-        """Have the past lie further back, as after a pause of the process."""
+        """Move the last reads into the past, as if the process had paused."""
         self.state.fleet.watch.read_at -= pause_s
         self.state.proof.proven_at -= pause_s
         self.state.fleet.watch.record_failure(anyio.current_time())
 
     def get_usable(self):
-        """Return the names of the targets that may get new work."""
-        return {one.target_id for one in self.state.fleet.get_usable('svc')}
-
-    def _send(self, word, where):
-        raw = encode_message(word, anyio.current_time())
-        for address in where:
-            self.network[address].take(raw, self.address)
-
-    def take(self, raw, sender):
-        """Take a datagram."""
+        """Return the ids of the targets that accept new requests."""
+        return {
+            target.target_id for target in self.state.fleet.get_usable('svc')
+        }
+
+    def _send(self, message, addresses):
+        raw = encode_message(message, anyio.current_time())
+        for address in addresses:
+            self.network[address].receive(raw, self.address)
+
+    def receive(self, raw, sender):
+        """Handle a datagram."""
         self.gossip.handle_datagram(raw, sender)
 
     async def _get(self, address, asked):
--- a/tests/limiting.py
+++ b/tests/limiting.py
@@ -1,10 +1,10 @@
-"""Whole entries before targets that give notices, on a virtual clock.
+"""Complete entries and targets that give notices, on a virtual clock.
 
 The network between entries and the connections to targets are calls within the
-process.  What a target gets is counted as its own operators would: of its rate
-limit, from the entries that had heard of it half a second before, and from all;
-of its leave, from each entry since that was told; of a rest, from the entry
-that it was asked of.
+process.  The requests at a target are counted as its operators would count
+them.  For a rate limit: those of entries that received it at least half a
+second before, and those of all entries.  For a drain: those of each entry since
+it received the notice.  For a back-off: those of the entry that received it.
 """
 
 from contextlib import contextmanager
@@ -28,31 +28,31 @@
 from trestledock.platform._headers import HELPERS, REQUEST_ID, PlatformDialect
 from trestledock.relay import Catalog, ListedTarget, Service, Standing, TeamKey
 
-#: One way to a target, and to another entry, in seconds.
-WAY_S = 0.001
-#: What a target takes for one request, in seconds.
-WORK_S = 0.02
-#: A word binds whom it was told so long ago, and from so long after the first
-#: naming on, in seconds.
+#: The one-way delay to a target and to another entry, in seconds.
+NETWORK_DELAY_S = 0.001
+#: The time in which a target runs one request, in seconds.
+SERVICE_TIME_S = 0.02
+#: A rate limit binds an entry this long after the entry received it, and all
+#: entries this long after it was first set, in seconds.
 NOTICE_LATENCY_S = 0.5
 LIMIT_EFFECT_S = 3.0
-#: In such a stretch a target may get one and a half times what it asked for,
-#: and a few requests more.
+#: In a window of this length, in seconds, a target may get one and a half times
+#: its rate limit, and a few requests more.
 WINDOW_S = 4.0
-OVER_SHARE = 1.5
-OVER_COUNT = 5
-#: For how long after an entry was told of it requests may reach a target that
-#: leaves, in seconds.
+BURST_FACTOR = 1.5
+BURST_COUNT = 5
+#: How long requests from an entry may still reach a draining target after the
+#: entry received the drain notice, in seconds.
 DRAIN_S = 2.0
-#: From so long after a target has asked an entry for rest, in seconds, until
-#: the rest is over, so many requests may come from there.
-REST_BINDS_S = 0.5
+#: A back-off binds an entry this long after the refusal with it, in seconds;
+#: from then until its end at most this many requests may come from that entry.
+BACKOFF_EFFECT_S = 0.5
 MAX_REQUESTS_IN_BACKOFF = 2
 
 
 @dataclass(frozen=True)
 class Arrival:
-    """A request, or a part of a prompt, that reached a target."""
+    """A request, or a chunk of a prompt, that reached a target."""
 
     at: float
     entry: str
@@ -60,8 +60,8 @@
 
 
 @dataclass(frozen=True)
-class AskedRest:
-    """A target has turned an entry away until an instant."""
+class RequestedBackoff:
+    """A back-off that a target requested from an entry."""
 
     entry: str
     at: float
@@ -70,11 +70,12 @@
 
 @dataclass
 class LimitedTarget:
-    """A target with what it asks for, and what it got.
+    """A target with its notices, and the requests that it received.
 
-    While it rests, it turns away all that comes, with `rest` as the text that
-    says for how long; with `leaves` it says that it leaves, and `sealed` says
-    whether its answers bear its seal.
+    With `retry_after` it rejects all requests, with that text as Retry-After.
+    With `leaves` its answers say that it drains, and `sealed` is true if its
+    answers have its seal.  `limit_told_at` and `drain_told_at` have the times
+    at which entries received the rate limit and the drain notice.
     """
 
     number: int
@@ -82,14 +83,14 @@
     born: int = 1
     per_s: float | str | None = None
     status: int = 200
-    rest: str = ''
+    retry_after: str = ''
     leaves: str = ''
     sealed: bool = True
-    left_told: dict = field(default_factory=dict)
-    rests: list = field(default_factory=list)
+    drain_told_at: dict = field(default_factory=dict)
+    backoffs: list = field(default_factory=list)
     arrivals: list = field(default_factory=list)
-    told: dict = field(default_factory=dict)
-    named_at: float = float('inf')
+    limit_told_at: dict = field(default_factory=dict)
+    rate_limited_at: float = float('inf')
 
     @property
     def address(self):
@@ -107,70 +108,76 @@
             born=self.born,
         )
 
-    def name(self, per_s):
-        """Ask for another number from now on; None for any."""
+    def set_rate_limit(self, per_s):
+        """Set the rate limit from now on; None for no limit."""
         self.per_s = per_s
         if per_s is not None:
-            self.named_at = min(self.named_at, anyio.current_time())
+            self.rate_limited_at = min(
+                self.rate_limited_at, anyio.current_time()
+            )
 
     def count(self, since, until):
-        """Return how many requests came within a stretch."""
-        return sum(since <= one.at < until for one in self.arrivals)
+        """Return how many requests came within a period."""
+        return sum(since <= arrival.at < until for arrival in self.arrivals)
 
-    def count_told(self, since, until):
-        """Return how many came from entries that had long been told."""
+    def count_from_bound(self, since, until):
+        """Return how many came from entries that the rate limit binds."""
         return sum(
-            since <= one.at < until
-            and self.told.get(one.entry, float('inf'))
-            <= one.at - NOTICE_LATENCY_S
-            for one in self.arrivals
+            since <= arrival.at < until
+            and self.limit_told_at.get(arrival.entry, float('inf'))
+            <= arrival.at - NOTICE_LATENCY_S
+            for arrival in self.arrivals
         )
 
-    def leave(self):
-        """Say in all answers from now on that it leaves."""
+    def drain(self):
+        """Drain, and say so in all answers from now on."""
         self.leaves = '1'
 
-    def shed(self, rest):
-        """Turn all away from now on, and ask for rest; none to serve again."""
-        self.status = 503 if rest else 200
-        self.rest = rest
+    def reject_all(self, retry_after):
+        """Reject all requests with a back-off; an empty text serves again."""
+        self.status = 503 if retry_after else 200
+        self.retry_after = retry_after
 
     def get_late_s(self):
-        """Return how long after an entry was told the last request came."""
+        """Return the longest delay of a request after its entry's notice."""
         return max(
             (
-                one.at - self.left_told[one.entry]
-                for one in self.arrivals
-                if one.entry in self.left_told
+                arrival.at - self.drain_told_at[arrival.entry]
+                for arrival in self.arrivals
+                if arrival.entry in self.drain_told_at
             ),
             default=0,
         )
 
-    def get_most_in_rest(self):
-        """Return the most that came from an entry within one rest."""
-        return max(map(self._count_in_rest, self.rests), default=0)
+    def get_max_in_backoff(self):
+        """Return the most requests of an entry within one back-off."""
+        return max(map(self._count_in_backoff, self.backoffs), default=0)
 
-    def _count_in_rest(self, rest):
+    def _count_in_backoff(self, backoff):
         return sum(
-            rest.at + REST_BINDS_S < one.at <= rest.until
-            for one in self.arrivals
-            if one.entry == rest.entry
+            backoff.at + BACKOFF_EFFECT_S < arrival.at <= backoff.until
+            for arrival in self.arrivals
+            if arrival.entry == backoff.entry
         )
 
-    def get_most(self, count, since, until):
-        """Return the most that came within any stretch."""
-        starts = [one.at for one in self.arrivals if since <= one.at < until]
+    def get_max(self, count, since, until):
+        """Return the largest count within any window."""
+        starts = [
+            arrival.at
+            for arrival in self.arrivals
+            if since <= arrival.at < until
+        ]
         ends = [min(until, start + WINDOW_S) for start in starts]
         return max(map(count, starts, ends), default=0)
 
 
 def get_allowed(per_s):
-    """Return how many requests a limit allows within any stretch."""
-    return OVER_SHARE * WINDOW_S * per_s + OVER_COUNT
+    """Return how many requests a rate limit allows within any window."""
+    return BURST_FACTOR * WINDOW_S * per_s + BURST_COUNT
 
 
 class TargetWire:
-    """A connection to a target that is a call within the process."""
+    """A connection to a target by calls within the process."""
 
     def __init__(self, fleet, entry, target):
         self.fleet = fleet
@@ -179,18 +186,18 @@
         self.req_id = b''
 
     async def send(self, method, path, headers, body, spawn):
-        await anyio.sleep(WAY_S)
-        found = dict(headers)
-        self.req_id = found.get(REQUEST_ID, b'')
+        await anyio.sleep(NETWORK_DELAY_S)
+        fields = dict(headers)
+        self.req_id = fields.get(REQUEST_ID, b'')
         arrival = Arrival(anyio.current_time(), self.entry)
-        helpers = found.get(HELPERS, b'').decode().split(',')
-        addresses = [one.partition('/')[0] for one in helpers if one]
+        helpers = fields.get(HELPERS, b'').decode().split(',')
+        addresses = [helper.partition('/')[0] for helper in helpers if helper]
         for target in self.fleet.targets:
             if target is self.target or target.address in addresses:
                 target.arrivals.append(arrival)
 
     async def read_head(self):
-        await anyio.sleep(WORK_S)
+        await anyio.sleep(SERVICE_TIME_S)
         target = self.target
         headers = [
             (b'content-length', b'2'),
@@ -204,17 +211,19 @@
             headers.append((b'server-limit', str(target.per_s).encode()))
         if target.leaves:
             headers.append((b'server-leaving', target.leaves.encode()))
-        if target.rest:
-            headers.append((b'retry-after', target.rest.encode()))
+        if target.retry_after:
+            headers.append((b'retry-after', target.retry_after.encode()))
             at = anyio.current_time()
-            rest = AskedRest(self.entry, at, at + float(target.rest))
-            target.rests.append(rest)
+            backoff = RequestedBackoff(
+                self.entry, at, at + float(target.retry_after)
+            )
+            target.backoffs.append(backoff)
         head = Head(target.status, tuple(headers))
-        await anyio.sleep(WAY_S)
+        await anyio.sleep(NETWORK_DELAY_S)
         if target.leaves:
-            target.left_told.setdefault(self.entry, anyio.current_time())
+            target.drain_told_at.setdefault(self.entry, anyio.current_time())
         if target.per_s is not None:
-            target.told.setdefault(self.entry, anyio.current_time())
+            target.limit_told_at.setdefault(self.entry, anyio.current_time())
         return head
 
     async def iter_body(self):
@@ -224,7 +233,7 @@
         return b'ok'
 
     async def close(self):
-        """Nothing is open."""
+        """Do nothing: there is no socket."""
 
 
 class TargetPool:
@@ -241,14 +250,14 @@
         raise WireError('connect', 'refused')
 
     async def release(self, listed, wire, idle_s):
-        """Nothing is kept."""
+        """Do nothing: no connection is kept."""
 
     def close_idle(self, incarnation):
-        """Nothing is kept."""
+        """Do nothing: no connection is kept."""
 
 
 class Entry(World):
-    """One entry with its words to the others."""
+    """One entry with its messages to the others."""
 
     def __init__(self, fleet, number, data_centre, life=1):
         self.fleet = fleet
@@ -279,54 +288,54 @@
             state.fleet.put(target.get_listed())
 
     async def live(self):
-        """Tell the others until killed."""
+        """Send messages to the other entries until killed."""
         self.fleet.network[self.address] = self
         self.gossip.add_addresses(self.fleet.get_addresses())
         self.state.send_own_changes = self.gossip.send_own_changes
         with self.scope:
             async with anyio.create_task_group() as group:
-                group.start_soon(self.gossip._tell_all)
-                group.start_soon(self.gossip._tell_changes)
+                group.start_soon(self.gossip._send_periodically)
+                group.start_soon(self.gossip._send_changes)
                 group.start_soon(self._renew)
 
     def connect_slowly(self, wait_s):
-        """Have each connection to a target take so long from now on."""
+        """Delay each connection to a target from now on."""
         pool = self.relayer.sender.pool
-        take = pool.acquire
+        acquire = pool.acquire
 
-        async def take_slowly(listed):
+        async def acquire_slowly(listed):
             await anyio.sleep(wait_s)
-            return await take(listed)
+            return await acquire(listed)
 
-        pool.acquire = take_slowly
+        pool.acquire = acquire_slowly
 
     def kill(self):
-        """End without a word."""
+        """End without a message to the others."""
         if self.fleet.network.get(self.address) is self:
             self.fleet.network.pop(self.address)
         self.scope.cancel()
 
     async def stand_still_for(self, pause_s):
-        """Hear and send nothing for a while, then take all that came."""
+        """Suspend messages for a while, then receive all that arrived."""
         self.running = anyio.Event()
         await anyio.sleep(pause_s)
         self.running.set()
 
     async def _renew(self):
-        """Have keys count as proven: the store is not what is tested."""
+        """Keep keys proven: these tests are not about the store."""
         while True:
             self.state.proof.renew(anyio.current_time())
             await anyio.sleep(0.5)
 
-    def _send(self, word, where):
-        raw = encode_message(word, anyio.current_time())
-        self.fleet.note_words(len(where), len(raw))
-        for address in where:
+    def _send(self, message, addresses):
+        raw = encode_message(message, anyio.current_time())
+        self.fleet.count_messages(len(addresses), len(raw))
+        for address in addresses:
             self.state.group.start_soon(self._deliver, raw, address)
 
     async def _deliver(self, raw, address):
         await self.running.wait()
-        await anyio.sleep(WAY_S)
+        await anyio.sleep(NETWORK_DELAY_S)
         other = self.fleet.network.get(address)
         if other is None or self.fleet.is_cut(self, other):
             return
@@ -337,25 +346,25 @@
 
 @dataclass
 class Demand:
-    """What callers got."""
+    """The outcomes of callers' requests."""
 
     statuses: list = field(default_factory=list)
-    come_back_s: list = field(default_factory=list)
+    retry_after_s: list = field(default_factory=list)
     took_s: list = field(default_factory=list)
 
     def count(self, status):
         return self.statuses.count(status)
 
-    def note(self, found, took_s):
-        self.statuses.append(found.status)
+    def record(self, outcome, took_s):
+        self.statuses.append(outcome.status)
         self.took_s.append(took_s)
-        if 'retry-after' in found.headers:
-            self.come_back_s.append(float(found.headers['retry-after']))
+        if 'retry-after' in outcome.headers:
+            self.retry_after_s.append(float(outcome.headers['retry-after']))
 
 
 @dataclass
 class Fleet:
-    """Entries, targets and what lies between them."""
+    """Entries, targets and the network between them."""
 
     group: anyio.abc.TaskGroup
     routes: tuple
@@ -367,7 +376,7 @@
     targets: list = field(default_factory=list)
     network: dict = field(default_factory=dict)
     cut: set = field(default_factory=set)
-    words: int = 0
+    messages: int = 0
     word_bytes: int = 0
     lives: int = 0
 
@@ -383,16 +392,16 @@
     def get_addresses(self):
         """Return the addresses of all entries, as the store lists them."""
         return {
-            f'entry-{one.number}': f'127.0.0.1:{one.number + 1}'
-            for one in self.entries
+            f'entry-{entry.number}': f'127.0.0.1:{entry.number + 1}'
+            for entry in self.entries
         }
 
     def start(self, number=None):
-        """Start an entry, in the place of another one if there is a number."""
+        """Start an entry; with a number, replace that entry."""
         self.lives += 1
-        place = len(self.entries) if number is None else number
+        index = len(self.entries) if number is None else number
         entry = Entry(
-            self, place, self.places[place % len(self.places)], self.lives
+            self, index, self.places[index % len(self.places)], self.lives
         )
         if number is None:
             self.entries.append(entry)
@@ -401,7 +410,7 @@
         return entry
 
     async def restart(self, number, pause_s):
-        """Kill an entry; another one starts in its place after a pause."""
+        """Kill an entry, and start its replacement after a pause."""
         self.entries[number].kill()
         await anyio.sleep(pause_s)
         self.group.start_soon(self.start(number).live)
@@ -412,16 +421,16 @@
         self.targets.append(target)
         return target
 
-    def is_cut(self, one, other):
-        """Whether words between two entries are lost."""
-        return (one.number in self.cut) != (other.number in self.cut)
+    def is_cut(self, entry, other):
+        """Return whether messages between two entries are lost."""
+        return (entry.number in self.cut) != (other.number in self.cut)
 
-    def note_words(self, count, size):
-        self.words += count
+    def count_messages(self, count, size):
+        self.messages += count
         self.word_bytes += count * size
 
     async def ask_for(self, for_s, rate, headers=(), entries=None, key=KEY):
-        """Have callers ask `rate` times a second at each entry."""
+        """Send `rate` requests a second to each entry for a while."""
         demand = Demand()
         async with anyio.create_task_group() as group:
             for number in entries or range(len(self.entries)):
@@ -446,19 +455,19 @@
             return
         self.asked += 1
         asked_at = anyio.current_time()
-        found = await entry.ask(f'r{self.asked}', headers=headers, key=key)
-        demand.note(found, anyio.current_time() - asked_at)
+        outcome = await entry.ask(f'r{self.asked}', headers=headers, key=key)
+        demand.record(outcome, anyio.current_time() - asked_at)
 
 
 @contextmanager
 def without_lines():
-    """Leave out the lines that the entries write."""
+    """Suppress the log of the entries."""
     with patch.object(logger, 'disabled', new=True):
         yield
 
 
 def run_fleet(scenario, routes, *, entries=6, targets=5, **fields):
-    """Run `scenario(fleet)` a while after all started; return its result."""
+    """Run `scenario(fleet)` one second after the start; return its result."""
 
     async def main():
         async with anyio.create_task_group() as group:
@@ -470,9 +479,9 @@
             for entry in fleet.entries:
                 group.start_soon(entry.live)
             await anyio.sleep(1)
-            found = await scenario(fleet)
+            result = await scenario(fleet)
             group.cancel_scope.cancel()
-        return found
+        return result
 
     with without_lines():
         return run_virtually(main)
--- a/tests/soak/client.py
+++ b/tests/soak/client.py
@@ -1,9 +1,9 @@
 """
-Connections of callers
-======================
+HTTP/1.1 client
+===============
 
-HTTP/1.1 as callers speak it: a body may arrive in pieces, an answer may be
-taken slowly, and the time of the last byte sent is known.
+Connections of callers that can send a body in chunks with pauses, and read an
+answer slowly.  The caller knows when the last byte was sent.
 """
 
 import select
@@ -16,16 +16,17 @@
 import h11
 from anyio.abc import SocketAttribute, SocketStream
 
-from tests.soak.serving import ENDS, READ_BYTES
+from tests.soak.serving import CONNECTION_ERRORS, READ_BYTES
 
-#: What a slow caller takes at once and leaves unread, and how long it pauses.
-SLOW_BYTES = 65_536
-SLOW_S = 0.02
+#: Bytes a slow caller reads at once (also its receive buffer), and its pause
+#: before each read, in seconds.
+SLOW_READ_BYTES = 65_536
+SLOW_PAUSE_S = 0.02
 
 
 @dataclass(eq=False)
 class Connection:
-    """One connection to an entry, for one request after the other."""
+    """One persistent connection to an entry, without pipelining."""
 
     stream: SocketStream
     slow: bool = False
@@ -44,23 +45,23 @@
     async def send(
         self,
         head: h11.Request,
-        pieces: Sequence[bytes],
+        chunks: Sequence[bytes],
         pause_s: float,
     ) -> None:
-        """Send a request, its body in pieces."""
+        """Send a request, with a pause before each chunk of its body."""
         await self._send(head)
-        for piece in pieces:
+        for chunk in chunks:
             await anyio.sleep(pause_s)
-            await self._send(h11.Data(data=piece))
+            await self._send(h11.Data(data=chunk))
         await self._send(h11.EndOfMessage())
 
     async def receive(self) -> Any:
-        """Return the next event of the answer."""
+        """Return the next h11 event of the answer."""
         event = self.http.next_event()
         while event is h11.NEED_DATA:
             if self.slow:
-                await anyio.sleep(SLOW_S)
-            size = SLOW_BYTES if self.slow else READ_BYTES
+                await anyio.sleep(SLOW_PAUSE_S)
+            size = SLOW_READ_BYTES if self.slow else READ_BYTES
             try:
                 raw = await self.stream.receive(size)
             except anyio.EndOfStream:
@@ -69,8 +70,8 @@
             event = self.http.next_event()
         return event
 
-    def is_kept(self) -> bool:
-        """Whether the next request may follow; makes ready for it."""
+    def reuse(self) -> bool:
+        """Prepare for the next request; return whether one may follow."""
         self.used = True
         states = {self.http.our_state, self.http.their_state}
         if states == {h11.DONE}:
@@ -85,13 +86,13 @@
 
 
 async def connect(url: str, *, slow: bool) -> Connection | None:
-    """Return a connection, or None where none is taken."""
+    """Return a connection, or None if it isn't accepted."""
     parts = urlsplit(url)
     try:
         stream = await anyio.connect_tcp(str(parts.hostname), parts.port or 0)
-    except ENDS:
+    except CONNECTION_ERRORS:
         return None
     if slow:
         raw = stream.extra(SocketAttribute.raw_socket)
-        raw.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, SLOW_BYTES)
+        raw.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, SLOW_READ_BYTES)
     return Connection(stream, slow)
--- a/tests/soak/entries.py
+++ b/tests/soak/entries.py
@@ -1,9 +1,9 @@
 """
-Entries of a run
-================
+Entry processes
+===============
 
-The real programs: each entry is a process of its own with a settings file, a
-link to the store, and a place in the balancer's rotation.
+The product under test: each entry is a process with a settings file, a link to
+the store, and a place in the rotation of the fake load balancer.
 """
 
 import os
@@ -23,15 +23,17 @@
 
 ROOT = Path(__file__).parent.parent.parent
 GRACE_S = 8
-#: How long after its end a process is started again, in seconds.
-RESTART_S = 0.5
-#: The balancer asks so often, and turns away after so many misses.
-LOOK_S = 1.0
-#: How long a process may take to its handlers on a busy machine, in seconds.
-STARTING_S = 3.0
-#: How long Python itself may take to the product's first line, in seconds.
-INTERPRETER_S = 0.2
-MISSES = 2
+#: How long after its exit a process is started again, in seconds.
+RESTART_DELAY_S = 0.5
+#: Interval of the balancer's readiness checks, in seconds; after `MAX_MISSES`
+#: failures in a row it sends no new connections.
+READINESS_INTERVAL_S = 1.0
+#: How long a process may take to install its signal handlers on a busy machine,
+#: in seconds.
+STARTUP_S = 3.0
+#: How long Python may take before the product's first line runs, in seconds.
+INTERPRETER_STARTUP_S = 0.2
+MAX_MISSES = 2
 PORTS = {'front': 8227, 'ready': 8220, 'control': 8229, 'peers': 7340}
 
 TEMPLATE = """
@@ -58,7 +60,11 @@
 
 @dataclass(eq=False)
 class Entry:
-    """One entry; `ending` while it is meant to stop."""
+    """One entry.
+
+    `ending` is set while the process is expected to stop, `asked_at` is when it
+    got SIGTERM from `stop_gracefully`, and `last` prevents another start.
+    """
 
     name: str
     host: str
@@ -73,30 +79,30 @@
     ending: bool = False
     started_at: float = 0
     asked_at: float = float('inf')
-    hung_up_at: float = float('inf')
+    sighup_at: float = float('inf')
     last: bool = False
-    misses: int = MISSES
+    misses: int = MAX_MISSES
     ended: anyio.Event = field(default_factory=anyio.Event)
 
     @property
     def front(self) -> str:
-        """Where callers come."""
+        """The URL for callers."""
         return f'http://{self.host}:{PORTS["front"]}'
 
     @property
     def in_rotation(self) -> bool:
         """Whether the balancer sends new connections here."""
-        return self.misses < MISSES
+        return self.misses < MAX_MISSES
 
     def write_settings(self) -> Path:
-        """Write the settings file as it is now."""
+        """Write the settings file with the current values."""
         path = self.folder / f'{self.name}.toml'
         path.write_text(
             TEMPLATE.format(
                 name=self.name,
                 host=self.host,
                 data_centre=self.data_centre,
-                store=self.store_link.listed,
+                store=self.store_link.listen_address,
                 grace=self.grace_s,
                 slack=self.slack,
                 last=PORTS['peers'] + 15,
@@ -110,7 +116,7 @@
         env = {**os.environ, 'TRESTLEDOCK_BOOT': str(self.write_settings())}
         self.started_at = time.monotonic()
         self.asked_at = float('inf')
-        self.hung_up_at = float('inf')
+        self.sighup_at = float('inf')
         log = (self.folder / f'{self.name}.log').open('ab')
         self.child = subprocess.Popen(
             (sys.executable, '-m', *self.command),
@@ -122,32 +128,32 @@
         log.close()
 
     def send(self, signum: signal.Signals) -> None:
-        """Send a signal to the process, if it lives."""
+        """Send a signal to the process, if it is running."""
         if self.child and self.child.poll() is None:
             self.child.send_signal(signum)
-            self.ledger.note_change(signum.name, self.name)
+            self.ledger.record_change(signum.name, self.name)
             if signum is signal.SIGHUP:
-                self.hung_up_at = min(self.hung_up_at, time.monotonic())
+                self.sighup_at = min(self.sighup_at, time.monotonic())
 
-    async def keep(self) -> None:
-        """Start the process again whenever it ends, until the last end."""
+    async def supervise(self) -> None:
+        """Restart the process whenever it exits, unless `last` is set."""
         while True:
             self.start()
             while self.child.poll() is None:
                 await anyio.sleep(0.02)
-            self._note_exit(self.child.returncode)
+            self._record_exit(self.child.returncode)
             if self.last:
                 self.ended.set()
                 return
             self.ending = False
-            await anyio.sleep(RESTART_S)
+            await anyio.sleep(RESTART_DELAY_S)
 
-    async def watch(self) -> None:
-        """Ask for readiness as the balancer does."""
+    async def poll_readiness(self) -> None:
+        """Check readiness periodically, as the balancer does."""
         async with httpx.AsyncClient(timeout=0.9) as client:
             while True:
-                await self._look(client)
-                await anyio.sleep(LOOK_S)
+                await self._check_readiness(client)
+                await anyio.sleep(READINESS_INTERVAL_S)
 
     async def stop_gracefully(self) -> None:
         """Send SIGTERM, and SIGKILL after the grace period."""
@@ -158,11 +164,11 @@
         while child.poll() is None:
             await anyio.sleep(0.02)
             if time.monotonic() - self.asked_at > self.grace_s:
-                self.ledger.note_change('overrun', self.name)
+                self.ledger.record_change('overrun', self.name)
                 child.kill()
                 child.wait()
 
-    async def _look(self, client: httpx.AsyncClient) -> None:
+    async def _check_readiness(self, client: httpx.AsyncClient) -> None:
         url = f'http://{self.host}:{PORTS["ready"]}/ready'
         try:
             ready = (await client.get(url)).status_code == 200
@@ -170,22 +176,22 @@
             ready = False
         self.misses = 0 if ready else self.misses + 1
 
-    def _note_exit(self, code: int) -> None:
-        self.ledger.note_change(f'exit {code}', self.name)
+    def _record_exit(self, code: int) -> None:
+        self.ledger.record_change(f'exit {code}', self.name)
         expected = {-signal.SIGKILL}
         if self.ending:
             expected.add(0)
-        if self.asked_at - self.started_at < STARTING_S:
-            # Python has not come to the product's handlers yet.
+        if self.asked_at - self.started_at < STARTUP_S:
+            # The product may not have installed its handlers yet.
             expected.add(-signal.SIGTERM)
-        if self.hung_up_at - self.started_at < INTERPRETER_S:
+        if self.sighup_at - self.started_at < INTERPRETER_STARTUP_S:
             expected.add(-signal.SIGHUP)
         if code not in expected:
             self.ledger.exits.append(f'{self.name} ended with {code}')
 
 
 async def run_entries(entries: list[Entry], group: TaskGroup) -> None:
-    """Start all entries and the balancer's questions."""
+    """Start all entries and the balancer's readiness checks."""
     for entry in entries:
-        group.start_soon(entry.keep)
-        group.start_soon(entry.watch)
+        group.start_soon(entry.supervise)
+        group.start_soon(entry.poll_readiness)
--- a/tests/soak/targets.py
+++ b/tests/soak/targets.py
@@ -1,10 +1,10 @@
 """
-Stand-ins of targets
-====================
+Fake targets
+============
 
 One incarnation of an engine or a plain service: it registers in the store,
-works on requests, keeps tickets, and misbehaves on demand.  Every run is
-written to the ledger.
+executes requests, keeps reservations, and misbehaves on demand.  Every
+execution is recorded in the ledger.
 """
 
 import json
@@ -22,35 +22,37 @@
 from tests.soak.serving import Exchange, Headers, Reset, serve_stream
 from tests.soak.store import TARGETS, Store
 
-#: Requests that a target works on at once, and that may wait besides.
+#: Requests that a target runs at once, and that may wait in addition.
 SLOTS = 8
 QUEUE = 16
-#: Tokens that are read in a second, and the time of one event, in seconds.
-READ_RATE = 200_000
-EVENT_S = 0.05
-PLAIN_S = 0.02
-HEARTBEAT_S = 1.2
-TOKENS_AN_EVENT = 43
-#: A target that has left the store, with or without saying so, serves on for so
-#: long, in seconds.
-LINGER_S = (5.0, 9.0)
-#: What only the store is asked: entries of another run on this machine may
-#: still ask for it at a port that has been its store's.
-STORE_PATHS = '/log-'
-#: States of targets; one that has vanished writes nothing to the store.
-READY, LEAVING, VANISHED = 'ready', 'draining', 'vanished'
-#: What the path of a request holds that ends whatever begins to run it.
+#: Prefill speed in tokens a second, and the time between two events and of a
+#: plain call, in seconds.
+PREFILL_TOKENS_PER_S = 200_000
+EVENT_INTERVAL_S = 0.05
+PLAIN_CALL_S = 0.02
+HEARTBEAT_INTERVAL_S = 1.2
+TOKENS_PER_EVENT = 43
+#: How long a target goes on serving after it has announced draining or deleted
+#: its record in the store, in seconds.
+SHUTDOWN_DELAY_S = (5.0, 9.0)
+#: Prefix of the store's paths: entries of another run on this machine may still
+#: send such requests to a port that was their store's before.
+STORE_PATH_PREFIX = '/log-'
+#: States of targets; a vanished target writes nothing more to the store.
+READY, DRAINING, VANISHED = 'ready', 'draining', 'vanished'
+#: Part of the path of requests that crash every target that begins to run them.
 DEADLY = 'deadly'
-#: How much of its answer is written before: nothing, the head, an event.
-LAST_WORDS = ('', 'head', 'events')
-#: Times that the text of a plain answer is repeated: in one answer of so many
-#: it is long, four megabytes, more than the system's buffers hold on the way to
-#: a slow caller.
+#: What a crashing target has written of its answer: nothing, the head, or the
+#: head and one event.
+PARTIAL_ANSWERS = ('', 'head', 'events')
+#: Repetitions of the text in a plain answer.  One of `LONG_EVERY` answers is
+#: long: four megabytes, more than the kernel's buffers hold on the way to a
+#: slow caller.
 REPEATS, LONG_REPEATS, LONG_EVERY = 20, 250_000, 25
-#: How long a ticket may lie idle after its last use, and without any, in
-#: seconds (`freeMs` and `idleMaxMs` of the settings).
-FREE_S = 4.0
-UNUSED_S = 9.0
+#: How long a reservation may be idle after its last use, and if it was never
+#: used, in seconds (`freeMs` and `idleMaxMs` of the settings).
+USED_IDLE_MAX_S = 4.0
+UNUSED_IDLE_MAX_S = 9.0
 NS_IN_MS = 1_000_000
 
 
@@ -60,8 +62,8 @@
 
 
 @dataclass
-class Ticket:
-    """Reserved memory: when its lease ends, and how many requests use it."""
+class Reservation:
+    """Reserved memory with the end of its lease and its current users."""
 
     until: float
     free_since: float
@@ -70,8 +72,13 @@
 
 
 @dataclass
-class Quirks:
-    """The share of requests with which a target does something wrong."""
+class FaultShares:
+    """Shares of requests on which a target misbehaves, by kind of fault.
+
+    `fails`: answers 500; `sheds`: refuses; `loses`: resets before the answer;
+    `breaks`: resets in the middle of it; `mixes`: names another request;
+    `mute`: never answers.
+    """
 
     fails: float = 0
     sheds: float = 0
@@ -82,7 +89,7 @@
 
 
 def get_seal(incarnation: str, req_id: str) -> str:
-    """Return what proves that a target made an answer."""
+    """Return the seal, which identifies the target that made an answer."""
     return f'{incarnation}.{crc32(req_id.encode()):08x}'
 
 
@@ -93,8 +100,8 @@
     return f'{req_id} by {incarnation}; '.encode() * repeats
 
 
-def _do_nothing(_: 'Target') -> None:
-    """Stand for what follows the end of a target."""
+def _ignore_crash(_: 'Target') -> None:
+    """Do nothing after a crash, as the default of `on_crash`."""
 
 
 def make_event(req_id: str, number: int) -> bytes:
@@ -103,15 +110,16 @@
 
 
 def count_events(sizes: str) -> int:
-    """Return how many events a stream has by its token counts."""
-    return max(1, int(sizes.partition(',')[2]) // TOKENS_AN_EVENT)
+    """Return how many events a stream of these token counts has."""
+    return max(1, int(sizes.partition(',')[2]) // TOKENS_PER_EVENT)
 
 
 @dataclass(eq=False)
 class Target:
     """One incarnation of a target behind a link of its own.
 
-    While there is a `rest`, it turns all away and asks for as many seconds.
+    While `retry_after` is set, the target refuses all requests and asks for a
+    back-off of as many seconds.
     """
 
     target_id: str
@@ -120,39 +128,41 @@
     ledger: Ledger
     store: Store
     rng: Random
-    quirks: Quirks = field(default_factory=Quirks)
-    tickets: dict[str, Ticket] = field(default_factory=dict)
+    fault_shares: FaultShares = field(default_factory=FaultShares)
+    reservations: dict[str, Reservation] = field(default_factory=dict)
     state: str = READY
     running: int = 0
     limit: str = ''
-    rest: str = ''
-    says_leaving: bool = False
+    retry_after: str = ''
+    announces_draining: bool = False
     sequence: int = 0
     link: Link = field(default_factory=lambda: Link(''))
-    gone: anyio.Event = field(default_factory=anyio.Event)
+    stopped: anyio.Event = field(default_factory=anyio.Event)
     born: int = field(default_factory=get_unix_ms)
-    on_crash: Callable[['Target'], None] = _do_nothing
+    on_crash: Callable[['Target'], None] = _ignore_crash
 
     @property
     def incarnation(self) -> str:
-        """The name of this start of the target, for the ledger."""
+        """The name of this incarnation in the ledger."""
         return f'{self.target_id}@{self.born}'
 
-    async def live(self, group: TaskGroup) -> None:
-        """Start, register, and end when `gone` is set."""
+    async def start_serving(self, group: TaskGroup) -> None:
+        """Start and register; the target ends when `stopped` is set."""
         listener = await anyio.create_tcp_listener(
             local_host='127.0.0.1', local_port=0
         )
         port = listener.extra(SocketAttribute.local_port)
         self.link.address = f'127.0.0.1:{port}'
         await self.link.open(group)
-        group.start_soon(self._work, listener)
+        group.start_soon(self._serve_until_stopped, listener)
 
-    async def _work(self, listener: anyio.abc.SocketListener) -> None:
+    async def _serve_until_stopped(
+        self, listener: anyio.abc.SocketListener
+    ) -> None:
         async with anyio.create_task_group() as group:
             group.start_soon(listener.serve, self._serve)
             group.start_soon(self._register)
-            await self.gone.wait()
+            await self.stopped.wait()
             self.link.close()
             group.cancel_scope.cancel()
         await listener.aclose()
@@ -162,27 +172,27 @@
 
     async def _register(self) -> None:
         while self.state != VANISHED:
-            self.write_entry()
-            await anyio.sleep(HEARTBEAT_S)
+            self.write_record()
+            await anyio.sleep(HEARTBEAT_INTERVAL_S)
 
     async def leave(self, state: str) -> None:
-        """Say in the store that it leaves, or vanish from it; serve on."""
+        """Announce draining or delete the record; serve on for a while."""
         self.state = state
-        self.says_leaving = self.says_leaving or state == LEAVING
+        self.announces_draining = self.announces_draining or state == DRAINING
         while self.store.status != 200:
             await anyio.sleep(0.1)
         if state == VANISHED:
             self.store.put_json(TARGETS, self.target_id, None)
         else:
-            self.write_entry()
-        self.ledger.note_change('leaving', self.incarnation)
-        await anyio.sleep(self.rng.uniform(*LINGER_S))
+            self.write_record()
+        self.ledger.record_change('leaving', self.incarnation)
+        await anyio.sleep(self.rng.uniform(*SHUTDOWN_DELAY_S))
 
-    def make_entry(self) -> dict[str, Any]:
-        """Return the own entry."""
+    def make_record(self) -> dict[str, Any]:
+        """Return the target's record in the store."""
         return {
             'service': self.service,
-            'address': self.link.listed,
+            'address': self.link.listen_address,
             'zone': self.data_centre,
             'version': 'v1',
             'slots': SLOTS,
@@ -191,16 +201,16 @@
             'born': self.born,
         }
 
-    def write_entry(self) -> None:
-        """Write the own entry, unless the store is down."""
+    def write_record(self) -> None:
+        """Write the target's record, unless the store is down."""
         if self.store.status != 200:
             return
         self.sequence += 1
-        plain = self.make_entry()
+        plain = self.make_record()
         self.store.put_json(TARGETS, self.target_id, plain)
 
     async def _handle(self, exchange: Exchange) -> None:
-        if exchange.path.startswith(STORE_PATHS):
+        if exchange.path.startswith(STORE_PATH_PREFIX):
             await exchange.answer(404)
             return
         headers = exchange.headers
@@ -209,39 +219,45 @@
             await exchange.answer(421)
             return
         if exchange.path == '/order':
-            await self._take_order(exchange)
+            await self._handle_order(exchange)
             return
         req_id = headers.get('trestledock-request-id', '')
-        self.ledger.note_arrival(req_id, self.incarnation)
+        self.ledger.record_arrival(req_id, self.incarnation)
         full = self.running >= SLOTS + QUEUE
-        if full or self.rest or self.rng.random() < self.quirks.sheds:
-            await self._turn_away(exchange, req_id)
+        if (
+            full
+            or self.retry_after
+            or self.rng.random() < self.fault_shares.sheds
+        ):
+            await self._refuse(exchange, req_id)
             return
         self.running += 1
         try:
-            await self._run(exchange)
+            await self._execute(exchange)
         finally:
             self.running -= 1
 
-    async def _turn_away(self, exchange: Exchange, req_id: str) -> None:
+    async def _refuse(self, exchange: Exchange, req_id: str) -> None:
         refused = [('Trestledock-Not-Executed', '1'), *self._get_notices()]
-        if self.rest:
-            refused.append(('Retry-After', self.rest))
-            self.ledger.note_rest(req_id, self.incarnation, float(self.rest))
+        if self.retry_after:
+            refused.append(('Retry-After', self.retry_after))
+            self.ledger.record_backoff(
+                req_id, self.incarnation, float(self.retry_after)
+            )
         await exchange.answer(503, b'', refused)
 
-    def name_limit(self, text: str, per_s: float | None) -> None:
-        """Name a limit in all answers from now on; no text for none."""
+    def set_limit(self, text: str, per_s: float | None) -> None:
+        """Announce a rate limit in all answers; an empty text ends it."""
         self.limit = text
-        self.ledger.note_naming(self.incarnation, per_s)
+        self.ledger.record_limit_change(self.incarnation, per_s)
 
     def _get_notices(self) -> Headers:
-        """Return what the target says of itself in all its answers."""
+        """Return the headers with which the target announces its state."""
         limit = [('Server-Limit', self.limit)] if self.limit else []
-        leaving = [('Server-Leaving', '1')] if self.says_leaving else []
+        leaving = [('Server-Leaving', '1')] if self.announces_draining else []
         return [*limit, *leaving]
 
-    async def _run(self, exchange: Exchange) -> None:
+    async def _execute(self, exchange: Exchange) -> None:
         headers = exchange.headers
         req_id = headers.get('trestledock-request-id', '')
         run = Run(
@@ -258,7 +274,7 @@
         self.ledger.runs.append(run)
         try:
             async with anyio.create_task_group() as group:
-                group.start_soon(self._cancel_when_left, exchange, group)
+                group.start_soon(self._cancel_on_disconnect, exchange, group)
                 await self._respond(exchange, run)
                 group.cancel_scope.cancel()
         except BaseExceptionGroup as exc:
@@ -266,28 +282,28 @@
         finally:
             run.ended_at = time.monotonic()
 
-    async def _cancel_when_left(
+    async def _cancel_on_disconnect(
         self, exchange: Exchange, group: TaskGroup
     ) -> None:
-        await exchange.wait_for_end()
+        await exchange.wait_for_disconnect()
         group.cancel_scope.cancel()
 
     async def _respond(self, exchange: Exchange, run: Run) -> None:
-        drawn = self.rng.random
-        if drawn() < self.quirks.mute:
+        draw = self.rng.random
+        if draw() < self.fault_shares.mute:
             await anyio.sleep_forever()
         own_id = run.req_id
-        if drawn() < self.quirks.mixes:
+        if draw() < self.fault_shares.mixes:
             own_id = 'another'
         headers = [
             ('Trestledock-Request-Id', own_id),
             ('Trestledock-Response-Seal', run.seal),
             *self._get_notices(),
         ]
-        run.leaves = self.says_leaving
+        run.leaves = self.announces_draining
         if DEADLY in exchange.path:
             await self._crash(exchange, run, headers)
-        elif drawn() < self.quirks.fails:
+        elif draw() < self.fault_shares.fails:
             run.status = 500
             await exchange.answer(500, b'failed', headers)
         elif run.sizes:
@@ -298,29 +314,29 @@
     async def _crash(
         self, exchange: Exchange, run: Run, headers: Headers
     ) -> None:
-        """End with the request that is begun, and with all others."""
+        """Crash with the request just begun and all others."""
         if run.sizes:
-            await self._read_prompt(exchange, run)
-        words = self.rng.choice(LAST_WORDS)
-        if words:
+            await self._prefill(exchange, run)
+        partial_answer = self.rng.choice(PARTIAL_ANSWERS)
+        if partial_answer:
             await exchange.start(200, headers)
-        if words == 'events' and run.sizes:
+        if partial_answer == 'events' and run.sizes:
             await exchange.write(make_event(run.req_id, 1))
-        self.ledger.note_end(exchange.path, self.incarnation)
+        self.ledger.record_crash(exchange.path, self.incarnation)
         self.on_crash(self)
         await anyio.sleep_forever()
 
     async def _answer_plain(
         self, exchange: Exchange, run: Run, headers: Headers
     ) -> None:
-        await anyio.sleep(PLAIN_S * self.rng.uniform(0.5, 2))
+        await anyio.sleep(PLAIN_CALL_S * self.rng.uniform(0.5, 2))
         run.status = 200
-        if self.rng.random() < self.quirks.loses:
+        if self.rng.random() < self.fault_shares.loses:
             raise Reset
         body = get_body(run.target, run.req_id)
-        if self.rng.random() < self.quirks.breaks:
-            listed = [*headers, ('Content-Length', str(len(body)))]
-            await exchange.start(200, listed)
+        if self.rng.random() < self.fault_shares.breaks:
+            all_headers = [*headers, ('Content-Length', str(len(body)))]
+            await exchange.start(200, all_headers)
             await exchange.write(body[: len(body) // 2])
             raise Reset
         await exchange.answer(200, body, headers)
@@ -328,86 +344,89 @@
     async def _stream(
         self, exchange: Exchange, run: Run, headers: Headers
     ) -> None:
-        tickets = self._use_tickets(exchange)
+        reservations = self._use_reservations(exchange)
         try:
             await self._answer_stream(exchange, run, headers)
         finally:
-            for ticket in tickets:
-                ticket.users -= 1
-                ticket.free_since = time.monotonic()
+            for reservation in reservations:
+                reservation.users -= 1
+                reservation.free_since = time.monotonic()
 
     async def _answer_stream(
         self, exchange: Exchange, run: Run, headers: Headers
     ) -> None:
-        await self._read_prompt(exchange, run)
+        await self._prefill(exchange, run)
         run.status = 200
-        if self.rng.random() < self.quirks.loses:
+        if self.rng.random() < self.fault_shares.loses:
             raise Reset
         await exchange.start(200, headers)
         await self._write_events(exchange, run)
 
-    async def _read_prompt(self, exchange: Exchange, run: Run) -> None:
+    async def _prefill(self, exchange: Exchange, run: Run) -> None:
         tokens = int(run.sizes.partition(',')[0])
         helpers = exchange.headers.get('trestledock-helpers', '')
         parts = 1 + len([one for one in helpers.split(',') if one])
-        await anyio.sleep(tokens / READ_RATE / parts)
+        await anyio.sleep(tokens / PREFILL_TOKENS_PER_S / parts)
 
     async def _write_events(self, exchange: Exchange, run: Run) -> None:
         first = int(exchange.headers.get('last-event-id') or 0) + 1
         last = count_events(run.sizes)
-        breaking = self.rng.random() < self.quirks.breaks
+        breaking = self.rng.random() < self.fault_shares.breaks
         for number in range(first, last + 1):
             event = make_event(run.req_id, number)
             if breaking and number > (first + last) // 2:
                 await exchange.write(event[: len(event) // 2])
                 raise Reset
             await exchange.write(event)
-            await anyio.sleep(EVENT_S)
+            await anyio.sleep(EVENT_INTERVAL_S)
         await exchange.finish()
 
-    def _use_tickets(self, exchange: Exchange) -> list[Ticket]:
-        """Note the use of tickets; all are looked up at this target's peers."""
+    def _use_reservations(self, exchange: Exchange) -> list[Reservation]:
+        """Mark the reservations of a request as used; peers may hold them."""
         helpers = exchange.headers.get('trestledock-helpers', '')
         names = [
             one.partition('/')[2] for one in helpers.split(',') if '/' in one
         ]
         used = [
-            ticket
+            reservation
             for name in names
-            if (ticket := TICKETS_BY_NAME.get(name)) is not None
+            if (reservation := RESERVATIONS_BY_ID.get(name)) is not None
         ]
-        for ticket in used:
-            ticket.users += 1
-            ticket.used = True
-            if ticket.users > 1:
-                self.ledger.ticket_clashes.add(','.join(names))
+        for reservation in used:
+            reservation.users += 1
+            reservation.used = True
+            if reservation.users > 1:
+                self.ledger.reservation_clashes.add(','.join(names))
         return used
 
-    async def _take_order(self, exchange: Exchange) -> None:
+    async def _handle_order(self, exchange: Exchange) -> None:
         order = json.loads(exchange.body)
         now = time.monotonic()
         name = order['id']
         if order['operation'] == 'release':
-            self.tickets.pop(name, None)
-            TICKETS_BY_NAME.pop(name, None)
+            self.reservations.pop(name, None)
+            RESERVATIONS_BY_ID.pop(name, None)
             await exchange.answer(200, b'{}', self._get_notices())
             return
         until = now + order['holdMs'] / 1000
-        if name in self.tickets:
-            self.tickets[name].until = until
+        if name in self.reservations:
+            self.reservations[name].until = until
         else:
-            self.tickets[name] = Ticket(until, now)
-            TICKETS_BY_NAME[name] = self.tickets[name]
+            self.reservations[name] = Reservation(until, now)
+            RESERVATIONS_BY_ID[name] = self.reservations[name]
         await exchange.answer(200, b'{"available":1}', self._get_notices())
 
-    def note_leaks(self, now: float) -> None:
-        """Note the tickets that lie idle for longer than they may."""
-        for name, ticket in self.tickets.items():
-            idle_s = min(now, ticket.until) - ticket.free_since
-            limit_s = FREE_S if ticket.used else UNUSED_S
-            if not ticket.users and idle_s > limit_s:
-                self.ledger.ticket_leaks.add(f'{name} at {self.incarnation}')
+    def record_leaks(self, now: float) -> None:
+        """Record the reservations that were idle for too long."""
+        for name, reservation in self.reservations.items():
+            idle_s = min(now, reservation.until) - reservation.free_since
+            limit_s = USED_IDLE_MAX_S if reservation.used else UNUSED_IDLE_MAX_S
+            if not reservation.users and idle_s > limit_s:
+                self.ledger.reservation_leaks.add(
+                    f'{name} at {self.incarnation}'
+                )
 
 
-#: All tickets of a run by name, so that the first target can note their use.
-TICKETS_BY_NAME: dict[str, Ticket] = {}
+#: All reservations of a run by id.  The first target of a request marks those
+#: of its helpers as used.
+RESERVATIONS_BY_ID: dict[str, Reservation] = {}
--- a/tests/soak/world.py
+++ b/tests/soak/world.py
@@ -1,9 +1,9 @@
 """
-World of a run
-==============
+Environment of a run
+====================
 
-Puts store, targets, entries and callers together, and makes the changes that
-operators make: configurations, keys, targets that leave.
+Connects store, targets, entries and callers, and makes the changes of
+operators: configurations, keys and replacements of targets.
 """
 
 import os
@@ -18,7 +18,7 @@
 
 from tests.soak.callers import (
     HOST,
-    KINDS,
+    REQUEST_KINDS,
     TIMEOUT_S,
     Caller,
     DeadlyCaller,
@@ -30,27 +30,27 @@
 from tests.soak.serving import serve_stream
 from tests.soak.store import CONFIG, TARGETS, Store
 from tests.soak.targets import (
-    HEARTBEAT_S,
-    LEAVING,
+    DRAINING,
+    HEARTBEAT_INTERVAL_S,
     READY,
+    RESERVATIONS_BY_ID,
     SLOTS,
-    TICKETS_BY_NAME,
     Target,
 )
 
 DATA_CENTRES = ('dc-a', 'dc-b', 'dc-c')
 TEAMS = ('kiosks', 'desk', 'audit')
-KEYS_A_TEAM = 4
-#: How long a target takes to start again under its id, in seconds.
-RECOVERY_S = (0.3, 2.5)
+KEYS_PER_TEAM = 4
+#: How long after a crash a target starts again under its id, in seconds.
+RESTART_DELAY_S = (0.3, 2.5)
 HALF = 0.5
-#: How often tickets are looked at, in seconds.
-LOOK_S = 0.5
-#: Different requests that end their targets, and who asks for each.
+#: Interval of the checks for idle reservations, in seconds.
+RESERVATION_CHECK_S = 0.5
+#: Number of different requests that crash targets, and of callers of each.
 DEADLY_REQUESTS = 3
 DEADLY_CALLERS = 4
-#: How often the driver looks whether it is held up itself, in seconds.
-BEAT_S = 0.02
+#: Interval at which the driver measures its own delay, in seconds.
+LATENESS_INTERVAL_S = 0.02
 ENGINE = {
     'slots': SLOTS,
     'kvCapacity': 232_000,
@@ -63,10 +63,11 @@
 
 @dataclass(frozen=True)
 class Size:
-    """How large a run is, and what disturbs it.
+    """Size of a run and its plan of faults.
 
-    `run_s` is how long callers ask; `plan` is one of `faults.PLANS`; `grace_s`
-    is the time that entries are given to stop.
+    `plain` is the number of targets that aren't engines; `run_s` is how long
+    callers send requests; `plan` is one of `faults.PLANS`; `grace_s` is the
+    grace period of stopping entries.
     """
 
     entries: int = 4
@@ -80,7 +81,10 @@
 
 @dataclass
 class World:
-    """One run."""
+    """All components of one run.
+
+    `late_s` is the longest delay of the driver itself.
+    """
 
     size: Size
     rng: Random
@@ -95,19 +99,19 @@
     version: int = 0
     timeouts_s: dict[str, float] = field(default_factory=dict)
     objective_s: float = 1
-    numbers: int = 0
+    target_count: int = 0
     variant: int = 0
     late_s: float = 0
-    over: bool = False
+    finished: bool = False
 
     async def start(self) -> None:
-        """Start everything but the callers."""
-        TICKETS_BY_NAME.clear()
+        """Start everything except the callers."""
+        RESERVATIONS_BY_ID.clear()
         if self.size.plan == 'restored':
             self.store.era = 1
         self.timeouts_s = dict(TIMEOUT_S)
         for team in TEAMS:
-            for number in range(KEYS_A_TEAM):
+            for number in range(KEYS_PER_TEAM):
                 self.keys.by_key[f'key-{team}-{number}'] = team
         self.publish()
         listener = await anyio.create_tcp_listener(
@@ -124,11 +128,11 @@
         for number in range(self.size.entries):
             await self._add_entry(number, f'127.0.0.1:{port}')
         self.group.start_soon(run_entries, self.entries, self.group)
-        self.group.start_soon(self._look_at_tickets)
-        self.group.start_soon(self._note_lateness)
+        self.group.start_soon(self._check_reservations)
+        self.group.start_soon(self._measure_lateness)
 
     def start_callers(self) -> None:
-        """Let the callers begin."""
+        """Start the callers."""
         for number in range(self.size.callers):
             caller = Caller(
                 f'c{number}',
@@ -136,16 +140,16 @@
                 self.ledger,
                 self.keys,
                 Random(self.rng.random()),
-                lambda: self.over,
+                lambda: self.finished,
             )
             self.group.start_soon(caller.run)
         if self.size.plan == 'deadly':
             self._start_deadly_callers()
 
     def _start_deadly_callers(self) -> None:
-        """Let some callers ask for requests that end their targets.
+        """Start callers of requests that crash targets.
 
-        Each such request is asked for by several, as by callers that repeat.
+        Several callers send each of these requests, as callers do that retry.
         """
         for number in range(DEADLY_REQUESTS * DEADLY_CALLERS):
             caller = DeadlyCaller(
@@ -154,19 +158,19 @@
                 self.ledger,
                 self.keys,
                 Random(self.rng.random()),
-                lambda: self.over,
-                which=number % DEADLY_REQUESTS,
+                lambda: self.finished,
+                request_index=number % DEADLY_REQUESTS,
             )
             self.group.start_soon(caller.run)
 
     def publish(self) -> None:
-        """Write the configuration as it should be now."""
+        """Write the current configuration as a new version."""
         self.version += self.rng.randint(1, 3)
         for name, timeout_s in self.timeouts_s.items():
-            self.ledger.note_timeout(KINDS[name][0], timeout_s)
+            self.ledger.record_timeout(REQUEST_KINDS[name][0], timeout_s)
         plain = {
             'version': self.version,
-            'routes': [self._make_route(name) for name in KINDS],
+            'routes': [self._make_route(name) for name in REQUEST_KINDS],
             'services': [
                 {
                     'name': 'engines',
@@ -180,26 +184,26 @@
                     'name': team,
                     'apiKeys': [
                         key
-                        for key, holder in self.keys.by_key.items()
-                        if holder == team
+                        for key, owner in self.keys.by_key.items()
+                        if owner == team
                     ],
                 }
                 for team in TEAMS
             ],
         }
         self.store.put_json(*CONFIG, plain)
-        self.ledger.note_change('version', str(self.version))
+        self.ledger.record_change('version', str(self.version))
 
     def revoke(self) -> None:
-        """Take one key away; some callers go on using it."""
+        """Revoke one key; some callers go on using it."""
         key = self.keys.revoke(self.rng)
         self.publish()
-        self.ledger.note_change('revoked', key)
+        self.ledger.record_change('revoked', key)
 
     async def add_target(self, service: str, data_centre: str) -> Target:
-        """Add a new incarnation of a target."""
-        self.numbers += 1
-        name = f'i-{self.numbers}'
+        """Start a new target."""
+        self.target_count += 1
+        name = f'i-{self.target_count}'
         return await self._start_target(name, service, data_centre)
 
     async def _start_target(
@@ -215,31 +219,31 @@
             self.ledger,
             self.store,
             Random(self.rng.random()),
-            on_crash=self._recover_later,
+            on_crash=self._recover_crashed,
         )
-        await target.live(self.group)
+        await target.start_serving(self.group)
         self.targets.append(target)
         return target
 
-    async def replace(self, target: Target, state: str = LEAVING) -> None:
-        """Let a target leave as planned, after another has come."""
+    async def replace(self, target: Target, state: str = DRAINING) -> None:
+        """Drain or delist a target as planned, after starting another."""
         await self.add_target(target.service, target.data_centre)
         await target.leave(state)
         self.remove(target)
         self.store.put_json(TARGETS, target.target_id, None)
 
     async def crash(self, target: Target) -> None:
-        """Let a target die; its entry goes after three heartbeats."""
+        """Crash a target; its record is deleted after three heartbeats."""
         self.remove(target)
-        await anyio.sleep(HEARTBEAT_S * 3)
+        await anyio.sleep(HEARTBEAT_INTERVAL_S * 3)
         self.store.put_json(TARGETS, target.target_id, None)
-        self.ledger.note_change('leaving', target.incarnation)
+        self.ledger.record_change('leaving', target.incarnation)
         await self.add_target(target.service, target.data_centre)
 
     async def restart(self, target: Target, pause_s: float) -> None:
-        """Let a target die and start again under its id, after a pause.
+        """Crash a target and start it again under its id, after a pause.
 
-        It knows nothing of before, and its entry may never have gone.
+        It has lost all state, and its record may have stayed in the store.
         """
         self.remove(target)
         await anyio.sleep(pause_s)
@@ -247,27 +251,27 @@
             target.target_id, target.service, target.data_centre
         )
 
-    def _recover_later(self, target: Target) -> None:
-        """Have a target that a request has ended start again."""
+    def _recover_crashed(self, target: Target) -> None:
+        """Replace a target that a request has crashed, or restart it later."""
         fault = self.ledger.begin_fault('deadly', target=target.incarnation)
         fault.ended_at = time.monotonic()
         rng = Random(self.rng.random())
         if rng.random() < HALF:
-            pause_s = rng.uniform(*RECOVERY_S)
+            pause_s = rng.uniform(*RESTART_DELAY_S)
             self.group.start_soon(self.restart, target, pause_s)
         else:
             self.group.start_soon(self.crash, target)
         self.remove(target)
 
     def remove(self, target: Target) -> None:
-        """End a target at once."""
-        target.gone.set()
-        self.ledger.note_change('ended', target.incarnation)
+        """Stop a target at once."""
+        target.stopped.set()
+        self.ledger.record_change('ended', target.incarnation)
         if target in self.targets:
             self.targets.remove(target)
 
     def end_processes(self) -> None:
-        """Kill all entries, and let none start again."""
+        """Kill all entries for good."""
         for entry in self.entries:
             entry.last = True
             entry.send(signal.SIGCONT)
@@ -276,13 +280,13 @@
                 entry.child.wait()
 
     def pick_target(self) -> Target:
-        """Return a target that is not leaving."""
+        """Return a random target that isn't draining or delisted."""
         return self.rng.choice(
             [one for one in self.targets if one.state == READY]
         )
 
     def has_targets(self) -> bool:
-        """Whether any target is not leaving."""
+        """Whether any target isn't draining or delisted."""
         return any(one.state == READY for one in self.targets)
 
     def get_elapsed_s(self) -> float:
@@ -311,9 +315,9 @@
         self.entries.append(entry)
 
     def _make_route(self, name: str) -> dict:
-        path, kind, service = KINDS[name]
+        path, kind, service = REQUEST_KINDS[name]
         streaming = kind == 'streaming'
-        aim_ms = round(self.objective_s * 1000) if streaming else 300
+        objective_ms = round(self.objective_s * 1000) if streaming else 300
         return {
             'name': name,
             'host': HOST,
@@ -321,7 +325,7 @@
             'kind': kind,
             'service': service,
             'timeoutMs': round(self.timeouts_s[name] * 1000),
-            'sloMs': aim_ms + self.variant,
+            'sloMs': objective_ms + self.variant,
             'maxAttempts': 1 if kind == 'non_idempotent' else 2,
             'resumable': streaming,
             'gapAimMs': 500 + self.variant,
@@ -330,16 +334,16 @@
     async def _serve_store(self, stream: anyio.abc.SocketStream) -> None:
         await serve_stream(stream, self.store.handle)
 
-    async def _note_lateness(self) -> None:
-        """Keep the longest time for which the driver itself was held up."""
+    async def _measure_lateness(self) -> None:
+        """Keep the longest delay of the driver itself."""
         while True:
             began_at = time.monotonic()
-            await anyio.sleep(BEAT_S)
-            over_s = time.monotonic() - began_at - BEAT_S
+            await anyio.sleep(LATENESS_INTERVAL_S)
+            over_s = time.monotonic() - began_at - LATENESS_INTERVAL_S
             self.late_s = max(self.late_s, over_s)
 
-    async def _look_at_tickets(self) -> None:
+    async def _check_reservations(self) -> None:
         while True:
-            await anyio.sleep(LOOK_S)
+            await anyio.sleep(RESERVATION_CHECK_S)
             for target in self.targets:
-                target.note_leaks(time.monotonic())
+                target.record_leaks(time.monotonic())
--- a/tests/test_entry_isolation.py
+++ b/tests/test_entry_isolation.py
@@ -1,4 +1,4 @@
-"""What is put down to a request where a sending ends without its answer."""
+"""Which requests crashes are attributed to when an attempt fails."""
 
 import unittest
 from random import Random
@@ -22,56 +22,58 @@
 
 
 def run_isolation(scenario, seen=FailureKind.refused):
-    """Run `scenario(isolation)`, where each look at a target sees the same."""
+    """Run `scenario(isolation)`; each new connection yields `seen`."""
 
-    async def look(target):
-        isolation.looks.append(target.incarnation)
+    async def reconnect(target):
+        isolation.reconnected.append(target.incarnation)
         return seen
 
     async def main():
         await scenario(isolation)
 
     isolation = EntryState(SETTINGS, 'e#a', Random(1), None).isolation
-    isolation.looks = []
-    isolation.told = []
-    isolation.hooks.reconnect = look
-    isolation.hooks.send_crashes = isolation.told.extend
+    isolation.reconnected = []
+    isolation.sent_crashes = []
+    isolation.hooks.reconnect = reconnect
+    isolation.hooks.send_crashes = isolation.sent_crashes.extend
     run_virtually(main)
     return isolation
 
 
-class SignTest(unittest.TestCase):
-    """Which ends of a sending are ends of targets."""
+class EvidenceTest(unittest.TestCase):
+    """Which failed attempts count as crashes of targets."""
 
     def count(self, sign, seen):
-        """Return how many ends three sendings make, and looks."""
+        """Return the numbers of crashes and connections of three attempts."""
 
         async def scenario(isolation):
             for target in TARGETS[:3]:
                 await isolation.investigate_failure('f', sign, [target])
 
         isolation = run_isolation(scenario, seen)
-        return isolation.quarantine.count_crashes('f'), len(isolation.looks)
+        return isolation.quarantine.count_crashes('f'), len(
+            isolation.reconnected
+        )
 
-    def test_closed_and_nobody_listens(self):
+    def test_closed_and_connection_refused(self):
         self.assertEqual(
             self.count(FailureKind.closed, FailureKind.refused), (3, 3)
         )
 
-    def test_closed_by_one_that_lives(self):
-        """Connections that are reset say nothing of the request."""
+    def test_closed_by_live_target(self):
+        """Reset connections say nothing about the request."""
         self.assertEqual(
             self.count(FailureKind.closed, FailureKind.none), (0, 3)
         )
 
-    def test_closed_by_one_that_is_not_reached(self):
-        """It may be cut off."""
+    def test_closed_by_unreachable_target(self):
+        """The target may be cut off."""
         self.assertEqual(
             self.count(FailureKind.closed, FailureKind.unreachable), (0, 3)
         )
 
-    def test_silence_and_wrong_bytes(self):
-        """Nobody is connected to for them."""
+    def test_silence_and_invalid_bytes(self):
+        """Neither leads to a new connection."""
         self.assertEqual(
             self.count(FailureKind.silent, FailureKind.refused), (0, 0)
         )
@@ -79,8 +81,8 @@
             self.count(FailureKind.garbled, FailureKind.refused), (0, 0)
         )
 
-    def test_one_end_a_sending(self):
-        """Whoever reads a prompt and those that help may end together."""
+    def test_one_crash_per_attempt(self):
+        """The engine of a prompt and its helpers may crash together."""
 
         async def scenario(isolation):
             await isolation.investigate_failure(
@@ -90,27 +92,29 @@
         isolation = run_isolation(scenario)
         self.assertEqual(isolation.quarantine.count_crashes('f'), 1)
 
-    def test_helper_that_ended(self):
-        """A target may close since one that helped it has ended."""
+    def test_crashed_helper(self):
+        """A target may close its connection because its helper has crashed."""
 
         async def scenario(isolation):
-            async def look(target):
+            async def reconnect(target):
                 is_first = target is TARGETS[0]
                 return FailureKind.none if is_first else FailureKind.refused
 
-            isolation.hooks.reconnect = look
+            isolation.hooks.reconnect = reconnect
             await isolation.investigate_failure(
                 'f', FailureKind.closed, TARGETS
             )
 
         isolation = run_isolation(scenario)
-        self.assertEqual(isolation.told, [Crash('f', TARGETS[1].incarnation)])
+        self.assertEqual(
+            isolation.sent_crashes, [Crash('f', TARGETS[1].incarnation)]
+        )
 
 
-class ProvenTest(unittest.TestCase):
-    """What many callers ask for is at each target that ends."""
+class AnsweredTest(unittest.TestCase):
+    """A request that many callers send is in flight at each crash."""
 
-    def test_what_was_answered_is_not_blamed(self):
+    def test_answered_request_is_not_quarantined(self):
         async def scenario(isolation):
             isolation.record_answered('f')
             for target in TARGETS[:3]:
@@ -120,10 +124,10 @@
 
         isolation = run_isolation(scenario)
         self.assertFalse(isolation.is_quarantined('f'))
-        self.assertEqual(isolation.told, [])
+        self.assertEqual(isolation.sent_crashes, [])
 
-    def test_what_has_become_deadly_is_known_soon(self):
-        """Its targets may have another version since it was answered."""
+    def test_answered_request_that_now_crashes_targets(self):
+        """The targets may have been updated since it was answered."""
 
         async def scenario(isolation):
             isolation.record_answered('f')
@@ -134,7 +138,7 @@
 
         self.assertTrue(run_isolation(scenario).is_quarantined('f'))
 
-    def test_an_answer_does_not_speak_for_ever(self):
+    def test_answer_expires_as_evidence(self):
         async def scenario(isolation):
             isolation.record_answered('f')
             await anyio.sleep(ANSWER_TTL_S + 1)
@@ -146,11 +150,11 @@
         self.assertTrue(run_isolation(scenario).is_quarantined('f'))
 
 
-class LaterTest(unittest.TestCase):
-    """Ends that are known only as another start is listed."""
+class ListedTest(unittest.TestCase):
+    """Crashes that are found when another incarnation is listed."""
 
     def check(self, count, step, sign=FailureKind.closed, after_s=1.0):
-        """One sending ends, and something is learnt after a while."""
+        """One attempt fails, and a list is read after a while."""
 
         async def scenario(isolation):
             await isolation.investigate_failure('f', sign, [TARGETS[0]])
@@ -160,7 +164,7 @@
         isolation = run_isolation(scenario, FailureKind.none)
         self.assertEqual(isolation.quarantine.count_crashes('f'), count)
 
-    def test_started_again_under_its_id(self):
+    def test_restart_under_same_id(self):
         def step(isolation):
             isolation.record_replaced(TARGETS[0].incarnation)
 
@@ -169,26 +173,28 @@
         self.check(0, step, FailureKind.silent)
         self.check(0, step, after_s=UNCONFIRMED_TTL_S)
 
-    def test_another_has_its_address(self):
+    def test_other_target_at_same_address(self):
         listed = ListedTarget(
             'new', 'svc', TARGETS[0].address, 'dc', Standing.ready, 8
         )
         self.check(1, lambda isolation: isolation.record_listed(listed))
 
-    def test_its_own_entry_changes(self):
+    def test_own_record_changes(self):
         self.check(0, lambda isolation: isolation.record_listed(TARGETS[0]))
 
 
-class TellingTest(unittest.TestCase):
-    """What the others and the store are to know."""
+class SharingTest(unittest.TestCase):
+    """What the other entries and the store are to know."""
 
-    def test_store_is_told_by_whoever_has_seen_an_end(self):
+    def test_witness_of_a_crash_saves_quarantine(self):
         async def scenario(isolation):
             await isolation.investigate_failure(
                 'f', FailureKind.closed, [TARGETS[0]]
             )
             others = [
-                (Crash(name, f'o{one}'), 0) for name in 'fg' for one in '123'
+                (Crash(name, f'o{number}'), 0)
+                for name in 'fg'
+                for number in '123'
             ]
             isolation.merge_crashes(others, 'e#b')
 
@@ -197,7 +203,7 @@
         self.assertTrue(isolation.is_quarantined('g'))
         self.assertEqual(isolation.unsaved, {'f'})
 
-    def test_store_is_not_told_what_it_told(self):
+    def test_records_from_store_are_not_saved(self):
         async def scenario(isolation):
             isolation.merge_records(
                 [QuarantineRecord('f', ('a', 'b', 'c'))], 'store'
@@ -207,11 +213,11 @@
         self.assertTrue(isolation.is_quarantined('f'))
         self.assertFalse(isolation.unsaved)
 
-    def test_answer_is_told_where_others_may_count(self):
-        told = []
+    def test_answer_is_sent_to_entries_with_crashes(self):
+        cleared = []
 
         async def scenario(isolation):
-            isolation.hooks.send_cleared = lambda name, _: told.append(name)
+            isolation.hooks.send_cleared = lambda name, _: cleared.append(name)
             isolation.merge_crashes([(Crash('one', 'a'), 0)], 'e#b')
             isolation.merge_crashes([(Crash('two', x), 0) for x in 'ab'], 'e#b')
             isolation.merge_crashes(
@@ -221,7 +227,7 @@
                 isolation.record_answered(name)
 
         isolation = run_isolation(scenario)
-        self.assertEqual(told, ['two', 'held'])
+        self.assertEqual(cleared, ['two', 'held'])
         self.assertEqual(isolation.unsaved, {'held'})
 
         async def main():
@@ -231,8 +237,8 @@
         self.assertEqual(records[0].incarnations, ())
         self.assertEqual(records[0].cleared, ('a', 'b', 'c'))
 
-    def test_target_that_others_saw_ending_is_left_alone(self):
-        """One that is not listed any more leaves nothing behind."""
+    def test_crash_reported_by_others_makes_target_suspect(self):
+        """A target that is no longer listed leaves no state behind."""
 
         async def scenario(isolation):
             for number in range(2):
@@ -250,8 +256,8 @@
         self.assertEqual(isolation.found, [True, False])
         self.assertEqual(list(isolation.health.targets), ['t0'])
 
-    def test_cut_off_target_says_nothing_of_its_data_centre(self):
-        """Ends under requests don't make others there suspect."""
+    def test_crashes_do_not_make_data_centre_suspect(self):
+        """Crashes during requests don't make other targets there suspect."""
         found = []
 
         async def main():
@@ -269,11 +275,11 @@
         self.assertEqual(found, [])
 
 
-class TrialTest(unittest.TestCase):
-    """Who may give a held request to one target."""
+class ProbeTest(unittest.TestCase):
+    """Which entry may send a quarantined request to one target."""
 
-    def run_trials(self, granted):
-        """Return who may, of two that ask at once, and again after that."""
+    def run_probes(self, granted):
+        """Return the results of two concurrent attempts, and of a later one."""
         found = []
 
         async def claim(_):
@@ -296,11 +302,11 @@
         run_isolation(scenario)
         return found
 
-    def test_one_after_a_while(self):
-        self.assertEqual(self.run_trials(True), [False, False, True, False])
+    def test_one_probe_after_a_while(self):
+        self.assertEqual(self.run_probes(True), [False, False, True, False])
 
-    def test_answered_elsewhere_while_it_is_claimed(self):
-        """A trial of another entry had its answer meanwhile."""
+    def test_answered_elsewhere_during_claim(self):
+        """A probe of another entry was answered during the claim."""
         found = []
 
         async def scenario(isolation):
@@ -317,5 +323,5 @@
         run_isolation(scenario)
         self.assertEqual(found, [False, False])
 
-    def test_nobody_without_the_store(self):
-        self.assertEqual(self.run_trials(False), [False, False, False, False])
+    def test_no_probe_without_store(self):
+        self.assertEqual(self.run_probes(False), [False, False, False, False])
--- a/tests/test_entry_logs.py
+++ b/tests/test_entry_logs.py
@@ -1,4 +1,4 @@
-"""The log of an entry: bounded, never blocking, and as the pages say."""
+"""The log of an entry: bounded, non-blocking, and as documented."""
 
 import json
 import logging
@@ -11,15 +11,15 @@
 
 from trestledock.entry import EVENTS
 from trestledock.entry._logger import (
-    MOST_FAILURES,
-    MOST_LINES,
-    MOST_WAITING,
+    MAX_FAILURE_LINES_PER_S,
+    MAX_LINES_PER_S,
+    MAX_WAITING,
     PipeHandler,
     LineLimit,
 )
 
 PAGE = Path(__file__).parent.parent / 'docs' / 'OPERATIONS.md'
-#: A row of the table of events: name and fields.
+#: Row of the table of events: name and fields.
 ROW = re.compile(r'^\| `([a-z_]+)` \| ([^|]*) \|', re.MULTILINE)
 
 
@@ -28,7 +28,7 @@
 
 
 class Pipe:
-    """A pipe with a handler at its writing end."""
+    """Pipe with a log handler at its write end."""
 
     def __init__(self, clock):
         self.read_end, write_end = os.pipe()
@@ -46,25 +46,25 @@
 
 
 class LoggerTest(unittest.TestCase):
-    """What happens when there is much to write, or nobody reads."""
+    """Many lines, and a reader that does not read."""
 
     def test_full_pipe_never_blocks(self):
-        """Lines that nobody reads are left out, and their number is told."""
+        """Lines beyond the queue are dropped, and their number is logged."""
         times = iter(range(10_000_000))
         pipe = Pipe(lambda: next(times))
-        count = MOST_WAITING * 4
+        count = MAX_WAITING * 4
         for _ in range(count):
             pipe.handler.emit(make_record('x' * 200))
-        self.assertLessEqual(len(pipe.handler.waiting), MOST_WAITING + 1)
+        self.assertLessEqual(len(pipe.handler.waiting), MAX_WAITING + 1)
         self.assertGreater(pipe.handler.dropped, 0)
         lines = []
         for _ in range(count):
             lines.extend(pipe.read_lines())
             pipe.handler.emit(make_record('later'))
-        self.assertTrue(any(one.get('reason') == 'pipe' for one in lines))
+        self.assertTrue(any(line.get('reason') == 'pipe' for line in lines))
 
     def test_rate_is_bounded(self):
-        """Beyond its bound a kind is counted, and failures have more room."""
+        """Lines over the limit are counted; failures have a higher limit."""
         now = [0.0]
         pipe = Pipe(lambda: now[0])
         for _ in range(1000):
@@ -73,21 +73,23 @@
         now[0] = 1.0
         pipe.handler.emit(make_record('started'))
         lines = pipe.read_lines()
-        kinds = [one['message'] for one in lines]
-        self.assertEqual(kinds.count('answered'), MOST_LINES)
-        self.assertEqual(kinds.count('refused'), MOST_FAILURES)
-        told = {one['kind']: one['count'] for one in lines if 'kind' in one}
-        self.assertEqual(told['answered'], 1000 - MOST_LINES)
+        kinds = [line['message'] for line in lines]
+        self.assertEqual(kinds.count('answered'), MAX_LINES_PER_S)
+        self.assertEqual(kinds.count('refused'), MAX_FAILURE_LINES_PER_S)
+        dropped = {
+            line['kind']: line['count'] for line in lines if 'kind' in line
+        }
+        self.assertEqual(dropped['answered'], 1000 - MAX_LINES_PER_S)
 
 
 class PageTest(unittest.TestCase):
     """docs/OPERATIONS.md lists the events as they are."""
 
     def test_table(self):
-        """Each event stands in the table with its fields, and no other."""
+        """The table has each event with its fields, and no others."""
         found = dict(ROW.findall(PAGE.read_text(encoding='utf-8')))
         for event in EVENTS:
             with self.subTest(event=event.get_name()):
-                expected = ', '.join(f'`{one}`' for one in event.names)
+                expected = ', '.join(f'`{name}`' for name in event.names)
                 self.assertEqual(found.pop(event.get_name()), expected)
         self.assertEqual(found, {})
--- a/tests/test_entry_notices.py
+++ b/tests/test_entry_notices.py
@@ -1,4 +1,4 @@
-"""What an entry notes of limits that targets name in their answers."""
+"""What an entry records of the notices in targets' answers."""
 
 import unittest
 from unittest.mock import patch
@@ -25,7 +25,7 @@
 
 
 def ask_in_turn(*answers, pause_s=0):
-    """Ask one target once for each answer; return the lines on limits."""
+    """Send a target a request for each answer; return the notice events."""
     lines = []
 
     async def scenario(world):
@@ -42,12 +42,14 @@
 MISDIRECTED = ('Trestledock-Instance-Id: t1',)
 
 
-def get_leaving(answer, route=None):
-    """Return who leaves after an answer of the first of two targets."""
+def get_draining(answer, route=None):
+    """Return the draining targets after an answer of the first of two."""
     found = set()
 
     async def scenario(world):
-        world.state.board.put(Flight('x', 't1', 9, 9, Phase.prefill, since=0))
+        world.state.load_table.put(
+            Flight('x', 't1', 9, 9, Phase.prefill, since=0)
+        )
         await world.ask()
         found.update(world.state.fleet.draining)
 
@@ -56,11 +58,11 @@
     return found
 
 
-class LeaveTest(unittest.TestCase):
-    """Which answers are believed that say that their target leaves."""
+class DrainTest(unittest.TestCase):
+    """Which answers can mark their target as draining."""
 
-    # Guards against a word that is overheard in any answer but a success.
-    def test_any_answer_of_the_target_is_believed(self):
+    # Guards against draining notices that count only in successes.
+    def test_drain_notice_in_any_own_answer(self):
         for name, answer in {
             'success': make_answer(more=LEAVING),
             'failure': make_answer(status=500, more=LEAVING),
@@ -70,59 +72,64 @@
             ),
             'without a seal': make_answer(seal=False, more=LEAVING),
         }.items():
-            self.assertEqual(get_leaving(answer), {'t0'}, name)
+            self.assertEqual(get_draining(answer), {'t0'}, name)
 
-    def test_head_of_a_stream_is_believed(self):
+    def test_drain_notice_in_stream_head(self):
         whole = make_stream(1, 2)
         head = whole.replace(b'\r\n', b'\r\nServer-Leaving: 1\r\n', 1)
-        self.assertEqual(get_leaving(head, RESUMABLE), {'t0'})
+        self.assertEqual(get_draining(head, RESUMABLE), {'t0'})
 
-    # Guards against sound targets that are left for a word of somebody else.
-    def test_answer_of_whoever_is_not_believed(self):
+    # Guards against targets that are drained by another process's answer.
+    def test_foreign_answer_is_ignored(self):
         for req_id in ('', 'r2'):
             answer = make_answer(req_id=req_id, seal=False, more=LEAVING)
-            self.assertEqual(get_leaving(answer), set(), req_id)
+            self.assertEqual(get_draining(answer), set(), req_id)
 
-    def test_word_of_the_one_that_has_the_address_is_its_own(self):
-        """The one that was asked has ended; that is another matter."""
+    def test_drain_notice_of_new_target_at_address(self):
+        """The notice counts for the answering target; the old one has ended."""
         answer = make_answer(
             status=421, seal=False, more=(*LEAVING, *MISDIRECTED)
         )
-        self.assertEqual(get_leaving(answer), {'t0', 't1'})
+        self.assertEqual(get_draining(answer), {'t0', 't1'})
 
-    def test_other_texts_say_nothing(self):
+    def test_invalid_drain_notices_are_ignored(self):
         for text in ('0', '', 'no', '1.0', '11'):
             answer = make_answer(more=(f'Server-Leaving: {text}',))
-            self.assertEqual(get_leaving(answer), set(), text)
+            self.assertEqual(get_draining(answer), set(), text)
 
 
-REST = 'Retry-After: 3'
-#: A prompt that engines read in parts.
+RETRY_AFTER = 'Retry-After: 3'
+#: Prompt that engines prefill in chunks.
 LONG = {'trestledock-token-counts': '100000,400'}
 
 
-class RestTest(unittest.TestCase):
-    """Whom a refusal has rest, and what comes of it."""
+class BackoffTest(unittest.TestCase):
+    """Which target backs off after a refusal, and how that ends."""
 
     def play(self, answer, *later, **fields):
-        """Return who rests after some answers, and who is thought ill."""
+        """Return the back-offs after answers, and the suspected targets."""
         found = []
 
         async def scenario(world):
             state = world.state
-            state.board.put(Flight('x', 't1', 9, 9, Phase.prefill, since=0))
+            state.load_table.put(
+                Flight('x', 't1', 9, 9, Phase.prefill, since=0)
+            )
             for number in range(1, len(later) + 2):
                 await world.ask(f'r{number}', **fields)
                 await anyio.sleep(0.4)
             now = anyio.current_time()
-            rests = state.notices.get_all(Backoff)
+            backoffs = state.notices.get_all(Backoff)
             found.append(
-                {one: rest.is_over(now) for one, rest in rests.items()}
+                {
+                    name: backoff.is_over(now)
+                    for name, backoff in backoffs.items()
+                }
             )
             found.append(
                 {
-                    one
-                    for one, health in state.health.targets.items()
+                    name
+                    for name, health in state.health.targets.items()
                     if health.suspect_until > now
                 }
             )
@@ -134,25 +141,29 @@
         run_world(make_route(), targets, scenario)
         return found
 
-    # Guards against a target that wants rest and is thought to be ill.
-    def test_refusal_is_believed_and_no_illness(self):
+    # Guards against counting a request to back off as a failure.
+    def test_backoff_is_no_failure(self):
         for status in (429, 503):
             answer = make_answer(
                 status=status,
                 req_id='',
                 seal=False,
-                more=(REST, *NOT_RUN, 'At-Server: t0'),
+                more=(RETRY_AFTER, *NOT_RUN, 'At-Server: t0'),
+            )
+            backoffs, suspects = self.play(answer)
+            self.assertEqual(
+                (backoffs, suspects), ({'t0': False}, set()), status
             )
-            rests, ill = self.play(answer)
-            self.assertEqual((rests, ill), ({'t0': False}, set()), status)
 
-    # Guards against a sound target that rests for a word of somebody else.
-    def test_answer_of_whoever_is_not_believed(self):
-        answer = make_answer(status=503, req_id='', seal=False, more=(REST,))
+    # Guards against a back-off for a target that another sender's answer names.
+    def test_foreign_answer_is_ignored(self):
+        answer = make_answer(
+            status=503, req_id='', seal=False, more=(RETRY_AFTER,)
+        )
         self.assertEqual(self.play(answer)[0], {})
 
-    def test_rest_is_over_once_it_answers(self):
-        """A success that was asked for after the rest ends it."""
+    def test_success_ends_backoff(self):
+        """A successful request that was sent after the back-off ends it."""
         short = make_answer(
             status=503, seal=False, more=('Retry-After: 0.1', *NOT_RUN)
         )
@@ -160,10 +171,10 @@
         later = make_answer(req_id='r2')
         self.assertEqual(self.play(short, later)[0], {})
 
-    # Guards against a success that overtakes a refusal and ends the rest.
-    def test_success_that_was_asked_for_before_ends_nothing(self):
+    # Guards against a success that overtakes a refusal and ends the back-off.
+    def test_earlier_success_does_not_end_backoff(self):
         refusal = make_answer(
-            status=503, req_id='r2', seal=False, more=(REST, *NOT_RUN)
+            status=503, req_id='r2', seal=False, more=(RETRY_AFTER, *NOT_RUN)
         )
         late = DelayedAnswer(b'', make_answer(req_id='r1'), pause_s=0.3)
         found = []
@@ -178,8 +189,9 @@
         run_world(make_route(), [StubTarget(late, refusal)], scenario)
         self.assertEqual(found, ['t0'])
 
-    # Guards against a helper that is asked on: its word came by another.
-    def test_helper_named_by_the_engine_that_answers(self):
+    # Guards against more requests to a helper whose refusal another engine
+    # passed on.
+    def test_backoff_of_named_helper(self):
         found = set()
 
         async def scenario(world):
@@ -192,17 +204,17 @@
 
         targets = [Refusing() for _ in range(4)]
         run_world(RESUMABLE, targets, scenario, ENGINE)
-        named = {name for one in targets for name in one.helpers if name}
+        named = {name for target in targets for name in target.helpers if name}
         self.assertTrue(named)
         self.assertLessEqual(named, found)
         self.assertGreater(len(found), len(named))
 
 
 class OrderTest(unittest.TestCase):
-    """What the answer to an order says of its target."""
+    """Notices in the answers to orders."""
 
-    def give_back(self, *answers):
-        """Give memory back; return who leaves or rests, and what was sent."""
+    def release_memory(self, *answers):
+        """Release memory; return the targets with notices, and the requests."""
         found = []
         target = StubTarget(*answers)
 
@@ -216,25 +228,25 @@
         run_world(make_route(), [target], scenario)
         return found[0], target.requests
 
-    # Guards against engines that hold memory, or read parts, and are heard by
-    # nobody, as they answer orders alone.
-    def test_leave_and_rest_are_heard(self):
-        for status, more in ((200, LEAVING), (503, (REST,))):
+    # Guards against missing the notices of engines that only hold memory or
+    # prefill chunks, as these answer nothing but orders.
+    def test_drain_and_backoff_in_order_answers(self):
+        for status, more in ((200, LEAVING), (503, (RETRY_AFTER,))):
             answer = make_answer(status=status, seal=False, more=more)
-            heard, _ = self.give_back(answer, make_answer(seal=False))
-            self.assertEqual(heard, {'t0'}, status)
+            noticed, _ = self.release_memory(answer, make_answer(seal=False))
+            self.assertEqual(noticed, {'t0'}, status)
 
-    # Guards against an order that somebody else takes who has the address.
-    def test_order_is_for_one_target_only(self):
+    # Guards against an order that another process at the address executes.
+    def test_misdirected_order_is_ignored(self):
         other = make_answer(status=421, seal=False, more=LEAVING)
-        heard, requests = self.give_back(other)
-        self.assertEqual(heard, set())
+        noticed, requests = self.release_memory(other)
+        self.assertEqual(noticed, set())
         self.assertEqual(len(requests), 1)
         self.assertIn('trestledock-expect-instance: t0', requests[0].lower())
 
 
 class Refusing(StubTarget):
-    """Turns prompts away for the first of their helpers' sake."""
+    """Target that refuses prompts on behalf of their first helpers."""
 
     def __init__(self):
         super().__init__()
@@ -243,42 +255,44 @@
     async def _talk(self, stream):
         while True:
             request = await read_request(stream)
-            _, _, rest = request.lower().partition('trestledock-helpers: ')
-            named = rest.partition('\r\n')[0].split(',')[0].partition('/')[0]
+            _, _, tail = request.lower().partition('trestledock-helpers: ')
+            named = tail.partition('\r\n')[0].split(',')[0].partition('/')[0]
             self.helpers.append(named)
-            more = (REST, *NOT_RUN, f'At-Server: {named}')
+            more = (RETRY_AFTER, *NOT_RUN, f'At-Server: {named}')
             await stream.send(make_answer(status=503, seal=False, more=more))
 
 
 def get_changes(lines):
     return [
-        (one.change, one.per_s)
-        for one in lines
-        if isinstance(one, events.LimitHeard)
+        (event.change, event.per_s)
+        for event in lines
+        if isinstance(event, events.LimitHeard)
     ]
 
 
-class NotedTest(unittest.TestCase):
-    """Lines on what is learnt, changed, lifted and ignored."""
+class LimitTest(unittest.TestCase):
+    """Events for learnt, changed, withdrawn and ignored limits."""
 
-    def test_learnt_and_lifted(self):
+    def test_learnt_and_withdrawn(self):
         lines = ask_in_turn(
             make_answer(req_id='r0', more=LIMITED),
             make_answer(req_id='r1'),
             pause_s=1.2,
         )
         self.assertEqual(get_changes(lines), [('learnt', 2), ('lifted', None)])
-        sent = [one for one in lines if isinstance(one, events.SentUnderLimit)]
-        self.assertEqual([one.req for one in sent], ['r1'])
+        sent = [
+            event for event in lines if isinstance(event, events.SentUnderLimit)
+        ]
+        self.assertEqual([event.req for event in sent], ['r1'])
 
-    def test_refusal_and_failure_name_it_too(self):
+    def test_limit_in_refusal_and_failure(self):
         for status, more in ((503, NOT_RUN), (500, ()), (421, ())):
             lines = ask_in_turn(
                 make_answer(status=status, req_id='r0', more=(*LIMITED, *more))
             )
             self.assertEqual(get_changes(lines), [('learnt', 2)], status)
 
-    def test_nonsense_has_one_line_and_lifts_nothing(self):
+    def test_invalid_limit_is_logged_once(self):
         more = ('Server-Limit: -3',)
         lines = ask_in_turn(
             make_answer(req_id='r0', more=LIMITED),
@@ -288,12 +302,13 @@
         )
         self.assertEqual(get_changes(lines), [('learnt', 2)])
         ignored = [
-            one for one in lines if isinstance(one, events.NoticeIgnored)
+            event for event in lines if isinstance(event, events.NoticeIgnored)
         ]
-        self.assertEqual([one.detail for one in ignored], ["'-3'"])
+        self.assertEqual([event.detail for event in ignored], ["'-3'"])
 
-    # Guards against a line for each answer of a target with two headers.
-    def test_two_kinds_of_nonsense_have_one_line_each(self):
+    # Guards against a line for each answer of a target with two invalid
+    # headers.
+    def test_invalid_notices_are_logged_once_per_kind(self):
         more = ('Server-Limit: x', 'Retry-After: soon')
         lines = ask_in_turn(
             make_answer(status=503, req_id='r0', more=more),
@@ -301,12 +316,12 @@
             pause_s=0.1,
         )
         ignored = [
-            one for one in lines if isinstance(one, events.NoticeIgnored)
+            event for event in lines if isinstance(event, events.NoticeIgnored)
         ]
-        self.assertEqual([one.notice for one in ignored], ['limit', 'rest'])
+        self.assertEqual([event.notice for event in ignored], ['limit', 'rest'])
 
-    def test_refusal_or_failure_lifts_nothing(self):
-        """Whatever refuses may know of no limit."""
+    def test_refusal_or_failure_does_not_withdraw_limit(self):
+        """The component that refuses may not know the limit."""
         for status, more in ((503, NOT_RUN), (500, ())):
             lines = ask_in_turn(
                 make_answer(req_id='r0', more=LIMITED),
@@ -315,7 +330,7 @@
             )
             self.assertEqual(get_changes(lines), [('learnt', 2)], status)
 
-    def test_what_is_not_its_own_lifts_nothing(self):
+    def test_foreign_answer_does_not_withdraw_limit(self):
         lines = ask_in_turn(
             make_answer(req_id='r0', more=LIMITED),
             make_answer(req_id='r1', seal=False),
--- a/tests/test_entry_notices_exchange.py
+++ b/tests/test_entry_notices_exchange.py
@@ -1,4 +1,4 @@
-"""Entries that share what targets take, as they come, go and are cut off."""
+"""Entries share targets' limits while they start, stop and are cut off."""
 
 import unittest
 from math import inf
@@ -16,45 +16,48 @@
 from trestledock.relay import RateLimit
 
 ROUTE = make_route()
-#: How soon an entry that is heard must know what is in force, in seconds.
+#: Time within which a reachable entry must know the notices in force, in
+#: seconds.
 SOON_S = 0.3
 
 
 def get_limits(fleet, number=0):
-    """Return what each entry believes of a target."""
+    """Return the limit of a target as each entry knows it."""
     name = fleet.targets[number].get_listed().incarnation
-    found = [one.state.notices.get(RateLimit, name) for one in fleet.entries]
+    found = [
+        entry.state.notices.get(RateLimit, name) for entry in fleet.entries
+    ]
     return [limit and limit.per_s for limit in found]
 
 
 async def count_bytes(fleet, for_s=4):
-    """Return how many bytes entries tell one another while nobody asks."""
+    """Return the bytes of messages between entries without any requests."""
     before = fleet.word_bytes
     await anyio.sleep(for_s)
     return fleet.word_bytes - before
 
 
-class ToldTest(unittest.TestCase):
-    """How a limit comes to all entries."""
+class LimitSharingTest(unittest.TestCase):
+    """How a limit reaches all entries."""
 
-    def test_learnt_raised_and_lifted_everywhere(self):
+    def test_limit_reaches_all_entries(self):
         async def scenario(fleet):
             target = fleet.targets[0]
             found = []
             for per_s in (2, 9, None):
-                target.name(per_s)
-                # One entry sends; what it hears comes to the others.
+                target.set_rate_limit(per_s)
+                # One entry sends requests and shares the limits it receives.
                 await fleet.ask_for(3, 8, entries=[0])
                 await anyio.sleep(SOON_S)
                 found.append(get_limits(fleet))
             return found
 
         found = run_fleet(scenario, [ROUTE], targets=1)
-        self.assertEqual([set(one) for one in found], [{2}, {9}, {None}])
+        self.assertEqual([set(limits) for limits in found], [{2}, {9}, {None}])
 
-    def test_started_entry_knows_before_it_sends(self):
+    def test_new_entry_knows_limit_before_it_sends(self):
         async def scenario(fleet):
-            fleet.targets[0].name(1)
+            fleet.targets[0].set_rate_limit(1)
             await fleet.ask_for(1, 8, entries=[0])
             fleet.entries[3].kill()
             again = fleet.start(3)
@@ -64,9 +67,9 @@
 
         self.assertEqual(run_fleet(scenario, [ROUTE], targets=1), 1)
 
-    def test_lost_words_are_made_good(self):
+    def test_lost_messages_are_repeated(self):
         async def scenario(fleet):
-            fleet.targets[0].name(1)
+            fleet.targets[0].set_rate_limit(1)
             fleet.cut = {5}
             await fleet.ask_for(1, 8, entries=[0])
             before = get_limits(fleet)[5]
@@ -76,49 +79,49 @@
 
         self.assertEqual(run_fleet(scenario, [ROUTE], targets=1), (None, 1))
 
-    def test_number_that_jitters_is_told_with_whole_words(self):
-        """Else each answer of a target would be a word to every entry."""
+    def test_small_changes_wait_for_full_state(self):
+        """Otherwise each answer would cause a message to every entry."""
 
         async def scenario(fleet):
             target = fleet.targets[0]
-            target.name(40)
+            target.set_rate_limit(40)
             await fleet.ask_for(1, 20, entries=[0])
-            before = fleet.words
+            before = fleet.messages
             await anyio.sleep(2)
-            idle = fleet.words - before
-            before = fleet.words
+            idle = fleet.messages - before
+            before = fleet.messages
             for step in range(40):
-                target.name(40 + step % 2)
+                target.set_rate_limit(40 + step % 2)
                 await fleet.ask_for(0.05, 40, entries=[0])
-            busy = fleet.words - before
+            busy = fleet.messages - before
             return busy, idle, fleet.asked
 
         busy, idle, asked = run_fleet(scenario, [ROUTE], targets=1)
-        # Each request is two words of its own to the five others.
+        # Each request causes two messages to each of the five others.
         self.assertLess(busy, idle + asked * 2 * 5 + 5)
 
-    def test_who_was_told_does_not_tell_it_on(self):
-        """Else each entry would hear of each limit from every other one."""
+    def test_received_limits_are_not_forwarded(self):
+        """Otherwise each entry would get each limit from every other one."""
 
         async def scenario(fleet):
             without = await count_bytes(fleet)
             for target in fleet.targets:
-                target.name(1)
+                target.set_rate_limit(1)
             await fleet.ask_for(6, 8, entries=[0])
             return await count_bytes(fleet), without
 
         with_limits, without = run_fleet(scenario, [ROUTE], targets=20)
-        # Whole words of six entries, and the limits of the one that heard them.
+        # Full states of six entries, and the limits known to one of them.
         self.assertLess(with_limits, without * 2)
 
 
-class LimitHeldTest(unittest.TestCase):
-    """What a target gets while entries are cut off, die and start."""
+class LimitRespectedTest(unittest.TestCase):
+    """What a target receives while entries are cut off, die and start."""
 
     def check(self, disturb, per_s=1, targets=2, rate=8, for_s=20):
         async def scenario(fleet):
             target = fleet.targets[0]
-            target.name(per_s)
+            target.set_rate_limit(per_s)
             demands = []
 
             async def ask():
@@ -128,8 +131,8 @@
                 group.start_soon(ask)
                 await anyio.sleep(5)
                 await disturb(fleet)
-            since = target.named_at + LIMIT_EFFECT_S
-            most = target.get_most(target.count, since, inf)
+            since = target.rate_limited_at + LIMIT_EFFECT_S
+            most = target.get_max(target.count, since, inf)
             used = target.count(since, since + for_s - LIMIT_EFFECT_S)
             return most, used / (for_s - LIMIT_EFFECT_S) / per_s
 
@@ -137,13 +140,13 @@
         self.assertLessEqual(most, get_allowed(per_s))
         return used
 
-    def test_undisturbed(self):
+    def test_without_faults(self):
         async def disturb(fleet):
-            """Leave all as it is."""
+            """Change nothing."""
 
         self.assertGreater(self.check(disturb), 0.5)
 
-    def test_two_sides_of_a_cut(self):
+    def test_network_partition(self):
         async def disturb(fleet):
             fleet.cut = {0, 1, 2}
             await anyio.sleep(8)
@@ -153,22 +156,22 @@
             used = self.check(disturb, per_s, targets=1, rate=16)
             self.assertGreater(used, 0.5)
 
-    def test_holders_die_and_start_again(self):
+    def test_entries_restart(self):
         async def disturb(fleet):
             for number in (0, 3):
                 await fleet.restart(number, 2)
 
         self.check(disturb)
 
-    def test_entry_that_hears_nobody_for_a_while(self):
+    def test_paused_entries(self):
         async def disturb(fleet):
             for entry in fleet.entries[:3]:
                 await entry.stand_still_for(2.5)
 
         self.check(disturb)
 
-    def test_dead_entries_leave_most_to_the_others(self):
-        """What two of six entries held is not used, the rest is."""
+    def test_dead_entries_leave_most_of_the_limit(self):
+        """The shares of two of six entries are unused, the rest is used."""
 
         async def disturb(fleet):
             for entry in fleet.entries[:2]:
@@ -177,26 +180,26 @@
         self.assertGreater(self.check(disturb, per_s=2), 0.4)
 
 
-class ComeBackTest(unittest.TestCase):
+class CallerTest(unittest.TestCase):
     """What callers get under a limit, and after it."""
 
-    def test_lifted_limit_is_over_within_seconds(self):
+    def test_withdrawn_limit_ends_within_seconds(self):
         async def scenario(fleet):
             target = fleet.targets[0]
-            target.name(1)
+            target.set_rate_limit(1)
             await fleet.ask_for(6, 8)
-            target.name(None)
+            target.set_rate_limit(None)
             lifted_at = anyio.current_time()
             await fleet.ask_for(6, 8)
-            return [one.at - lifted_at for one in target.arrivals]
+            return [arrival.at - lifted_at for arrival in target.arrivals]
 
-        at = run_fleet(scenario, [ROUTE])
-        before = sum(-3 < one < 0 for one in at)
-        after = sum(3 < one < 6 for one in at)
+        offsets_s = run_fleet(scenario, [ROUTE])
+        before = sum(-3 < offset_s < 0 for offset_s in offsets_s)
+        after = sum(3 < offset_s < 6 for offset_s in offsets_s)
         self.assertGreater(after, before * 3)
 
-    def test_changed_mind_before_the_write(self):
-        """A request that was chosen for a target is looked at once more."""
+    def test_limit_is_checked_before_sending(self):
+        """The limit is checked again after the choice of a target."""
 
         async def scenario(fleet):
             entry = fleet.entries[0]
@@ -205,27 +208,28 @@
             async with anyio.create_task_group() as group:
                 for number in range(20):
                     group.start_soon(entry.ask, f'x{number}')
-                target.name(1)
+                target.set_rate_limit(1)
                 await fleet.ask_for(0.3, 20, entries=[1])
-            told_at = target.told[fleet.entries[1].name]
+            told_at = target.limit_told_at[fleet.entries[1].name]
             return sum(
-                one.entry == entry.name and one.at > told_at + NOTICE_LATENCY_S
-                for one in target.arrivals
+                arrival.entry == entry.name
+                and arrival.at > told_at + NOTICE_LATENCY_S
+                for arrival in target.arrivals
             )
 
         sent = run_fleet(scenario, [ROUTE], targets=2, entries=2)
         self.assertLessEqual(sent, 2)
 
-    def test_refused_at_once_with_when_to_come_back(self):
-        """What the only target takes decides both."""
+    def test_immediate_refusal_with_retry_after(self):
+        """The limit of the only target determines both."""
 
         async def scenario(fleet):
-            fleet.targets[0].name(0.5)
+            fleet.targets[0].set_rate_limit(0.5)
             await fleet.ask_for(2, 8)
             return await fleet.ask_for(10, 8)
 
         demand = run_fleet(scenario, [ROUTE], targets=1, entries=2)
         self.assertEqual(set(demand.statuses), {200, 503})
         self.assertLess(max(demand.took_s), 1)
-        self.assertGreater(min(demand.come_back_s), 0.2)
-        self.assertLess(max(demand.come_back_s), WINDOW_S)
+        self.assertGreater(min(demand.retry_after_s), 0.2)
+        self.assertLess(max(demand.retry_after_s), WINDOW_S)
--- a/tests/test_entry_restoring.py
+++ b/tests/test_entry_restoring.py
@@ -1,7 +1,7 @@
-"""Entries on a store that comes back without what it has acknowledged.
+"""Entries on a store that was restored without data it had acknowledged.
 
-What they know stays in force; the copy's word that nothing newer exists counts
-once its writers have had time to write again.
+What the entries know stays in force. That the copy has nothing newer counts
+only after its writers have had time to write again.
 """
 
 import unittest
@@ -12,19 +12,19 @@
 from tests.soak.store import TARGETS
 from trestledock.relay import REWRITE_WAIT_S, QuarantineRecord
 
-#: By when what entries wrote is there again, in seconds.
+#: Time until the data of entries is back, in seconds.
 AGAIN_S = 1.0
-#: The pause between two reads, with what jitter adds, in seconds.
+#: Interval between two reads including jitter, in seconds.
 READ_S = 0.5
-#: When the store has a version, and no record of an epoch yet, in seconds.
+#: Time at which the store has a version but no record of an epoch, in seconds.
 BEFORE_RECORD_S = 0.15
 RECORD = QuarantineRecord('f', ('t1@1', 't2@1', 't3@2'), age_s=70)
-#: Where entries write their addresses.
+#: Topic of the addresses of entries.
 PEERS = 'keyed.status'
 
 
 async def watch(entries, for_s, look):
-    """Return what a look shows at the entries every so often."""
+    """Return the values of `look` at the entries at regular intervals."""
     found = []
     until = anyio.current_time() + for_s
     while anyio.current_time() < until:
@@ -34,13 +34,13 @@
 
 
 def get_wrong_proofs(entries, revoked_at):
-    """Return proofs from after a change of those that don't know it."""
-    proofs = [one.state.proof for one in entries if one.state.version < 2]
-    return [one.proven_at for one in proofs if one.proven_at > revoked_at]
+    """Return later proofs of entries that don't know a change."""
+    proofs = [entry.state.proof for entry in entries if entry.state.version < 2]
+    return [proof.proven_at for proof in proofs if proof.proven_at > revoked_at]
 
 
 class ConfigurationTest(unittest.TestCase):
-    """A newer configuration than the copy's, and proofs."""
+    """A configuration newer than the copy's, and proofs."""
 
     def test_version_never_goes_back(self):
         async def scenario(world, *entries):
@@ -48,14 +48,14 @@
             world.publish()
             await anyio.sleep(3)
             world.store.go_back(5)
-            return await watch(entries, 6, lambda one: one.state.version)
+            return await watch(entries, 6, lambda entry: entry.state.version)
 
         self.assertEqual(set(run_world(3, scenario)), {2})
 
-    def test_key_taken_away_in_a_version_that_nobody_has_read(self):
-        """The copy's word is no proof until the operator has written again.
+    def test_key_revoked_in_an_unread_version(self):
+        """The copy proves nothing until the operator has written again.
 
-        Read from the copy, the key was proven good for ever.
+        By reads of the copy the revoked key would stay valid for ever.
         """
 
         async def scenario(world, *entries):
@@ -69,18 +69,18 @@
             proofs = await watch([entries], 2, find_wrong)
             world.publish(version=2)
             proofs += await watch([entries], 6, find_wrong)
-            versions = [one.state.version for one in entries]
+            versions = [entry.state.version for entry in entries]
             return sum(proofs, []), versions
 
         self.assertEqual(run_world(3, scenario), ([], [2, 2, 2]))
 
-    def test_nobody_is_refused_meanwhile(self):
-        """A proof from before the restore lasts until the copy is whole."""
+    def test_no_refusals_after_restore(self):
+        """A proof from before the restore lasts until the copy is complete."""
 
         async def scenario(world, *entries):
             world.store.go_back(5)
-            fresh = await watch(entries, 5, lambda one: one.is_key_served())
-            ready = await watch(entries, 5, lambda one: one.is_ready())
+            fresh = await watch(entries, 5, lambda entry: entry.is_key_served())
+            ready = await watch(entries, 5, lambda entry: entry.is_ready())
             return {*fresh, *ready}
 
         self.assertEqual(run_world(3, scenario), {True})
@@ -89,26 +89,26 @@
 class StartTest(unittest.TestCase):
     """Entries that start just after a restore."""
 
-    def test_beside_neighbours(self):
-        """It takes the newer version, and no target that has left."""
+    def test_start_beside_other_entries(self):
+        """It gets the newer version, and no removed target."""
 
         async def scenario(world, *entries):
             world.keys = []
             world.publish()
-            world.leave('t0')
+            world.remove_target('t0')
             await anyio.sleep(3)
             world.store.go_back(5)
             late = await world.start(5)
             found = await watch(
                 [late],
                 4,
-                lambda one: (one.state.version, 't0' in one.get_usable()),
+                lambda entry: (entry.state.version, 't0' in entry.get_usable()),
             )
             return set(found)
 
         self.assertEqual(run_world(3, scenario), {(2, False)})
 
-    def test_target_that_said_it_leaves(self):
+    def test_draining_target(self):
         """Its old record in the copy says that it is ready."""
 
         async def scenario(world, *entries):
@@ -121,8 +121,8 @@
 
         self.assertEqual(run_world(2, scenario), {'t1', 't2'})
 
-    def test_all_killed_just_before(self):
-        """Nobody knows better: they wait for the operator."""
+    def test_all_killed_before_restore(self):
+        """No entry knows the newer state, so they wait for the operator."""
 
         async def scenario(world, *entries):
             world.keys = []
@@ -135,24 +135,25 @@
             served = await watch(
                 world.entries,
                 REWRITE_WAIT_S - (anyio.current_time() - began_at) - 0.1,
-                lambda one: one.is_key_served(),
+                lambda entry: entry.is_key_served(),
             )
             world.publish(version=2)
             await anyio.sleep(2)
-            ready = {one.is_ready() for one in world.entries}
-            versions = {one.state.version for one in world.entries}
+            ready = {entry.is_ready() for entry in world.entries}
+            versions = {entry.state.version for entry in world.entries}
             return any(served), ready, versions
 
         self.assertEqual(run_world(3, scenario), (False, {True}, {2}))
 
-    def test_all_killed_beside_a_copy_without_any_record(self):
-        """That nobody is known to have waited is no first start.
+    def test_all_killed_and_copy_without_epoch_record(self):
+        """A missing record of an epoch does not prove a first start.
 
-        Seen: keys were served 8 to 12 s after they had been taken away.  How:
-        restores within seconds took the store back to before its first record
-        of an epoch, and all entries were killed.  Cause: those that started
-        took the missing record for the first start of all, and the copy for
-        whole.  An epoch above the first proves that something was lost.
+        Guards against serving revoked keys: they were served for 8 to 12 s
+        after their revocation. Restores within seconds had taken the store back
+        to before its first record of an epoch, and all entries were killed. The
+        new entries took the missing record for the first start of all, and the
+        copy for complete. An epoch above the first proves that something was
+        lost.
         """
 
         async def scenario(world, *entries):
@@ -163,21 +164,21 @@
             began_at = anyio.current_time()
             for number in range(3):
                 await world.start(number, life=2)
-            versions = {one.state.version for one in world.entries}
+            versions = {entry.state.version for entry in world.entries}
             served = await watch(
                 world.entries,
                 REWRITE_WAIT_S - (anyio.current_time() - began_at) - 0.1,
-                lambda one: one.is_key_served(),
+                lambda entry: entry.is_key_served(),
             )
             world.publish(version=2)
             await anyio.sleep(2)
-            ready = {one.is_ready() for one in world.entries}
+            ready = {entry.is_ready() for entry in world.entries}
             return versions, any(served), ready
 
         self.assertEqual(run_world(3, scenario), ({1}, False, {True}))
 
-    def test_all_killed_while_the_restored_store_is_young(self):
-        """That somebody lived then does not say that all is there again."""
+    def test_all_killed_soon_after_restore(self):
+        """An entry that ran then does not prove that everything is back."""
 
         async def scenario(world, *entries):
             world.store.go_back(2)
@@ -188,8 +189,8 @@
 
         self.assertFalse(run_world(3, scenario))
 
-    def test_start_in_calm(self):
-        """Where somebody has waited in this epoch nobody does it again."""
+    def test_start_in_settled_epoch(self):
+        """No entry waits again in an epoch in which one has waited."""
 
         async def scenario(world, *entries):
             world.store.go_back(2)
@@ -201,7 +202,7 @@
         self.assertTrue(run_world(3, scenario))
 
     def test_first_start_of_all(self):
-        """Nothing was ever there to be lost."""
+        """There was never anything to be lost."""
 
         async def scenario(world):
             first = await world.start(0)
@@ -231,14 +232,14 @@
             if not comes_back:
                 world.targets.pop('new')
             await anyio.sleep(1.5)
-            first = [one.get_usable() for one in entries]
+            first = [entry.get_usable() for entry in entries]
             await anyio.sleep(3)
-            return first, [one.get_usable() for one in entries]
+            return first, [entry.get_usable() for entry in entries]
 
         return run_world(3, scenario)
 
     def test_target_of_the_lost_seconds(self):
-        """It is held by all, and there again when it writes."""
+        """All entries retain it, and it is listed when it writes again."""
         whole = [{'t0', 't1', 't2', 'new'} for _ in range(3)]
         self.assertEqual(self.play(comes_back=True), (whole, whole))
 
@@ -247,15 +248,15 @@
         less = [{'t0', 't1', 't2'} for _ in range(3)]
         self.assertEqual(self.play(comes_back=False), (whole, less))
 
-    def test_target_that_has_left(self):
-        """Its record is there again, and older than its last word."""
+    def test_removed_target(self):
+        """Its record is back, but older than its last one."""
 
         async def scenario(world, *entries):
-            world.leave('t0')
+            world.remove_target('t0')
             await anyio.sleep(2)
             world.store.go_back(4)
             found = await watch(
-                entries, 5, lambda one: 't0' in one.get_usable()
+                entries, 5, lambda entry: 't0' in entry.get_usable()
             )
             return any(found)
 
@@ -263,10 +264,10 @@
 
 
 class WrittenTest(unittest.TestCase):
-    """What entries have written in the lost seconds."""
+    """Data that entries wrote in the lost seconds."""
 
-    def test_addresses_are_there_again(self):
-        """A copy from before the entries started: one writes for all."""
+    def test_addresses_are_written_again(self):
+        """One entry writes all that a copy from before their start lacks."""
 
         async def scenario(world, *entries):
             world.store.go_back(11)
@@ -275,49 +276,49 @@
             await anyio.sleep(READ_S + AGAIN_S)
             writes = StoreWire.requests.count(('/log-append', PEERS))
             newest = world.store.get_topic(PEERS).newest
-            names = sorted(one for one in newest if one.startswith('entry-'))
+            names = sorted(name for name in newest if name.startswith('entry-'))
             return writes, len(names)
 
         self.assertEqual(run_world(3, scenario), (1, 3))
 
-    def test_quarantine_is_there_again(self):
+    def test_quarantine_is_written_again(self):
         async def scenario(world, *entries):
-            for one in entries:
-                one.state.isolation.merge_records([RECORD], 'test')
+            for entry in entries:
+                entry.state.isolation.merge_records([RECORD], 'test')
             world.store.go_back(5)
             await anyio.sleep(READ_S + AGAIN_S)
             late = await entries[0].directory.quarantine.read_whole()
-            return [one.fingerprint for one in late.records]
+            return [record.fingerprint for record in late.records]
 
         self.assertEqual(run_world(3, scenario), ['f'])
 
-    def test_quarantine_and_trials_are_there_again(self):
+    def test_probes_are_written_again(self):
         async def scenario(world, *entries):
-            for one in entries:
-                one.state.isolation.merge_records([RECORD], 'test')
+            for entry in entries:
+                entry.state.isolation.merge_records([RECORD], 'test')
             granted = await entries[2].state.isolation.may_probe('f')
             world.store.go_back(5)
             await anyio.sleep(READ_S + AGAIN_S)
             stored = await entries[0].directory.quarantine.read_whole()
             return granted, [
-                (one.fingerprint, one.probes) for one in stored.records
+                (record.fingerprint, record.probes) for record in stored.records
             ]
 
         self.assertEqual(run_world(3, scenario), (True, [('f', 1)]))
 
-    def test_no_trial_before_others_could_write_again(self):
-        """The record of another's trial may be lost."""
+    def test_no_probe_before_repair(self):
+        """The record of another entry's probe may be lost."""
 
         async def scenario(world, *entries):
-            for one in entries:
-                one.state.isolation.merge_records([RECORD], 'test')
+            for entry in entries:
+                entry.state.isolation.merge_records([RECORD], 'test')
             world.store.go_back(5)
             return await entries[2].state.isolation.may_probe('f')
 
         self.assertFalse(run_world(3, scenario))
 
-    def test_store_that_is_away_again(self):
-        """It is not asked in vain again and again for what is missing."""
+    def test_store_is_unavailable_again(self):
+        """It is not asked repeatedly for missing data."""
 
         async def scenario(world, *entries):
             world.store.go_back(2)
@@ -332,7 +333,7 @@
         self.assertEqual(run_world(1, scenario), 0)
 
     def test_calls_after_a_restore(self):
-        """Two reads of each topic at most, however many entries there are."""
+        """At most two reads of each topic, for any number of entries."""
 
         async def scenario(world, *entries):
             await anyio.sleep(READ_S)
--- a/tests/test_entry_anew.py
+++ b/tests/test_entry_start.py
@@ -1,6 +1,7 @@
-"""An entry that starts anew while the reader of the list stands still.
+"""An entry that starts while the reader of the list is paused.
 
-It reads the newest record of each target, so it never knew those that had left.
+It reads only the newest record of each target, so it has never known those that
+were removed.
 """
 
 import unittest
@@ -12,51 +13,54 @@
 from tests.test_entry_pace import BOUND_S, EXCUSED_S, STEP_S
 from trestledock.entry import StoreUpdate
 
-#: For how long the reader stands still, and from when on a new entry runs after
-#: a target has left, in seconds.
+#: Length of the reader's pause, and delay of the new entry's start after the
+#: removal of a target, in seconds.
 PAUSE_S = 4.0
 NEW_S = 0.05
-#: When the reader stands still, in seconds.
+#: Time at which the reader is paused, in seconds.
 BEGIN_S = 8.3
 
 
 class NewestReading(Reading):
-    """Reads of an entry that begin with the newest record of each target."""
+    """Reads that begin with the newest record of each target."""
 
     async def read_targets(self):
         begins = not self.position
-        news = await super().read_targets()
+        update = await super().read_targets()
         if not begins:
-            return news
-        newest = {one.target_id: one for one in news.targets}
-        present = [one for one in newest.values() if one.listed]
-        return StoreUpdate(targets=tuple(present), whole=True)
+            return update
+        newest = {record.target_id: record for record in update.targets}
+        present = [record for record in newest.values() if record.listed]
+        return StoreUpdate(targets=tuple(present), is_complete=True)
 
 
-async def start_anew(life):
-    """Have one more entry live; the others meet it."""
+async def start_entry(life):
+    """Run one more entry, and exchange addresses with the others."""
     first = life.entries[0]
     number = len(life.entries)
     entry = LivingEntry(number, life.store, first.network, first.state.group)
-    entry.follower.reading.directory = NewestReading(life.store)
+    entry.follower.store_reader.directory = NewestReading(life.store)
     entry.disturbed_until = anyio.current_time()
-    everybody = [*life.entries, entry]
-    addresses = {one.name: f'127.0.0.1:{one.address[1]}' for one in everybody}
+    members = [*life.entries, entry]
+    addresses = {
+        member.name: f'127.0.0.1:{member.address[1]}' for member in members
+    }
     entry.gossip.addresses.own = entry.address
-    for one in everybody:
-        one.gossip.add_addresses(addresses)
+    for member in members:
+        member.gossip.add_addresses(addresses)
     life.entries.append(entry)
     await entry.live()
 
 
-class AnewTest(unittest.TestCase):
-    """A target leaves while the reader stands still, and an entry starts."""
+class NewEntryTest(unittest.TestCase):
+    """A target is removed while the reader is paused, and an entry starts."""
 
-    def test_new_entry_in_touch_sends_nothing(self):
-        """It takes no target from an entry that was just disturbed itself.
+    def test_new_entry_does_not_use_removed_target(self):
+        """A new entry accepts no target from a reader that was just paused.
 
-        The reader holds what left in its pause, and is excused for that.  The
-        new entry, which runs for longer than it is excused, takes it over.
+        The reader retains the target that was removed during its pause, and is
+        excused for that. The new entry must not copy it, as its own excuse is
+        over sooner.
         """
         self.assertEqual(run_life(6, (1, 2), self.play), [])
 
@@ -69,7 +73,7 @@
             life.store.remove(1)
             removed_at = anyio.current_time()
             await anyio.sleep(NEW_S)
-            group.start_soon(start_anew, life)
+            group.start_soon(start_entry, life)
             await anyio.sleep(BOUND_S)
             for _ in range(round(EXCUSED_S * 2 / STEP_S)):
                 await anyio.sleep(STEP_S)
--- a/tests/test_notice_property.py
+++ b/tests/test_notice_property.py
@@ -1,10 +1,9 @@
-"""
-Whatever happens to entries, targets have what they said of themselves kept.
+"""Targets' notices are respected whatever happens to entries.
 
-Entries are cut off, killed, started again and made deaf for a while; targets
-say that they leave, start again under their ids, turn all away and ask for rest
-or name limits, while the list says throughout that they are ready.  Counted is
-what a target gets from each entry that it has told.
+Entries are cut off, killed, restarted and paused; targets drain, restart under
+their ids, refuse all requests and ask for back-off, or report rate limits,
+while the list always shows them as ready. Checked is what a target receives
+from each entry that it has told.
 """
 
 import unittest
@@ -18,17 +17,17 @@
 from tests.relaying import make_route
 
 ROUTE = make_route()
-#: Requests a second at all entries together, and for how long a word holds, in
+#: Requests a second at all entries together, and the duration of a notice, in
 #: seconds.
 RATE = 24
-HOLDS_S = 5
+SLOT_S = 5
 ENTRY = st.none() | st.integers(0, 8)
 RESTS = st.sampled_from(['0', '0.3', '1', '2.5', '4', '30'])
 
 
 @dataclass(frozen=True)
 class Slot:
-    """What happens within some seconds: to targets, then to entries."""
+    """Events within some seconds: those of targets, then those of entries."""
 
     leaving: tuple
     resting: tuple
@@ -49,31 +48,31 @@
     return st.lists(slot, min_size=2, max_size=3)
 
 
-def start_again(fleet, number):
-    """Have a target start anew under its id, as the list tells at once."""
+def restart_target(fleet, number):
+    """Restart a target under its id, as the list shows at once."""
     target = fleet.targets[number]
     target.born += 1
     target.leaves = ''
-    target.left_told.clear()
+    target.drain_told_at.clear()
     for entry in fleet.entries:
         entry.state.fleet.put(target.get_listed())
 
 
 async def play(fleet, slots):
-    """Live through some slots; return the latest request and the most."""
+    """Run some slots; return the maximum lateness and requests in back-off."""
     latest = [0]
     count = len(fleet.entries)
     for slot in slots:
         for number in slot.leaving:
-            fleet.targets[number % len(fleet.targets)].leave()
+            fleet.targets[number % len(fleet.targets)].drain()
         for number in slot.resting:
-            fleet.targets[number % len(fleet.targets)].shed(slot.rest)
+            fleet.targets[number % len(fleet.targets)].reject_all(slot.rest)
         if slot.limited is not None:
-            fleet.targets[slot.limited % len(fleet.targets)].name(1)
+            fleet.targets[slot.limited % len(fleet.targets)].set_rate_limit(1)
         async with anyio.create_task_group() as group:
-            group.start_soon(fleet.ask_for, HOLDS_S, RATE / count)
+            group.start_soon(fleet.ask_for, SLOT_S, RATE / count)
             await anyio.sleep(1)
-            fleet.cut = {one % count for one in slot.cut}
+            fleet.cut = {number % count for number in slot.cut}
             if slot.deaf is not None:
                 deaf = fleet.entries[slot.deaf % count]
                 group.start_soon(deaf.stand_still_for, 2.5)
@@ -81,21 +80,23 @@
                 await fleet.restart(slot.killed % count, 1)
         fleet.cut = set()
         for target in fleet.targets:
-            target.shed('')
-            target.name(None)
+            target.reject_all('')
+            target.set_rate_limit(None)
             latest.append(target.get_late_s())
         if slot.started is not None:
-            start_again(fleet, slot.started % len(fleet.targets))
-    return max(latest), max(one.get_most_in_rest() for one in fleet.targets)
+            restart_target(fleet, slot.started % len(fleet.targets))
+    return max(latest), max(
+        target.get_max_in_backoff() for target in fleet.targets
+    )
 
 
 class NoticePropertyTest(unittest.TestCase):
-    """Small fleets, disturbed."""
+    """Small fleets with disturbances."""
 
-    # Guards against any row of events after which a word is forgotten.
+    # Guards against any sequence of events after which a notice is forgotten.
     @given(st.integers(2, 9), st.integers(1, 4), draw_slots(), st.integers(0))
     @settings(max_examples=25)
-    def test_what_targets_said_is_kept(self, entries, targets, slots, seed):
+    def test_notices_are_respected(self, entries, targets, slots, seed):
         async def scenario(fleet):
             return await play(fleet, slots)
 
@@ -104,3 +105,23 @@
         )
         self.assertLessEqual(late_s, DRAIN_S)
         self.assertLessEqual(most, MAX_REQUESTS_IN_BACKOFF)
+
+
+class BackoffBeforeRestartTest(unittest.TestCase):
+    """One target, which asks for back-off and then restarts under its id."""
+
+    # Guards against 7 requests in a back-off, where at most 2 are right.
+    def test_backoff_before_restart(self):
+        slots = [
+            Slot((), (0,), '1', None, (), None, None, 0),
+            Slot((), (), '0', None, (), None, None, None),
+        ]
+
+        async def scenario(fleet):
+            return await play(fleet, slots)
+
+        late_s, most = run_fleet(
+            scenario, [ROUTE], entries=2, targets=1, seed=0
+        )
+        self.assertLessEqual(late_s, DRAIN_S)
+        self.assertLessEqual(most, MAX_REQUESTS_IN_BACKOFF)
--- a/tests/test_platform_notices.py
+++ b/tests/test_platform_notices.py
@@ -1,4 +1,4 @@
-"""What a target says of itself, in whatever form it comes."""
+"""Parsing of notices in the headers of responses."""
 
 import unittest
 
@@ -8,22 +8,22 @@
 from trestledock.entry import Head
 from trestledock.platform._headers import PlatformDialect
 from trestledock.platform._notices import (
-    MOST_PER_S,
-    MOST_REST_S,
-    read_leaving,
-    read_limit,
-    read_rest,
+    MAX_RATE_PER_S,
+    MAX_BACKOFF_S,
+    read_draining,
+    read_rate_limit,
+    read_backoff,
 )
 
 
 def read(*texts):
-    """Return what is read of an answer with these headers."""
-    headers = [(b'Server-Limit', one.encode('latin-1')) for one in texts]
-    return read_limit(Head(200, tuple(headers)))
+    """Return the rate limit of a response with these headers."""
+    headers = [(b'Server-Limit', text.encode('latin-1')) for text in texts]
+    return read_rate_limit(Head(200, tuple(headers)))
 
 
-class NamedLimitTest(unittest.TestCase):
-    """Numbers, and what is none."""
+class RateLimitTest(unittest.TestCase):
+    """Valid and invalid rate limits."""
 
     def test_numbers(self):
         known = {
@@ -34,14 +34,14 @@
             '.5': 0.5,
             '2.': 2,
             '007': 7,
-            '9' * 400: MOST_PER_S,
+            '9' * 400: MAX_RATE_PER_S,
         }
         for text, per_s in known.items():
             found = read(text)
             self.assertEqual(found.per_s, per_s, text)
             self.assertFalse(found.invalid_text)
 
-    def test_nonsense_is_no_number_and_no_silence(self):
+    def test_invalid_numbers_are_reported(self):
         for text in (
             '',
             '-1',
@@ -60,7 +60,7 @@
             self.assertTrue(found.invalid_text, text)
 
     def test_named_twice(self):
-        """The lowest number counts, whatever stands beside it."""
+        """The lowest number applies, even beside invalid ones."""
         self.assertEqual(read('3', '2', '5').per_s, 2)
         self.assertEqual(read('x', '4').per_s, 4)
         self.assertEqual(read('x', '4').invalid_text, "'x'")
@@ -69,10 +69,12 @@
         self.assertFalse(read().is_present)
         self.assertIsNone(read().per_s)
 
-    def test_stands_in_any_answer(self):
+    def test_read_from_any_response(self):
         for status in (200, 421, 500, 503):
             head = Head(status, ((b'server-LIMIT', b'2'),))
-            self.assertEqual(PlatformDialect().read_head(head).limit.per_s, 2)
+            self.assertEqual(
+                PlatformDialect().read_head(head).rate_limit.per_s, 2
+            )
 
     @given(st.lists(st.text(st.characters(max_codepoint=255)), max_size=3))
     def test_anything(self, texts):
@@ -83,13 +85,13 @@
 
 
 def read_after(*texts, status=503):
-    """Return the rest that a refusal with these headers asks for."""
-    headers = [(b'Retry-After', one.encode('latin-1')) for one in texts]
-    return read_rest(Head(status, tuple(headers)))
+    """Return the back-off that a response with these headers requests."""
+    headers = [(b'Retry-After', text.encode('latin-1')) for text in texts]
+    return read_backoff(Head(status, tuple(headers)))
 
 
-class NamedRestTest(unittest.TestCase):
-    """Seconds of rest, and what is none."""
+class BackoffTest(unittest.TestCase):
+    """Valid and invalid back-off times."""
 
     def test_numbers(self):
         known = {
@@ -97,15 +99,15 @@
             ' 0.25 ': 0.25,
             '0': 0,
             '86400': 86_400,
-            '9' * 400: MOST_REST_S,
+            '9' * 400: MAX_BACKOFF_S,
         }
-        for text, rest_s in known.items():
+        for text, backoff_s in known.items():
             found = read_after(text)
-            self.assertEqual(found.backoff_s, rest_s, text)
+            self.assertEqual(found.backoff_s, backoff_s, text)
             self.assertFalse(found.invalid_text, text)
 
-    def test_nonsense_asks_for_nothing(self):
-        """A date would be read by another machine's clock."""
+    def test_invalid_values_have_no_effect(self):
+        """Dates are invalid, because the clocks of two machines may differ."""
         date = 'Thu, 03 Dec 2026 09:36:11 GMT'
         for text in ('', '-3', '+3', 'NaN', 'inf', '1e3', '1,5', 'soon', date):
             found = read_after(text)
@@ -113,11 +115,11 @@
             self.assertTrue(found.invalid_text, text)
 
     def test_named_twice(self):
-        """The longest counts, whatever stands beside it."""
+        """The longest time applies, even beside invalid ones."""
         self.assertEqual(read_after('1', '3', 'x').backoff_s, 3)
         self.assertEqual(read_after('1', '3', 'x').invalid_text, "'x'")
 
-    def test_only_where_a_request_is_turned_away(self):
+    def test_only_for_rejection_statuses(self):
         for status in (429, 503):
             self.assertEqual(read_after('3', status=status).backoff_s, 3)
         for status in (200, 301, 421, 500):
@@ -127,19 +129,19 @@
     def test_anything(self, texts):
         found = read_after(*texts)
         self.assertGreaterEqual(found.backoff_s, 0)
-        self.assertLessEqual(found.backoff_s, MOST_REST_S)
+        self.assertLessEqual(found.backoff_s, MAX_BACKOFF_S)
 
 
-class LeavingTest(unittest.TestCase):
-    """The one text that says that a target leaves."""
+class DrainingTest(unittest.TestCase):
+    """The header value that announces that a target is draining."""
 
     def test_texts(self):
         known = {'1': True, ' 1 ': True, '0': False, '': False, 'true': False}
-        for text, leaves in known.items():
+        for text, is_draining in known.items():
             head = Head(200, ((b'SERVER-leaving', text.encode()),))
-            self.assertIs(read_leaving(head), leaves, text)
-        self.assertFalse(read_leaving(Head(200, ())))
+            self.assertIs(read_draining(head), is_draining, text)
+        self.assertFalse(read_draining(Head(200, ())))
 
-    def test_said_twice(self):
+    def test_named_twice(self):
         headers = ((b'server-leaving', b'0'), (b'server-leaving', b'1'))
-        self.assertTrue(read_leaving(Head(500, headers)))
+        self.assertTrue(read_draining(Head(500, headers)))
--- a/tests/test_relay_watch.py
+++ b/tests/test_relay_list_watch.py
@@ -1,8 +1,8 @@
-"""How closely the list was followed, and what follows from it."""
+"""Monitoring of the target list, and what it implies."""
 
 import unittest
 
-from trestledock.relay._watch import (
+from trestledock.relay._list_watch import (
     GAP_S,
     LAPSE_GRACE_S,
     RETURN_GRACE_S,
@@ -10,8 +10,8 @@
 )
 
 
-class WatchTest(unittest.TestCase):
-    """Gaps, disturbances, and what may be vouched for."""
+class ListWatchTest(unittest.TestCase):
+    """Gaps and disturbances between reads of the list."""
 
     def make(self, *reads):
         watch = ListWatch()
@@ -19,42 +19,42 @@
             watch.record_read(at, at)
         return watch
 
-    def test_first_list_is_not_settled(self):
-        """Who has just begun can't say what has only lapsed."""
+    def test_first_list_is_not_synchronized(self):
+        """An instance that has just started can't tell which leases lapsed."""
         watch = self.make(0)
         self.assertFalse(watch.is_synchronized(1))
         self.assertTrue(watch.is_synchronized(LAPSE_GRACE_S))
 
-    def test_gap_unsettles_and_disturbs_nothing(self):
-        """A gap of one's own making holds nothing, and vouches for nothing."""
+    def test_gap_is_no_disturbance(self):
+        """A gap without failed reads retains nothing, and confirms nothing."""
         watch = self.make(0, 5)
         self.assertFalse(watch.is_synchronized(6))
         self.assertLess(watch.grace_end, 5)
 
-    def test_gap_with_failed_reads_disturbs(self):
+    def test_gap_with_failed_reads_is_disturbance(self):
         watch = self.make(0)
         watch.record_failure(4.9)
         watch.record_read(5, 5)
         self.assertEqual(watch.grace_end, 5 + LAPSE_GRACE_S)
         self.assertTrue(watch.is_disturbed(6))
 
-    def test_directory_may_have_been_back_for_a_while(self):
-        """The grace ends in time for what left just before the outage."""
+    def test_grace_from_last_failure(self):
+        """The grace ends in time for targets removed before the outage."""
         watch = self.make(0)
         watch.record_failure(4)
         watch.record_read(5, 5)
         self.assertEqual(watch.grace_end, 4 + RETURN_GRACE_S)
 
-    def test_trouble_before_the_last_read_is_over(self):
-        """A failure that a read has followed is no reason any more."""
+    def test_failure_before_last_read(self):
+        """A failure that a successful read has followed does not count."""
         watch = self.make(0)
         watch.record_failure(0.1)
         watch.record_read(0.2, 0.2)
         watch.record_read(5, 5)
         self.assertLess(watch.grace_end, 5)
 
-    def test_gap_is_between_what_lists_are_true_for(self):
-        """A slow answer makes no gap where the question came in time."""
+    def test_gap_counts_from_query(self):
+        """A slow answer makes no gap if its query was sent in time."""
         watch = self.make(0)
         watch.record_failure(1)
         watch.record_read(GAP_S, GAP_S + 1)
--- a/tests/test_relay_quarantine.py
+++ b/tests/test_relay_quarantine.py
@@ -1,4 +1,4 @@
-"""Which requests are quarantined for ending their targets, and which not."""
+"""Which requests are quarantined for crashing their targets."""
 
 import unittest
 from itertools import permutations
@@ -7,84 +7,84 @@
 from trestledock.relay import Crash, Quarantine
 from trestledock.relay._quarantine import (
     MAX_CLEARED,
-    MIN_CRASHES,
     MAX_SUSPECTS,
+    MIN_CRASHES,
     PROBE_DELAYS_S,
 )
 
-DEADLY, BESIDE = 'deadly', 'beside'
+DEADLY, HARMLESS = 'deadly', 'beside'
 
 
-def note(quarantine, fingerprint, *targets, now=0):
-    """Note that targets ended while they ran a request."""
+def record_crashes(quarantine, fingerprint, *targets, now=0):
+    """Record that targets crashed while they ran a request."""
     for target in targets:
         quarantine.record_crash(Crash(fingerprint, target), now)
 
 
 def make_quarantine(*targets):
-    """Return a quarantine with one request under which targets ended."""
+    """Return a quarantine with one request under which targets crashed."""
     quarantine = Quarantine()
-    note(quarantine, DEADLY, *targets)
+    record_crashes(quarantine, DEADLY, *targets)
     return quarantine
 
 
-class EndTest(unittest.TestCase):
-    """Ends that count, and those that another request explains."""
+class CrashTest(unittest.TestCase):
+    """Ends of incarnations that count as crashes."""
 
-    def test_held_from_the_third_on(self):
-        known = [
+    def test_quarantined_from_third_crash(self):
+        quarantined = [
             make_quarantine(
-                *(f't{one}' for one in range(count))
+                *(f't{number}' for number in range(count))
             ).is_quarantined(DEADLY)
             for count in range(MIN_CRASHES + 2)
         ]
-        self.assertEqual(known, [False, False, False, True, True])
+        self.assertEqual(quarantined, [False, False, False, True, True])
 
-    def test_the_same_end_counts_once(self):
-        """It is told by words that are repeated, and by the store."""
+    def test_same_crash_counts_once(self):
+        """Duplicated messages and the store report the same crash again."""
         quarantine = make_quarantine('t1', 't2')
-        note(quarantine, DEADLY, 't1', 't2')
+        record_crashes(quarantine, DEADLY, 't1', 't2')
         self.assertFalse(quarantine.is_quarantined(DEADLY))
 
-    def test_another_start_of_a_target_is_another_end(self):
+    def test_each_incarnation_counts(self):
         self.assertTrue(
             make_quarantine('t1@1', 't1@2', 't1@3').is_quarantined(DEADLY)
         )
 
-    def test_who_was_beside_does_not_hide_it(self):
-        """What was at more ends, by crashes of other causes, explains none."""
+    def test_other_request_with_more_crashes(self):
+        """A request with more crashes, by other causes, excuses no other."""
         quarantine = make_quarantine('t1', 't2', 't3')
-        note(quarantine, BESIDE, 't1', 't2', 't3', 't4')
+        record_crashes(quarantine, HARMLESS, 't1', 't2', 't3', 't4')
         self.assertTrue(quarantine.is_quarantined(DEADLY))
 
     def test_order_does_not_matter(self):
-        """Each instance hears of the same ends in an order of its own."""
-        ends = [Crash(DEADLY, f't{one}') for one in range(4)]
-        ends.extend(Crash(BESIDE, f't{one}') for one in range(1, 4))
-        found = set()
-        for order in permutations(ends):
+        """Each instance learns of the same crashes in its own order."""
+        crashes = [Crash(DEADLY, f't{number}') for number in range(4)]
+        crashes.extend(Crash(HARMLESS, f't{number}') for number in range(1, 4))
+        results = set()
+        for order in permutations(crashes):
             quarantine = Quarantine()
-            for end in order:
-                quarantine.record_crash(end, 0)
-            found.add(
+            for crash in order:
+                quarantine.record_crash(crash, 0)
+            results.add(
                 (
                     quarantine.is_quarantined(DEADLY),
-                    quarantine.is_quarantined(BESIDE),
+                    quarantine.is_quarantined(HARMLESS),
                 )
             )
-        self.assertEqual(found, {(True, True)})
+        self.assertEqual(results, {(True, True)})
 
-    def test_an_answer_clears(self):
+    def test_answer_clears(self):
         quarantine = make_quarantine('t1', 't2', 't3')
         self.assertEqual(len(quarantine.record_answer(DEADLY, 0)), MIN_CRASHES)
         self.assertFalse(quarantine.is_quarantined(DEADLY))
         self.assertFalse(quarantine.has_crashed('t1'))
 
 
-class TrialTest(unittest.TestCase):
-    """When a quarantined request is given to one target again."""
+class ProbeTest(unittest.TestCase):
+    """When a quarantined request is sent as a probe."""
 
-    def test_each_trial_later_than_the_last(self):
+    def test_probe_delays_increase(self):
         quarantine = make_quarantine('t1', 't2', 't3')
         now = 0
         for number, wait_s in enumerate((*PROBE_DELAYS_S, PROBE_DELAYS_S[-1])):
@@ -93,154 +93,159 @@
             self.assertTrue(quarantine.is_probe_due(DEADLY, now))
             quarantine.record_probe(DEADLY, now)
             now += 1
-            note(quarantine, DEADLY, f'u{number}', now=now)
+            record_crashes(quarantine, DEADLY, f'u{number}', now=now)
 
-    def test_handed_on_with_its_age(self):
-        """A later start knows as much as who was there."""
-        known = make_quarantine('t1', 't2', 't3')
-        known.record_probe(DEADLY, 70)
+    def test_records_keep_age(self):
+        """An instance that starts later has the same state."""
+        quarantine = make_quarantine('t1', 't2', 't3')
+        quarantine.record_probe(DEADLY, 70)
         later = Quarantine()
-        for record in known.get_records(now=100):
+        for record in quarantine.get_records(now=100):
             later.merge(record, now=0)
         self.assertTrue(later.is_quarantined(DEADLY))
         self.assertEqual(
             later.get_probe_delay_s(DEADLY, 0),
-            known.get_probe_delay_s(DEADLY, 100),
+            quarantine.get_probe_delay_s(DEADLY, 100),
         )
 
 
 class ClearedTest(unittest.TestCase):
-    """What an answer has cleared stays so, however late others hear of it."""
+    """Crashes cleared by an answer stay cleared, however late others learn."""
 
-    def test_late_words_bring_nothing_back(self):
-        """Whoever has not heard of the answer tells the old ends on."""
-        known = make_quarantine('t1', 't2', 't3')
-        stale = list(known.get_records(now=0))
-        known.record_answer(DEADLY, 0)
+    def test_late_reports_change_nothing(self):
+        """An instance that missed the answer still reports the old crashes."""
+        quarantine = make_quarantine('t1', 't2', 't3')
+        stale = list(quarantine.get_records(now=0))
+        quarantine.record_answer(DEADLY, 0)
         for record in stale:
-            known.merge(record, now=1)
-        note(known, DEADLY, 't1', 't2', 't3')
-        self.assertFalse(known.is_quarantined(DEADLY))
-
-    def test_new_ends_count(self):
-        known = make_quarantine('t1', 't2', 't3')
-        known.record_answer(DEADLY, 0)
-        note(known, DEADLY, 't4', 't5', 't6')
-        self.assertTrue(known.is_quarantined(DEADLY))
-
-    def test_handed_on(self):
-        """Who missed the word learns of it with the list of another."""
-        known = make_quarantine('t1', 't2', 't3')
-        known.record_answer(DEADLY, 0)
+            quarantine.merge(record, now=1)
+        record_crashes(quarantine, DEADLY, 't1', 't2', 't3')
+        self.assertFalse(quarantine.is_quarantined(DEADLY))
+
+    def test_new_crashes_count(self):
+        quarantine = make_quarantine('t1', 't2', 't3')
+        quarantine.record_answer(DEADLY, 0)
+        record_crashes(quarantine, DEADLY, 't4', 't5', 't6')
+        self.assertTrue(quarantine.is_quarantined(DEADLY))
+
+    def test_records_keep_cleared(self):
+        """An instance that missed the answer learns of it from a peer."""
+        quarantine = make_quarantine('t1', 't2', 't3')
+        quarantine.record_answer(DEADLY, 0)
         other = make_quarantine('t1', 't2', 't3', 't4')
-        for record in known.get_records(now=0):
+        for record in quarantine.get_records(now=0):
             other.merge(record, now=0)
         self.assertEqual(other.count_crashes(DEADLY), 1)
 
     def test_newest_are_kept(self):
-        """What many ask for is cleared of some ends with each crash."""
-        known = Quarantine()
+        """A popular request is cleared of some crashes again and again."""
+        quarantine = Quarantine()
         for number in range(MAX_CLEARED * 2):
-            note(known, DEADLY, f't{number}')
-            known.record_answer(DEADLY, 0)
-        cleared = known.make_record(DEADLY, 0).cleared
+            record_crashes(quarantine, DEADLY, f't{number}')
+            quarantine.record_answer(DEADLY, 0)
+        cleared = quarantine.make_record(DEADLY, 0).cleared
         self.assertEqual(len(cleared), MAX_CLEARED)
         self.assertEqual(cleared[-1], f't{MAX_CLEARED * 2 - 1}')
 
-    def test_first_forgotten(self):
-        known = make_quarantine('t1', 't2', 't3')
-        known.record_answer(DEADLY, 0)
+    def test_cleared_is_evicted_first(self):
+        quarantine = make_quarantine('t1', 't2', 't3')
+        quarantine.record_answer(DEADLY, 0)
         for number in range(MAX_SUSPECTS):
-            note(known, f'f{number}', f'u{number}')
-        self.assertEqual(known.evict_excess(), [DEADLY])
+            record_crashes(quarantine, f'f{number}', f'u{number}')
+        self.assertEqual(quarantine.evict_excess(), [DEADLY])
 
 
 class BoundTest(unittest.TestCase):
-    """A flood of different requests, each of which ends targets."""
+    """A flood of different requests, each of which crashes targets."""
 
-    def test_fewest_ends_are_forgotten_first(self):
+    def test_fewest_crashes_are_evicted_first(self):
         quarantine = make_quarantine('t1', 't2', 't3')
         for number in range(MAX_SUSPECTS * 2):
-            note(quarantine, f'f{number}', f'u{number}', now=number)
+            record_crashes(quarantine, f'f{number}', f'u{number}', now=number)
             quarantine.evict_excess()
         self.assertEqual(len(quarantine.suspects), MAX_SUSPECTS)
         self.assertTrue(quarantine.is_quarantined(DEADLY))
         self.assertIn(f'f{MAX_SUSPECTS * 2 - 1}', quarantine.suspects)
 
-    def test_targets_are_forgotten_with_them(self):
+    def test_targets_are_evicted_too(self):
         quarantine = Quarantine()
         for number in range(MAX_SUSPECTS * 2):
-            note(quarantine, f'f{number}', f'u{number}')
+            record_crashes(quarantine, f'f{number}', f'u{number}')
             quarantine.evict_excess()
         self.assertFalse(quarantine.has_crashed('u0'))
 
 
-class BlameTest(unittest.TestCase):
-    """How often who ends nothing is quarantined, and who does is not.
+class DetectionRateTest(unittest.TestCase):
+    """How often harmless and deadly requests are quarantined.
 
-    Eighteen targets with seven requests each.  A request goes to one target and
-    to a second one if that ends, and its caller tries once more.
+    Eighteen targets run seven requests each.  A request is sent to one target,
+    and to a second one if that crashes; its caller retries once.
     """
 
     targets = 18
-    beside = 7
+    requests_per_target = 7
     sends = 4
 
-    def play(self, rng, *, ending_share, deadly_rounds=0):
-        """Return the quarantined ones of 126, and whether the deadly one is.
+    def play(self, rng, *, crash_share, deadly_rounds=0):
+        """Return how many of 126 harmless requests are quarantined.
 
-        In each round a share of the targets end by themselves; the deadly
-        request ends one more.
+        Also return whether the deadly one is.  In each round a share of the
+        targets crash by themselves; the deadly request crashes one more.
         """
         quarantine = Quarantine()
-        waiting = {f'r{one}': 0 for one in range(self.targets * self.beside)}
-        for turn in range(self.sends):
-            places = {
+        waiting = {
+            f'r{number}': 0
+            for number in range(self.targets * self.requests_per_target)
+        }
+        for round_number in range(self.sends):
+            assigned = {
                 name: rng.randrange(self.targets)
                 for name, sends in waiting.items()
-                if sends == turn
+                if sends == round_number
             }
-            ended = {
+            crashed = {
                 target
                 for target in range(self.targets)
-                if rng.random() < ending_share
+                if rng.random() < crash_share
             }
-            if turn < deadly_rounds:
+            if round_number < deadly_rounds:
                 target = rng.randrange(self.targets)
-                ended.add(target)
-                note(quarantine, DEADLY, f't{target}@{turn}')
-            for name, target in places.items():
-                if target in ended:
-                    note(quarantine, name, f't{target}@{turn}')
+                crashed.add(target)
+                record_crashes(quarantine, DEADLY, f't{target}@{round_number}')
+            for name, target in assigned.items():
+                if target in crashed:
+                    record_crashes(
+                        quarantine, name, f't{target}@{round_number}'
+                    )
                     waiting[name] += 1
         blamed = sum(map(quarantine.is_quarantined, waiting))
         return blamed, quarantine.is_quarantined(DEADLY)
 
-    def count(self, **how):
-        """Return the share of others in quarantine, and of deadly ones."""
+    def count(self, **settings):
+        """Return the quarantined shares of harmless and of deadly requests."""
         rng = Random(7)
-        days = [self.play(rng, **how) for _ in range(300)]
+        days = [self.play(rng, **settings) for _ in range(300)]
         others = sum(blamed for blamed, _ in days)
-        share = others / len(days) / self.targets / self.beside
-        return share, sum(found for _, found in days) / len(days)
+        share = others / len(days) / self.targets / self.requests_per_target
+        return share, sum(deadly for _, deadly in days) / len(days)
 
     def test_crashes_alone(self):
-        """A tenth, or a third, of all targets ends in each of four rounds."""
-        share, _ = self.count(ending_share=0.1)
+        """A tenth, or a third, of all targets crash in each of four rounds."""
+        share, _ = self.count(crash_share=0.1)
         self.assertLess(share, 0.001)
-        share, _ = self.count(ending_share=0.33)
+        share, _ = self.count(crash_share=0.33)
         self.assertLess(share, 0.05)
 
     def test_deadly_request_alone(self):
-        """It is known at its third end, and hardly anybody else suffers."""
-        share, found = self.count(ending_share=0, deadly_rounds=3)
-        self.assertEqual(found, 1)
+        """It is detected at its third crash, with hardly any false positive."""
+        share, detected = self.count(crash_share=0, deadly_rounds=3)
+        self.assertEqual(detected, 1)
         self.assertLess(share, 0.0005)
 
-    def test_both(self):
-        """However many others end beside it, it is known at its third end."""
-        share, found = self.count(ending_share=0.1, deadly_rounds=3)
-        self.assertEqual(found, 1)
+    def test_deadly_request_among_crashes(self):
+        """It is detected at its third crash, however many others crash."""
+        share, detected = self.count(crash_share=0.1, deadly_rounds=3)
+        self.assertEqual(detected, 1)
         self.assertLess(share, 0.005)
-        _, found = self.count(ending_share=0.33, deadly_rounds=3)
-        self.assertEqual(found, 1)
+        _, detected = self.count(crash_share=0.33, deadly_rounds=3)
+        self.assertEqual(detected, 1)
--- a/trestledock/connection/_daemon.py
+++ b/trestledock/connection/_daemon.py
@@ -1,9 +1,9 @@
 """
-Daemon
-======
+Instance daemon
+===============
 
-An entry instance as a process: the hub, its links and its web server, from
-the settings to the graceful end.
+Runs an entry instance as a process: the hub, its links and its web server, from
+start to graceful shutdown.
 """
 
 import logging
@@ -35,28 +35,28 @@
     Identity,
     Node,
     ResumeStream,
+    SendToPeer,
     Shutdown,
     StartJob,
-    SendToPeer,
 )
 
-#: How often the end of the drain is looked for, in seconds.
-DRAIN_LOOK_S = 0.1
-#: Connections to targets that one instance may have open.
+#: How often the daemon checks whether it is drained, in seconds.
+DRAIN_POLL_INTERVAL_S = 0.1
+#: The most open connections to targets.
 MAX_CONNECTIONS = 2000
 
 log = logging.getLogger('trestledock')
 
 
 def make_incarnation() -> str:
-    """Return a name for this start; names sort by time."""
+    """Return a name for this run of the process; names sort by start time."""
     return f'{round(read_unix_ms()):012x}{uuid.uuid4().hex[:6]}'
 
 
 async def run_until_signal(settings: Settings) -> None:
-    """Run an instance until SIGTERM or SIGINT; later signals do nothing."""
-    kinds = (signal.SIGTERM, signal.SIGINT)
-    with anyio.open_signal_receiver(*kinds) as signals:
+    """Run an instance until SIGTERM or SIGINT; ignore further signals."""
+    stop_signals = (signal.SIGTERM, signal.SIGINT)
+    with anyio.open_signal_receiver(*stop_signals) as signals:
 
         async def wait_for_signal() -> None:  # noqa: WPS430
             await anext(aiter(signals))
@@ -68,7 +68,7 @@
     settings: Settings,
     wait_for_stop: Callable[[], Awaitable[None]],
 ) -> None:
-    """Serve until `wait_for_stop` returns and nothing is in flight."""
+    """Serve until `wait_for_stop` returns and no requests are in flight."""
     identity = Identity(
         settings.instance,
         make_incarnation(),
@@ -82,11 +82,11 @@
     )
     async with anyio.create_task_group() as group:
         hub = Hub(node, settings, Metrics(), group)
-        ended = anyio.Event()
+        stopped = anyio.Event()
         group.start_soon(_run_links, hub)
-        group.start_soon(_wait_for_end, hub, wait_for_stop, ended)
+        group.start_soon(_drain_on_stop, hub, wait_for_stop, stopped)
         log.info('started', extra={'member': identity.member})
-        await _serve_apart(hub, ended)
+        await _serve_in_task_group(hub, stopped)
         group.cancel_scope.cancel()
     log.info('ended', extra={'member': identity.member})
 
@@ -117,14 +117,14 @@
         group.start_soon(Poller(hub, client).run)
 
 
-async def _serve_apart(hub: Hub, ended: anyio.Event) -> None:
-    """Serve in a task of its own, since the server cancels its own task."""
+async def _serve_in_task_group(hub: Hub, stopped: anyio.Event) -> None:
+    """Serve in a separate task, because the server cancels its own task."""
     async with anyio.create_task_group() as group:
-        group.start_soon(_serve, hub, ended)
+        group.start_soon(_serve, hub, stopped)
 
 
-async def _serve(hub: Hub, ended: anyio.Event) -> None:
-    """Serve until the end; the server sends what it has begun to send."""
+async def _serve(hub: Hub, stopped: anyio.Event) -> None:
+    """Serve until `stopped`; the server then completes started responses."""
     config = Config()
     config.bind = [hub.settings.listen]
     config.accesslog = None
@@ -133,32 +133,33 @@
     await serve(
         WithoutLifespan(CallerApp(hub).make_app()),
         config,
-        shutdown_trigger=ended.wait,
+        shutdown_trigger=stopped.wait,
     )
 
 
-async def _wait_for_end(
+async def _drain_on_stop(
     hub: Hub,
     wait_for_stop: Callable[[], Awaitable[None]],
-    ended: anyio.Event,
+    stopped: anyio.Event,
 ) -> None:
-    """Drain once the instance shall stop.
+    """Drain the instance when it is asked to stop.
 
-    Unready first, so that the balancer turns away; requests are accepted
-    until it surely has.  Then everything in flight is finished.
+    The instance first reports that it is not ready, and accepts requests until
+    the load balancer has certainly noticed.  Then all requests in flight are
+    completed.
     """
     await wait_for_stop()
     hub.node.unready = True
     log.info('draining')
     await anyio.sleep(hub.settings.notice_s)
-    await hub.tell(Shutdown())
+    await hub.send(Shutdown())
     await _wait_until_drained(hub)
-    ended.set()
+    stopped.set()
 
 
 async def _wait_until_drained(hub: Hub) -> None:
     while hub.node.state.requests or hub.exchanges:
-        await anyio.sleep(DRAIN_LOOK_S)
+        await anyio.sleep(DRAIN_POLL_INTERVAL_S)
     with anyio.move_on_after(hub.settings.handover_s):
         while not hub.node.is_drained():
-            await anyio.sleep(DRAIN_LOOK_S)
+            await anyio.sleep(DRAIN_POLL_INTERVAL_S)
--- a/trestledock/connection/_platform.py
+++ b/trestledock/connection/_platform.py
@@ -2,8 +2,8 @@
 Platform connections
 ====================
 
-Reads the log and the instance list and appends records.  Failures are left to
-the core's own repeats; each poll waits a little after one.
+Reads the log and the instance list, and appends records.  The core repeats
+failed appends; a failed poll is repeated after a delay.
 """
 
 from dataclasses import dataclass, fields
@@ -27,29 +27,29 @@
     read_batch,
 )
 
-#: How long to wait after a failed poll, in seconds.
-FAILURE_PAUSE_S = 0.5
+#: The delay after a failed poll, in seconds.
+RETRY_DELAY_S = 0.5
 ENTRY_ROLE = 'entry'
-#: What is read of an entry of the list; the platform may tell more.
-LISTED_KEYS = frozenset(field.name for field in fields(TargetInfo))
+#: The keys read from each listed instance; the platform may add others.
+TARGET_INFO_KEYS = frozenset(field.name for field in fields(TargetInfo))
 
 
 class PlatformLink:
-    """One instance's connections to the platform."""
+    """The connections of an instance to the platform."""
 
     def __init__(self, hub: Hub, client: httpx.AsyncClient) -> None:
-        """Keep the client that owns the connections."""
+        """Set the hub, and the client that owns the connections."""
         self.hub = hub
         self.client = client
 
     async def run(self) -> None:
-        """Poll the log and the list until cancelled."""
+        """Poll the log and the instance list until cancelled."""
         async with anyio.create_task_group() as group:
-            group.start_soon(self._repeat, self.read_log)
-            group.start_soon(self._repeat, self.read_list)
+            group.start_soon(self._poll_forever, self.read_log)
+            group.start_soon(self._poll_forever, self.read_list)
 
     async def append(self, action: AppendRecord) -> None:
-        """Append a record; whether it took effect is read from the log."""
+        """Append a record; a later read of the log shows if it was accepted."""
         try:
             await self.client.post(
                 '/v1/log',
@@ -60,19 +60,19 @@
             self.hub.metrics.add('lost_appends')
 
     async def read_log(self) -> None:
-        """Read the log from where the core has got to."""
+        """Read the log from the core's next offset."""
         offset = self.hub.node.state.reader.next_read
-        plain = await self._get('/v1/log', {'from': offset})
-        batch = read_batch(plain)
-        await self.hub.tell(LogRead(batch))
+        data = await self._get('/v1/log', {'from': offset})
+        batch = read_batch(data)
+        await self.hub.send(LogRead(batch))
         while self.hub.node.state.reader.next_read < batch.first:
             await anyio.sleep(0)
         await anyio.sleep(0)
 
     async def read_list(self) -> None:
         """Read the instance list."""
-        plain = await self._get('/v1/instances', {})
-        await self.hub.tell(read_instances(plain))
+        data = await self._get('/v1/instances', {})
+        await self.hub.send(decode_instances(data))
         await anyio.sleep(self.hub.settings.poll_list_s)
 
     async def _get(self, path: str, params: dict[str, Any]) -> Any:
@@ -87,31 +87,30 @@
         )
         return response.json()
 
-    async def _repeat(self, poll: Callable[[], Awaitable[None]]) -> None:
+    async def _poll_forever(self, poll: Callable[[], Awaitable[None]]) -> None:
         while True:
             try:
                 await poll()
             except (httpx.HTTPError, ValueError):
-                await anyio.sleep(FAILURE_PAUSE_S)
+                await anyio.sleep(RETRY_DELAY_S)
 
 
 @dataclass(frozen=True)
-class Listing:
-    """The instance list before its entries have been looked at."""
+class InstanceList:
+    """The instance list before its rows are decoded."""
 
     instances: tuple[dict[str, Any], ...]
 
 
-def read_instances(plain: Any) -> InstancesListed:
-    """Read the instance list; entry instances are peers, others targets.
+def decode_instances(data: Any) -> InstancesListed:
+    """Decode the instance list; entry instances are peers, others are targets.
 
-    Entries that make no sense are left out, so that one of them can't hide
-    the rest.
+    Invalid rows are skipped, so that they don't affect the others.
     """
     targets = []
     peers = []
-    for one in decode(plain, Listing).instances:
-        known = {key: one[key] for key in one if key in LISTED_KEYS}
+    for row in decode(data, InstanceList).instances:
+        known = {key: row[key] for key in row if key in TARGET_INFO_KEYS}
         try:
             listed = decode(known, TargetInfo)
         except DecodeError:
--- a/trestledock/connection/_polling.py
+++ b/trestledock/connection/_polling.py
@@ -1,10 +1,10 @@
 """
-Polling targets
-===============
+Target polling
+==============
 
-Reads the load and the cache events of targets.  One instance of the data
-centre polls a target often and passes a digest on in its heartbeats; the
-others look seldom.
+Polls targets for load reports and cache events.  One instance of the data
+centre polls a target often and forwards a digest in its heartbeats; the other
+instances poll it rarely.
 """
 
 from dataclasses import dataclass
@@ -25,36 +25,36 @@
 
 #: How long a poll may take, in seconds.
 POLL_TIMEOUT_S = 2.0
-#: Statuses of a plain service that knows nothing of load reports.
-NO_SUCH_ROUTE = frozenset((404, 405, 501))
-#: How often the list of targets is looked at, in seconds.
-LOOK_S = 0.1
+#: Statuses of plain services that don't support load reports.
+NO_ROUTE_STATUSES = frozenset((404, 405, 501))
+#: How often the poller checks which targets are due, in seconds.
+DUE_CHECK_INTERVAL_S = 0.1
 
 
 @dataclass(frozen=True)
-class CacheLines:
-    """An engine's answer to a request for cache events."""
+class CacheEvents:
+    """An engine's response to a request for cache events."""
 
     events: tuple[CacheEvent, ...]
 
 
 class Poller:
-    """The poller of one instance."""
+    """Polls the targets of one instance."""
 
     def __init__(self, hub: Hub, client: httpx.AsyncClient) -> None:
-        """Keep the client that owns the connections."""
+        """Set the hub, and the client that owns the connections."""
         self.hub = hub
         self.client = client
-        self.due: dict[str, float] = {}
-        self.cache_due: dict[str, float] = {}
+        self.next_poll_at: dict[str, float] = {}
+        self.next_cache_poll_at: dict[str, float] = {}
 
     async def run(self) -> None:
         """Poll every target when it is due, until cancelled."""
         async with anyio.create_task_group() as group:
             while True:
-                for name in self._get_due():
+                for name in self._schedule_due():
                     group.start_soon(self.poll, name)
-                await anyio.sleep(LOOK_S)
+                await anyio.sleep(DUE_CHECK_INTERVAL_S)
 
     async def poll(self, name: str) -> None:
         """Read a target's load and cache events once."""
@@ -64,29 +64,32 @@
         started = anyio.current_time()
         try:
             report = await self._read_load(target.info.address)
-            await self.hub.tell(LoadReported(name, report))
+            await self.hub.send(LoadReported(name, report))
             if report.capacity_tokens and self._is_cache_due(name, started):
                 await self._read_cache(target)
         except (httpx.HTTPError, ValueError):
             return
-        spent_s = anyio.current_time() - started
-        self.hub.metrics.poll_seconds.observe(spent_s)
+        duration_s = anyio.current_time() - started
+        self.hub.metrics.poll_seconds.observe(duration_s)
 
     async def _read_load(self, address: str) -> LoadReport:
-        """Read a report; a service that has none to give is alive at least."""
+        """Read a load report.
+
+        A service without load reports is at least reachable.
+        """
         response = await self._get(f'http://{address}/v1/load')
-        if response.status_code in NO_SUCH_ROUTE:
+        if response.status_code in NO_ROUTE_STATUSES:
             return make_service_report({})
         response.raise_for_status()
-        plain = response.json()
-        if 'capacity_tokens' in plain:
-            return decode(plain, LoadReport)
-        return make_service_report(plain)
+        data = response.json()
+        if 'capacity_tokens' in data:
+            return decode(data, LoadReport)
+        return make_service_report(data)
 
     def _is_cache_due(self, name: str, now: float) -> bool:
-        if now < self.cache_due.get(name, 0):
+        if now < self.next_cache_poll_at.get(name, 0):
             return False
-        self.cache_due[name] = now + self.hub.settings.poll_cache_s
+        self.next_cache_poll_at[name] = now + self.hub.settings.poll_cache_s
         return True
 
     async def _read_cache(self, target: Target) -> None:
@@ -94,8 +97,8 @@
         address = target.info.address
         response = await self._get(f'http://{address}/v1/cache?after={after}')
         response.raise_for_status()
-        for event in decode(response.json(), CacheLines).events:
-            await self.hub.tell(CacheReported(target.info.name, event))
+        for event in decode(response.json(), CacheEvents).events:
+            await self.hub.send(CacheReported(target.info.name, event))
 
     async def _get(self, url: str) -> httpx.Response:
         response = await self.client.get(url, timeout=POLL_TIMEOUT_S)
@@ -103,30 +106,32 @@
         self.hub.metrics.control_bytes.labels('target').inc(size)
         return response
 
-    def _get_due(self) -> list[str]:
-        """Return the targets to be polled now, and set their next time."""
+    def _schedule_due(self) -> list[str]:
+        """Return the targets to poll now, and schedule their next poll."""
         now = anyio.current_time()
         state = self.hub.node.state
         due = [
-            name for name in state.fleet.targets if now >= self.due.get(name, 0)
+            name
+            for name in state.fleet.targets
+            if now >= self.next_poll_at.get(name, 0)
         ]
         for name in due:
-            self.due[name] = now + self._get_interval(name)
+            self.next_poll_at[name] = now + self._get_interval(name)
         return due
 
     def _get_interval(self, name: str) -> float:
         state = self.hub.node.state
-        home = state.identity.data_centre
-        peers = state.fleet.get_live_peers(home)
+        data_centre = state.identity.data_centre
+        peers = state.fleet.get_live_peers(data_centre)
         members = {peer.info.member for peer in peers} | {state.member}
-        first = rank_by_key(name, members)[0] == state.member
-        state.fleet.targets[name].polled = first
+        is_main = rank_by_key(name, members)[0] == state.member
+        state.fleet.targets[name].polled = is_main
         settings = self.hub.settings
-        return settings.poll_load_s if first else settings.poll_others_s
+        return settings.poll_load_s if is_main else settings.poll_others_s
 
 
-def make_service_report(plain: dict) -> LoadReport:
-    """Return the report of a plain service, which says only if it leaves."""
+def make_service_report(data: dict) -> LoadReport:
+    """Return the report of a plain service, which only tells if it drains."""
     return LoadReport(
         age_s=0,
         queued=(),
@@ -134,5 +139,5 @@
         capacity_tokens=0,
         rate=1,
         itl_s=0,
-        leaving=bool(plain.get('leaving')),
+        leaving=bool(data.get('leaving')),
     )
--- a/trestledock/connection/_target.py
+++ b/trestledock/connection/_target.py
@@ -2,9 +2,10 @@
 Target connections
 ==================
 
-Sends jobs, calls, cancels and orders to targets and turns their answers into
-messages.  `not_started` is claimed only where the connection was never made,
-where the target says so itself, or where nothing was written.
+Sends jobs, calls, cancellations and orders to targets and converts their
+responses to messages for the core.  `not_started` is reported only if no
+connection was established, if the target says so itself, or if nothing was
+sent.
 """
 
 from dataclasses import dataclass
@@ -33,29 +34,29 @@
 from trestledock.request import Chunk
 from trestledock.version import CONVERTER, DecodeError, load_json
 
-#: How long a cancel or an order may take, in seconds.
+#: The timeout of cancellations and orders, in seconds.
 CONTROL_TIMEOUT_S = 5.0
-LEAST_TIMEOUT_S = 0.001
-REJECTED_STATUS = 503
-OLD_NUMBER_STATUS = 409
+MIN_TIMEOUT_S = 0.001
+NOT_STARTED_STATUS = 503
+STALE_FENCING_STATUS = 409
 MS = 1000
-#: What the client raises where a target has closed the connection.
-CLOSED = (httpx.RemoteProtocolError, httpx.ReadError, httpx.WriteError)
-#: How long after that is looked whether it has ended, in seconds.
-SETTLE_S = 0.03
+#: Raised by the client if the target has closed the connection.
+CLOSED_ERRORS = (httpx.RemoteProtocolError, httpx.ReadError, httpx.WriteError)
+#: The delay, in seconds, before checking whether such a target has crashed.
+RECONNECT_DELAY_S = 0.03
 
 
 @dataclass(frozen=True)
 class Rejection:
-    """An engine's word that it did not start a job."""
+    """An engine's rejection of a job; tells whether the job was started."""
 
     started: bool
     detail: str = ''
 
 
 @dataclass(frozen=True)
-class PieceAnswer:
-    """An engine's word that a piece is prefilled up to `stop`."""
+class PrefillAnswer:
+    """An engine's response that a prompt is prefilled up to `stop`."""
 
     hold: str
     stop: int
@@ -63,7 +64,7 @@
 
 @dataclass(frozen=True)
 class StreamLine:
-    """A line of an engine's stream: a chunk, or the count that ends it."""
+    """A line of an engine's stream: a chunk, or the final token count."""
 
     index: int = 0
     text: str = ''
@@ -72,39 +73,41 @@
 
 
 class TargetLink:
-    """The sender of one instance's work to targets."""
+    """Sends work of an instance to targets."""
 
     def __init__(self, hub: Hub, client: httpx.AsyncClient) -> None:
-        """Keep the client that owns the connections."""
+        """Set the hub, and the client that owns the connections."""
         self.hub = hub
         self.client = client
 
     async def start_job(self, action: StartJob) -> None:
-        """Send a job and report what comes of it.
+        """Send a job and report its result.
 
-        The prompt travels with the first job of a hold only, and with it the
-        answer so far where another engine had begun it.
+        Only the first job of a reservation includes the prompt, and the answer
+        so far if another engine had started it.
         """
         exchange = self.hub.exchanges.get(action.req_id)
         late = anyio.current_time() >= action.not_after
         if exchange is None or late:
-            await self._fail(action, 'send', 'too late to start', proof=True)
+            await self._fail(
+                action, 'send', 'too late to start', not_started=True
+            )
             return
-        is_first = action.job.hold not in exchange.holds
-        exchange.holds.add(action.job.hold)
+        is_first = action.job.hold not in exchange.reservations
+        exchange.reservations.add(action.job.hold)
         body = {
             'job': CONVERTER.unstructure(action.job),
             'prompt': exchange.prompt if is_first else '',
             'prefix': exchange.prefix if is_first else (),
-            'continuation': ''.join(exchange.emitted) if is_first else '',
+            'continuation': ''.join(exchange.sent_texts) if is_first else '',
         }
         if action.job.generate:
             await self._read_stream(action, '/v1/jobs', body, exchange)
         else:
-            await self._wait_for_piece(action, body, exchange)
+            await self._run_prefill(action, body, exchange)
 
     async def resume(self, action: ResumeStream) -> None:
-        """Go on with a stream that broke off."""
+        """Resume an interrupted stream."""
         exchange = self.hub.exchanges.get(action.req_id)
         if exchange:
             body = {'hold': action.hold, 'index': action.index}
@@ -115,12 +118,14 @@
         exchange = self.hub.exchanges.get(action.req_id)
         late = anyio.current_time() >= action.not_after
         if exchange is None or late:
-            await self._fail(action, 'send', 'too late to start', proof=True)
+            await self._fail(
+                action, 'send', 'too late to start', not_started=True
+            )
             return
-        left_s = exchange.deadline - anyio.current_time()
+        remaining_s = exchange.deadline - anyio.current_time()
         headers = {
             'content-type': exchange.content_type or 'application/json',
-            'trestledock-deadline-ms': str(round(left_s * MS)),
+            'trestledock-deadline-ms': str(round(remaining_s * MS)),
         }
         if exchange.idempotency_key:
             headers['idempotency-key'] = exchange.idempotency_key
@@ -131,12 +136,12 @@
                 params=exchange.query,
                 content=exchange.body,
                 headers=headers,
-                timeout=self._get_timeout(left_s),
+                timeout=self._get_timeout(remaining_s),
             )
         except httpx.HTTPError as exc:
-            await self._fail_on(action, 'call', exc)
+            await self._fail_with_error(action, 'call', exc)
             return
-        await self.hub.tell(
+        await self.hub.send(
             CallDone(
                 action.req_id,
                 action.attempt,
@@ -146,7 +151,7 @@
         )
 
     async def cancel(self, action: CancelReservations) -> None:
-        """Cancel holds; silence means that they still count as held."""
+        """Cancel reservations; without a response they remain in effect."""
         try:
             response = await self.client.post(
                 f'http://{action.address}/v1/cancel',
@@ -156,10 +161,10 @@
         except httpx.HTTPError:
             return
         if response.is_success:
-            await self.hub.tell(CancelConfirmed(action.target, action.holds))
+            await self.hub.send(CancelConfirmed(action.target, action.holds))
 
     async def order(self, action: GiveOrder) -> None:
-        """Give an order, unless the lease may have lapsed meanwhile."""
+        """Send an order, unless the lease may have expired."""
         if anyio.current_time() >= action.not_after:
             return
         try:
@@ -170,41 +175,41 @@
             )
         except httpx.HTTPError:
             return
-        refused = response.status_code == OLD_NUMBER_STATUS
-        await self.hub.tell(OrderAnswered(action.target, refused))
+        is_stale = response.status_code == STALE_FENCING_STATUS
+        await self.hub.send(OrderAnswered(action.target, is_stale))
 
-    async def _wait_for_piece(
+    async def _run_prefill(
         self,
         action: StartJob,
         body: dict[str, Any],
         exchange: Exchange,
     ) -> None:
-        left_s = exchange.deadline - anyio.current_time()
+        remaining_s = exchange.deadline - anyio.current_time()
         try:
             response = await self.client.post(
                 f'http://{action.address}/v1/jobs',
                 json=body,
-                timeout=self._get_timeout(left_s),
+                timeout=self._get_timeout(remaining_s),
             )
         except httpx.HTTPError as exc:
-            await self._fail_on(action, 'piece', exc)
+            await self._fail_with_error(action, 'piece', exc)
             return
         if response.is_success:
-            await self._note_piece(action, response)
+            await self._report_prefill(action, response)
         else:
             await self._reject(action, 'piece', response)
 
-    async def _note_piece(
+    async def _report_prefill(
         self,
         action: StartJob,
         response: httpx.Response,
     ) -> None:
         try:
-            done = load_json(response.content, PieceAnswer)
+            done = load_json(response.content, PrefillAnswer)
         except DecodeError as exc:
-            await self._fail(action, 'piece', str(exc), proof=False)
+            await self._fail(action, 'piece', str(exc), not_started=False)
             return
-        await self.hub.tell(
+        await self.hub.send(
             PrefillDone(action.req_id, action.attempt, done.hold, done.stop),
         )
 
@@ -215,26 +220,26 @@
         body: dict[str, Any],
         exchange: Exchange,
     ) -> None:
-        left_s = exchange.deadline - anyio.current_time()
+        remaining_s = exchange.deadline - anyio.current_time()
         try:
             async with httpx_sse.aconnect_sse(
                 self.client,
                 'POST',
                 f'http://{action.address}{path}',
                 json=body,
-                timeout=self._get_timeout(left_s),
+                timeout=self._get_timeout(remaining_s),
             ) as source:
                 if not source.response.is_success:
                     await source.response.aread()
                     await self._reject(action, 'stream', source.response)
                     return
-                await self._pass_on(action, source)
+                await self._forward_events(action, source)
         except httpx.HTTPError as exc:
-            await self._fail_on(action, 'stream', exc)
+            await self._fail_with_error(action, 'stream', exc)
         except (DecodeError, httpx_sse.SSEError) as exc:
-            await self._fail(action, 'stream', repr(exc), proof=False)
+            await self._fail(action, 'stream', repr(exc), not_started=False)
 
-    async def _pass_on(
+    async def _forward_events(
         self,
         action: StartJob | ResumeStream,
         source: httpx_sse.EventSource,
@@ -242,17 +247,17 @@
         async for event in source.aiter_sse():
             line = load_json(event.data, StreamLine)
             if line.count is not None:
-                await self.hub.tell(
+                await self.hub.send(
                     StreamDone(action.req_id, action.attempt, line.count),
                 )
                 return
             if action.req_id not in self.hub.exchanges:
                 return
             chunk = Chunk(line.index, line.text, line.tokens)
-            await self.hub.tell(
+            await self.hub.send(
                 ChunkArrived(action.req_id, action.attempt, chunk),
             )
-        await self._fail(action, 'stream', 'no final marker', proof=False)
+        await self._fail(action, 'stream', 'no final marker', not_started=False)
 
     async def _reject(
         self,
@@ -260,28 +265,34 @@
         step: str,
         response: httpx.Response,
     ) -> None:
-        proof = _says_not_started(response)
-        await self._fail(action, step, response.text, proof=proof)
+        not_started = _says_not_started(response)
+        await self._fail(action, step, response.text, not_started=not_started)
 
-    async def _fail_on(
+    async def _fail_with_error(
         self,
         action: StartJob | ResumeStream | CallService,
         step: str,
         exc: httpx.HTTPError,
     ) -> None:
-        proof = isinstance(exc, (httpx.ConnectError, httpx.ConnectTimeout))
-        ended = isinstance(exc, CLOSED) and await self._has_ended(action)
-        await self._fail(action, step, repr(exc), proof=proof, ended=ended)
+        not_started = isinstance(
+            exc, (httpx.ConnectError, httpx.ConnectTimeout)
+        )
+        crashed = isinstance(exc, CLOSED_ERRORS) and await self._has_crashed(
+            action
+        )
+        await self._fail(
+            action, step, repr(exc), not_started=not_started, ended=crashed
+        )
 
-    async def _has_ended(
+    async def _has_crashed(
         self, action: StartJob | ResumeStream | CallService
     ) -> bool:
-        """Whether nobody listens any more at a target that closed.
+        """Return whether a target that closed a connection refuses new ones.
 
-        A process that ends closes its sockets one after the other, so there is
-        a moment's pause before the look.
+        An exiting process closes its sockets one by one, so the check is made
+        after a short delay.
         """
-        await anyio.sleep(SETTLE_S)
+        await anyio.sleep(RECONNECT_DELAY_S)
         host, _, port = action.address.rpartition(':')
         try:
             with anyio.fail_after(self.hub.settings.target_connect_s):
@@ -297,14 +308,14 @@
         step: str,
         detail: str,
         *,
-        proof: bool,
+        not_started: bool,
         ended: bool = False,
     ) -> None:
-        await self.hub.tell(
+        await self.hub.send(
             AttemptFailed(
                 action.req_id,
                 action.attempt,
-                not_started=proof,
+                not_started=not_started,
                 step=step,
                 peer=action.target,
                 detail=detail,
@@ -312,15 +323,15 @@
             ),
         )
 
-    def _get_timeout(self, left_s: float) -> httpx.Timeout:
+    def _get_timeout(self, remaining_s: float) -> httpx.Timeout:
         connect_s = self.hub.settings.target_connect_s
-        left_s = max(LEAST_TIMEOUT_S, left_s)
-        return httpx.Timeout(left_s, connect=min(connect_s, left_s))
+        remaining_s = max(MIN_TIMEOUT_S, remaining_s)
+        return httpx.Timeout(remaining_s, connect=min(connect_s, remaining_s))
 
 
 def _says_not_started(response: httpx.Response) -> bool:
-    """Whether an engine's answer proves that it did not start a job."""
-    if response.status_code != REJECTED_STATUS:
+    """Return whether an engine's response proves that it started no job."""
+    if response.status_code != NOT_STARTED_STATUS:
         return False
     try:
         answer = load_json(response.content, Rejection)
