--- a/trestledock/entry/_answering.py
+++ b/trestledock/entry/_answering.py
@@ -2,9 +2,9 @@
 Answers of targets
 ==================
 
-Takes what a target answers and passes it on, or says how the sending ended.
-An answer counts only if it belongs to the request, bears the target's seal and
-is whole.
+Receives a target's answer and forwards it, or returns how the attempt failed.
+An answer is valid only if it has the request's id and the target's seal, and is
+complete.
 """
 
 from http import HTTPStatus
@@ -12,28 +12,28 @@
 import anyio
 
 from trestledock.entry._dialect import AnswerMetadata, Dialect
-from trestledock.entry._job import Answer, Job
-from trestledock.entry._limits import Limit, Limits
+from trestledock.entry._job import StoredAnswer, Job
+from trestledock.entry._timeouts import ResponseTimeout, ResponseTimeouts
 from trestledock.entry._pool import get_idle_s
 from trestledock.entry._notices import record_answer_notices
 from trestledock.entry._reply import Reply
 from trestledock.entry._state import EntryState
-from trestledock.entry._streaming import StreamPassing
+from trestledock.entry._streaming import StreamForwarder
 from trestledock.entry._wire import Head, Wire, WireError
 from trestledock.relay import AttemptOutcome, Placement, RouteKind, RelayAttempt
 
-#: The statuses that promise that nothing has run.
-PROMISES = frozenset((408, 421, 429, 503))
+#: Statuses that promise that the request has not run.
+NOT_RUN_STATUSES = frozenset((408, 421, 429, 503))
 
 
-class Answering:
-    """Receives answers for one entry process."""
+class AnswerReceiver:
+    """Receives the answers of targets for one entry process."""
 
     def __init__(self, state: EntryState, dialect: Dialect) -> None:
-        """Keep the state and the platform's formats."""
+        """Store the state and the platform's formats."""
         self.state = state
         self.dialect = dialect
-        self.limits = Limits(state)
+        self.timeouts = ResponseTimeouts(state)
 
     async def receive(
         self,
@@ -43,12 +43,12 @@
         reply: Reply,
         asked_at: float,
     ) -> tuple[RelayAttempt, float]:
-        """Take an answer; return the ending and how long `wire` may idle.
+        """Receive an answer; return the attempt and how long `wire` may idle.
 
-        The request was written at the instant `asked_at` or later.
+        The request was written at the time `asked_at` or later.
         """
-        limit = self.limits.get_first(job, placement)
-        head = await self._read_head(job, placement, wire, limit)
+        timeout = self.timeouts.get_first_timeout(job, placement)
+        head = await self._read_head(job, placement, wire, timeout)
         answer = self.dialect.read_head(head)
         if answer.req_id and answer.req_id != job.call.req_id:
             raise WireError('answer', 'of another request')
@@ -57,22 +57,22 @@
         )
         idle_s = get_idle_s(answer.keep_alive, answer.connection)
         if _is_stream(job, head, answer):
-            passing = StreamPassing(
+            forwarder = StreamForwarder(
                 self.state, self.dialect, job, placement, reply
             )
-            sending = await passing.run(head, wire.iter_body, limit)
+            attempt = await forwarder.run(head, wire.iter_body, timeout)
         else:
-            sending = await self._take_whole(
+            attempt = await self._receive_whole(
                 job, placement, wire, head, answer, reply
             )
-        return sending, idle_s
+        return attempt, idle_s
 
-    def note_success(self, peer: str) -> None:
-        """Note that a target did its work."""
+    def record_success(self, peer: str) -> None:
+        """Record that a target answered correctly."""
         self.state.record_success(peer, anyio.current_time())
 
-    def note_failure(self, peer: str) -> None:
-        """Note that a target failed."""
+    def record_failure(self, peer: str) -> None:
+        """Record that a target failed."""
         self.state.health.record_failure(peer, anyio.current_time())
 
     async def _read_head(
@@ -80,60 +80,69 @@
         job: Job,
         placement: Placement,
         wire: Wire,
-        limit: Limit,
+        timeout: ResponseTimeout,
     ) -> Head:
-        again = limit
+        current = timeout
         while True:
-            held_up = self.limits.is_held_up(job, placement)
-            step = self.limits.get_again(job) if held_up else again
-            with self.limits.wait(job, placement, step):
+            waits_for_memory = self.timeouts.is_waiting_for_memory(
+                job, placement
+            )
+            next_wait = (
+                self.timeouts.get_recheck_timeout(job)
+                if waits_for_memory
+                else current
+            )
+            with self.timeouts.wait(job, placement, next_wait):
                 return await wire.read_head()
-            if held_up and not self.limits.is_over(job, placement):
+            if waits_for_memory and not self.timeouts.is_wait_over(
+                job, placement
+            ):
                 continue
-            if self.limits.may_leave(job, placement):
+            if self.timeouts.may_fail_over(job, placement):
                 peer = placement.target.incarnation
-                raise self.limits.give_up('answer', peer, limit)
-            again = self.limits.get_again(job)
+                raise self.timeouts.record_timeout('answer', peer, timeout)
+            current = self.timeouts.get_recheck_timeout(job)
 
-    def _note_silence(self, peer: str) -> None:
+    def _record_silence(self, peer: str) -> None:
         self.state.record_silence(peer, anyio.current_time())
 
-    def _blame(
+    def _find_at_fault(
         self,
         job: Job,
         placement: Placement,
         status: int,
         answer: AnswerMetadata,
     ) -> str:
-        """Have the next sending avoid the target at fault; return its name.
+        """Exclude the target at fault from the next attempt; return its name.
 
-        A rejection may name a helper, which is then left alone for a while.
-        421 says that another incarnation has the address: this one has gone.
+        A rejection may name a helper, which is then suspect for a while.  421
+        means that another incarnation has the address: this one no longer runs.
         """
         peer = placement.target.incarnation
-        found = self._get_sent_to(placement, answer.at_fault)
-        at_fault = found or peer
+        named = self._get_named_incarnation(placement, answer.at_fault)
+        at_fault = named or peer
         job.tried.add(at_fault)
-        # One that says how long it wants rest, or that it leaves, is not ill.
-        if found and not answer.rest.backoff_s and not answer.leaves:
-            self._note_silence(found)
+        # A target that asks for a back-off, or drains, is not faulty.
+        if named and not answer.backoff.backoff_s and not answer.is_draining:
+            self._record_silence(named)
         if status == HTTPStatus.MISDIRECTED_REQUEST:
             now = anyio.current_time()
             self.state.fleet.record_draining(at_fault, now)
             self.state.isolation.record_replaced(at_fault)
         return at_fault
 
-    def _get_sent_to(self, placement: Placement, named: str) -> str:
+    def _get_named_incarnation(self, placement: Placement, named: str) -> str:
         """Return the incarnation that an answer names by id or address.
 
-        It may have started again since it was sent to.
+        The targets of the attempt come first: the named target may have
+        restarted since the request was written.
         """
-        for one in placement.engaged_targets:
-            if one.is_named(named):
-                return one.incarnation
+        for target in placement.engaged_targets:
+            if target.is_named(named):
+                return target.incarnation
         return self.state.fleet.get_incarnation_by_name(named)
 
-    async def _take_whole(
+    async def _receive_whole(
         self,
         job: Job,
         placement: Placement,
@@ -145,11 +154,15 @@
         peer = placement.target.incarnation
         body = await wire.read_body()
         if answer.not_run:
-            at_fault = self._blame(job, placement, head.status, answer)
+            at_fault = self._find_at_fault(job, placement, head.status, answer)
             detail = f'{head.status} at {at_fault}'
             return RelayAttempt(AttemptOutcome.rejected, 'answer', peer, detail)
-        if head.status in PROMISES or not answer.sealed or answer.encoded:
-            self.note_failure(peer)
+        if (
+            head.status in NOT_RUN_STATUSES
+            or not answer.sealed
+            or answer.encoded
+        ):
+            self.record_failure(peer)
             return RelayAttempt(
                 AttemptOutcome.lost, 'answer', peer, f'{head.status}'
             )
@@ -157,26 +170,26 @@
             head.status >= HTTPStatus.INTERNAL_SERVER_ERROR
             and not reply.started
         ):
-            return self._take_failure(job, peer, Answer(head, body))
+            return self._store_failure(job, peer, StoredAnswer(head, body))
         if reply.started:
             return RelayAttempt(
                 AttemptOutcome.lost, 'answer', peer, f'{head.status}'
             )
-        self.note_success(peer)
-        job.note_event(anyio.current_time())
+        self.record_success(peer)
+        job.record_event(anyio.current_time())
         await reply.start(head.status, self.dialect.make_reply_headers(head))
         await reply.finish(body)
         return RelayAttempt(
             AttemptOutcome.answered, 'answer', peer, f'{head.status}'
         )
 
-    def _take_failure(
-        self, job: Job, peer: str, answer: Answer
+    def _store_failure(
+        self, job: Job, peer: str, answer: StoredAnswer
     ) -> RelayAttempt:
-        """Keep a target's own failure in case nothing better comes."""
+        """Store a target's error response in case no attempt succeeds."""
         job.fallback = answer
         if answer.head.status != HTTPStatus.GATEWAY_TIMEOUT:
-            self.note_failure(peer)
+            self.record_failure(peer)
         return RelayAttempt(
             AttemptOutcome.failed, 'answer', peer, f'{answer.head.status}'
         )
--- a/trestledock/entry/_budgets.py
+++ b/trestledock/entry/_budgets.py
@@ -1,9 +1,9 @@
 """
-Budgets for repeats
-===================
+Retry budgets
+=============
 
-What an entry may send again of what all entries together may: by service, and
-for requests that are given up at their target early.
+The share of an entry in the retries that all entries together may send: one
+budget for each service, and one for requests that fail over early.
 """
 
 from dataclasses import dataclass, field
@@ -12,42 +12,44 @@
 from trestledock.relay import EARLY_RETRY_LIMITS, RetryLimits, RetryBudget
 
 
-def _make_early_window() -> RetryBudget:
-    """Return the window of requests that are given up early."""
+def _make_early_failover_budget() -> RetryBudget:
+    """Return the budget of early failovers."""
     return RetryBudget(EARLY_RETRY_LIMITS)
 
 
 @dataclass
 class Budgets:
-    """The budgets of one entry; `count_entries` says how many share them."""
+    """The budgets of one entry, shared by `count_entries()` entries."""
 
-    terms: RetryLimits
+    limits: RetryLimits
     count_entries: Callable[[], int]
-    windows: dict[str, RetryBudget] = field(default_factory=dict)
-    early: RetryBudget = field(default_factory=_make_early_window)
+    by_service: dict[str, RetryBudget] = field(default_factory=dict)
+    early_failovers: RetryBudget = field(
+        default_factory=_make_early_failover_budget
+    )
 
     def record_request(self, service: str, now: float) -> None:
-        """Count the first sending of a request."""
-        self._get_window(service).record_request(now)
-        self.early.record_request(now)
+        """Count the first attempt of a request."""
+        self._get_budget(service).record_request(now)
+        self.early_failovers.record_request(now)
 
     def has_retry_left(self, service: str, now: float) -> bool:
-        """Whether there is a repeat for a service."""
-        return self._get_window(service).has_budget(now, self.count_entries())
+        """Return whether a retry is left for a service."""
+        return self._get_budget(service).has_budget(now, self.count_entries())
 
     def spend_retry(self, service: str, now: float) -> bool:
-        """Take a repeat; return whether one was left."""
-        return self._get_window(service).try_spend(now, self.count_entries())
+        """Take a retry for a service; return whether one was left."""
+        return self._get_budget(service).try_spend(now, self.count_entries())
 
     def may_fail_over_early(self, now: float) -> bool:
-        """Whether one more request may be given up at its target early."""
-        return self.early.has_budget(now, self.count_entries())
+        """Return whether one more request may fail over early."""
+        return self.early_failovers.has_budget(now, self.count_entries())
 
     def record_early_failover(self, now: float) -> None:
-        """Count a request that was given up at its target early."""
-        self.early.try_spend(now, self.count_entries())
+        """Count a request that failed over early."""
+        self.early_failovers.try_spend(now, self.count_entries())
 
-    def _get_window(self, service: str) -> RetryBudget:
-        if service not in self.windows:
-            self.windows[service] = RetryBudget(self.terms)
-        return self.windows[service]
+    def _get_budget(self, service: str) -> RetryBudget:
+        if service not in self.by_service:
+            self.by_service[service] = RetryBudget(self.limits)
+        return self.by_service[service]
--- a/trestledock/entry/_exposition.py
+++ b/trestledock/entry/_exposition.py
@@ -2,8 +2,8 @@
 Exposition of the metrics
 =========================
 
-Gives the numbers of an entry to `prometheus_client`, which makes the text that
-is served.
+Converts the metrics of an entry for `prometheus_client`, which renders the
+text.
 """
 
 from itertools import accumulate
@@ -21,72 +21,78 @@
 
 from trestledock.entry._metrics import (
     BOUNDS_S,
-    COUNTINGS,
+    COUNTERS,
     GAUGES,
-    TIMES,
-    WORDS_LABELS,
-    WORD_BYTES_TEXT,
-    WORDS_TEXT,
+    HISTOGRAMS,
+    MESSAGES_LABELS,
+    MESSAGE_BYTES_TEXT,
+    MESSAGES_TEXT,
     Counts,
     Metrics,
-    Times,
+    HistogramCounts,
 )
 
 PREFIX = 'trestledock'
-#: Above every bound of a histogram.
-ABOVE_ALL = float('inf')
+#: Upper bound of the last bucket of a histogram.
+INFINITY = float('inf')
 
 
-class _Numbers(Collector):
-    """The numbers of one process, as they are now."""
+class _MetricsCollector(Collector):
+    """Collector of the current metrics of one process."""
 
     def __init__(self, metrics: Metrics, gauges: Mapping[str, float]) -> None:
-        """Keep what is shown."""
+        """Take the metrics and gauges to show."""
         self.metrics = metrics
         self.gauges = gauges
 
     def collect(self) -> Iterator[Metric]:
         """Yield every metric."""
-        for kind, counting in COUNTINGS.items():
+        for kind, counter in COUNTERS.items():
             counts = self.metrics.counts[kind]
-            yield _count(
-                kind.get_name(), counting.text, counting.labels, counts
+            yield _make_counter(
+                kind.get_name(), counter.help_text, counter.labels, counts
             )
-        yield _count('words', WORDS_TEXT, WORDS_LABELS, self.metrics.words)
-        yield _count(
+        yield _make_counter(
+            'words', MESSAGES_TEXT, MESSAGES_LABELS, self.metrics.messages
+        )
+        yield _make_counter(
             'word_bytes',
-            WORD_BYTES_TEXT,
-            WORDS_LABELS,
-            self.metrics.word_bytes,
+            MESSAGE_BYTES_TEXT,
+            MESSAGES_LABELS,
+            self.metrics.message_bytes,
         )
-        for name, text in TIMES.items():
-            yield _observe(name, text, self.metrics.times[name])
-        for name, level in self.gauges.items():
-            yield GaugeMetricFamily(f'{PREFIX}_{name}', GAUGES[name], level)
+        for name, help_text in HISTOGRAMS.items():
+            yield _make_histogram(
+                name, help_text, self.metrics.histograms[name]
+            )
+        for name, value in self.gauges.items():
+            yield GaugeMetricFamily(f'{PREFIX}_{name}', GAUGES[name], value)
 
 
-def _count(
+def _make_counter(
     name: str,
-    text: str,
+    help_text: str,
     labels: tuple[str, ...],
     counts: Counts,
 ) -> Metric:
-    family = CounterMetricFamily(f'{PREFIX}_{name}', text, labels=labels)
-    for settings, count in counts.items():
-        family.add_metric(settings, count)
+    family = CounterMetricFamily(f'{PREFIX}_{name}', help_text, labels=labels)
+    for label_values, count in counts.items():
+        family.add_metric(label_values, count)
     return family
 
 
-def _observe(name: str, text: str, times: Times) -> Metric:
-    bounds = [floatToGoString(bound) for bound in (*BOUNDS_S, ABOVE_ALL)]
-    buckets = list(zip(bounds, accumulate(times.counts), strict=True))
+def _make_histogram(
+    name: str, help_text: str, histogram: HistogramCounts
+) -> Metric:
+    bounds = [floatToGoString(bound) for bound in (*BOUNDS_S, INFINITY)]
+    buckets = list(zip(bounds, accumulate(histogram.counts), strict=True))
     return HistogramMetricFamily(
-        f'{PREFIX}_{name}_seconds', text, buckets, times.total_s
+        f'{PREFIX}_{name}_seconds', help_text, buckets, histogram.total_s
     )
 
 
 def render(metrics: Metrics, gauges: Mapping[str, float]) -> bytes:
-    """Return everything as text."""
+    """Return all metrics as text."""
     registry = CollectorRegistry()
-    registry.register(_Numbers(metrics, gauges))
+    registry.register(_MetricsCollector(metrics, gauges))
     return generate_latest(registry)
--- a/trestledock/entry/_flight_codec.py
+++ b/trestledock/entry/_flight_codec.py
@@ -1,9 +1,10 @@
 """
-Rows of flights
-===============
+Encoding of in-flight requests
+==============================
 
-How a flight is told to other entries: a row of plain values, with instants as
-the time since or until, since clocks differ.
+An in-flight request as a row of plain values in messages between entries.
+Instants are sent as the time since or until them, because clocks differ between
+machines.
 """
 
 from typing import Any, NamedTuple, Sequence
@@ -18,14 +19,14 @@
 from trestledock.relay import Flight, Phase
 
 MS = 1000
-#: A flight with its id; None where it has ended.
+#: In-flight request with its id, or None once it has ended.
 Change = tuple[str, Flight | None]
 
 
 class Row(NamedTuple):
-    """A flight as it is told; instants are told as the time until or since.
+    """Encoded in-flight request; instants as the time until or since them.
 
-    What an older version of the program does not tell has a default.
+    Fields that older versions of the program don't send have defaults.
     """
 
     flight_id: str
@@ -38,9 +39,9 @@
     worth: float
     due_ms: int
     helpers: Sequence[str]
-    tickets: Sequence[tuple[str, int]]
-    gone_ms: float = MAX_AGE_S * MS
-    patience_ms: float = MAX_AGE_S * MS
+    reservations: Sequence[tuple[str, int]]
+    abandoned_after_ms: float = MAX_AGE_S * MS
+    event_timeout_ms: float = MAX_AGE_S * MS
 
 
 def encode_change(
@@ -48,7 +49,7 @@
     flight: Flight | None,
     now: float,
 ) -> Sequence[Any]:
-    """Return a row; a flight that has ended is told by its id alone."""
+    """Encode an in-flight request; one that has ended is its id alone."""
     if flight is None:
         return [flight_id]
     return Row(
@@ -62,25 +63,25 @@
         worth=round(flight.worth, 2),
         due_ms=_get_ms(flight.due_at - now),
         helpers=flight.helpers,
-        tickets=flight.reservations,
-        gone_ms=_get_ms(flight.abandoned_at - now),
-        patience_ms=_get_ms(flight.patience_s),
+        reservations=flight.reservations,
+        abandoned_after_ms=_get_ms(flight.abandoned_at - now),
+        event_timeout_ms=_get_ms(flight.event_timeout_s),
     )
 
 
 def _get_ms(seconds: float) -> int:
-    """Return milliseconds; what has no end is told as very long."""
+    """Return milliseconds, with infinity as a very long time."""
     return round(min(seconds, MAX_AGE_S) * MS)
 
 
-def decode_change(told: Any, now: float) -> Change:
-    """Return a flight with its id, or the id alone of one that has ended.
+def decode_change(values: Any, now: float) -> Change:
+    """Decode an in-flight request, or the id alone of one that has ended.
 
-    What makes no sense raises a `ValueError` or a `TypeError`.
+    An invalid row raises a `ValueError` or a `TypeError`.
     """
-    if len(told) == 1:
-        return read_text(told[0]), None
-    row = Row(*told)
+    if len(values) == 1:
+        return read_text(values[0]), None
+    row = Row(*values)
     return row.flight_id, Flight(
         flight_id=read_text(row.flight_id),
         target=read_text(row.target),
@@ -94,8 +95,8 @@
         helpers=tuple(map(read_text, read_list(row.helpers))),
         reservations=tuple(
             (read_text(name), read_count(tokens))
-            for name, tokens in read_list(row.tickets)
+            for name, tokens in read_list(row.reservations)
         ),
-        abandoned_at=now + read_number(row.gone_ms) / MS,
-        patience_s=read_number(row.patience_ms) / MS,
+        abandoned_at=now + read_number(row.abandoned_after_ms) / MS,
+        event_timeout_s=read_number(row.event_timeout_ms) / MS,
     )
--- a/trestledock/entry/_logger.py
+++ b/trestledock/entry/_logger.py
@@ -2,10 +2,10 @@
 Structured log
 ==============
 
-Writes events as JSON lines to standard output.  The volume is bounded for each
-kind of event, failures more generously than successes, and writing never
-blocks: what standard output does not take is kept for a while and then left
-out, and a line says how much.
+Writes events as JSON lines to standard output. The volume is limited for each
+kind of event, with a higher limit for failures than for successes. Writing
+never blocks: lines that standard output does not accept wait in a bounded
+queue, and a line reports how many were dropped.
 """
 
 import logging
@@ -21,13 +21,13 @@
 from trestledock.entry import _events as events
 from trestledock.entry._metrics import METRICS
 
-#: Lines of one kind a second; those of failures may be more.
-MOST_LINES = 60
-MOST_FAILURES = 240
-#: Lines that wait for standard output to take them.
-MOST_WAITING = 2_000
+#: Maximum number of lines of a kind in a second, and the same for failures.
+MAX_LINES_PER_S = 60
+MAX_FAILURE_LINES_PER_S = 240
+#: Maximum number of lines that wait for standard output.
+MAX_WAITING = 2_000
 
-#: Kinds of which more is kept: they tell why a request failed.
+#: Kinds with the higher limit, as they tell why a request failed.
 FAILURES = frozenset(
     kind.get_name()
     for kind in (
@@ -43,7 +43,7 @@
 
 
 def emit(event: events.Event, *, failed: bool = False) -> None:
-    """Count and write one event; `failed` adds the traceback at hand."""
+    """Count and log an event; `failed` adds the current traceback."""
     METRICS.record_event(event)
     level = logging.ERROR if failed else logging.INFO
     logger.log(
@@ -56,7 +56,7 @@
     """Counts the lines of each kind in the current second.
 
     >>> limit = LineLimit(clock=lambda: 0.0)
-    >>> sum(limit.allows('answered') for _ in range(1000)) == MOST_LINES
+    >>> sum(limit.allows('answered') for _ in range(1000)) == MAX_LINES_PER_S
     True
     """
 
@@ -65,29 +65,30 @@
     counts: dict[str, int] = field(default_factory=dict)
 
     def allows(self, kind: str) -> bool:
-        """Whether a line of this kind is written."""
+        """Whether another line of this kind may be written."""
         self.counts[kind] = self.counts.get(kind, 0) + 1
-        return self.counts[kind] <= _get_most(kind)
+        return self.counts[kind] <= _get_max_lines(kind)
 
-    def turn(self) -> dict[str, int]:
-        """Return what was left out, once a second has passed."""
+    def start_new_second(self) -> dict[str, int]:
+        """Return the dropped lines by kind, once a second has passed."""
         second = int(self.clock())
         if second == self.second:
             return {}
-        left_out = {
-            kind: count - _get_most(kind) for kind, count in self.counts.items()
+        dropped = {
+            kind: count - _get_max_lines(kind)
+            for kind, count in self.counts.items()
         }
         self.second = second
         self.counts = {}
-        return {kind: count for kind, count in left_out.items() if count > 0}
+        return {kind: count for kind, count in dropped.items() if count > 0}
 
 
-def _get_most(kind: str) -> int:
-    return MOST_FAILURES if kind in FAILURES else MOST_LINES
+def _get_max_lines(kind: str) -> int:
+    return MAX_FAILURE_LINES_PER_S if kind in FAILURES else MAX_LINES_PER_S
 
 
 class PipeHandler(logging.Handler):
-    """Writes lines to a file descriptor without ever waiting for it."""
+    """Log handler that writes to a file descriptor without blocking."""
 
     def __init__(self, descriptor: int, limit: LineLimit | None = None) -> None:
         """Make the descriptor non-blocking."""
@@ -99,24 +100,24 @@
         os.set_blocking(descriptor, False)
 
     def emit(self, record: logging.LogRecord) -> None:
-        """Write a record, or leave it out."""
-        for kind, count in self.limit.turn().items():
-            self._put_left_out(kind, count, 'rate')
+        """Write a record, or drop it."""
+        for kind, count in self.limit.start_new_second().items():
+            self._put_dropped_count(kind, count, 'rate')
         if self.limit.allows(record.getMessage()):
             self._put(record)
         self._flush()
 
     def _put(self, record: logging.LogRecord) -> None:
-        if len(self.waiting) >= MOST_WAITING:
+        if len(self.waiting) >= MAX_WAITING:
             self.dropped += 1
             return
         if self.dropped:
             dropped, self.dropped = self.dropped, 0
-            self._put_left_out('any', dropped, 'pipe')
+            self._put_dropped_count('any', dropped, 'pipe')
         line = self.format(record)
         self.waiting.append(f'{line}\n'.encode())
 
-    def _put_left_out(self, kind: str, count: int, reason: str) -> None:
+    def _put_dropped_count(self, kind: str, count: int, reason: str) -> None:
         event = events.LinesLeftOut(kind, count, reason)
         METRICS.record_event(event)
         record = logger.makeRecord(
@@ -137,7 +138,7 @@
             try:
                 count = os.write(self.descriptor, line)
             except OSError:
-                # Full or closed: what waits is written with a later line.
+                # Full or closed: a later call writes the waiting lines.
                 return
             if count < len(line):
                 self.waiting[0] = line[count:]
--- a/trestledock/entry/_notice_codec.py
+++ b/trestledock/entry/_notice_codec.py
@@ -1,10 +1,11 @@
 """
-Rows of notices
-===============
+Encoding of notices
+===================
 
-How what targets say of themselves is told to other entries: rows of plain
-values, a list for each kind, with instants as the time since, as clocks differ.
-An older version of the program knows the first kind only and skips the others.
+Notices about targets as rows of plain values in messages between entries, a
+list for each kind. Instants are sent as the time since them, because clocks
+differ between machines. Older versions of the program know the first kind only
+and skip the others.
 """
 
 from dataclasses import dataclass
@@ -26,54 +27,60 @@
 
 
 @dataclass(frozen=True)
-class Form:
-    """How a kind of notice is told: in which list, and as what it is read.
+class Encoding:
+    """Encoding of a kind of notice: the key of its list, and its decoded type.
 
-    `write` and `read` translate what stands before the ages in a row.
+    `encode` and `decode` translate the fields before the ages in a row.
     """
 
-    name: str
-    told_as: type
-    write: Callable[[Any, float], Row]
-    read: Callable[..., Row]
+    key: str
+    decoded_type: type
+    encode: Callable[[Any, float], Row]
+    decode: Callable[..., Row]
 
 
 def encode_notices(
     notices: Iterable[TargetNotice], now: float
 ) -> dict[str, list[Row]]:
-    """Return the rows by kind."""
-    rows: dict[str, list[Row]] = {form.name: [] for form in FORMS.values()}
-    for one in notices:
-        form = FORMS[type(one.notice)]
-        rows[form.name].append(_write_row(form, one, now))
+    """Encode notices as rows by kind."""
+    rows: dict[str, list[Row]] = {
+        encoding.key: [] for encoding in ENCODINGS.values()
+    }
+    for target_notice in notices:
+        encoding = ENCODINGS[type(target_notice.notice)]
+        rows[encoding.key].append(_encode_row(encoding, target_notice, now))
     return rows
 
 
 def decode_notices(
-    plain: Mapping[str, Any], now: float
+    fields: Mapping[str, Any], now: float
 ) -> tuple[TargetNotice, ...]:
-    """Return what rows say, or raise where it makes no sense."""
+    """Decode rows of notices, or raise if they are invalid."""
     return tuple(
-        TargetNotice(read_text(target), _read_notice(form, row, now))
-        for form in FORMS.values()
-        for target, *row in map(read_list, read_list(plain.get(form.name, [])))
+        TargetNotice(read_text(target), _decode_notice(encoding, row, now))
+        for encoding in ENCODINGS.values()
+        for target, *row in map(
+            read_list, read_list(fields.get(encoding.key, []))
+        )
     )
 
 
-def _write_row(form: Form, one: TargetNotice, now: float) -> Row:
-    notice = one.notice
+def _encode_row(
+    encoding: Encoding, target_notice: TargetNotice, now: float
+) -> Row:
+    notice = target_notice.notice
     return (
-        one.target,
-        *form.write(notice, now),
+        target_notice.target,
+        *encoding.encode(notice, now),
         round((now - notice.asked_at) * MS),
         round((now - notice.heard_at) * MS),
     )
 
 
-def _read_notice(form: Form, row: Row, now: float) -> Notice:
-    *asks_for, asked_ms, heard_ms = row
-    notice: Notice = form.told_as(
-        *form.read(now, *asks_for),
+def _decode_notice(encoding: Encoding, row: Row, now: float) -> Notice:
+    *fields, asked_ms, heard_ms = row
+    notice: Notice = encoding.decoded_type(
+        *encoding.decode(now, *fields),
         asked_at=now - read_count(asked_ms) / MS,
         heard_at=now - read_count(heard_ms) / MS,
         is_shared=True,
@@ -81,35 +88,38 @@
     return notice
 
 
-def _write_limit(limit: RateLimit, now: float) -> Row:
+def _encode_limit(limit: RateLimit, now: float) -> Row:
     return (limit.per_s,)
 
 
-def _read_limit(now: float, per_s: Any) -> Row:
+def _decode_limit(now: float, per_s: Any) -> Row:
     return (None if per_s is None else max(0, read_number(per_s)),)
 
 
-def _write_leave(leave: Drain, now: float) -> Row:
+def _encode_drain(drain: Drain, now: float) -> Row:
     return ()
 
 
-def _read_leave(now: float) -> Row:
+def _decode_drain(now: float) -> Row:
     return ()
 
 
-def _write_rest(rest: Backoff, now: float) -> Row:
-    return (max(0, round((rest.until - now) * MS)),)
+def _encode_backoff(backoff: Backoff, now: float) -> Row:
+    return (max(0, round((backoff.until - now) * MS)),)
 
 
-def _read_rest(now: float, left_ms: Any) -> Row:
+def _decode_backoff(now: float, left_ms: Any) -> Row:
     return (now + read_count(left_ms) / MS,)
 
 
-#: What one entry is asked for is elsewhere for those that it tells.
-FORMS: Mapping[type, Form] = MappingProxyType(
+#: Encodings by kind. A back-off requested from one entry is decoded as one
+#: requested elsewhere.
+ENCODINGS: Mapping[type, Encoding] = MappingProxyType(
     {
-        RateLimit: Form('limits', RateLimit, _write_limit, _read_limit),
-        Drain: Form('leaves', Drain, _write_leave, _read_leave),
-        Backoff: Form('rests', PeerBackoff, _write_rest, _read_rest),
+        RateLimit: Encoding('limits', RateLimit, _encode_limit, _decode_limit),
+        Drain: Encoding('leaves', Drain, _encode_drain, _decode_drain),
+        Backoff: Encoding(
+            'rests', PeerBackoff, _encode_backoff, _decode_backoff
+        ),
     }
 )
--- a/trestledock/entry/_notices.py
+++ b/trestledock/entry/_notices.py
@@ -1,10 +1,9 @@
 """
-Notices that targets give
-=========================
+Notices from targets
+====================
 
-Notes what answers, and other entries, say of a target (that it leaves, that it
-wants rest, how many requests a second it takes) and writes down what that
-changes.
+Records what answers, and other entries, say about a target (that it is
+draining, its back-off, its rate limit) and logs the changes.
 """
 
 from functools import singledispatch
@@ -16,7 +15,7 @@
 from trestledock.entry._dialect import AnswerMetadata
 from trestledock.entry._job import Job
 from trestledock.entry._logger import emit
-from trestledock.entry._answer_source import find_helper, find_speaker
+from trestledock.entry._answer_source import find_helper, find_attributed_target
 from trestledock.entry._state import EntryState
 from trestledock.relay import (
     NoticeChange,
@@ -31,9 +30,10 @@
 )
 
 MS = 1000
-#: A limit that falls below this part of the one before is told at once.
+#: A limit below this share of the previous one is sent to other entries at
+#: once.
 URGENT_SHARE = 0.8
-#: Who has heard what this entry heard itself.
+#: Source in log events for a notice that this entry received itself.
 OWN = 'self'
 
 
@@ -45,22 +45,26 @@
     answer: AnswerMetadata,
     asked_at: float,
 ) -> None:
-    """Note what an answer to a request of the instant `asked_at` says."""
+    """Record the notices in an answer to a request sent at `asked_at`."""
     peer = placement.target.incarnation
-    _note_limit(state, peer, status, answer, asked_at)
-    speaker = find_speaker(state, job, placement, status, answer)
-    if answer.leaves:
-        _note_leave(state, peer, speaker, asked_at)
-    _note_ignored(state, peer, 'rest', answer.rest.invalid_text)
-    if not answer.rest.backoff_s:
-        _note_rested(state, speaker, answer, asked_at)
-    elif speaker:
-        _note_rest(state, speaker, answer.rest.backoff_s, status, asked_at)
+    _record_limit(state, peer, status, answer, asked_at)
+    target = find_attributed_target(state, job, placement, status, answer)
+    if answer.is_draining:
+        _record_drain(state, peer, target, asked_at)
+    _log_ignored(state, peer, 'rest', answer.backoff.invalid_text)
+    if not answer.backoff.backoff_s:
+        _record_backoff_end(state, target, answer, asked_at)
+    elif target:
+        _record_backoff(
+            state, target, answer.backoff.backoff_s, status, asked_at
+        )
         helper = find_helper(placement, answer.at_fault)
         if helper:
-            _note_rest(state, helper, answer.rest.backoff_s, status, asked_at)
+            _record_backoff(
+                state, helper, answer.backoff.backoff_s, status, asked_at
+            )
     else:
-        _note_ignored(state, peer, 'rest', 'not its own answer')
+        _log_ignored(state, peer, 'rest', 'not its own answer')
 
 
 def record_order_notices(
@@ -70,84 +74,84 @@
     answer: AnswerMetadata,
     asked_at: float,
 ) -> None:
-    """Note what an answer to an order says of the target that it is from."""
+    """Record the notices in an answer to an order to a target."""
     if status == HTTPStatus.MISDIRECTED_REQUEST:
         return
     peer = holder.incarnation
-    if answer.leaves:
-        _note_leave(state, peer, peer, asked_at)
-    if answer.rest.backoff_s:
-        _note_rest(state, peer, answer.rest.backoff_s, status, asked_at)
+    if answer.is_draining:
+        _record_drain(state, peer, peer, asked_at)
+    if answer.backoff.backoff_s:
+        _record_backoff(state, peer, answer.backoff.backoff_s, status, asked_at)
 
 
-def _note_leave(
-    state: EntryState, peer: str, speaker: str, asked_at: float
+def _record_drain(
+    state: EntryState, peer: str, target: str, asked_at: float
 ) -> None:
-    """Note that a target leaves, and have all others know at once."""
-    if not speaker:
-        _note_ignored(state, peer, 'leave', 'not its own answer')
+    """Record that a target is draining, and tell all other entries at once."""
+    if not target:
+        _log_ignored(state, peer, 'leave', 'not its own answer')
         return
     notice = Drain(asked_at, anyio.current_time())
-    if apply_notice(state, speaker, notice, OWN) is NoticeChange.learnt:
-        state.send_notices(speaker)
+    if apply_notice(state, target, notice, OWN) is NoticeChange.learnt:
+        state.send_notices(target)
 
 
-def _note_limit(
+def _record_limit(
     state: EntryState,
     peer: str,
     status: int,
     answer: AnswerMetadata,
     asked_at: float,
 ) -> None:
-    """Note how many requests a second a target takes.
+    """Record the rate limit of a target, in requests a second.
 
-    An answer without a word takes a limit back only if it is the target's own
-    and a success: a refusal or a failure may come from a part of it, or from
-    what stands before it, that knows of no limit.
+    An answer without a limit withdraws the previous one only if it is the
+    target's own and a success: a refusal or failure may come from a component
+    of the target, or from a proxy before it, that does not know the limit.
     """
-    limit = answer.limit
-    _note_ignored(state, peer, 'limit', limit.invalid_text)
-    speaks = answer.sealed and status < HTTPStatus.BAD_REQUEST
-    if limit.per_s is None and (limit.is_present or not speaks):
+    limit = answer.rate_limit
+    _log_ignored(state, peer, 'limit', limit.invalid_text)
+    may_withdraw = answer.sealed and status < HTTPStatus.BAD_REQUEST
+    if limit.per_s is None and (limit.is_present or not may_withdraw):
         return
-    before = state.notices.get(RateLimit, peer)
+    previous = state.notices.get(RateLimit, peer)
     notice = RateLimit(limit.per_s, asked_at, anyio.current_time())
     change = apply_notice(state, peer, notice, OWN)
-    if change is not NoticeChange.nothing and _is_urgent(before, notice):
+    if change is not NoticeChange.nothing and _is_urgent(previous, notice):
         state.send_notices(peer)
 
 
-def _note_rest(
-    state: EntryState, peer: str, rest_s: float, status: int, asked_at: float
+def _record_backoff(
+    state: EntryState, peer: str, backoff_s: float, status: int, asked_at: float
 ) -> None:
-    """Note for how long a target wants nothing more from this entry."""
+    """Record for how long a target refuses requests of this entry."""
     now = anyio.current_time()
-    left_ms = _get_left_ms(state.notices.get(Backoff, peer))
-    until = now + rest_s + get_jitter_s(rest_s, state.rng.random())
+    left_ms = _get_remaining_ms(state.notices.get(Backoff, peer))
+    until = now + backoff_s + get_jitter_s(backoff_s, state.rng.random())
     change = state.notices.record(peer, Backoff(until, asked_at, now))
     if change is not NoticeChange.nothing:
-        rest_ms = round(rest_s * MS)
-        emit(events.RestHeard(peer, rest_ms, left_ms, status, OWN))
+        backoff_ms = round(backoff_s * MS)
+        emit(events.RestHeard(peer, backoff_ms, left_ms, status, OWN))
         state.send_notices(peer)
 
 
-def _note_rested(
+def _record_backoff_end(
     state: EntryState, peer: str, answer: AnswerMetadata, asked_at: float
 ) -> None:
-    """Note that a target works again: it was asked after its rest."""
-    rest = state.notices.get(Backoff, peer)
-    if rest and answer.sealed and rest.is_over(asked_at):
+    """Record that a target works again: it was sent to after its back-off."""
+    backoff = state.notices.get(Backoff, peer)
+    if backoff and answer.sealed and backoff.is_over(asked_at):
         state.throttle.backoffs.forget(peer)
-        emit(events.RestEnded(peer, round((asked_at - rest.until) * MS)))
+        emit(events.RestEnded(peer, round((asked_at - backoff.until) * MS)))
         state.notify()
 
 
 def apply_notice(
     state: EntryState, peer: str, notice: Notice, source: str
 ) -> NoticeChange:
-    """Believe a notice of a target, if it is news; return what it changed.
+    """Apply a notice about a target if it is news; return the change.
 
-    That a target leaves may come before its first record.
+    A draining notice may arrive before the first record of its target.
     """
     if peer not in state.fleet.targets and not isinstance(notice, Drain):
         return NoticeChange.nothing
@@ -155,24 +159,24 @@
     change = state.notices.record(peer, notice)
     if change is NoticeChange.nothing:
         return change
-    emit(_make_heard(notice, before, peer, change, source))
+    emit(_make_event(notice, before, peer, change, source))
     state.notify()
     return change
 
 
 @singledispatch
-def _make_heard(
+def _make_event(
     notice: Notice,
     before: Notice | None,
     peer: str,
     change: NoticeChange,
     source: str,
 ) -> events.Event:
-    """Return the line on a notice that changed what is believed."""
-    raise TypeError(f'no notice: {notice!r}')
+    """Return the log event for a notice that changed something."""
+    raise TypeError(f'unknown notice type: {notice!r}')
 
 
-@_make_heard.register
+@_make_event.register
 def _(
     notice: RateLimit,
     before: RateLimit | None,
@@ -190,7 +194,7 @@
     )
 
 
-@_make_heard.register
+@_make_event.register
 def _(
     notice: Drain,
     before: Drain | None,
@@ -201,7 +205,7 @@
     return events.LeaveHeard(peer, source, _get_age_ms(notice))
 
 
-@_make_heard.register
+@_make_event.register
 def _(
     notice: PeerBackoff,
     before: PeerBackoff | None,
@@ -209,16 +213,16 @@
     change: NoticeChange,
     source: str,
 ) -> events.Event:
-    left_ms = _get_left_ms(before)
-    return events.RestHeard(peer, _get_left_ms(notice), left_ms, 0, source)
+    left_ms = _get_remaining_ms(before)
+    return events.RestHeard(peer, _get_remaining_ms(notice), left_ms, 0, source)
 
 
 def log_send_against_notices(
     state: EntryState, req: str, placement: Placement
 ) -> None:
-    """Write down that a request goes to targets that asked for something."""
-    for one in placement.engaged_targets:
-        peer = one.incarnation
+    """Log that a request goes to targets with a notice in force."""
+    for target in placement.engaged_targets:
+        peer = target.incarnation
         limit = state.notices.get(RateLimit, peer)
         if limit and limit.per_s is not None:
             age_s = anyio.current_time() - limit.heard_at
@@ -227,51 +231,51 @@
                     req=req,
                     peer=peer,
                     per_s=limit.per_s,
-                    quota_per_s=round(state.throttle.get_quota(one), 3),
+                    quota_per_s=round(state.throttle.get_quota(target), 3),
                     age_ms=round(age_s * MS),
                 )
             )
-        _note_against(state, req, peer)
+        _log_against(state, req, peer)
 
 
-def _note_against(state: EntryState, req: str, peer: str) -> None:
-    """Write down that a request goes where nothing should."""
-    leave = state.notices.get(Drain, peer)
-    rest = state.notices.get(Backoff, peer)
-    if leave:
-        age_ms = _get_age_ms(leave)
+def _log_against(state: EntryState, req: str, peer: str) -> None:
+    """Log that a request goes to a draining or backed-off target."""
+    drain = state.notices.get(Drain, peer)
+    backoff = state.notices.get(Backoff, peer)
+    if drain:
+        age_ms = _get_age_ms(drain)
         emit(events.SentAgainstNotice(req, peer, 'leave', age_ms))
-    if rest and not rest.is_over(anyio.current_time()):
-        age_ms = _get_age_ms(rest)
+    if backoff and not backoff.is_over(anyio.current_time()):
+        age_ms = _get_age_ms(backoff)
         emit(events.SentAgainstNotice(req, peer, 'rest', age_ms))
 
 
-def _get_left_ms(rest: Backoff | None) -> int:
-    """Return what is left of a rest, if there is one."""
-    left_s = rest.until - anyio.current_time() if rest else 0
+def _get_remaining_ms(backoff: Backoff | None) -> int:
+    """Return the remaining time of a back-off, or 0."""
+    left_s = backoff.until - anyio.current_time() if backoff else 0
     return round(max(0, left_s) * MS)
 
 
 def _get_age_ms(notice: Notice) -> int:
-    """Return how long ago a target may have said something."""
+    """Return the maximum age of a notice."""
     return round((anyio.current_time() - notice.asked_at) * MS)
 
 
 def _is_urgent(before: RateLimit | None, notice: RateLimit) -> bool:
-    """Whether others must know at once, not with the next whole word.
+    """Whether other entries must know at once, not with the next full state.
 
-    A number that changes a little with each answer would be told as often.
+    A number that changes slightly with each answer would be sent with each.
     """
     if before is None or before.per_s is None or notice.per_s is None:
         return True
     return notice.per_s < before.per_s * URGENT_SHARE
 
 
-def _note_ignored(
+def _log_ignored(
     state: EntryState, peer: str, notice: str, detail: str
 ) -> None:
-    """Write down what is not believed, once for each kind and text."""
-    known = state.ignored_notices.setdefault(peer, {})
-    if detail and known.get(notice) != detail:
-        known[notice] = detail
+    """Log an invalid notice, once for each kind and text."""
+    logged = state.ignored_notices.setdefault(peer, {})
+    if detail and logged.get(notice) != detail:
+        logged[notice] = detail
         emit(events.NoticeIgnored(peer, notice, detail))
--- a/trestledock/entry/_relaying.py
+++ b/trestledock/entry/_relaying.py
@@ -1,10 +1,9 @@
 """
-Relaying
-========
+Request relaying
+================
 
-The life of a relayed request: admitted, placed, sent, and answered, repeated
-elsewhere or given up.  Whatever happens, the caller gets one final answer
-within its time.
+Takes a request through admission, placement and one or more attempts.  In every
+case the caller gets exactly one final answer before its deadline.
 """
 
 from http import HTTPStatus
@@ -12,7 +11,7 @@
 import anyio
 
 from trestledock.entry import _events as events
-from trestledock.entry._admission import admit, check_again, is_quarantined
+from trestledock.entry._admission import admit, recheck, is_quarantined
 from trestledock.entry._dialect import Dialect
 from trestledock.entry._job import STATUSES, Job, Refusal
 from trestledock.entry._logger import emit
@@ -30,19 +29,20 @@
     get_worth,
 )
 
-#: When to come back after a refusal, in seconds and at least, before jitter.
-COME_BACK_S = 0.25
-#: The most that is added to it by chance, in seconds.
-COME_BACK_JITTER_S = 0.25
-#: The pause before what was not sent is tried again, in seconds.
-TRY_AGAIN_S = 0.1
-#: Refusals in whose place a target's own failure is told: it is the truer word.
-FAILURES = frozenset((Refusal.failed, Refusal.timeout))
+#: The smallest Retry-After of a refusal, in seconds, before jitter.
+RETRY_AFTER_S = 0.25
+#: The largest random addition to Retry-After, in seconds.
+RETRY_AFTER_JITTER_S = 0.25
+#: The pause before a request that was not sent is tried again, in seconds.
+RESEND_PAUSE_S = 0.1
+#: Refusals that are replaced by a target's own error response where there is
+#: one, as that describes the failure better.
+FAILURE_REFUSALS = frozenset((Refusal.failed, Refusal.timeout))
 MS = 1000
 
 
 class Relayer:
-    """Relays calls for one entry process."""
+    """Relays the requests of one entry process."""
 
     def __init__(
         self,
@@ -50,48 +50,50 @@
         dialect: Dialect,
         sender: Sender,
     ) -> None:
-        """Keep the state, the platform's formats and the way to targets."""
+        """Store the state, the platform's formats and the sender."""
         self.state = state
         self.dialect = dialect
         self.sender = sender
 
     async def relay(self, call: Call, reply: Reply) -> None:
-        """Give a call its final answer, or raise `CutReply`."""
+        """Send the final answer to a call, or raise `CutReply`."""
         job = admit(self.state, call, anyio.current_time())
         if isinstance(job, Refusal):
             await self._refuse(call, reply, job)
             return
-        self._note_admitted(job)
+        self._log_admitted(job)
         if is_quarantined(self.state, job):
             job.is_trial = await self.state.isolation.may_probe(job.fingerprint)
         with anyio.CancelScope(deadline=job.deadline) as scope:
             with self.state.track_unanswered(reply, scope):
                 await self._run(job, reply)
         if scope.cancelled_caught:
-            over = anyio.current_time() >= job.deadline
-            reason = Refusal.timeout if over else Refusal.failed
-            await self._give_up(job, reply, reason)
+            expired = anyio.current_time() >= job.deadline
+            reason = Refusal.timeout if expired else Refusal.failed
+            await self._end_unanswered(job, reply, reason)
 
-    async def turn_away(self, call: Call, reply: Reply) -> None:
-        """Refuse a call that comes too late to be relayed."""
+    async def refuse_late(self, call: Call, reply: Reply) -> None:
+        """Refuse a call that arrives too late in the shutdown to be relayed."""
         await self._refuse(call, reply, Refusal.not_run)
 
     async def _run(self, job: Job, reply: Reply) -> None:
-        """Send to one target after the other until one has answered."""
+        """Try one target after another until one has answered."""
         while True:
             placement = await select(self.state, job)
-            refusal = check_again(self.state, job)
+            refusal = recheck(self.state, job)
             if refusal or isinstance(placement, Refusal):
-                await self._give_up(job, reply, _pick(refusal, placement))
+                await self._end_unanswered(
+                    job, reply, _choose_refusal(refusal, placement)
+                )
                 return
-            sending = await self._send(job, placement, reply)
-            if sending.outcome is AttemptOutcome.answered:
+            attempt = await self._send(job, placement, reply)
+            if attempt.outcome is AttemptOutcome.answered:
                 return
             if is_quarantined(self.state, job):
-                await self._give_up(job, reply, Refusal.quarantined)
+                await self._end_unanswered(job, reply, Refusal.quarantined)
                 return
-            if not await self._may_repeat(job):
-                await self._give_up(job, reply, Refusal.failed)
+            if not await self._may_retry(job):
+                await self._end_unanswered(job, reply, Refusal.failed)
                 return
             emit(
                 events.Repeated(
@@ -107,61 +109,67 @@
         placement: Placement,
         reply: Reply,
     ) -> RelayAttempt:
-        began_at = anyio.current_time()
-        sending = await self.sender.send(job, placement, reply)
-        job.history = job.history.add(sending)
-        job.writing = False
-        if sending.outcome is AttemptOutcome.answered:
+        started_at = anyio.current_time()
+        attempt = await self.sender.send(job, placement, reply)
+        job.history = job.history.add(attempt)
+        job.is_writing = False
+        if attempt.outcome is AttemptOutcome.answered:
             self.state.isolation.record_answered(job.fingerprint)
-        _avoid(job, placement, sending)
-        took_ms = round((anyio.current_time() - began_at) * MS)
-        _note_ending(job, sending, took_ms)
-        return sending
+        _exclude_targets(job, placement, attempt)
+        took_ms = round((anyio.current_time() - started_at) * MS)
+        _log_outcome(job, attempt, took_ms)
+        return attempt
 
-    async def _may_repeat(self, job: Job) -> bool:
-        """Whether to go on elsewhere; an answer that has begun waits for it."""
+    async def _may_retry(self, job: Job) -> bool:
+        """Return whether to retry; a begun answer waits for the budget."""
         if (
-            job.begun
+            job.response_begun
             and job.history.attempts[-1].outcome is AttemptOutcome.not_sent
         ):
-            return await self._may_try_again(job)
+            return await self._may_resend(job)
         if not job.history.may_repeat(job.route):
             return False
         if job.history.attempts[-1].outcome is AttemptOutcome.not_sent:
             return True
-        while not self._spend(job):
-            if not job.begun or anyio.current_time() >= job.timing.abandoned_at:
+        while not self._spend_retry(job):
+            if (
+                not job.response_begun
+                or anyio.current_time() >= job.timing.abandoned_at
+            ):
                 return False
             await self.state.wait_for_change(PLACEMENT_RETRY_S)
         return True
 
-    async def _may_try_again(self, job: Job) -> bool:
-        """Whether what was not sent is tried again, however often that was.
+    async def _may_resend(self, job: Job) -> bool:
+        """Return whether to retry an attempt that sent nothing.
 
-        An answer that has begun has nothing to lose by it; a moment's pause
-        keeps targets that refuse connections from using up its time.
+        There is no limit on the number: a begun answer loses nothing by it.
+        The pause keeps a target that refuses connections from being tried in a
+        tight loop until the deadline.
         """
         if not job.history.may_run_again(job.route):
             return False
-        await anyio.sleep(TRY_AGAIN_S)
+        await anyio.sleep(RESEND_PAUSE_S)
         return anyio.current_time() < job.timing.abandoned_at
 
-    def _spend(self, job: Job) -> bool:
-        if job.has_repeat:
-            job.has_repeat = False
+    def _spend_retry(self, job: Job) -> bool:
+        if job.has_reserved_retry:
+            job.has_reserved_retry = False
             return True
         return self.state.budgets.spend_retry(job.service, anyio.current_time())
 
-    async def _give_up(self, job: Job, reply: Reply, reason: Refusal) -> None:
-        """End a request that no target answered."""
+    async def _end_unanswered(
+        self, job: Job, reply: Reply, reason: Refusal
+    ) -> None:
+        """Finish a request that no target answered."""
         if reply.started:
             emit(events.Cut(job.call.req_id, reason.value))
             raise CutReply(reason.value)
-        refusal = _get_refusal(job, reason)
+        refusal = _weaken_refusal(job, reason)
         if refusal is Refusal.quarantined:
             isolation = self.state.isolation
-            job.come_back_s = isolation.get_retry_after_s(job.fingerprint)
-        if job.fallback and refusal in FAILURES:
+            job.retry_after_s = isolation.get_retry_after_s(job.fingerprint)
+        if job.fallback and refusal in FAILURE_REFUSALS:
             head = job.fallback.head
             emit(events.FailurePassedOn(job.call.req_id, head.status))
             headers = self.dialect.make_reply_headers(head)
@@ -188,21 +196,21 @@
                 sendings=len(job.history.attempts) if job else 0,
             ),
         )
-        come_back_s = max(COME_BACK_S, job.come_back_s if job else 0)
-        headers = self._make_headers(reason, come_back_s)
+        retry_after_s = max(RETRY_AFTER_S, job.retry_after_s if job else 0)
+        headers = self._make_headers(reason, retry_after_s)
         await reply.start(STATUSES[reason], headers)
         await reply.finish()
 
-    def _make_headers(self, reason: Refusal, come_back_s: float) -> Headers:
+    def _make_headers(self, reason: Refusal, retry_after_s: float) -> Headers:
         headers: Headers = ((b'content-length', b'0'),)
         if STATUSES[reason] != HTTPStatus.SERVICE_UNAVAILABLE:
             return headers
-        jitter_s = self.state.rng.uniform(0, COME_BACK_JITTER_S)
-        after = f'{come_back_s + jitter_s:.2f}'
-        return (*headers, (b'retry-after', after.encode()))
+        jitter_s = self.state.rng.uniform(0, RETRY_AFTER_JITTER_S)
+        retry_after = f'{retry_after_s + jitter_s:.2f}'
+        return (*headers, (b'retry-after', retry_after.encode()))
 
-    def _note_admitted(self, job: Job) -> None:
-        left_s = job.deadline - job.call.arrived_at
+    def _log_admitted(self, job: Job) -> None:
+        remaining_s = job.deadline - job.call.arrived_at
         emit(
             events.Admitted(
                 req=job.call.req_id,
@@ -210,24 +218,29 @@
                 service=job.service,
                 team=job.team.team,
                 version=self.state.version,
-                left_ms=round(left_s * MS),
+                left_ms=round(remaining_s * MS),
                 objective_ms=round(job.route.objective_s * MS),
                 pause_ms=round(job.route.pause_s * MS),
-                worth=round(get_worth(job.ask.size), 2),
+                worth=round(get_worth(job.placement_request.size), 2),
                 fingerprint=job.fingerprint,
             ),
         )
 
 
-def _pick(refusal: Refusal | None, placement: Placement | Refusal) -> Refusal:
-    """Return the refusal that came of checking or else of selecting."""
+def _choose_refusal(
+    refusal: Refusal | None, placement: Placement | Refusal
+) -> Refusal:
+    """Return the refusal of the recheck, or else that of the selection."""
     if refusal is None and isinstance(placement, Refusal):
         return placement
     return refusal or Refusal.no_target
 
 
-def _get_refusal(job: Job, reason: Refusal) -> Refusal:
-    """Return the refusal that says no more than what is known to be true."""
+def _weaken_refusal(job: Job, reason: Refusal) -> Refusal:
+    """Return a refusal that claims no more than is known.
+
+    Only a request that no target can have run gets a status that promises so.
+    """
     if job.may_have_run:
         return Refusal.timeout if reason is Refusal.timeout else Refusal.failed
     if reason is Refusal.timeout:
@@ -235,48 +248,50 @@
     return Refusal.not_run if reason is Refusal.failed else reason
 
 
-def _avoid(job: Job, placement: Placement, sending: RelayAttempt) -> None:
-    """Remember which targets the next sending should keep away from.
+def _exclude_targets(
+    job: Job, placement: Placement, attempt: RelayAttempt
+) -> None:
+    """Exclude the targets of a failed attempt from the next one.
 
-    Who is at fault in a rejection is noted where the answer is read; silence
-    may be anybody's who was involved.
+    The target at fault in a rejection is excluded where the answer is read.  A
+    lost attempt may be the fault of any target involved, helpers included.
     """
-    if sending.outcome is AttemptOutcome.rejected:
+    if attempt.outcome is AttemptOutcome.rejected:
         return
     job.tried.add(placement.target.incarnation)
-    if sending.outcome is AttemptOutcome.lost:
-        job.tried.update(one.incarnation for one in placement.helpers)
+    if attempt.outcome is AttemptOutcome.lost:
+        job.tried.update(helper.incarnation for helper in placement.helpers)
 
 
-def _note_ending(job: Job, sending: RelayAttempt, took_ms: int) -> None:
+def _log_outcome(job: Job, attempt: RelayAttempt, took_ms: int) -> None:
     req = job.call.req_id
-    if sending.outcome is AttemptOutcome.answered:
-        emit(_make_answered(job, sending, took_ms))
+    if attempt.outcome is AttemptOutcome.answered:
+        emit(_make_answered_event(job, attempt, took_ms))
         return
     emit(
         events.SendingEnded(
             req=req,
-            ending=sending.outcome.value,
-            step=sending.step,
-            peer=sending.peer,
-            detail=sending.detail,
+            ending=attempt.outcome.value,
+            step=attempt.step,
+            peer=attempt.peer,
+            detail=attempt.detail,
             took_ms=took_ms,
-            sign=sending.failure_kind.value,
+            sign=attempt.failure_kind.value,
             fingerprint=job.fingerprint,
         )
     )
 
 
-def _make_answered(
-    job: Job, sending: RelayAttempt, took_ms: int
+def _make_answered_event(
+    job: Job, attempt: RelayAttempt, took_ms: int
 ) -> events.Answered:
     arrived_at = job.call.arrived_at
     first_s = (job.first_event_at or arrived_at) - arrived_at
     return events.Answered(
         req=job.call.req_id,
-        peer=sending.peer,
-        detail=sending.detail,
+        peer=attempt.peer,
+        detail=attempt.detail,
         took_ms=took_ms,
         first_ms=round(first_s * MS),
-        longest_ms=round(job.longest_s * MS),
+        longest_ms=round(job.longest_pause_s * MS),
     )
--- a/trestledock/entry/_selecting.py
+++ b/trestledock/entry/_selecting.py
@@ -1,9 +1,9 @@
 """
-Selecting a target
-==================
+Target selection
+================
 
-Waits, where that pays, until a request can be placed without harm to it or to
-others, and says where it goes.
+Chooses the target of a request.  Waits, where that pays, until the request can
+be placed without a cost to itself or to others.
 """
 
 from dataclasses import replace
@@ -13,9 +13,9 @@
 import anyio
 
 from trestledock.entry._admission import is_quarantined
-from trestledock.entry._holding_back import (
-    decide_held_back,
-    get_free,
+from trestledock.entry._throttling import (
+    decide_throttled,
+    get_available,
     get_restrained,
 )
 from trestledock.entry._job import Job, Refusal
@@ -35,14 +35,15 @@
     pick_cheapest,
 )
 
-#: How many targets of the own data centre suffice where entries are many.
-LEAST_NEAR = 8
-#: One in how many sound targets must be left for the others to be avoided.
-LEAST_FRESH = 4
-#: When a caller comes back where all targets of a service leave, in seconds:
-#: starting the next one takes longer than a moment.
-SUCCESSOR_S = 1.0
-#: The refusal that each decision against a request means.
+#: With many entries, this many targets in the local data centre suffice.
+MIN_LOCAL_TARGETS = 8
+#: Targets already tried are avoided while at least one healthy target in this
+#: many is untried.
+MIN_UNTRIED_DIVISOR = 4
+#: Retry-After where all targets of a service are draining, in seconds: the
+#: replacements need time to start.
+SUCCESSOR_START_S = 1.0
+#: The refusal for each decision against a request.
 REFUSALS: Mapping[Decision, Refusal] = MappingProxyType(
     {
         Decision.no_target: Refusal.no_target,
@@ -54,20 +55,20 @@
 
 
 def make_flight(job: Job, placement: Placement, now: float) -> Flight:
-    """Return what the board is told of a sending."""
-    return job.ask.make_flight(placement, Phase.prefill, now)
+    """Return the load table entry of an attempt."""
+    return job.placement_request.make_flight(placement, Phase.prefill, now)
 
 
 async def select(state: EntryState, job: Job) -> Placement | Refusal:
-    """Return where a request goes, or why it can't go anywhere.
+    """Return the placement of a request, or the refusal.
 
-    An answer that has begun can't be refused, only cut: it waits for a place
-    for as long as its caller does.
+    A request whose answer has begun can no longer be refused, only cut, so it
+    waits for a placement as long as its caller does.
     """
     try:
         return await _select_in_turn(state, job)
     finally:
-        state.turns.remove(job.call.req_id)
+        state.wait_queue.remove(job.call.req_id)
 
 
 async def _select_in_turn(state: EntryState, job: Job) -> Placement | Refusal:
@@ -81,11 +82,11 @@
             await state.refresh_loads()
             now = anyio.current_time()
             chosen = _select_now(state, job, now)
-        waits = job.begun and now < job.timing.abandoned_at
+        waits = job.response_begun and now < job.timing.abandoned_at
         if isinstance(chosen, Placement) or (chosen and not waits):
             return chosen
-        if _is_held_back(state, job, now):
-            state.turns.add(job.turn)
+        if _is_throttled(state, job, now):
+            state.wait_queue.add(job.waiting_request)
         await state.wait_for_change(PLACEMENT_RETRY_S)
 
 
@@ -95,33 +96,36 @@
     chosen: Placement | Refusal | None,
     now: float,
 ) -> bool:
-    """Whether to ask other data centres before a request is placed."""
+    """Return whether to query other data centres' loads before placement."""
     if not state.many_entries or job.call.size is None:
         return False
     if state.get_known_remote_loads(now):
         return False
     cost = chosen.cost if isinstance(chosen, Placement) else None
     return state.placer.policy.remote_targets and should_query_remote(
-        job.ask.worth, cost
+        job.placement_request.worth, cost
     )
 
 
-def could_go_on(state: EntryState, job: Job, peer: str) -> bool:
-    """Whether another target than `peer` would take a request now.
+def has_alternative(state: EntryState, job: Job, peer: str) -> bool:
+    """Return whether a target other than `peer` would take a request now.
 
-    One that is suspect, or was silent and has not answered since, is no such
-    target: others find out whether it is back.
+    A target that is suspect, or was silent and has not answered since, does not
+    count: other requests find out whether it has recovered.
     """
     now = anyio.current_time()
     elsewhere = replace(job, tried={*job.tried, peer})
     chosen = _select_now(state, elsewhere, now)
     if not isinstance(chosen, Placement):
         return False
-    one = chosen.target
-    if one.incarnation == peer or state.health.is_silent(one.incarnation):
+    target = chosen.target
+    if target.incarnation == peer or state.health.is_silent(target.incarnation):
         return False
     return not state.health.is_suspect(
-        one.incarnation, now, one.data_centre, small=job.ask.is_small
+        target.incarnation,
+        now,
+        target.data_centre,
+        small=job.placement_request.is_small,
     )
 
 
@@ -130,46 +134,49 @@
     job: Job,
     now: float,
 ) -> Placement | Refusal | None:
-    """Return a choice, or None where it is better to wait."""
+    """Return a placement or a refusal, or None to wait."""
     targets = get_candidates(state, job, now)
     if not targets and get_restrained(state, job):
-        return decide_held_back(state, job, now)
-    engine = get_engine(state, job)
+        return decide_throttled(state, job, now)
+    engine = get_engine_model(state, job)
     if targets and (engine is None or job.call.size is None):
-        return _choose_plain(state, targets, now)
-    if state.fleet.are_all_draining(job.service) and not job.begun:
-        job.come_back_s = get_retry_after_s(job.timing, SUCCESSOR_S, now)
+        return _place_on_least_busy(state, targets, now)
+    if state.fleet.are_all_draining(job.service) and not job.response_begun:
+        job.retry_after_s = get_retry_after_s(
+            job.timing, SUCCESSOR_START_S, now
+        )
         return Refusal.no_target
     if engine is None or job.call.size is None:
         decision = decide_unplaced(job.timing, now, any_target=False)
         return REFUSALS.get(decision)
     options = [
-        job.ask.choose(state.placer, engine, group, now)
-        for group in _split_by_place(state, targets, job)
+        job.placement_request.choose(state.placer, engine, group, now)
+        for group in _group_by_data_centre(state, targets, job)
     ]
     chosen = pick_cheapest(options)
     if isinstance(chosen, Placement):
         return chosen
-    # Nothing elsewhere is better: what binds is the own data centre.
-    job.come_back_s = chosen.retry_after_s
+    # Nothing elsewhere is better: the local data centre's decision applies.
+    job.retry_after_s = chosen.retry_after_s
     return REFUSALS.get(chosen.decision)
 
 
-def _split_by_place(
+def _group_by_data_centre(
     state: EntryState, targets: Sequence[ListedTarget], job: Job
 ) -> list[Sequence[ListedTarget]]:
-    """Return the targets among which a request is placed, the own ones first.
+    """Group targets by data centre, the local one first.
 
-    Where other data centres were asked, a plan stays within one of them: a cut
-    of any that it touches would end it.
+    A large prompt stays within one data centre, since a network cut of any data
+    centre involved would end it.  A single group is returned where the entries
+    are few, the prompt is small, or a data centre has too few targets.
     """
-    if not state.many_entries or job.ask.is_small:
+    if not state.many_entries or job.placement_request.is_small:
         return [targets]
-    own = state.settings.data_centre
-    groups: dict[str, list[ListedTarget]] = {own: []}
-    for one in targets:
-        groups.setdefault(one.data_centre, []).append(one)
-    if any(len(group) < LEAST_NEAR for group in groups.values()):
+    local = state.settings.data_centre
+    groups: dict[str, list[ListedTarget]] = {local: []}
+    for target in targets:
+        groups.setdefault(target.data_centre, []).append(target)
+    if any(len(group) < MIN_LOCAL_TARGETS for group in groups.values()):
         return [targets]
     return list(groups.values())
 
@@ -177,72 +184,83 @@
 def get_candidates(
     state: EntryState, job: Job, now: float
 ) -> list[ListedTarget]:
-    """Return the targets that may get the request, better ones if any."""
-    usable = _get_free(state, job, now)
-    small = job.ask.is_small
-    sound = [
-        one
-        for one in usable
+    """Return the targets that may get the request.
+
+    Healthy and untried targets are preferred where there are enough.
+    """
+    usable = _get_available_local_first(state, job, now)
+    small = job.placement_request.is_small
+    healthy = [
+        target
+        for target in usable
         if not state.health.is_suspect(
-            one.incarnation, now, one.data_centre, small=small
+            target.incarnation, now, target.data_centre, small=small
         )
     ]
-    fresh = [one for one in sound if one.incarnation not in job.tried]
-    if len(fresh) * LEAST_FRESH < len(sound):
-        return sound or usable
-    return fresh or usable
+    untried = [
+        target for target in healthy if target.incarnation not in job.tried
+    ]
+    if len(untried) * MIN_UNTRIED_DIVISOR < len(healthy):
+        return healthy or usable
+    return untried or usable
 
 
-def _is_held_back(state: EntryState, job: Job, now: float) -> bool:
-    """Whether a request waits for nothing but restrained targets."""
+def _is_throttled(state: EntryState, job: Job, now: float) -> bool:
+    """Return whether a request waits only for restrained targets."""
     if not state.throttle.has_restraints or get_candidates(state, job, now):
         return False
     return bool(get_restrained(state, job))
 
 
-def _get_free(state: EntryState, job: Job, now: float) -> list[ListedTarget]:
-    """Return the targets that may get a request now, near ones if any."""
-    near = _get_near_enough(state, job, now)
-    free = get_free(state, job, near, now)
-    if free:
-        return free
+def _get_available_local_first(
+    state: EntryState, job: Job, now: float
+) -> list[ListedTarget]:
+    """Return the targets that may get a request now, local ones if any."""
+    local = _get_local_targets(state, job, now)
+    available = get_available(state, job, local, now)
+    if available:
+        return available
     usable = list(state.fleet.get_usable(job.service))
-    return get_free(state, job, usable, now)
+    return get_available(state, job, usable, now)
 
 
-def _get_near_enough(
+def _get_local_targets(
     state: EntryState, job: Job, now: float
 ) -> list[ListedTarget]:
-    """Return the usable targets, of the own data centre where those suffice.
+    """Return the usable targets, only local ones where these suffice.
 
-    Where there are many entries, those elsewhere are told too late of this
-    one's requests to share targets well; for a prompt that asked them what
-    their targets have to do these count as well.
+    With many entries, entries of other data centres learn of this entry's
+    requests too late to share targets well.  A large prompt may also use the
+    data centres whose loads were queried for it.
     """
     usable = list(state.fleet.get_usable(job.service))
     if not state.many_entries:
         return usable
-    known = set() if job.ask.is_small else state.get_known_remote_loads(now)
-    places = {state.settings.data_centre, *known}
-    near = [one for one in usable if one.data_centre in places]
-    return near if len(near) >= LEAST_NEAR else usable
+    queried = (
+        set()
+        if job.placement_request.is_small
+        else state.get_known_remote_loads(now)
+    )
+    data_centres = {state.settings.data_centre, *queried}
+    local = [target for target in usable if target.data_centre in data_centres]
+    return local if len(local) >= MIN_LOCAL_TARGETS else usable
 
 
-def get_engine(state: EntryState, job: Job) -> EngineModel | None:
-    """Return what runs a request, None for what is no engine."""
+def get_engine_model(state: EntryState, job: Job) -> EngineModel | None:
+    """Return the engine model of a request's service, None if it has none."""
     if state.catalog is None:
         return None
     service = state.catalog.services.get(job.service)
     return service.engine if service else None
 
 
-def _choose_plain(
+def _place_on_least_busy(
     state: EntryState,
     targets: list[ListedTarget],
     now: float,
 ) -> Placement | Refusal:
     chosen = choose_least_busy(
-        state.board,
+        state.load_table,
         state.health,
         targets,
         now,
--- a/trestledock/entry/_sending.py
+++ b/trestledock/entry/_sending.py
@@ -1,17 +1,18 @@
 """
-Sending to one target
-=====================
+Attempts
+========
 
-One sending of a request: the flight is put on the board, memory is reserved
-where the prompt needs it, the request is written and its answer received.
-Whatever happens, nothing of it stays behind.
+One attempt to have a target run a request: the request enters the load table,
+memory is reserved where the prompt needs it, the request is written and the
+answer received.  The load table entry and the reservations are removed on every
+path.
 """
 
 import anyio
 
 from trestledock.entry import _events as events
-from trestledock.entry._admission import check_again
-from trestledock.entry._answering import Answering
+from trestledock.entry._admission import recheck
+from trestledock.entry._answering import AnswerReceiver
 from trestledock.entry._dialect import Dialect, ForwardingContext
 from trestledock.entry._job import Job, Refusal
 from trestledock.entry._logger import emit
@@ -37,7 +38,7 @@
 
 
 class Sender:
-    """Sends requests for one entry process."""
+    """Sends the requests of one entry process."""
 
     def __init__(
         self,
@@ -46,12 +47,12 @@
         dialect: Dialect,
         tickets: Tickets,
     ) -> None:
-        """Keep the state, the connections and the platform's formats."""
+        """Store the state, the connections and the platform's formats."""
         self.state = state
         self.pool = pool
         self.dialect = dialect
         self.tickets = tickets
-        self.answering = Answering(state, dialect)
+        self.answer_receiver = AnswerReceiver(state, dialect)
 
     async def send(
         self,
@@ -59,23 +60,25 @@
         placement: Placement,
         reply: Reply,
     ) -> RelayAttempt:
-        """Send a request to a target and pass its answer on."""
+        """Send a request to a target and forward the answer."""
         now = anyio.current_time()
         flight = make_flight(job, placement, now)
-        self._note_placed(job, placement, now)
+        self._log_placed(job, placement, now)
         if not job.history.attempts:
             self.state.budgets.record_request(job.service, now)
-        held: dict[str, str] = {}
-        known = self._get_known(flight, placement)
-        self.state.board.put(flight)
+        reservation_ids: dict[str, str] = {}
+        known = self._get_known_flights(flight, placement)
+        self.state.load_table.put(flight)
         self.state.record_sent(flight.target, now)
         self.state.notify_own()
         try:
             prior = await self._claim(flight, known)
             if not prior:
-                return await self._reserve(job, placement, reply, held)
+                return await self._reserve(
+                    job, placement, reply, reservation_ids
+                )
         finally:
-            self._clean_up(flight.flight_id, held)
+            self._clean_up(flight.flight_id, reservation_ids)
         return RelayAttempt(
             AttemptOutcome.not_sent, 'claim', flight.target, prior.flight_id
         )
@@ -85,29 +88,32 @@
         job: Job,
         placement: Placement,
         reply: Reply,
-        held: dict[str, str],
+        reservation_ids: dict[str, str],
     ) -> RelayAttempt:
-        if await self.tickets.reserve(job, placement, held):
-            return await self._exchange(job, placement, reply, held)
+        if await self.tickets.reserve(job, placement, reservation_ids):
+            return await self._exchange(job, placement, reply, reservation_ids)
         return RelayAttempt(
             AttemptOutcome.not_sent, 'reserve', placement.target.incarnation
         )
 
-    def _get_known(
+    def _get_known_flights(
         self, flight: Flight, placement: Placement
     ) -> set[str] | None:
-        """Return what a claim reckons with; None for what needs no claim."""
+        """Return the flights known at placement; None if no claim is needed."""
         claims = self.state.placer.policy.claims
         if not claims or not needs_claim(placement, flight.worth):
             return None
-        return {one.flight_id for one in self.state.board.get_colocated(flight)}
+        return {
+            other.flight_id
+            for other in self.state.load_table.get_colocated(flight)
+        }
 
     async def _claim(
         self, flight: Flight, known: set[str] | None
     ) -> Flight | None:
-        """Have others know of a long prompt before it is sent.
+        """Announce a long prompt to the other entries before it is sent.
 
-        Return what goes before it at an engine, if anything does.
+        Return the flight that takes precedence at one of its engines, if any.
         """
         if known is None:
             return None
@@ -115,20 +121,22 @@
         await anyio.sleep(CLAIM_DELAY_S)
         self.state.receive_messages()
         return find_prior_claim(
-            flight, self.state.board.get_colocated(flight), known
+            flight, self.state.load_table.get_colocated(flight), known
         )
 
-    def _clean_up(self, flight_id: str, held: dict[str, str]) -> None:
-        self.state.board.remove(flight_id)
+    def _clean_up(
+        self, flight_id: str, reservation_ids: dict[str, str]
+    ) -> None:
+        self.state.load_table.remove(flight_id)
         self.state.notify_own()
-        self.tickets.release(held)
+        self.tickets.release(reservation_ids)
 
     async def _exchange(
         self,
         job: Job,
         placement: Placement,
         reply: Reply,
-        held: dict[str, str],
+        reservation_ids: dict[str, str],
     ) -> RelayAttempt:
         peer = placement.target.incarnation
         try:
@@ -142,82 +150,84 @@
                 exc.detail,
                 exc.failure_kind,
             )
-        obstacle = self._find_obstacle(job, placement) or self._find_restrained(
+        obstacle = self._find_obstacle(job, placement) or self._consume_quota(
             job, placement
         )
         if obstacle:
             await wire.close()
             return obstacle
-        return await self._talk(job, placement, reply, held, wire)
+        return await self._write_and_receive(
+            job, placement, reply, reservation_ids, wire
+        )
 
     def _find_obstacle(
         self, job: Job, placement: Placement
     ) -> RelayAttempt | None:
-        """Return why nothing may be written, as it is known by now.
+        """Return the failed attempt if the request must not be written now.
 
-        Reserving memory and connecting take up to a second, in which a key may
-        be taken away, a route may move to another service, or a target may
-        leave.
+        Reserving memory and connecting take up to a second, in which the key
+        may be revoked, the route may move to another service, or a target may
+        start to drain.
         """
-        refusal = check_again(self.state, job)
+        refusal = recheck(self.state, job)
         if refusal:
             return RelayAttempt(AttemptOutcome.not_sent, refusal.value, 'self')
         if placement.target.service != job.service:
             return RelayAttempt(
                 AttemptOutcome.not_sent, 'moved', placement.target.incarnation
             )
-        for one in placement.engaged_targets:
-            if not self.state.fleet.is_usable(one.incarnation):
+        for target in placement.engaged_targets:
+            if not self.state.fleet.is_usable(target.incarnation):
                 return RelayAttempt(
-                    AttemptOutcome.not_sent, 'left', one.incarnation
+                    AttemptOutcome.not_sent, 'left', target.incarnation
                 )
         return None
 
-    def _find_restrained(
+    def _consume_quota(
         self, job: Job, placement: Placement
     ) -> RelayAttempt | None:
-        """Take the request's part of what its targets take a second.
+        """Take the request's share of the rate limits of its targets.
 
-        Return why nothing may be written, where nothing is left of it: others
-        may have been faster, or a target may have asked for less, or for rest,
-        meanwhile.
+        Return the failed attempt if a limit is exhausted or a target backs
+        off: since the placement other requests may have used up the limit, or
+        the target may have lowered it or asked for a back-off.
         """
         now = anyio.current_time()
-        engaged = placement.engaged_targets
-        restrained = self.state.throttle.acquire(engaged, now)
+        targets = placement.engaged_targets
+        restrained = self.state.throttle.acquire(targets, now)
         if restrained:
-            resting = self.state.throttle.is_backing_off(restrained, now)
-            step = Refusal.resting if resting else Refusal.limited
+            is_backing_off = self.state.throttle.is_backing_off(restrained, now)
+            step = Refusal.backing_off if is_backing_off else Refusal.limited
             return RelayAttempt(
                 AttemptOutcome.not_sent, step.value, restrained.incarnation
             )
-        if any(map(self.state.throttle.is_restrained, engaged)):
-            self.state.turns.record_served(job.turn, now)
+        if any(map(self.state.throttle.is_restrained, targets)):
+            self.state.wait_queue.record_served(job.waiting_request, now)
         return None
 
-    async def _talk(
+    async def _write_and_receive(
         self,
         job: Job,
         placement: Placement,
         reply: Reply,
-        held: dict[str, str],
+        reservation_ids: dict[str, str],
         wire: Wire,
     ) -> RelayAttempt:
-        """Write the request and take the answer on an open connection."""
+        """Write the request and receive the answer on an open connection."""
         peer = placement.target.incarnation
         idle_s: float = 0
         asked_at = anyio.current_time()
         log_send_against_notices(self.state, job.call.req_id, placement)
         try:
-            await self._write(job, placement, held, wire)
-            sending, idle_s = await self.answering.receive(
+            await self._write(job, placement, reservation_ids, wire)
+            attempt, idle_s = await self.answer_receiver.receive(
                 job, placement, wire, reply, asked_at
             )
         except WireError as exc:
             self.state.health.record_failure(peer, anyio.current_time())
-            # Connections that go silent do so together, while new ones work.
+            # Idle connections fall silent together, while new ones work.
             self.pool.close_idle(peer)
-            await self._find_out(job, placement, exc.failure_kind)
+            await self._report_lost(job, placement, exc.failure_kind)
             return RelayAttempt(
                 AttemptOutcome.lost,
                 exc.step,
@@ -227,43 +237,44 @@
             )
         finally:
             await self.pool.release(placement.target, wire, idle_s)
-        return sending
+        return attempt
 
-    async def _find_out(
-        self, job: Job, placement: Placement, sign: FailureKind
+    async def _report_lost(
+        self, job: Job, placement: Placement, failure_kind: FailureKind
     ) -> None:
-        """Have it found out whether a target has ended under a request.
+        """Have the cause checked: a target may have crashed on the request.
 
-        Once the answer has begun, those that helped to read it are done.  A
-        caller that leaves, or a deadline, would leave an end uncounted.
+        Helpers are done once the answer has begun.  The check is shielded:
+        otherwise a disconnect of the caller, or the deadline, would leave a
+        crash uncounted.
         """
-        helpers = () if job.begun else placement.helpers
+        helpers = () if job.response_begun else placement.helpers
         with anyio.CancelScope(shield=True):
             await self.state.isolation.investigate_failure(
-                job.fingerprint, sign, (placement.target, *helpers)
+                job.fingerprint, failure_kind, (placement.target, *helpers)
             )
 
     async def _write(
         self,
         job: Job,
         placement: Placement,
-        held: dict[str, str],
+        reservation_ids: dict[str, str],
         wire: Wire,
     ) -> None:
-        left_s = job.deadline - anyio.current_time()
-        passing = ForwardingContext(
+        remaining_s = job.deadline - anyio.current_time()
+        context = ForwardingContext(
             placement=placement,
             team=job.team.team,
-            left_s=left_s,
+            left_s=remaining_s,
             resume_after=job.resume_after,
-            tickets=held,
+            reservation_ids=reservation_ids,
             priority=job.priority,
         )
-        job.writing = True
+        job.is_writing = True
         await wire.send(
             job.call.method,
             f'{job.call.path}{job.call.query}',
-            self.dialect.make_headers(job.call, passing),
+            self.dialect.make_headers(job.call, context),
             job.call.body.raw,
             self.state.spawn,
         )
@@ -271,13 +282,15 @@
     def _get_list_age_s(self, now: float) -> float:
         return min(self.state.get_list_age_s(now), MAX_AGE_S)
 
-    def _note_placed(self, job: Job, placement: Placement, now: float) -> None:
+    def _log_placed(self, job: Job, placement: Placement, now: float) -> None:
         size = job.call.size
         emit(
             events.Placed(
                 req=job.call.req_id,
                 peer=placement.target.incarnation,
-                helpers=tuple(one.incarnation for one in placement.helpers),
+                helpers=tuple(
+                    helper.incarnation for helper in placement.helpers
+                ),
                 tickets=len(placement.reservations),
                 prompt_tokens=size.prompt_tokens if size else 0,
                 predicted_ms=round(placement.first_token_s * MS),
--- a/trestledock/entry/_state.py
+++ b/trestledock/entry/_state.py
@@ -2,8 +2,8 @@
 State of an entry process
 =========================
 
-Everything that the tasks of one entry share.  Only the tasks of one event
-loop touch it, each between two waits.
+The state shared by the tasks of one entry. Only tasks of one event loop use it,
+each without interruption between two awaits.
 """
 
 from contextlib import contextmanager
@@ -38,32 +38,32 @@
     WaitQueue,
 )
 
-#: How long to wait before a duty that failed is begun again, in seconds.
+#: Delay before a failed background task is restarted, in seconds.
 RESTART_S = 0.3
-#: What is told instead of the age of something never known, in seconds.
+#: Age that is sent for something that is not known, in seconds.
 MAX_AGE_S = 1_000_000
-#: What stands for the version where none is in force.
+#: Version while no configuration is in force.
 NO_VERSION = -1
-#: What is shown as the epoch of a store that tells none.
+#: Epoch in the metrics for a store without epochs.
 NO_EPOCH = -1
 MS = 1000
 
 
 def _do_nothing() -> None:
-    """Stand for what takes and tells words where nobody speaks."""
+    """Default for receiving and sending, without other entries."""
 
 
-def _tell_nobody(_: str) -> None:
-    """Stand for what tells the others of a target's notices."""
+def _send_nothing(_: str) -> None:
+    """Default for sending notices, without other entries."""
 
 
-async def _learn_nothing() -> None:
-    """Stand for what asks other data centres where nobody does."""
+async def _query_nothing() -> None:
+    """Default for querying the loads of other data centres."""
 
 
 @dataclass(frozen=True, eq=False)
 class Wait:
-    """A wait for targets that may be left, with the scope that ends it."""
+    """Wait for targets that may become unavailable, with its cancel scope."""
 
     targets: tuple[str, ...]
     scope: anyio.CancelScope
@@ -71,7 +71,7 @@
 
 @dataclass(frozen=True, eq=False)
 class Unanswered:
-    """A request that is being relayed, with the scope that ends that."""
+    """Request that is being relayed, with its cancel scope."""
 
     reply: Reply
     scope: anyio.CancelScope
@@ -79,15 +79,15 @@
 
 @dataclass
 class EntryState:
-    """The state of one entry process.
+    """State of one entry process.
 
     It is `draining` once it was asked to stop, `closing` once idle connections
-    are being closed, and `aborting` once nothing may go on any more.
-    `receive_messages` takes the words of the other entries that have come in,
-    `send_own_changes` tells them at once of what has changed here,
-    `send_notices` of what a target has said of itself; `refresh_loads` asks
-    other data centres what their targets have to do, and `remote_loads` has
-    what they answered.
+    are being closed, and `aborting` once the remaining requests are aborted.
+
+    `receive_messages` handles the messages that have arrived from other
+    entries, `send_own_changes` sends them the own changes at once, and
+    `send_notices` the notices of a target. `refresh_loads` asks other data
+    centres for the loads of their targets, and `remote_loads` has the answers.
     """
 
     settings: EntrySettings
@@ -97,10 +97,10 @@
     catalog: Catalog | None = None
     document: str = ''
     fleet: Fleet = field(default_factory=Fleet)
-    board: LoadTable = field(default_factory=LoadTable)
+    load_table: LoadTable = field(default_factory=LoadTable)
     health: Health = field(default_factory=Health)
     reach: Reachability = field(default_factory=Reachability)
-    turns: WaitQueue = field(default_factory=WaitQueue)
+    wait_queue: WaitQueue = field(default_factory=WaitQueue)
     ignored_notices: dict[str, dict[str, str]] = field(default_factory=dict)
     restores: RestoreTracker = field(default_factory=RestoreTracker)
     waits: set[Wait] = field(default_factory=set)
@@ -115,8 +115,8 @@
     restored: anyio.Event = field(default_factory=anyio.Event)
     receive_messages: Callable[[], None] = _do_nothing
     send_own_changes: Callable[[], None] = _do_nothing
-    send_notices: Callable[[str], None] = _tell_nobody
-    refresh_loads: Callable[[], Awaitable[None]] = _learn_nothing
+    send_notices: Callable[[str], None] = _send_nothing
+    refresh_loads: Callable[[], Awaitable[None]] = _query_nothing
     remote_loads: dict[str, RemoteLoad] = field(default_factory=dict)
     isolation: Isolation = field(init=False)
     proof: FreshnessProof = field(init=False)
@@ -125,11 +125,11 @@
     budgets: Budgets = field(init=False)
 
     def __post_init__(self) -> None:
-        """Build the parts that share others."""
+        """Create the parts that share others."""
         self.isolation = Isolation(self.health, self.fleet)
         self.proof = FreshnessProof(self.settings.revoke_s)
         self.placer = Placer(
-            self.board,
+            self.load_table,
             self.health,
             self.member,
             self.settings.data_centre,
@@ -148,114 +148,118 @@
 
     @property
     def revision(self) -> int:
-        """The number of changes in what other entries are told on demand."""
+        """Number of changes in the state that other entries fetch."""
         return self.fleet.revision + self.isolation.revision
 
     @property
     def notices(self) -> Notices:
-        """What targets have said of themselves."""
+        """The notices of targets."""
         return self.fleet.notices
 
     def spawn(self, work: Callable[..., Awaitable[Any]], *args: Any) -> None:
-        """Run something in the background; its failure ends nothing else."""
+        """Run a task in the background; its failure stops nothing else."""
         self.group.start_soon(_run_guarded, work, args)
 
     def keep_running(self, work: Callable[[], Awaitable[Any]]) -> None:
-        """Run a duty for as long as the process lives."""
+        """Run a task, and restart it on failure, while the process lives."""
         self.group.start_soon(_run_again, work)
 
     def notify(self) -> None:
-        """Wake everyone who waits for a change of the board or the fleet."""
+        """Wake all tasks that wait for a change of the loads or the fleet."""
         self.changed.set()
         self.changed = anyio.Event()
 
     def notify_own(self) -> None:
-        """Wake those who wait, and have the change told to the others."""
+        """Wake waiting tasks, and have the change sent to other entries."""
         self.own_changed.set()
         self.notify()
 
     async def wait_for_own_change(self) -> None:
-        """Wait until this entry's own flights have changed."""
+        """Wait until the own in-flight requests have changed."""
         await self.own_changed.wait()
         self.own_changed = anyio.Event()
 
-    async def wait_for_change(self, limit_s: float) -> None:
-        """Wait for a change, `limit_s` seconds at most."""
-        with anyio.move_on_after(limit_s):
+    async def wait_for_change(self, timeout_s: float) -> None:
+        """Wait for a change, for at most `timeout_s` seconds."""
+        with anyio.move_on_after(timeout_s):
             await self.changed.wait()
 
     def record_silence(self, target_id: str, now: float) -> None:
-        """Note that a target could not be reached or said nothing.
+        """Record that a target was unreachable or silent.
 
-        Where it ended under a request, that says nothing of its data centre.
+        A crash during a request says nothing about the target's data centre.
         """
-        place = self._get_place(target_id)
+        data_centre = self._get_remote_data_centre(target_id)
         if self.isolation.quarantine.has_crashed(target_id):
-            place = ''
-        if not self.health.is_suspect(target_id, now, place):
-            emit(events.TargetSuspected(target_id, place))
-        self.health.record_silence(target_id, now, place)
+            data_centre = ''
+        if not self.health.is_suspect(target_id, now, data_centre):
+            emit(events.TargetSuspected(target_id, data_centre))
+        self.health.record_silence(target_id, now, data_centre)
 
     def record_success(self, target_id: str, now: float) -> None:
-        """Note that a target answered as it should."""
-        self.health.record_success(target_id, now, self._get_place(target_id))
+        """Record that a target answered as expected."""
+        self.health.record_success(
+            target_id, now, self._get_remote_data_centre(target_id)
+        )
 
     def record_early_failover(self, target_id: str, now: float) -> None:
-        """Note that a request was given up early at a target."""
+        """Record that a request was given up early at a target."""
         self.budgets.record_early_failover(now)
         emit(events.TargetDoubted(target_id))
         self.health.record_early_timeout(
-            target_id, now, self._get_place(target_id)
+            target_id, now, self._get_remote_data_centre(target_id)
         )
 
     def record_sent(self, target_id: str, now: float) -> None:
-        """Note that a request goes to a target."""
-        self.health.record_sent(self._get_place(target_id), now)
+        """Record that a request goes to a target."""
+        self.health.record_sent(self._get_remote_data_centre(target_id), now)
 
     def record_remote_entry(
         self,
-        place: str,
+        data_centre: str,
         name: str,
         now: float,
         *,
-        leaving: bool = False,
+        draining: bool = False,
     ) -> None:
-        """Note that an entry of another data centre has spoken."""
-        if place == self.settings.data_centre:
+        """Record a message from an entry of another data centre."""
+        if data_centre == self.settings.data_centre:
             return
-        self.health.record_message(place)
-        if leaving:
-            self.reach.remove_instance(place, name)
+        self.health.record_message(data_centre)
+        if draining:
+            self.reach.remove_instance(data_centre, name)
         else:
-            self.reach.record_message(place, name, now)
+            self.reach.record_message(data_centre, name, now)
 
     def check_reachability(self, now: float) -> None:
-        """Leave the targets of data centres that have fallen silent."""
-        for place in self.reach.check(now):
-            if self.health.record_silent_data_centre(place, now):
-                emit(events.DataCentreQuiet(place))
-                self._end_waits(place)
+        """Suspect the targets of data centres that have become silent."""
+        for data_centre in self.reach.check(now):
+            if self.health.record_silent_data_centre(data_centre, now):
+                emit(events.DataCentreQuiet(data_centre))
+                self._cancel_waits(data_centre)
 
     def is_unreachable(self, target_id: str, now: float) -> bool:
         """Whether all entries of a target's data centre are silent."""
-        return self._get_place(target_id) in self.reach.get_silent(now)
+        return self._get_remote_data_centre(target_id) in self.reach.get_silent(
+            now
+        )
 
     def get_known_remote_loads(self, now: float) -> set[str]:
-        """Return the data centres whose loads are known now; forget others."""
-        for place, load in tuple(self.remote_loads.items()):
+        """Return the data centres with known loads; drop outdated loads."""
+        for data_centre, load in tuple(self.remote_loads.items()):
             if not load.is_fresh(now):
-                self.remote_loads.pop(place)
-                self.board.set_remote_load(place, ())
+                self.remote_loads.pop(data_centre)
+                self.load_table.set_remote_load(data_centre, ())
         return set(self.remote_loads)
 
     def count_entries(self) -> int:
-        """Return how many entries there are, this one included.
+        """Return the number of entries, including this one.
 
-        Those that are not heard share what all share, too: they may only be
+        Silent entries count too in what all entries share, as they may only be
         cut off.
         """
-        heard = self.board.count_peers() + 1
-        return max(heard, self.throttle.get_members().known_count)
+        active = self.load_table.count_peers() + 1
+        return max(active, self.throttle.get_members().known_count)
 
     def record_list(
         self,
@@ -264,9 +268,9 @@
         source: str,
         latest_at: float | None = None,
     ) -> None:
-        """Note a list of what the store held at the instant `as_of`.
+        """Record a list of the targets in the store at the instant `as_of`.
 
-        It is no younger than `latest_at`.
+        It is at most as recent as `latest_at`.
         """
         watch = self.fleet.watch
         gap_s = min(as_of - watch.read_at, MAX_AGE_S)
@@ -275,43 +279,42 @@
             emit(events.ListDisturbed(source, round(gap_s * MS)))
 
     def record_epoch(self, epoch: int | None, now: float) -> None:
-        """Note which copy of the store was read."""
+        """Record the epoch of the copy of the store that was read."""
         before = self.restores.epoch
         if self.restores.record_epoch(epoch, now):
-            self._note_restore(STORE, before, epoch, now)
+            self._record_restore(STORE, before, epoch, now)
 
     def record_reported_epoch(
         self, epoch: int | None, now: float, source: str
     ) -> None:
-        """Note which copy of the store another entry knows."""
+        """Record the epoch of the store that another entry reported."""
         before = self.restores.epoch
         if self.restores.record_peer_epoch(epoch):
-            self._note_restore(source, before, epoch, now)
+            self._record_restore(source, before, epoch, now)
 
     def get_store_age_s(self, now: float) -> float:
-        """Return how long ago the older of what is known was read.
+        """Return the age of the older of configuration and target list.
 
-        A reader is only as good as the older of its configuration and its
-        list of targets.
+        A reader is only as current as the older of the two.
         """
         return max(self.proof.get_read_age_s(now), self.get_list_age_s(now))
 
     def get_advertised_age_s(self, now: float) -> float:
-        """Return the age of the news for those who might ask for it.
+        """Return the age of the own copy of the store for other entries.
 
-        An entry that ends stops to take connections while it still speaks, so
-        it offers nothing from the beginning of its end on.
+        A draining entry stops accepting connections while it still sends
+        messages, so it offers nothing as soon as it drains.
         """
         if self.draining:
             return MAX_AGE_S
         return min(self.get_store_age_s(now), MAX_AGE_S)
 
     def get_list_age_s(self, now: float) -> float:
-        """Return the age of what is known of the targets in seconds."""
+        """Return the age of the list of targets, in seconds."""
         return now - self.fleet.watch.read_at
 
     def get_gauges(self, now: float) -> dict[str, float]:
-        """Return the levels that the metrics show."""
+        """Return the values of the gauges in the metrics."""
         epoch = self.restores.epoch
         return {
             'in_progress': self.in_progress,
@@ -323,8 +326,8 @@
             'targets_held': len(self.fleet.retained),
             'targets_leaving': self.fleet.count_draining(),
             'list_age_seconds': self.get_list_age_s(now),
-            'peers': self.board.count_peers(),
-            'targets_resting': self._count_resting(now),
+            'peers': self.load_table.count_peers(),
+            'targets_resting': self._count_backed_off(now),
             'rate_limits': len(self.notices.get_in_force(RateLimit)),
             'rate_quota_per_second': self._get_quota_sum(),
             'requests_quarantined': self.isolation.count_quarantined(),
@@ -337,20 +340,20 @@
         reply: Reply,
         scope: anyio.CancelScope,
     ) -> Iterator[None]:
-        """Have a request given up, should the process end meanwhile."""
-        one = Unanswered(reply, scope)
-        self.unanswered.add(one)
+        """Register a request to be aborted if the process stops meanwhile."""
+        request = Unanswered(reply, scope)
+        self.unanswered.add(request)
         try:
             yield
         finally:
-            self.unanswered.discard(one)
+            self.unanswered.discard(request)
 
     def abort_requests(self) -> None:
-        """Have each request that has no whole answer get its last word."""
+        """Abort each request without a complete answer, with a final error."""
         self.aborting = True
-        for one in tuple(self.unanswered):
-            if not one.reply.finished:
-                one.scope.cancel()
+        for request in tuple(self.unanswered):
+            if not request.reply.finished:
+                request.scope.cancel()
 
     def is_draining(self) -> bool:
         """Whether connections should be closed after their answer."""
@@ -358,44 +361,46 @@
 
     def is_ready(self, now: float) -> bool:
         """Whether new connections should come here."""
-        known = self.catalog is not None and bool(self.fleet.targets)
-        return known and not self.draining and self.proof.is_ready(now)
+        is_configured = self.catalog is not None and bool(self.fleet.targets)
+        return is_configured and not self.draining and self.proof.is_ready(now)
 
-    def _note_restore(
+    def _record_restore(
         self,
         source: str,
         before: int | None,
         epoch: int | None,
         now: float,
     ) -> None:
-        """Hold what the copy lacks, and have what was lost written again."""
+        """Retain targets that the copy lacks, and start the repair."""
         self.fleet.watch.record_restore(now)
         self.isolation.record_restore()
         emit(events.StoreRestored(source, before, epoch, self.version))
         self.restored.set()
         self.restored = anyio.Event()
 
-    def _count_resting(self, now: float) -> int:
-        rests = self.notices.get_all(Backoff).values()
-        return sum(not one.is_over(now) for one in rests)
+    def _count_backed_off(self, now: float) -> int:
+        backoffs = self.notices.get_all(Backoff).values()
+        return sum(not backoff.is_over(now) for backoff in backoffs)
 
     def _get_quota_sum(self) -> float:
-        """Return how many requests a second go from here to limited targets."""
+        """Return the sum of this entry's quotas at targets, per second."""
         limited = self.notices.get_in_force(RateLimit)
         listed = [self.fleet.targets.get(name) for name in limited]
-        return sum(self.throttle.get_quota(one) for one in listed if one)
+        return sum(
+            self.throttle.get_quota(target) for target in listed if target
+        )
 
-    def _end_waits(self, place: str) -> None:
-        """End the waits for targets of a data centre."""
+    def _cancel_waits(self, data_centre: str) -> None:
+        """Cancel the waits for targets of a data centre."""
         for wait in tuple(self.waits):
-            if place in map(self._get_place, wait.targets):
+            if data_centre in map(self._get_remote_data_centre, wait.targets):
                 wait.scope.cancel()
 
-    def _get_place(self, target_id: str) -> str:
-        """Return the data centre of a target, empty for the own one."""
+    def _get_remote_data_centre(self, target_id: str) -> str:
+        """Return the data centre of a target, or '' for the own one."""
         listed = self.fleet.targets.get(target_id)
-        place = listed.data_centre if listed else ''
-        return '' if place == self.settings.data_centre else place
+        data_centre = listed.data_centre if listed else ''
+        return '' if data_centre == self.settings.data_centre else data_centre
 
 
 async def _run_again(work: Callable[[], Awaitable[Any]]) -> None:
--- a/trestledock/entry/_target_list.py
+++ b/trestledock/entry/_target_list.py
@@ -1,11 +1,11 @@
 """
-List of targets in force
-========================
+Target list
+===========
 
-Takes lists of targets, from the store or from another entry, into the fleet,
-and notes what changes by them.  A list and the instant that it is true for are
-taken together or not at all: a young list with old entries would send work to
-targets that have left.
+Applies lists of targets, from the store or from another entry, to the fleet and
+logs the changes. A list and the instant as of which it is valid are applied
+together or not at all: a recent time with outdated records would send requests
+to removed targets.
 """
 
 from collections import defaultdict
@@ -21,120 +21,125 @@
 from trestledock.entry._state import EntryState
 from trestledock.relay import LOWEST_ORDER, ListedTarget, RecordOrder
 
-#: How often held targets are looked at, in seconds.
-LOOK_S = 0.2
-#: A look that comes so much later means that the process stood still, in
-#: seconds: nobody here can tell what the store went through meanwhile.
-STOOD_STILL_S = 1.0
-#: Who says that a target is gone where it was held and did not come back.
+#: Interval of the check for expired retained targets, in seconds.
+EXPIRY_INTERVAL_S = 0.2
+#: A check that is later than this, in seconds, means that the process was
+#: stopped: the store may have failed and recovered unnoticed in that time.
+MAX_LATENESS_S = 1.0
+#: Source in the log event for a retained target whose retention expired.
 LAPSED = 'lapsed'
 MS = 1000
 
 
 class TargetListUpdater:
-    """Keeps one entry's fleet as the newest list says."""
+    """Keeps the fleet of one entry equal to the newest list of targets."""
 
     def __init__(self, state: EntryState, pool: Pool) -> None:
-        """Keep the fleet, and the connections that end with a target."""
+        """Take the state, and the pool of connections to targets."""
         self.state = state
         self.fleet = state.fleet
         self.pool = pool
 
-    def apply(self, news: StoreUpdate) -> None:
-        """Take what a list says that is true as of `news.as_of`."""
+    def apply(self, update: StoreUpdate) -> None:
+        """Apply a list that is valid as of `update.as_of`."""
         now = anyio.current_time()
-        self.state.record_list(news.as_of, now, news.source, news.latest_at)
-        if news.whole:
-            self._drop_missing(news, now)
+        self.state.record_list(
+            update.as_of, now, update.source, update.latest_at
+        )
+        if update.is_complete:
+            self._drop_missing(update, now)
         records: dict[str, list[ListedTarget | None]] = defaultdict(list)
-        for one in news.targets:
-            records[one.target_id].append(one.listed)
-        for target_id, of_one in records.items():
-            before = self.fleet.get_by_id(target_id)
-            self._take_records(target_id, of_one, news, now)
-            if before and self.fleet.is_superseded(before):
-                self.state.isolation.record_replaced(before.incarnation)
-                self._forget([before.incarnation], news.source)
+        for record in update.targets:
+            records[record.target_id].append(record.listed)
+        for target_id, target_records in records.items():
+            previous = self.fleet.get_by_id(target_id)
+            self._apply_records(target_id, target_records, update, now)
+            if previous and self.fleet.is_superseded(previous):
+                self.state.isolation.record_replaced(previous.incarnation)
+                self._discard([previous.incarnation], update.source)
         if not self.fleet.watch.is_synchronized(now):
-            self._hold(news, now)
+            self._retain(update, now)
 
-    def apply_removals(self, news: StoreUpdate) -> None:
-        """Take what another entry knows of targets that have left."""
+    def apply_removals(self, update: StoreUpdate) -> None:
+        """Apply another entry's knowledge of removed and draining targets."""
         now = anyio.current_time()
-        for incarnation in news.leaving:
+        for incarnation in update.draining:
             self.fleet.record_draining(incarnation, now)
-        dropped = self.fleet.merge_removed(news.gone)
-        self._forget(dropped, news.source)
+        removed = self.fleet.merge_removed(update.removed)
+        self._discard(removed, update.source)
 
     async def run(self) -> None:
-        """Drop held targets whose time is over, until cancelled."""
-        looked_at = anyio.current_time()
-        pauses = SuspensionDetector()
+        """Remove retained targets as their time runs out, until cancelled."""
+        checked_at = anyio.current_time()
+        suspensions = SuspensionDetector()
         while True:
-            await anyio.sleep(LOOK_S)
+            await anyio.sleep(EXPIRY_INTERVAL_S)
             now = anyio.current_time()
-            pause_s = pauses.measure()
+            pause_s = suspensions.measure()
             if pause_s:
                 emit(events.Suspended(round(pause_s * MS)))
-            if now - looked_at > LOOK_S + STOOD_STILL_S:
+            if now - checked_at > EXPIRY_INTERVAL_S + MAX_LATENESS_S:
                 self.fleet.watch.record_failure(now)
-            looked_at = now
-            self._forget(self.fleet.expire_retained(now), LAPSED)
+            checked_at = now
+            self._discard(self.fleet.expire_retained(now), LAPSED)
 
-    def _take_records(
+    def _apply_records(
         self,
         target_id: str,
         records: list[ListedTarget | None],
-        news: StoreUpdate,
+        update: StoreUpdate,
         now: float,
     ) -> None:
-        """Take the records of one target, in the order of the log.
+        """Apply the records of one target, in the order of the log.
 
-        A removal may be long past, where this entry has not read for a while,
-        and a record behind it may be an old one that was written late.
+        A removal may be long past if this entry has not read for a while, and a
+        record after it may be an old one that was written late.
         """
-        past, present = _split_at_removal(records)
-        if len(present) == len(records) or self._is_back(
-            target_id, past, present
+        before_removal, after_removal = _split_at_removal(records)
+        if len(after_removal) == len(records) or self._is_listed_again(
+            target_id, before_removal, after_removal
         ):
-            for listed in present:
-                self._put(listed, news)
+            for listed in after_removal:
+                self._put(listed, update)
             return
-        for old in (*past, *present):
+        for old in (*before_removal, *after_removal):
             self.fleet.record_outdated(old)
-        self._drop(target_id, news, now)
+        self._drop(target_id, update, now)
 
-    def _is_back(
+    def _is_listed_again(
         self,
         target_id: str,
-        past: list[ListedTarget],
-        present: list[ListedTarget],
+        before_removal: list[ListedTarget],
+        after_removal: list[ListedTarget],
     ) -> bool:
-        """Whether a target was listed anew after its removal.
+        """Whether a target was listed again after its removal.
 
-        Its records are newer then than those before the removal; where there
-        are none, newer than the last one known.  And the last one known, which
-        may be from others, is not newer than all of them.
+        If so, its records are newer than those before the removal or, if there
+        are none, than the last known one. The last known one, which may come
+        from other entries, must not be newer than all of them.
         """
         known = self.fleet.get_last_order(target_id)
-        newest = _get_newest(present, LOWEST_ORDER)
-        return newest >= known and newest > _get_newest(past, known)
+        newest = _get_newest(after_removal, LOWEST_ORDER)
+        return newest >= known and newest > _get_newest(before_removal, known)
 
-    def _hold(self, news: StoreUpdate, now: float) -> None:
-        """Hold what the source holds and what was never known here.
+    def _retain(self, update: StoreUpdate, now: float) -> None:
+        """Retain the targets that the source retains and that are unknown here.
 
-        Whoever has followed the store for long enough knows better.
+        An entry that has followed the store for long enough relies on its own
+        knowledge instead.
         """
-        for held in news.held:
-            if self.fleet.retain(held.listed, now + held.left_s):
-                self._note_held(held.listed, news, now)
-
-    def _drop_missing(self, news: StoreUpdate, now: float) -> None:
-        present = {one.target_id for one in news.targets if one.listed}
+        for retained in update.retained:
+            if self.fleet.retain(retained.listed, now + retained.left_s):
+                self._log_retained(retained.listed, update, now)
+
+    def _drop_missing(self, update: StoreUpdate, now: float) -> None:
+        present = {
+            record.target_id for record in update.targets if record.listed
+        }
         for target_id in set(self.fleet.newest) - present:
-            self._drop(target_id, news, now)
+            self._drop(target_id, update, now)
 
-    def _put(self, listed: ListedTarget, news: StoreUpdate) -> None:
+    def _put(self, listed: ListedTarget, update: StoreUpdate) -> None:
         again = listed.target_id in self.fleet.removed
         if not self.fleet.put(listed):
             return
@@ -146,56 +151,56 @@
                 listed.standing.value,
                 self.fleet.is_draining(listed.incarnation),
                 listed.sequence,
-                news.source,
+                update.source,
                 again,
             ),
         )
         self.state.notify()
 
-    def _drop(self, target_id: str, news: StoreUpdate, now: float) -> None:
+    def _drop(self, target_id: str, update: StoreUpdate, now: float) -> None:
         known = self.fleet.get_by_id(target_id)
         if known is None:
             return
-        was_held = known.incarnation in self.fleet.retained
-        until = self._get_grace_end(target_id, news, now)
-        if self.fleet.record_removal(target_id, until, now):
-            self._forget([known.incarnation], news.source)
-        elif not was_held:
-            self._note_held(known, news, now)
-
-    def _get_grace_end(
-        self, target_id: str, news: StoreUpdate, now: float
+        was_retained = known.incarnation in self.fleet.retained
+        retained_until = self._get_retention_end(target_id, update, now)
+        if self.fleet.record_removal(target_id, retained_until, now):
+            self._discard([known.incarnation], update.source)
+        elif not was_retained:
+            self._log_retained(known, update, now)
+
+    def _get_retention_end(
+        self, target_id: str, update: StoreUpdate, now: float
     ) -> float:
-        """Return until when a missing target may only have lapsed.
+        """Return until when a missing target's record may only have lapsed.
 
-        By own evidence alone; the source may know better when the store was
-        back, or that it was never away.
+        The time comes from local evidence alone, unless the source knows when
+        the store was back, or that it never failed.
         """
         watch = self.fleet.watch
-        if news.settled or not watch.is_disturbed(now):
+        if update.is_synchronized or not watch.is_disturbed(now):
             return now
-        ends = (
-            now + held.left_s
-            for held in news.held
-            if held.listed.target_id == target_id
+        end_times = (
+            now + retained.left_s
+            for retained in update.retained
+            if retained.listed.target_id == target_id
         )
-        return next(ends, watch.grace_end)
+        return next(end_times, watch.grace_end)
 
-    def _note_held(
-        self, listed: ListedTarget, news: StoreUpdate, now: float
+    def _log_retained(
+        self, listed: ListedTarget, update: StoreUpdate, now: float
     ) -> None:
         name = listed.incarnation
         left_s = self.fleet.retained[name] - now
-        emit(events.TargetHeld(name, news.source, round(left_s * MS)))
+        emit(events.TargetHeld(name, update.source, round(left_s * MS)))
 
-    def _forget(self, gone: list[str], source: str) -> None:
-        for incarnation in gone:
+    def _discard(self, incarnations: list[str], source: str) -> None:
+        for incarnation in incarnations:
             emit(events.TargetGone(incarnation, source))
             self.pool.close_idle(incarnation)
             self.state.health.targets.pop(incarnation, None)
             self.state.throttle.forget(incarnation)
             self.state.ignored_notices.pop(incarnation, None)
-        if gone:
+        if incarnations:
             self.state.notify()
 
 
@@ -204,17 +209,22 @@
 ) -> tuple[list[ListedTarget], list[ListedTarget]]:
     """Return the records before and after the last removal, if any.
 
-    >>> one, two = ListedTarget('t', 's', 'a'), ListedTarget('t', 's', 'b')
-    >>> _split_at_removal([one, None, two]) == ([one], [two])
+    >>> first = ListedTarget('t', 's', 'a')
+    >>> second = ListedTarget('t', 's', 'b')
+    >>> _split_at_removal([first, None, second]) == ([first], [second])
     True
     """
-    removals = [at for at, listed in enumerate(records) if listed is None]
-    split_at = removals[-1] + 1 if removals else 0
+    removal_indices = [
+        index for index, listed in enumerate(records) if listed is None
+    ]
+    split_at = removal_indices[-1] + 1 if removal_indices else 0
     return _drop_none(records[:split_at]), _drop_none(records[split_at:])
 
 
-def _get_newest(records: list[ListedTarget], least: RecordOrder) -> RecordOrder:
-    return max((listed.order for listed in records), default=least)
+def _get_newest(
+    records: list[ListedTarget], default: RecordOrder
+) -> RecordOrder:
+    return max((listed.order for listed in records), default=default)
 
 
 def _drop_none(records: Iterable[ListedTarget | None]) -> list[ListedTarget]:
--- a/trestledock/entry/_wire.py
+++ b/trestledock/entry/_wire.py
@@ -1,10 +1,10 @@
 """
-Connections to targets
-======================
+HTTP connections
+================
 
-One HTTP/1.1 connection that knows how far a request got: nothing written,
-written, answered.  That knowledge decides whether a request may be repeated,
-and pools of general clients don't tell it.
+An HTTP/1.1 client connection that knows how far a request got: nothing written,
+written, answered.  This decides whether a request may be retried, and
+general-purpose HTTP clients don't report it.
 """
 
 import socket
@@ -22,20 +22,21 @@
     classify_disconnect,
 )
 
-#: How long a target may take to accept a connection, in seconds: some hundred
-#: times the way there, and short beside the objectives of short requests.
-CONNECT_S = 0.2
-#: How long unacknowledged bytes keep a connection, in milliseconds.
+#: The timeout of connecting, in seconds: some hundred times the network delay,
+#: and short compared with the objectives of short requests.
+CONNECT_TIMEOUT_S = 0.2
+#: How long sent bytes may stay unacknowledged, in milliseconds.
 USER_TIMEOUT_MS = 2000
-#: Probes of a silent connection: first after, then every, and how many.
+#: TCP keepalive: the idle time before the first probe, which is also the
+#: interval between probes, in seconds, and the number of probes.
 KEEPALIVE_S = 1
 KEEPALIVE_PROBES = 2
 READ_BYTES = 65_536
-#: Bodies above this are written while the answer is awaited, in bytes.
+#: Requests above this size, in bytes, are written while the answer is awaited.
 SMALL_BODY_BYTES = 32_768
 
-#: How a stream says that it has ended.
-STREAM_ENDS = (
+#: The exceptions of a stream that has ended or failed.
+STREAM_ERRORS = (
     OSError,
     anyio.EndOfStream,
     anyio.BrokenResourceError,
@@ -46,7 +47,7 @@
 
 
 class WireError(Exception):
-    """A connection failed at a step."""
+    """A connection that failed at a step."""
 
     def __init__(
         self,
@@ -54,7 +55,7 @@
         detail: str,
         failure_kind: FailureKind = FailureKind.garbled,
     ) -> None:
-        """Keep the step, what went wrong, and what it was a sign of."""
+        """Store the step, the detail and the kind of failure."""
         super().__init__(f'{step}: {detail}')
         self.step = step
         self.detail = detail
@@ -63,41 +64,41 @@
 
 @dataclass(frozen=True)
 class Head:
-    """The beginning of an answer."""
+    """The status and headers of an answer."""
 
     status: int
     headers: Headers
 
     def get_header(self, name: bytes) -> str:
-        """Return a header by its name in lower case, or an empty text."""
+        """Return the first header of a lower-case name, or an empty string."""
         return next(iter(self.get_headers(name)), '')
 
     def get_headers(self, name: bytes) -> list[str]:
-        """Return all headers of a name in lower case, in their order."""
+        """Return all headers of a lower-case name, in order."""
         return [
             text.decode('latin-1')
-            for known, text in self.headers
-            if known.lower() == name
+            for key, text in self.headers
+            if key.lower() == name
         ]
 
 
 class Wire:
-    """One connection to one incarnation of a target."""
+    """An HTTP/1.1 connection, to a single incarnation if to a target."""
 
     def __init__(self, stream: SocketStream) -> None:
-        """Take over a stream that has just been connected."""
+        """Use a newly connected stream."""
         self.stream = stream
         self.http = h11.Connection(h11.CLIENT)
-        self.written = True
+        self.request_written = True
         self.broken = False
-        self._is_at_end = False
+        self._received_eof = False
 
     @classmethod
     async def connect(cls, address: str) -> 'Wire':
-        """Connect to `IP:PORT`, or raise a `WireError` with nothing sent."""
+        """Connect to `IP:PORT`; a `WireError` means that nothing was sent."""
         host, _, port = address.rpartition(':')
         try:
-            with anyio.fail_after(CONNECT_S):
+            with anyio.fail_after(CONNECT_TIMEOUT_S):
                 stream = await anyio.connect_tcp(host, int(port))
         except (OSError, TimeoutError) as exc:
             raise WireError(
@@ -109,23 +110,22 @@
     async def send(
         self,
         method: str,
-        target: str,
+        path: str,
         headers: Headers,
         body: bytes,
         spawn: Callable[..., Any] | None = None,
     ) -> None:
-        """Write a whole request; `spawn` takes a long body to the background.
+        """Write a complete request.
 
-        A target may answer before it has read a long body.
+        A long request is written in the background, with `spawn`, since a
+        target may answer before it has read the whole body.
         """
-        request = h11.Request(
-            method=method, target=target, headers=list(headers)
-        )
+        request = h11.Request(method=method, target=path, headers=list(headers))
         raw = self.http.send(request) or b''
         if body:
             raw += self.http.send(h11.Data(data=body)) or b''
         raw += self.http.send(h11.EndOfMessage()) or b''
-        self.written = False
+        self.request_written = False
         if spawn and len(raw) > SMALL_BODY_BYTES:
             spawn(self._write_quietly, raw)
         else:
@@ -143,7 +143,7 @@
                 )
 
     async def iter_body(self) -> AsyncIterator[bytes]:
-        """Yield the body's bytes; raise a `WireError` where it is cut."""
+        """Yield the body's bytes; raise a `WireError` if it is truncated."""
         while True:
             event = await self._next_event('body')
             if isinstance(event, h11.Data):
@@ -154,12 +154,12 @@
                 raise WireError('body', f'unexpected {event!r}')
 
     async def read_body(self) -> bytes:
-        """Return the whole body."""
+        """Return the complete body."""
         return b''.join([raw async for raw in self.iter_body()])
 
     def recycle(self) -> bool:
-        """Prepare for the next request; False where that is not safe."""
-        if self.broken or not self.written:
+        """Prepare for the next request; return False if that is not safe."""
+        if self.broken or not self.request_written:
             return False
         done = self.http.our_state is h11.DONE
         if not done or self.http.their_state is not h11.DONE:
@@ -170,13 +170,13 @@
         return True
 
     async def wait_for_unexpected_data(self) -> None:
-        """Return when an idle connection closes or gets bytes unasked for."""
-        with suppress(*STREAM_ENDS):
+        """Wait until an idle connection closes or receives unexpected bytes."""
+        with suppress(*STREAM_ERRORS):
             await self.stream.receive(1)
         self.broken = True
 
     async def close(self) -> None:
-        """Close the connection, whatever is under way on it."""
+        """Close the connection, also during a request."""
         self.broken = True
         with anyio.CancelScope(shield=True):
             await self.stream.aclose()
@@ -184,11 +184,11 @@
     async def _write(self, raw: bytes) -> None:
         try:
             await self.stream.send(raw)
-        except STREAM_ENDS as exc:
+        except STREAM_ERRORS as exc:
             raise WireError(
                 'write', repr(exc), classify_disconnect(exc)
             ) from exc
-        self.written = True
+        self.request_written = True
 
     async def _write_quietly(self, raw: bytes) -> None:
         try:
@@ -204,27 +204,29 @@
                 event = self.http.next_event()
         except h11.RemoteProtocolError as exc:
             self.broken = True
-            sign = (
-                FailureKind.closed if self._is_at_end else FailureKind.garbled
+            failure_kind = (
+                FailureKind.closed
+                if self._received_eof
+                else FailureKind.garbled
             )
-            raise WireError(step, repr(exc), sign) from exc
+            raise WireError(step, repr(exc), failure_kind) from exc
         if isinstance(event, type):
-            raise WireError(step, 'answer out of turn')
+            raise WireError(step, 'unexpected protocol state')
         return event
 
     async def _receive(self, step: str) -> bytes:
         try:
             return await self.stream.receive(READ_BYTES)
         except anyio.EndOfStream:
-            self._is_at_end = True
+            self._received_eof = True
             return b''
-        except STREAM_ENDS as exc:
+        except STREAM_ERRORS as exc:
             self.broken = True
             raise WireError(step, repr(exc), classify_disconnect(exc)) from exc
 
 
 def _set_options(stream: SocketStream) -> None:
-    """Let a peer that has lost power end the connection within seconds."""
+    """Set TCP timeouts that detect a peer without power within seconds."""
     raw = stream.extra(SocketAttribute.raw_socket)
     options = (
         (socket.SOL_SOCKET, socket.SO_KEEPALIVE, 1),
--- a/trestledock/packaging.py
+++ b/trestledock/packaging.py
@@ -2,13 +2,13 @@
 Packaging
 =========
 
-Builds the one binary: a zip application with the product and the libraries it
-needs.  All of them are pure Python, so it runs straight from the file, without
-unpacking and without starting another process.
+Builds the single executable: a zip application of the package and its
+dependencies.  All of them are pure Python, so it runs directly from the file,
+without unpacking and without starting another process.
 """
 
 import shutil
-import subprocess  # noqa: S404 - a build tool, no part of the product
+import subprocess  # noqa: S404 - build tool, not part of the product
 import sys
 import tempfile
 import zipapp
@@ -17,19 +17,19 @@
 import click
 
 ROOT = Path(__file__).parent.parent
-#: Parts of the source that serve developers only.
-LEFT_OUT = ('bench', 'packaging.py', '__pycache__')
+#: Files and packages for developers only.
+EXCLUDED = ('bench', 'packaging.py', '__pycache__')
 
 
 def build_binary(path: Path) -> None:
     """Build the zip application at `path`."""
     with tempfile.TemporaryDirectory() as folder:
         stage = Path(folder)
-        _install_libraries(stage)
+        _install_dependencies(stage)
         shutil.copytree(
             ROOT / 'trestledock',
             stage / 'trestledock',
-            ignore=shutil.ignore_patterns(*LEFT_OUT),
+            ignore=shutil.ignore_patterns(*EXCLUDED),
         )
         path.parent.mkdir(parents=True, exist_ok=True)
         zipapp.create_archive(
@@ -41,7 +41,7 @@
         )
 
 
-def _install_libraries(stage: Path) -> None:
+def _install_dependencies(stage: Path) -> None:
     command = [
         sys.executable,
         '-m',
@@ -55,15 +55,15 @@
         str(ROOT / 'requirements.txt'),
     ]
     subprocess.run(command, check=True)  # noqa: S603
-    for compiled in stage.rglob('*.so'):
-        compiled.unlink()
+    for extension_module in stage.rglob('*.so'):
+        extension_module.unlink()
     shutil.rmtree(stage / 'bin', ignore_errors=True)
 
 
 @click.command()
 @click.argument('path')
 def main(path: str) -> None:
-    """Build the binary at PATH."""
+    """Build the zip application at PATH."""
     build_binary(Path(path))
     size = Path(path).stat().st_size
     click.echo(f'{path}: {size} bytes')
--- a/trestledock/platform/_entries.py
+++ b/trestledock/platform/_entries.py
@@ -1,10 +1,10 @@
 """
-Entries of targets
-==================
+Target records
+==============
 
-Decodes what targets write of themselves under `servers/`.  Anybody may write
-there, so each field is checked before anything of an entry is believed: one
-that makes no sense names no target.
+Decodes the records that targets write about themselves under `servers/`.
+Anyone may write there, so every field is validated before any part of a record
+is used; an invalid record describes no target.
 """
 
 import json
@@ -17,49 +17,50 @@
 from trestledock.platform._fields import Field, read_fields
 from trestledock.relay import UNKNOWN_BIRTH, ListedTarget, Standing
 
-#: What stands for the states that the platform names.
-STANDINGS: Mapping[str, Standing] = MappingProxyType(
-    {'ready': Standing.ready, 'draining': Standing.leaving}
+#: The states that the platform names.
+STANDING_BY_STATE: Mapping[str, Standing] = MappingProxyType(
+    {'ready': Standing.ready, 'draining': Standing.draining}
 )
-#: An id goes into headers, and into names of incarnations after a `@`.
+#: Ids are written into headers, and into incarnation names before an `@`.
 TARGET_ID = re.compile('[!-?A-~]+')
-MOST_PORT = 65_535
-#: What decoding raises where an entry makes no sense; nested too deep is one.
-UNREADABLE = (ValueError, RecursionError)
+MAX_PORT = 65_535
+#: Raised when a record can't be decoded.  `RecursionError` is raised for deeply
+#: nested JSON.
+DECODE_ERRORS = (ValueError, RecursionError)
 
 
-def _read_name(plain: Any) -> str:
-    if not read_text(plain):
-        raise ValueError('empty')
-    return str(plain)
+def _read_name(data: Any) -> str:
+    if not read_text(data):
+        raise ValueError('empty name')
+    return str(data)
 
 
-def _read_positive(plain: Any) -> int:
-    if not read_count(plain):
-        raise ValueError('zero')
-    return int(plain)
+def _read_positive(data: Any) -> int:
+    if not read_count(data):
+        raise ValueError('number must be greater than 0')
+    return int(data)
 
 
-def _read_address(plain: Any) -> str:
-    host, _, port = read_text(plain).rpartition(':')
+def _read_address(data: Any) -> str:
+    host, _, port = read_text(data).rpartition(':')
     IPv4Address(host)
     if not port.isascii() or not port.isdigit():
-        raise ValueError(f'no port: {plain!r}')
-    if not 0 < int(port) <= MOST_PORT:
-        raise ValueError(f'no port: {plain!r}')
+        raise ValueError(f'port is not a number: {data!r}')
+    if not 0 < int(port) <= MAX_PORT:
+        raise ValueError(f'port out of range: {data!r}')
     return f'{host}:{int(port)}'
 
 
-def _read_standing(plain: Any) -> Standing:
-    state = read_text(plain)
-    if state not in STANDINGS:
+def _read_standing(data: Any) -> Standing:
+    state = read_text(data)
+    if state not in STANDING_BY_STATE:
         raise ValueError(f'unknown state: {state!r}')
-    return STANDINGS[state]
+    return STANDING_BY_STATE[state]
 
 
-#: `zone` is a data centre, `state` says whether new work may come, and
-#: `sequence` counts the heartbeats of one incarnation.
-ENTRY_FIELDS = (
+#: `zone` is the data centre, `state` tells whether the target accepts new
+#: requests, and `sequence` counts the heartbeats of one incarnation.
+TARGET_FIELDS = (
     Field('service', 'service', _read_name),
     Field('address', 'address', _read_address),
     Field('zone', 'data_centre', _read_name),
@@ -68,31 +69,35 @@
     Field('sequence', 'sequence', read_count),
     Field('born', 'born', _read_positive),
 )
-#: What else an entry may say; nothing here is believed, but what another writer
-#: has put there tells it apart from a target's.
-BESIDE: Mapping[str, Callable[[Any], Any]] = MappingProxyType(
+#: Optional fields, whose values are not used.  They are validated because a
+#: wrong type shows that the record was not written by a target.
+EXTRA_FIELDS: Mapping[str, Callable[[Any], Any]] = MappingProxyType(
     {'version': read_text, 'coldLeftMs': read_number, 'phase': read_text}
 )
-#: Platforms that give each start of a target a new id don't tell its birth.
-OPTIONAL = MappingProxyType({'born': UNKNOWN_BIRTH})
+#: Platforms that assign a new id at each start of a target omit its birth time.
+FIELD_DEFAULTS = MappingProxyType({'born': UNKNOWN_BIRTH})
 
 
-def decode_entry(key: str, raw: bytes) -> ListedTarget:
-    """Return the target that an entry names, or raise one of `UNREADABLE`."""
-    plain = json.loads(raw)
-    if not isinstance(plain, dict):
-        raise ValueError('no object')
+def decode_target(key: str, raw: bytes) -> ListedTarget:
+    """Decode a target's record, or raise one of `DECODE_ERRORS`."""
+    data = json.loads(raw)
+    if not isinstance(data, dict):
+        raise ValueError('not a JSON object')
     if not TARGET_ID.fullmatch(key):
-        raise ValueError('no id')
-    found = {**OPTIONAL, **read_fields(plain, ENTRY_FIELDS)}
-    for name in BESIDE.keys() & plain.keys():
-        BESIDE[name](plain[name])
-    missing = [one.wire for one in ENTRY_FIELDS if one.name not in found]
+        raise ValueError('invalid target id')
+    attributes = {**FIELD_DEFAULTS, **read_fields(data, TARGET_FIELDS)}
+    for name in EXTRA_FIELDS.keys() & data.keys():
+        EXTRA_FIELDS[name](data[name])
+    missing = [
+        field.wire_name
+        for field in TARGET_FIELDS
+        if field.attribute not in attributes
+    ]
     if missing:
-        raise ValueError(f'missing: {missing}')
-    return ListedTarget(target_id=key, **found)
+        raise ValueError(f'missing fields: {missing}')
+    return ListedTarget(target_id=key, **attributes)
 
 
 def decode_address(raw: bytes) -> str:
-    """Return the address of an entry process, or raise a `ValueError`."""
+    """Decode the address of an entry, or raise `ValueError`."""
     return _read_address(raw.decode())
--- a/trestledock/platform/_headers.py
+++ b/trestledock/platform/_headers.py
@@ -1,9 +1,10 @@
 """
-Headers of callers and targets
-==============================
+Request and response headers
+============================
 
-Translates requests, answers and orders.  The platform's header names stand
-here and nowhere else.
+Translates requests of callers, responses of targets, and requests to the
+control interface of targets (`/order`).  Header names of the platform are
+defined only here and in `_notices`.
 """
 
 import json
@@ -11,41 +12,44 @@
 
 from trestledock.entry import (
     AnswerMetadata,
-    Head,
-    Headers,
     ControlRequest,
     ForwardingContext,
+    Head,
+    Headers,
 )
 from trestledock.platform._notices import (
-    read_leaving,
-    read_limit,
-    read_rest,
+    read_backoff,
+    read_draining,
+    read_rate_limit,
 )
 from trestledock.relay import Body, Call, ListedTarget, PromptSize
 
 REQUEST_ID = b'trestledock-request-id'
-#: Milliseconds that the caller will wait, or that a target may take.
+#: Milliseconds that the caller waits, or that the target may take.
 DEADLINE = b'trestledock-request-deadline'
+#: Present if the target itself produced the response.
 SEAL = b'trestledock-response-seal'
 TEAM = b'trestledock-tenant'
-EXPECT = b'trestledock-expect-instance'
+EXPECTED_INSTANCE = b'trestledock-expect-instance'
+#: Present if the target did not run the request.
 NOT_RUN = b'trestledock-not-executed'
-SIZES = b'trestledock-token-counts'
+TOKEN_COUNTS = b'trestledock-token-counts'
 HELPERS = b'trestledock-helpers'
 LAST_EVENT = b'last-event-id'
+#: The target that is at fault.
 AT_FAULT = b'at-server'
-#: The target that answers, where that is not the one that was asked.
+#: The target that responds, if another one was asked.
 INSTANCE = b'trestledock-instance-id'
 AUTHORIZATION = b'authorization'
-SCHEME = 'bearer '
-#: The rank of a request where it waits at a target, from 0 (first) to 9.
+BEARER_PREFIX = 'bearer '
+#: The priority of a request in a target's queue, from 0 (first) to 9.
 PRIORITY = b'trestledock-request-priority'
-LEAST_URGENT = 9
+LOWEST_PRIORITY = 9
 MISDIRECTED = 421
 MS = 1000
 
-#: Headers that concern one connection only.
-HOP_BY_HOP = frozenset(
+#: Headers that apply to a single connection.
+HOP_BY_HOP_HEADERS = frozenset(
     (
         b'connection',
         b'keep-alive',
@@ -57,12 +61,12 @@
         b'expect',
     )
 )
-#: Headers of a caller that are replaced on the way to a target.
-REPLACED_HEADERS = HOP_BY_HOP | {
+#: Headers of a caller that are removed or replaced before forwarding.
+REPLACED_HEADERS = HOP_BY_HOP_HEADERS | {
     AUTHORIZATION,
     DEADLINE,
     TEAM,
-    EXPECT,
+    EXPECTED_INSTANCE,
     HELPERS,
     LAST_EVENT,
     PRIORITY,
@@ -72,7 +76,7 @@
 
 
 class PlatformDialect:
-    """The formats of the platform's callers and targets."""
+    """Formats of the platform's callers and targets."""
 
     def read_call(
         self,
@@ -81,48 +85,48 @@
         now: float,
     ) -> Call:
         """Read a caller's request from its ASGI scope."""
-        found = dict(scope['headers'])
+        headers = dict(scope['headers'])
         raw_path = scope['raw_path'].decode('latin-1')
         query = scope['query_string'].decode('latin-1')
-        host = found.get(b'host', b'').decode('latin-1').lower()
-        wait_ms = _read_number(found.get(DEADLINE))
+        host = headers.get(b'host', b'').decode('latin-1').lower()
+        wait_ms = _parse_number(headers.get(DEADLINE))
         return Call(
-            req_id=found.get(REQUEST_ID, b'').decode('latin-1'),
+            req_id=headers.get(REQUEST_ID, b'').decode('latin-1'),
             method=scope['method'],
             path=raw_path,
             query=f'?{query}' if query else '',
             host=host.partition(':')[0],
-            headers=_drop(scope['headers'], REPLACED_HEADERS),
+            headers=_remove_headers(scope['headers'], REPLACED_HEADERS),
             body=body,
             arrived_at=now,
             deadline=None if wait_ms is None else now + wait_ms / MS,
-            key=_read_key(found.get(AUTHORIZATION, b'')),
-            size=_read_sizes(found.get(SIZES, b'')),
-            resume_after=found.get(LAST_EVENT, b'').decode('latin-1'),
+            key=_parse_api_key(headers.get(AUTHORIZATION, b'')),
+            size=_parse_token_counts(headers.get(TOKEN_COUNTS, b'')),
+            resume_after=headers.get(LAST_EVENT, b'').decode('latin-1'),
         )
 
-    def make_headers(self, call: Call, passing: ForwardingContext) -> Headers:
+    def make_headers(self, call: Call, context: ForwardingContext) -> Headers:
         """Return the headers of a request to a target."""
-        left_ms = max(1, int(passing.left_s * MS))
+        remaining_ms = max(1, int(context.left_s * MS))
         added = [
-            (DEADLINE, str(left_ms).encode()),
-            (EXPECT, passing.placement.target.target_id.encode()),
+            (DEADLINE, str(remaining_ms).encode()),
+            (EXPECTED_INSTANCE, context.placement.target.target_id.encode()),
         ]
-        if passing.team:
-            added.append((TEAM, passing.team.encode()))
-        if passing.priority is not None:
-            rank = min(max(passing.priority, 0), LEAST_URGENT)
+        if context.team:
+            added.append((TEAM, context.team.encode()))
+        if context.priority is not None:
+            rank = min(max(context.priority, 0), LOWEST_PRIORITY)
             added.append((PRIORITY, str(rank).encode()))
-        if passing.resume_after:
-            added.append((LAST_EVENT, passing.resume_after.encode()))
-        if passing.placement.helpers:
-            added.append((HELPERS, _write_helpers(passing).encode()))
+        if context.resume_after:
+            added.append((LAST_EVENT, context.resume_after.encode()))
+        if context.placement.helpers:
+            added.append((HELPERS, _format_helpers(context).encode()))
         if call.body.raw or call.method not in {'GET', 'HEAD'}:
             added.append((b'content-length', str(len(call.body.raw)).encode()))
         return (*call.headers, *added)
 
     def read_head(self, head: Head) -> AnswerMetadata:
-        """Read the head of a target's answer."""
+        """Read the head of a target's response."""
         marked = bool(head.get_header(NOT_RUN))
         return AnswerMetadata(
             req_id=head.get_header(REQUEST_ID),
@@ -133,86 +137,103 @@
             connection=head.get_header(b'connection'),
             at_fault=head.get_header(AT_FAULT),
             instance=head.get_header(INSTANCE),
-            limit=read_limit(head),
-            leaves=read_leaving(head),
-            rest=read_rest(head),
+            rate_limit=read_rate_limit(head),
+            is_draining=read_draining(head),
+            backoff=read_backoff(head),
         )
 
     def make_reply_headers(self, head: Head) -> Headers:
-        """Return the headers of an answer that is passed on."""
-        return _drop(head.headers, HOP_BY_HOP)
+        """Return the headers of a response that is forwarded to the caller."""
+        return _remove_headers(head.headers, HOP_BY_HOP_HEADERS)
 
     def make_reserve(
         self,
-        ticket: str,
+        reservation_id: str,
         tokens: int,
         lease_s: float,
-        holder: ListedTarget,
+        target: ListedTarget,
     ) -> ControlRequest:
-        """Return the order that reserves memory, or fails at once."""
-        return _make_order(
-            holder,
+        """Return the request that reserves memory for `tokens` at `target`.
+
+        It fails at once if the memory is not available.
+        """
+        return _make_control_request(
+            target,
             operation='reserve',
-            id=ticket,
+            id=reservation_id,
             tokens=tokens,
             holdMs=round(lease_s * MS),
         )
 
-    def make_release(self, ticket: str, holder: ListedTarget) -> ControlRequest:
-        """Return the order that gives memory back."""
-        return _make_order(holder, operation='release', id=ticket)
+    def make_release(
+        self, reservation_id: str, target: ListedTarget
+    ) -> ControlRequest:
+        """Return the request that releases a reservation."""
+        return _make_control_request(
+            target, operation='release', id=reservation_id
+        )
 
 
-def _make_order(holder: ListedTarget, **fields: Any) -> ControlRequest:
-    """Return an order that only one target takes, not who has its address."""
+def _make_control_request(
+    target: ListedTarget, **fields: Any
+) -> ControlRequest:
+    """Return a control request that names its target.
+
+    A different target that now has the address will reject it.
+    """
     body = json.dumps(fields).encode()
     headers = (
-        (b'host', holder.address.encode()),
-        (EXPECT, holder.target_id.encode()),
+        (b'host', target.address.encode()),
+        (EXPECTED_INSTANCE, target.target_id.encode()),
         (b'content-type', b'application/json'),
         (b'content-length', str(len(body)).encode()),
     )
     return ControlRequest('POST', '/order', headers, body)
 
 
-def _write_helpers(passing: ForwardingContext) -> str:
-    """Return the helpers as `IP:PORT` or `IP:PORT/TICKET`."""
+def _format_helpers(context: ForwardingContext) -> str:
+    """Format helpers as `IP:PORT` or `IP:PORT/RESERVATION`, comma-separated."""
     parts = []
-    for helper in passing.placement.helpers:
-        ticket = passing.tickets.get(helper.incarnation)
-        parts.append(f'{helper.address}/{ticket}' if ticket else helper.address)
+    for helper in context.placement.helpers:
+        reservation_id = context.reservation_ids.get(helper.incarnation)
+        parts.append(
+            f'{helper.address}/{reservation_id}'
+            if reservation_id
+            else helper.address
+        )
     return ','.join(parts)
 
 
-def _drop(headers: Any, names: frozenset[bytes]) -> Headers:
-    listed = b','.join(
+def _remove_headers(headers: Any, names: frozenset[bytes]) -> Headers:
+    """Remove `names` and the headers that `Connection` names."""
+    connection = b','.join(
         text for name, text in headers if name.lower() == b'connection'
     )
-    also = {part.strip().lower() for part in listed.split(b',')}
+    per_connection = {part.strip().lower() for part in connection.split(b',')}
     return tuple(
         (name, text)
         for name, text in headers
-        if name.lower() not in names and name.lower() not in also
+        if name.lower() not in names and name.lower() not in per_connection
     )
 
 
-def _read_number(raw: bytes | None) -> float | None:
+def _parse_number(raw: bytes | None) -> float | None:
     try:
         return float(raw) if raw else None
     except ValueError:
         return None
 
 
-def _read_key(raw: bytes) -> str:
+def _parse_api_key(raw: bytes) -> str:
     text = raw.decode('latin-1').strip()
-    if text.lower().startswith(SCHEME):
-        return text[len(SCHEME) :].strip()
+    if text.lower().startswith(BEARER_PREFIX):
+        return text[len(BEARER_PREFIX) :].strip()
     return ''
 
 
-def _read_sizes(raw: bytes) -> PromptSize | None:
-    """Read `PROMPT,OUTPUT` token counts."""
-    first, _, second = raw.decode('latin-1').partition(',')
-    if first.strip().isdigit() and second.strip().isdigit():
-        return PromptSize(int(first), int(second))
+def _parse_token_counts(raw: bytes) -> PromptSize | None:
+    """Parse the token counts `PROMPT,OUTPUT`."""
+    prompt, _, output = raw.decode('latin-1').partition(',')
+    if prompt.strip().isdigit() and output.strip().isdigit():
+        return PromptSize(int(prompt), int(output))
     return None
--- a/trestledock/platform/_quarantine.py
+++ b/trestledock/platform/_quarantine.py
@@ -1,10 +1,10 @@
 """
-Quarantine in the store
-=======================
+Quarantine topic
+================
 
-What entries remember of quarantined requests, as records of a topic of their
-own, by fingerprint.  What was answered after all keeps its record, since others
-may still know the ends that it was cleared of.
+Stores quarantined requests as records of a topic of their own, keyed by
+fingerprint.  A request that was answered after all keeps its record, because
+other entries may still know the crashes of which it was cleared.
 """
 
 import json
@@ -17,12 +17,12 @@
     RecordIgnored,
     StoredQuarantine,
     emit,
-    read_number,
     read_count,
     read_list,
+    read_number,
     read_text,
 )
-from trestledock.platform._entries import UNREADABLE
+from trestledock.platform._entries import DECODE_ERRORS
 from trestledock.platform._epochs import StoreEpochs
 from trestledock.platform._log import (
     OK,
@@ -34,90 +34,93 @@
 from trestledock.relay import QuarantineRecord
 
 TOPIC = 'keyed.quarantine'
-#: What the store answers where a partition has grown meanwhile.
-GROWN = 412
+#: The store's response if the partition no longer ends at the expected offset.
+END_MISMATCH_STATUS = 412
 MS = 1000
 
 
 class QuarantineTopic:
     """The topic of quarantined requests.
 
-    Reads wait on a connection of their own.
+    Long-polling reads use a separate connection.
     """
 
     def __init__(self, address: str, epochs: StoreEpochs) -> None:
-        """Keep the address; nothing is sent yet."""
-        self._followed = KeyedTopic(StoreClient(address, epochs), TOPIC)
+        """Set the address without connecting."""
+        self._reader = KeyedTopic(StoreClient(address, epochs), TOPIC)
         self._writer = StoreClient(address, epochs)
 
     async def read_records(self, wait_s: float) -> tuple[QuarantineRecord, ...]:
-        """Return what is new, once there is something or the time is over."""
-        batch = await self._followed.read(wait_s)
-        return _read_records(batch.records)
+        """Return new records, waiting up to `wait_s` for the first one."""
+        batch = await self._reader.read(wait_s)
+        return _decode_records(batch.records)
 
     async def read_whole(self) -> StoredQuarantine:
-        """Return all records, with the place at which the topic ends."""
+        """Return all records and the end of the topic."""
         batch = await KeyedTopic(self._writer, TOPIC).read()
-        place = LogPosition(batch.end, batch.epoch)
-        return StoredQuarantine(_read_records(batch.records), place)
+        end = LogPosition(batch.end, batch.epoch)
+        return StoredQuarantine(_decode_records(batch.records), end)
 
     async def write_records(
         self,
         records: Iterable[QuarantineRecord],
         expected: LogPosition | None = None,
     ) -> bool:
-        """Write records; return whether the topic still ended at a place.
+        """Write records; return whether the topic ended at `expected`.
 
-        An offset that another copy of the store has given out is another place,
-        also where it has the same number.
+        The end must match in offset and epoch: the same offset in another epoch
+        belongs to another record.
         """
         query = {} if expected is None else {'expectedEnd': expected.offset}
         now_ms = read_unix_ms()
         framed = [
-            frame_record(record.fingerprint, _write_record(record, now_ms))
+            frame_record(record.fingerprint, _encode_record(record, now_ms))
             for record in records
         ]
-        answer = await self._writer.append(TOPIC, framed, **query)
-        if answer.status not in {OK, GROWN}:
-            raise DirectoryError(f'log-append {TOPIC}: {answer.status}')
-        if expected and answer.epoch != expected.epoch:
+        response = await self._writer.append(TOPIC, framed, **query)
+        if response.status not in {OK, END_MISMATCH_STATUS}:
+            raise DirectoryError(f'log-append {TOPIC}: {response.status}')
+        if expected and response.epoch != expected.epoch:
             return False
-        return answer.status == OK
+        return response.status == OK
 
 
-def _write_record(record: QuarantineRecord, now_ms: float) -> bytes:
-    """Return the value of a record."""
-    plain = {
+def _encode_record(record: QuarantineRecord, now_ms: float) -> bytes:
+    """Encode the value of a record."""
+    data = {
         'ends': record.incarnations,
         'since_ms': round(now_ms - record.age_s * MS),
         'trials': record.probes,
         'cleared': record.cleared,
     }
-    return json.dumps(plain, separators=(',', ':')).encode()
+    return json.dumps(data, separators=(',', ':')).encode()
 
 
-def _read_records(records: Iterable[Record]) -> tuple[QuarantineRecord, ...]:
-    """Return what records say; one that makes no sense says nothing."""
+def _decode_records(records: Iterable[Record]) -> tuple[QuarantineRecord, ...]:
+    """Decode records, skipping invalid ones."""
     now_ms = read_unix_ms()
-    found = []
+    decoded = []
     for record in records:
         try:
-            found.append(_read_record(record, now_ms))
-        except UNREADABLE as exc:
+            decoded.append(_decode_record(record, now_ms))
+        except DECODE_ERRORS as exc:
             emit(RecordIgnored(record.key, repr(exc)))
-    return tuple(found)
+    return tuple(decoded)
 
 
-def _read_record(record: Record, now_ms: float) -> QuarantineRecord:
-    """Return a quarantined request; times of day differ, but by seconds."""
-    plain = json.loads(record.text)
-    if not isinstance(plain, dict):
-        raise ValueError('no object')
-    since_ms = read_number(plain.get('since_ms'))
+def _decode_record(record: Record, now_ms: float) -> QuarantineRecord:
+    """Decode a quarantined request.
+
+    Its age is correct to within seconds, by which the clocks of entries differ.
+    """
+    data = json.loads(record.value)
+    if not isinstance(data, dict):
+        raise ValueError('not a JSON object')
+    since_ms = read_number(data.get('since_ms'))
     return QuarantineRecord(
         record.key,
-        tuple(map(read_text, read_list(plain.get('ends')))),
+        tuple(map(read_text, read_list(data.get('ends')))),
         max(0, now_ms - since_ms) / MS,
-        read_count(plain.get('trials')),
-        tuple(map(read_text, read_list(plain.get('cleared', [])))),
+        read_count(data.get('trials')),
+        tuple(map(read_text, read_list(data.get('cleared', [])))),
     )
--- a/trestledock/platform/_settings.py
+++ b/trestledock/platform/_settings.py
@@ -1,9 +1,9 @@
 """
-Settings file of the platform
-=============================
+Platform settings
+=================
 
-Reads the TOML file that the platform writes for each process.  Unknown fields
-are ignored; the platform may add some.
+Reads the TOML settings file that the platform writes for each process.  Unknown
+fields are ignored, because the platform may add some.
 """
 
 import os
@@ -12,13 +12,13 @@
 from typing import Any
 
 from trestledock.entry import EntrySettings
-from trestledock.platform._fields import Field, seconds_of, read_fields
+from trestledock.platform._fields import Field, ms_to_seconds, read_fields
 from trestledock.relay import RetryLimits
 
-#: The variable that holds the path of the file.
+#: The environment variable with the path of the file.
 PATH_VARIABLE = 'TRESTLEDOCK_BOOT'
-#: The port of the metrics, which `deploy/system.toml` names, too: a fixed one,
-#: since ports of the settings file are new each day.
+#: The port of the metrics, which is also named in `deploy/system.toml`.  It is
+#: fixed because the ports in the settings file change every day.
 METRICS_PORT = 9464
 
 BUDGET_FIELDS = (
@@ -28,21 +28,21 @@
 )
 
 BOUND_FIELDS = (
-    Field('revokeMs', 'revoke_s', seconds_of),
+    Field('revokeMs', 'revoke_s', ms_to_seconds),
     Field('gracePeriodS', 'grace_s'),
 )
 
-#: What bounds the time until a change is in force: of the configuration, and
-#: of the targets that leave, in milliseconds.
-SETTLE_BOUNDS = ('configMs', 'drainMs')
+#: The bounds, in milliseconds, on the time until a change takes effect: a new
+#: configuration, and a draining target.
+PROPAGATION_BOUNDS = ('configMs', 'drainMs')
 
 
 class SettingsError(Exception):
-    """The settings file can't be read or lacks a field."""
+    """The settings file can't be read or a field is missing."""
 
 
 def read_settings() -> EntrySettings:
-    """Read the file that the environment names."""
+    """Read the settings file that the environment variable names."""
     path = os.environ.get(PATH_VARIABLE, '')
     if not path:
         raise SettingsError(f'{PATH_VARIABLE} is not set')
@@ -54,26 +54,29 @@
         raise SettingsError(f'{path}: the field {exc} is missing') from exc
 
 
-def decode_settings(plain: dict[str, Any]) -> EntrySettings:
-    """Return the settings of a process from the platform's fields."""
-    bounds = plain.get('bounds', {})
-    more = read_fields(bounds, BOUND_FIELDS)
-    # `strictRevoke` says whether `revokeMs` holds when the store is away.
+def decode_settings(data: dict[str, Any]) -> EntrySettings:
+    """Decode the settings of a process."""
+    bounds = data.get('bounds', {})
+    optional = read_fields(bounds, BOUND_FIELDS)
+    # `strictRevoke` tells whether `revokeMs` applies while the store is
+    # unavailable.
     if not bounds.get('strictRevoke', False):
-        more['revoke_s'] = 0
-    settling = [
-        seconds_of(bounds[name]) for name in SETTLE_BOUNDS if name in bounds
+        optional['revoke_s'] = 0
+    propagation_s = [
+        ms_to_seconds(bounds[name])
+        for name in PROPAGATION_BOUNDS
+        if name in bounds
     ]
-    if settling:
-        more['settle_s'] = min(settling)
+    if propagation_s:
+        optional['settle_s'] = min(propagation_s)
     return EntrySettings(
-        instance=plain['nodeName'],
-        data_centre=plain['zone'],
-        callers=plain['listen']['front'],
-        ready=plain['listen']['ready'],
-        peers=f'{plain["ipAddr"]}:{plain["portRange"][0]}',
-        store=plain['platform']['address'],
-        metrics=f'{plain["ipAddr"]}:{METRICS_PORT}',
+        instance=data['nodeName'],
+        data_centre=data['zone'],
+        callers=data['listen']['front'],
+        ready=data['listen']['ready'],
+        peers=f'{data["ipAddr"]}:{data["portRange"][0]}',
+        store=data['platform']['address'],
+        metrics=f'{data["ipAddr"]}:{METRICS_PORT}',
         budget=RetryLimits(**read_fields(bounds, BUDGET_FIELDS)),
-        **more,
+        **optional,
     )
--- a/trestledock/process/__init__.py
+++ b/trestledock/process/__init__.py
@@ -1,9 +1,10 @@
 """
-What lives for a process
-========================
+Instance core
+=============
 
-The core of an entry instance: fleet, load, queues, claims, holds, leases, and
-the node that ties them together.  Nothing here knows sockets or clocks.
+The state machine of an entry instance: fleet, load prediction, fair queues,
+claims, reservations, leases, and the node that combines them.  It uses no
+sockets, reads no clock, and performs no I/O.
 """
 
 from trestledock.process._actions import (
@@ -19,12 +20,12 @@
     LogEvent,
     Published,
     ResumeStream,
-    StartJob,
     SendToPeer,
+    StartJob,
 )
-from trestledock.process._claims import ClaimTable, ClaimDecision
+from trestledock.process._claims import ClaimDecision, ClaimTable
 from trestledock.process._epoch import Epoch, Handover
-from trestledock.process._explaining import explain
+from trestledock.process._explanation import explain
 from trestledock.process._fleet import Target
 from trestledock.process._identity import Identity, Timing
 from trestledock.process._lease import Lease
@@ -51,13 +52,13 @@
 from trestledock.process._node import Node
 from trestledock.process._payloads import PAYLOADS, ClaimAsk, Payload
 from trestledock.process._policy import BASELINE, Chooser, Policy
-from trestledock.relay import rank_by_key
 from trestledock.process._targets import (
     CacheEvent,
     LoadReport,
     PeerInfo,
     TargetInfo,
 )
+from trestledock.relay import rank_by_key
 
 __all__ = (
     'PAYLOADS',
--- a/trestledock/process/_groups.py
+++ b/trestledock/process/_groups.py
@@ -1,31 +1,31 @@
 """
-Groups
-======
+Engine groups
+=============
 
-Plans prompts that are larger than one engine's memory over several engines:
-the ones with the most free memory, as many as the pool's share for giants
-allows.  A group is reserved all or nothing, in the order of the engines' names,
-so that two giants can't hold half each and wait.
+Divides giant prompts, which exceed one engine's memory, among several engines:
+those with the most free memory, up to the pool's limit for giants.  A group is
+reserved all or nothing, in the order of the engines' names, so that two giants
+can't deadlock with half of the engines each.
 """
 
 from dataclasses import dataclass
 
-from trestledock.process._choosing import Candidate, Field
 from trestledock.process._fleet import Target
-from trestledock.process._guarding import take_hold
-from trestledock.process._live import Live, Share
+from trestledock.process._live_request import LiveRequest, Share
+from trestledock.process._reservation_watch import allocate_reservation
+from trestledock.process._selection import Candidate, CandidateSet
 from trestledock.process._state import State
 from trestledock.version import Pool
 
-#: The part of an engine's free memory that a group may take.
-GROUP_FILL = 0.9
-#: Engines that a group may have whatever the pool's share is.
-LEAST_GROUP = 2
+#: The fraction of an engine's free memory that a group may use.
+MAX_GROUP_FILL = 0.9
+#: The minimum of a pool's limit on engines for giants.
+MIN_GROUP_LIMIT = 2
 
 
 @dataclass(frozen=True)
-class Part:
-    """The tokens of a giant prompt that one engine of a group takes."""
+class GroupPart:
+    """The part of a giant prompt that one engine of a group prefills."""
 
     target: Target
     tokens: int
@@ -33,50 +33,52 @@
 
 def plan_group(
     state: State,
-    live: Live,
-    field: Field,
+    live: LiveRequest,
+    candidate_set: CandidateSet,
     now: float,
 ) -> tuple[Share, ...]:
-    """Return the shares of a group, nothing where there is no room now."""
-    if field.pool is None:
+    """Return the shares of a group, or nothing without enough capacity."""
+    if candidate_set.pool is None:
         return ()
-    bound = get_group_bound(state, len(field.candidates), field.pool)
-    parts = _split(live, field.candidates, bound)
-    holds = [take_hold(state, part.target, now) for part in parts]
+    limit = get_group_limit(
+        state, len(candidate_set.candidates), candidate_set.pool
+    )
+    parts = _split_prompt(live, candidate_set.candidates, limit)
+    holds = [allocate_reservation(state, part.target, now) for part in parts]
     if not all(holds):
         for hold in holds:
-            state.hold_ids.release(hold)
+            state.reservation_ids.release(hold)
         return ()
     shares = []
     start = 0
     for part, hold in zip(parts, holds):
-        stop = min(live.goal, start + part.tokens)
+        stop = min(live.prefill_stop, start + part.tokens)
         shares.append(Share(part.target.info.name, start, stop, hold))
         start = stop
     return tuple(shares)
 
 
-def get_share(engines: int, pool: Pool) -> int:
-    """Return how many of a pool's engines giants may take together."""
-    return max(LEAST_GROUP, int(engines * pool.giant_share))
+def get_giant_engine_limit(engines: int, pool: Pool) -> int:
+    """Return how many engines of a pool all giants together may use."""
+    return max(MIN_GROUP_LIMIT, int(engines * pool.giant_share))
 
 
-def get_group_bound(state: State, engines: int, pool: Pool) -> int:
-    """Return how many engines another giant may take here now.
+def get_group_limit(state: State, engines: int, pool: Pool) -> int:
+    """Return how many engines this instance may use for another giant.
 
-    Every instance of the data centre has its part of the pool's share; one
-    that serves no giant may take the whole share for one.
+    The instances of the data centre divide the pool's limit equally, but an
+    instance without a giant may use the whole limit for one.
     """
-    share = get_share(engines, pool)
-    held = count_giants(state)
-    if not held:
-        return share
+    limit = get_giant_engine_limit(engines, pool)
+    used = count_giant_engines(state)
+    if not used:
+        return limit
     peers = state.fleet.get_live_peers(state.identity.data_centre)
-    return share // (len(peers) + 1) - held
+    return limit // (len(peers) + 1) - used
 
 
-def count_giants(state: State) -> int:
-    """Return how many engines are held for giants by this instance."""
+def count_giant_engines(state: State) -> int:
+    """Return how many engines this instance uses for giants."""
     return sum(
         len(live.shares)
         for live in state.requests.values()
@@ -84,28 +86,35 @@
     )
 
 
-def _split(
-    live: Live,
+def _split_prompt(
+    live: LiveRequest,
     candidates: tuple[Candidate, ...],
-    bound: int,
-) -> tuple[Part, ...]:
-    """Split a giant over the engines with the most free memory.
+    limit: int,
+) -> tuple[GroupPart, ...]:
+    """Split a giant among the engines with the most free memory.
 
-    Returns nothing where `bound` engines don't suffice now.  Each part leaves
-    room for the answer, because any may turn out to be the last.
+    Returns nothing if `limit` engines don't suffice.  Each part leaves room for
+    the response, because any part may turn out to be the last.
     """
     ordered = sorted(
         candidates,
-        key=lambda one: (-one.free_tokens, one.target.info.name),
+        key=lambda candidate: (
+            -candidate.free_tokens,
+            candidate.target.info.name,
+        ),
     )
-    left = live.goal
+    remaining_tokens = live.prefill_stop
     parts = []
-    for one in ordered[: max(0, bound)]:
-        room = int(one.free_tokens * GROUP_FILL) - live.req.max_tokens
-        if room <= 0:
+    for candidate in ordered[: max(0, limit)]:
+        usable_tokens = (
+            int(candidate.free_tokens * MAX_GROUP_FILL) - live.req.max_tokens
+        )
+        if usable_tokens <= 0:
             break
-        parts.append(Part(one.target, min(left, room)))
-        left -= room
-        if left <= 0:
+        parts.append(
+            GroupPart(candidate.target, min(remaining_tokens, usable_tokens))
+        )
+        remaining_tokens -= usable_tokens
+        if remaining_tokens <= 0:
             return tuple(parts)
     return ()
--- a/trestledock/process/_identity.py
+++ b/trestledock/process/_identity.py
@@ -2,8 +2,8 @@
 Identity and timing
 ===================
 
-Who an instance is and the intervals it works by.  Both are read from the
-settings once and never change in the life of the process.
+The name of an instance and the intervals of its protocols.  Both are read from
+the settings at startup and stay constant.
 """
 
 from dataclasses import dataclass
@@ -13,8 +13,8 @@
 class Identity:
     """The name of an instance, its incarnation and its data centre.
 
-    The incarnation differs for every start of a process, so that what an
-    earlier one held can be told apart.
+    The incarnation differs for every start of the process, so that
+    reservations and claims of earlier incarnations can be told apart.
     """
 
     instance: str
@@ -23,13 +23,21 @@
 
     @property
     def member(self) -> str:
-        """The name of this incarnation among its peers."""
+        """The unique name of this incarnation."""
         return f'{self.instance}#{self.incarnation}'
 
 
 @dataclass(frozen=True)
 class Timing:
-    """Intervals and timeouts of the process, in seconds."""
+    """Intervals and timeouts of the process, in seconds.
+
+    A peer is unreachable after `peer_dead_s` without a sign of it, and removed
+    after `forget_peer_s`.  A new epoch is proposed once its members have been
+    stable for `epoch_settle_s`.  A new lease holder waits `order_flight_s` for
+    the previous holder's orders to arrive.  Snapshots follow one another after
+    `snapshot_s` to twice that time.  A step later than `pause_s` after the
+    previous one counts as a pause of the process.
+    """
 
     heartbeat_s: float = 1.0
     peer_dead_s: float = 4.0
@@ -45,6 +53,7 @@
     append_retry_s: float = 1.0
 
 
-#: How many peers of the data centre a heartbeat goes to, and how many others.
+#: The number of peers that get each heartbeat, in the own data centre and in
+#: the others.
 LOCAL_FANOUT = 3
 REMOTE_FANOUT = 1
--- a/trestledock/process/_peering.py
+++ b/trestledock/process/_peer_messages.py
@@ -1,43 +1,48 @@
 """
-Peering
-=======
+Messages from peers
+===================
 
-What instances tell each other: heartbeats with load, demand and leaving
-targets, the state of the log for those that are behind, and claims.
+Handles the payloads of peers: heartbeats with load, demand and draining
+targets, the log's state for instances that are behind, claims, watched
+reservations, and crashes of targets.
 """
 
 from functools import singledispatch
 
 from trestledock.process import _payloads as payloads
-from trestledock.process._applying import apply_accepted
-from trestledock.process._claiming import on_claim_answer
-from trestledock.process._ending import send
+from trestledock.process._application import apply_accepted
+from trestledock.process._claim_requests import on_claim_answer
+from trestledock.process._completion import send_to_member
 from trestledock.process._epoch import Epoch
-from trestledock.process._guarding import mark_gone, note_kept, take_block
-from trestledock.process._isolating import take_ends, tell_new_peer
 from trestledock.process._messages import PeerMessage
+from trestledock.process._quarantining import merge_crashes, send_quarantine
+from trestledock.process._reservation_watch import (
+    mark_unreachable,
+    on_hold_block,
+    on_hold_block_kept,
+)
 from trestledock.process._state import State
 from trestledock.process._targets import LoadReport, PeerInfo
 from trestledock.version import EpochBody, load_json
 
 
 def on_peer_message(message: PeerMessage, state: State, now: float) -> None:
-    """Take a payload from a peer."""
-    take(message.payload, message.sender, state, now)
+    """Handle a message from a peer."""
+    handle_payload(message.payload, message.sender, state, now)
 
 
 @singledispatch
-def take(
+def handle_payload(
     payload: object,
     sender: str,
     state: State,
     now: float,
 ) -> None:
-    """Take one payload; the kinds below are all there are."""
-    raise TypeError(f'no peer sends {type(payload).__name__}')
+    """Handle one payload; each type has its handler below."""
+    raise TypeError(f'no handler for payload {type(payload).__name__}')
 
 
-@take.register
+@handle_payload.register
 def _(
     payload: payloads.Heartbeat,
     sender: str,
@@ -53,22 +58,24 @@
         payload.leaving,
     )
     for earlier in state.fleet.get_superseded(info):
-        mark_gone(state, earlier)
-    peer = state.fleet.hear_peer(info, now)
-    tell_new_peer(state, peer, now)
-    peer.demands = {one.team: one.demand for one in payload.demands}
+        mark_unreachable(state, earlier)
+    peer = state.fleet.record_heartbeat(info, now)
+    send_quarantine(state, peer, now)
+    peer.demands = {item.team: item.demand for item in payload.demands}
     for key in payload.leaving_targets:
         if state.fleet.mark_draining(key):
-            state.note('target_leaving', sender, key)
+            state.log_event('target_leaving', sender, key)
     for digest in payload.digests:
-        _take_digest(state, digest, now)
+        _merge_digest(state, digest, now)
     if payload.data_centre == state.identity.data_centre:
-        _take_ages(state, sender, payload, now)
+        _merge_ages(state, sender, payload, now)
     if payload.offset > state.reader.fold.next_offset:
-        send(state, sender, payloads.StateAsk(state.reader.fold.next_offset))
+        send_to_member(
+            state, sender, payloads.StateAsk(state.reader.fold.next_offset)
+        )
 
 
-@take.register
+@handle_payload.register
 def _(
     payload: payloads.StateAsk,
     sender: str,
@@ -77,10 +84,10 @@
 ) -> None:
     if state.reader.fold.next_offset > payload.offset:
         snapshot = state.reader.fold.get_snapshot()
-        send(state, sender, payloads.StateAnswer(snapshot))
+        send_to_member(state, sender, payloads.StateAnswer(snapshot))
 
 
-@take.register
+@handle_payload.register
 def _(
     payload: payloads.StateAnswer,
     sender: str,
@@ -91,40 +98,40 @@
     apply_accepted(state, now)
 
 
-@take.register
+@handle_payload.register
 def _(
     payload: payloads.ClaimAsk,
     sender: str,
     state: State,
     now: float,
 ) -> None:
-    if has_support(state, now):
+    if has_quorum(state, now):
         _send_all(state, state.claims.handle_ask(sender, payload, now))
 
 
-@take.register
+@handle_payload.register
 def _(
     payload: payloads.ClaimCopy,
     sender: str,
     state: State,
     now: float,
 ) -> None:
-    if has_support(state, now):
+    if has_quorum(state, now):
         _send_all(state, state.claims.handle_copy(sender, payload, now))
 
 
-@take.register
+@handle_payload.register
 def _(
     payload: payloads.ClaimCopied,
     sender: str,
     state: State,
     now: float,
 ) -> None:
-    if has_support(state, now):
+    if has_quorum(state, now):
         _send_all(state, state.claims.handle_copied(sender, payload))
 
 
-@take.register
+@handle_payload.register
 def _(
     payload: payloads.ClaimAnswer,
     sender: str,
@@ -134,7 +141,7 @@
     on_claim_answer(state, payload, now)
 
 
-@take.register
+@handle_payload.register
 def _(
     payload: payloads.ClaimResult,
     sender: str,
@@ -144,7 +151,7 @@
     state.claims.handle_result(payload)
 
 
-@take.register
+@handle_payload.register
 def _(
     payload: payloads.SealAsk,
     sender: str,
@@ -155,74 +162,74 @@
     epoch = Epoch(payload.accepted.offset, body)
     state.claims.enter_epoch(epoch, now)
     if state.claims.epoch and state.claims.epoch.offset == epoch.offset:
-        send(state, sender, state.claims.seal(sender, now))
+        send_to_member(state, sender, state.claims.seal(sender, now))
 
 
-@take.register
+@handle_payload.register
 def _(
     payload: payloads.SealAnswer,
     sender: str,
     state: State,
     now: float,
 ) -> None:
-    state.claims.take_over(sender, payload, now)
+    state.claims.import_claims(sender, payload, now)
 
 
-@take.register
+@handle_payload.register
 def _(
     payload: payloads.HoldBlock,
     sender: str,
     state: State,
     now: float,
 ) -> None:
-    take_block(state, sender, payload)
+    on_hold_block(state, sender, payload)
 
 
-@take.register
+@handle_payload.register
 def _(
     payload: payloads.HoldBlockKept,
     sender: str,
     state: State,
     now: float,
 ) -> None:
-    note_kept(state, sender, payload)
+    on_hold_block_kept(state, sender, payload)
 
 
-@take.register
+@handle_payload.register
 def _(
     payload: payloads.TargetEnds,
     sender: str,
     state: State,
     now: float,
 ) -> None:
-    take_ends(state, payload, now)
+    merge_crashes(state, payload, now)
 
 
-def has_support(state: State, now: float) -> bool:
-    """Whether this member may grant: it is surely not cut off alone.
+def has_quorum(state: State, now: float) -> bool:
+    """Whether this member may grant claims, as it is certainly not isolated.
 
-    Either the log has answered lately, so that a newer epoch would be known,
-    or more than half of the epoch's members were heard lately.
+    Either the log was read recently, so that a newer epoch would be known, or
+    more than half of the epoch's members were heard recently.
     """
     epoch = state.claims.epoch
     if epoch is None:
         return False
     if state.is_log_fresh(now) and state.reader.at_tail:
         return True
-    heard = sum(
+    live_count = sum(
         name == state.member
         or state.liveness.get_age(name, now) < state.timing.peer_dead_s
         for name in epoch.members
     )
-    return heard * 2 > len(epoch.members)
+    return live_count * 2 > len(epoch.members)
 
 
 def _send_all(state: State, sends: list) -> None:
     for member, payload in sends:
-        send(state, member, payload)
+        send_to_member(state, member, payload)
 
 
-def _take_ages(
+def _merge_ages(
     state: State,
     sender: str,
     payload: payloads.Heartbeat,
@@ -232,12 +239,12 @@
     current = epoch.offset if epoch else -1
     if payload.epoch > current:
         return
-    state.liveness.hear(sender, now)
+    state.liveness.record_heard(sender, now)
     if epoch and payload.epoch == current:
         state.liveness.merge(epoch.members, payload.ages, now)
 
 
-def _take_digest(state: State, digest: payloads.Digest, now: float) -> None:
+def _merge_digest(state: State, digest: payloads.Digest, now: float) -> None:
     target = state.get_targets().get(digest.target)
     known = target.load.report if target else None
     if target is None or known is None:
@@ -252,4 +259,4 @@
         digest.accepted_tokens,
         models=known.models,
     )
-    target.load.take_report(report, now)
+    target.load.record_report(report, now)
--- /dev/null
+++ b/trestledock/relay/_engine_load.py
@@ -0,0 +1,168 @@
+"""
+Engine load
+===========
+
+The current work of an engine, and what more work there would cost: the time to
+its first token, and the loss of the requests that are already there.
+"""
+
+from dataclasses import dataclass
+from typing import Iterable
+
+from trestledock.relay._catalog import EngineModel
+from trestledock.relay._engine_timing import (
+    PassLoad,
+    get_decode_pass_s,
+    get_prefill_s,
+)
+from trestledock.relay._health import Health
+from trestledock.relay._load_table import Flight, LoadTable, Phase
+from trestledock.relay._target_records import ListedTarget
+
+#: The share of its worth that a late answer loses, as callers value it.
+LATE_LOSS = 0.75
+#: The share of an allowed pause that a pass may fill.
+PAUSE_SHARE = 0.8
+#: The shares of the time left up to which a prediction is certainly in time,
+#: and from which on it is certainly late.
+SAFE_SHARE = 0.75
+LATE_SHARE = 1.05
+#: The loss of a prompt in prefill by a delay of one second, as a share of its
+#: worth, even if it would still be in time.
+DELAY_LOSS = 0.15
+#: The largest share of an engine's memory that placements use.
+MEMORY_SHARE = 0.97
+
+
+@dataclass(frozen=True)
+class EngineLoad:
+    """The work of an engine at the instant `now`.
+
+    `base_s` is the duration of a pass without prefill, `pending_prefill_s` the
+    prefill that is left, and `count` the number of requests with this engine as
+    their primary.
+    """
+
+    target: ListedTarget
+    count: int
+    decoding: int
+    base_s: float
+    pending_prefill_s: float
+    free_tokens: float
+    flights: tuple[Flight, ...]
+    failure_share: float
+    is_remote: bool
+    now: float
+
+    @property
+    def helper_wait_s(self) -> float:
+        """The time until a helper's chunk begins, before all other prefill."""
+        return self.base_s / 2 if self.decoding else 0
+
+    @property
+    def wait_s(self) -> float:
+        """The time until own prefill begins: half a pass and pending work."""
+        return self.helper_wait_s + self.pending_prefill_s
+
+    def predict_first_token_s(self, chunk_s: float) -> float:
+        """Return the time to the first token after a prefill of `chunk_s`."""
+        return self.wait_s + chunk_s + self.base_s
+
+    def predict_chunk_s(self, chunk_s: float) -> float:
+        """Return the time until a helper's chunk of `chunk_s` is prefilled."""
+        return self.helper_wait_s + chunk_s
+
+    def get_cost_to_others(self, chunk_s: float) -> float:
+        """Return the loss of others if `chunk_s` more is prefilled here."""
+        before_s = self.base_s + self.pending_prefill_s
+        return sum(
+            _get_loss(flight, before_s + chunk_s, self.now)
+            - _get_loss(flight, before_s, self.now)
+            for flight in self.flights
+        ) + sum(
+            flight.worth * LATE_LOSS * DELAY_LOSS * min(1, chunk_s)
+            for flight in self.flights
+            if flight.phase is Phase.prefill
+        )
+
+
+class LoadEstimator:
+    """Derives the load of engines from the requests in flight."""
+
+    def __init__(
+        self, load_table: LoadTable, health: Health, data_centre: str
+    ) -> None:
+        """Store the inputs."""
+        self.load_table = load_table
+        self.health = health
+        self.data_centre = data_centre
+
+    def estimate(
+        self, engine: EngineModel, target: ListedTarget, now: float
+    ) -> EngineLoad:
+        """Return the load of an engine now."""
+        name = target.incarnation
+        flights = tuple(self.load_table.get_flights(name))
+        own = [flight for flight in flights if flight.target == name]
+        held = sum(flight.get_held_tokens(name) for flight in flights)
+        health = self.health.get(name)
+        base_s = get_decode_pass_s(engine, PassLoad(len(own) + 1, held))
+        return EngineLoad(
+            target=target,
+            count=len(own),
+            decoding=sum(flight.phase is Phase.decode for flight in own),
+            base_s=base_s,
+            pending_prefill_s=_get_pending_prefill_s(engine, flights, now),
+            free_tokens=engine.capacity_tokens * MEMORY_SHARE - held,
+            flights=flights,
+            failure_share=health.get_failure_share(now),
+            is_remote=target.data_centre != self.data_centre,
+            now=now,
+        )
+
+
+def _get_pending_prefill_s(
+    engine: EngineModel,
+    flights: Iterable[Flight],
+    now: float,
+) -> float:
+    """Return the seconds of prefill that an engine still has to do."""
+    left_s: float = 0
+    at = now
+    prefilling = [flight for flight in flights if flight.phase is Phase.prefill]
+    for flight in sorted(prefilling, key=lambda flight: flight.since):
+        chunk_s = (
+            get_prefill_s(engine, flight.prompt_tokens) / flight.chunk_count
+        )
+        left_s = max(0, left_s - max(0, flight.since - at)) + chunk_s
+        at = flight.since
+    return max(0, left_s - max(0, now - at))
+
+
+def _get_loss(flight: Flight, pass_s: float, now: float) -> float:
+    """Return the loss of a request by a pass that ends after `pass_s`.
+
+    To a decoding request the pass is a pause; to one in prefill it delays the
+    first token, since newer chunks go before older ones.
+    """
+    if flight.phase is Phase.decode:
+        late: float = pass_s > flight.pause_s * PAUSE_SHARE
+        abandoned_after_s = flight.event_timeout_s
+    else:
+        late = _get_late_probability(pass_s, flight.due_at - now)
+        abandoned_after_s = flight.abandoned_at - now
+    share = late * LATE_LOSS
+    if pass_s > abandoned_after_s:
+        share = 1
+    return flight.worth * share
+
+
+def _get_late_probability(first_s: float, left_s: float) -> float:
+    """Return the probability that a prediction for a part of its time is late.
+
+    A request with hardly any time left may still be delayed by the next one.
+    """
+    if left_s <= 0:
+        return 1
+    excess = first_s / left_s - SAFE_SHARE
+    return min(1, max(0, excess / (LATE_SHARE - SAFE_SHARE)))
--- a/trestledock/relay/_board.py
+++ b/trestledock/relay/_load_table.py
@@ -1,10 +1,11 @@
 """
-Board of requests in flight
-===========================
+Load table
+==========
 
-What every target is working on: the own requests exactly, those of the other
-instances as they last told.  Each flight stands on the board of the instance
-that sent it; peers hold copies, until whoever listens drops the sender.
+The requests in flight at every target: exact for this instance, and as last
+reported for all others.  Each request belongs to the instance that sent it.
+Other instances hold a copy until they drop that instance, because it no longer
+sends messages.
 """
 
 from collections import defaultdict
@@ -14,7 +15,10 @@
 
 
 class Phase(str, Enum):
-    """Whether a request's prompt is being read, or its answer written."""
+    """Whether an engine prefills a request's prompt or decodes its answer.
+
+    The values are sent to other instances.
+    """
 
     prefill = 'r'
     decode = 'w'
@@ -22,14 +26,15 @@
 
 @dataclass(frozen=True)
 class Flight:
-    """One request at a target.
-
-    `since` is when its phase began, on this process's clock.  `helpers` read
-    equal parts of the prompt beside the target; `reservations` are the tokens
-    that it holds at other targets.  `pause_s` is the longest pause that its
-    caller takes as timely, `patience_s` the one at which it leaves; `due_at` is
-    the instant at which its first token is late, `abandoned_at` that at which
-    nobody waits for it any more, and `worth` what is lost with it.
+    """A request in flight at a target.
+
+    `since` is when its phase began, on the clock of this process.  `helpers`
+    prefill equal chunks of the prompt beside the target; `reservations` are the
+    tokens reserved at other targets (`tickets` in the log).  `pause_s` is the
+    longest pause between events that the caller accepts as timely, and
+    `event_timeout_s` the pause at which it leaves.  The first token is late
+    after `due_at`, the caller has left at `abandoned_at`, and `worth` is lost
+    if the request fails.
     """
 
     flight_id: str
@@ -44,86 +49,87 @@
     helpers: tuple[str, ...] = ()
     reservations: tuple[tuple[str, int], ...] = ()
     abandoned_at: float = float('inf')
-    patience_s: float = float('inf')
+    event_timeout_s: float = float('inf')
 
     @property
     def chunk_count(self) -> int:
-        """Into how many equal parts the prompt is cut for reading."""
+        """The number of equal chunks into which the prompt is split."""
         return len(self.helpers) + 1
 
     @property
     def engaged_targets(self) -> tuple[str, ...]:
-        """The targets that have something to do for the request.
+        """The targets that work on the request or hold part of its memory.
 
-        Once the prompt has been read, helpers that hold none of it are free.
+        After prefill, helpers without a reservation are free again.
         """
         if self.phase is Phase.prefill:
             return (self.target, *self.helpers)
         return (self.target, *(name for name, _ in self.reservations))
 
     def get_held_tokens(self, target: str) -> int:
-        """Return the KV tokens that the request takes at one target."""
-        ticketed = dict(self.reservations)
+        """Return the KV tokens that the request occupies at a target."""
+        reserved = dict(self.reservations)
         if target != self.target:
-            return ticketed.get(target, 0)
-        elsewhere = sum(
+            return reserved.get(target, 0)
+        reserved_elsewhere = sum(
             tokens for name, tokens in self.reservations if name != target
         )
         total = self.prompt_tokens + self.output_tokens
-        return max(total - elsewhere, 0)
+        return max(total - reserved_elsewhere, 0)
 
 
 @dataclass
 class _Sender:
-    """One instance's flights; `sequence` is that of its newest message."""
+    """The requests of one instance, and the sequence of its newest message."""
 
     sequence: int = -1
     flights: dict[str, Flight] = field(default_factory=dict)
 
 
+#: The key of this instance among the senders.
 OWN = ''
 
 
 class LoadTable:
     """Flights by target, of this instance and of its peers.
 
-    >>> board = LoadTable()
-    >>> board.put(Flight('a', 't1', 100, 10, Phase.prefill, since=0))
-    >>> [flight.flight_id for flight in board.get_flights('t1')]
+    >>> table = LoadTable()
+    >>> table.put(Flight('a', 't1', 100, 10, Phase.prefill, since=0))
+    >>> [flight.flight_id for flight in table.get_flights('t1')]
     ['a']
     """
 
     def __init__(self) -> None:
-        """Begin with nothing in flight."""
+        """Create a table without any request."""
         self._senders: dict[str, _Sender] = {OWN: _Sender()}
         self._by_target: dict[str, dict[str, Flight]] = defaultdict(dict)
-        self._elsewhere: dict[str, dict[str, list[Flight]]] = {}
+        self._remote: dict[str, dict[str, list[Flight]]] = {}
         self.changed: dict[str, Flight | None] = {}
 
     @property
     def own(self) -> dict[str, Flight]:
-        """The flights of this instance by id."""
+        """The requests of this instance by id."""
         return self._senders[OWN].flights
 
     def put(self, flight: Flight) -> None:
-        """Add or replace a flight of this instance."""
+        """Add or replace a request of this instance."""
         self._set(OWN, flight)
         self.changed[flight.flight_id] = flight
 
     def start_decode(self, flight_id: str, now: float) -> None:
-        """Note that the first part of an answer has come."""
+        """Record that the first part of an answer has arrived."""
         flight = self.own.get(flight_id)
         if flight and flight.phase is Phase.prefill:
             self.put(replace(flight, phase=Phase.decode, since=now))
 
     def remove(self, flight_id: str) -> None:
-        """Drop a flight of this instance."""
+        """Remove a request of this instance."""
         if flight_id in self.own:
             self._unset(OWN, flight_id)
             self.changed[flight_id] = None
 
     def pop_changes(self) -> dict[str, Flight | None]:
-        """Return what changed among the own flights since the last call."""
+        """Return and reset the changes to this instance's own requests."""
         changed = self.changed
         self.changed = {}
         return changed
@@ -136,9 +142,9 @@
         *,
         whole: bool,
     ) -> bool:
-        """Fold a peer's message; a whole one replaces all that it had.
+        """Fold a peer's update; a whole one replaces all its earlier requests.
 
-        Return whether any flight may have changed.
+        Return whether any request may have changed.
         """
         peer = self._senders.setdefault(sender, _Sender())
         if sequence <= peer.sequence:
@@ -156,48 +162,48 @@
         return had_any or bool(peer.flights)
 
     def drop_sender(self, sender: str) -> None:
-        """Forget a peer that is no longer heard."""
+        """Remove all requests of a peer that no longer sends messages."""
         if sender in self._senders:
             for flight_id in tuple(self._senders[sender].flights):
                 self._unset(sender, flight_id)
             self._senders.pop(sender)
 
     def count_peers(self) -> int:
-        """Return how many peers are being heard."""
+        """Return the number of peers with requests in the table."""
         return len(self._senders) - 1
 
     def get_flights(self, target: str) -> Iterator[Flight]:
-        """Return everything that a target is working on."""
-        told = [
+        """Return all requests in flight at a target."""
+        remote = [
             flight
-            for by_target in self._elsewhere.values()
+            for by_target in self._remote.values()
             for flight in by_target.get(target, ())
         ]
-        return iter((*self._by_target.get(target, {}).values(), *told))
+        return iter((*self._by_target.get(target, {}).values(), *remote))
 
     def get_colocated(self, flight: Flight) -> list[Flight]:
-        """Return what the targets of a flight have to do, itself included."""
+        """Return all requests at the targets of a request, itself included."""
         return [
-            one
+            neighbour
             for name in flight.engaged_targets
-            for one in self.get_flights(name)
+            for neighbour in self.get_flights(name)
         ]
 
     def set_remote_load(
         self, data_centre: str, flights: Iterable[Flight]
     ) -> None:
-        """Take what instances elsewhere have at the targets of a data centre.
+        """Replace the load that was reported for a remote data centre.
 
-        It replaces what was told before; nothing of it is from senders that
-        this instance hears itself.
+        The reported requests never include those of peers that send messages to
+        this instance directly.
         """
         by_target: dict[str, list[Flight]] = defaultdict(list)
         for flight in flights:
             by_target[flight.target].append(flight)
-        self._elsewhere[data_centre] = by_target
+        self._remote[data_centre] = by_target
 
     def get_flights_except(self, senders: Container[str]) -> Iterator[Flight]:
-        """Yield the flights of this instance and of all but some peers."""
+        """Yield all requests in the table but those of the given peers."""
         for sender, peer in self._senders.items():
             if sender not in senders:
                 yield from peer.flights.values()
