--- a/trestledock/relay/_asking.py
+++ b/trestledock/relay/_placement_request.py
@@ -1,19 +1,15 @@
 """
-Asking for a place
+Placement requests
 ==================
 
-A request with what its route says of times, as the decisions take it: the work
-that is placed, the flight that the board is told of, and the choice.
+A request with the time limits of its route, as the placement decisions need it:
+the work to place, the entry in the load table, and the choice of a target.
 """
 
 from dataclasses import dataclass, replace
 from typing import Sequence
 
-from trestledock.relay._arithmetic import get_decode_s
-from trestledock.relay._board import Flight, Phase
-from trestledock.relay._call import PromptSize
-from trestledock.relay._catalog import EngineModel
-from trestledock.relay._deciding import (
+from trestledock.relay._admission import (
     SMALL_WORTH,
     Decision,
     Timing,
@@ -21,20 +17,25 @@
     decide_unplaced,
     get_retry_after_s,
 )
-from trestledock.relay._listed import ListedTarget
-from trestledock.relay._placing import Placer
-from trestledock.relay._problem import Placement, Work
+from trestledock.relay._call import PromptSize
+from trestledock.relay._catalog import EngineModel
+from trestledock.relay._engine_timing import get_decode_s
+from trestledock.relay._load_table import Flight, Phase
+from trestledock.relay._placement import Placer
+from trestledock.relay._placement_cost import Placement, Work
+from trestledock.relay._target_records import ListedTarget
 from trestledock.relay._worth import get_worth
 
-#: What a late request is placed as if it still had, in seconds.
-LEAST_OBJECTIVE_S = 0.05
-#: An instant that never comes.
-FOREVER = float('inf')
+#: The objective, in seconds, that a request which is already late is placed
+#: with.
+MIN_OBJECTIVE_S = 0.05
+#: An instant that is never reached.
+NEVER = float('inf')
 
 
 @dataclass(frozen=True)
 class Unplaced:
-    """Why a request goes nowhere now, and when its caller may come back."""
+    """Why a request is not placed now, and when its caller should retry."""
 
     decision: Decision
     retry_after_s: float = 0
@@ -43,29 +44,34 @@
 def pick_cheapest(
     options: Sequence[Placement | Unplaced],
 ) -> Placement | Unplaced:
-    """Return the placement that costs least; without any the first's word."""
-    placements = [one for one in options if isinstance(one, Placement)]
-    return min(placements, key=lambda one: one.cost, default=options[0])
+    """Return the cheapest placement, or the first refusal if there is none."""
+    placements = [option for option in options if isinstance(option, Placement)]
+    return min(
+        placements, key=lambda placement: placement.cost, default=options[0]
+    )
 
 
 @dataclass(frozen=True)
 class PlacementRequest:
-    """One request; `pause_s` and `patience_s` are those of its route."""
+    """A request to be placed.
+
+    `pause_s` and `event_timeout_s` are the limits of its route.
+    """
 
     req_id: str
     size: PromptSize
     timing: Timing
     pause_s: float
-    patience_s: float = float('inf')
+    event_timeout_s: float = float('inf')
 
     @property
     def worth(self) -> float:
-        """What the request is worth, in units of a plain call."""
+        """The worth of the request, in units of a plain call."""
         return get_worth(self.size)
 
     @property
     def is_small(self) -> bool:
-        """Whether little is lost where the request has to be repeated."""
+        """Whether repeating the request would cost little."""
         return self.worth <= SMALL_WORTH
 
     def choose(
@@ -75,20 +81,21 @@
         targets: Sequence[ListedTarget],
         now: float,
     ) -> Placement | Unplaced:
-        """Return where the request goes now, or what else is done with it."""
-        timing = replace(self.timing, write_s=get_decode_s(engine, self.size))
+        """Return the placement of the request, or why it has none."""
+        timing = replace(self.timing, decode_s=get_decode_s(engine, self.size))
         if not placer.policy.abandonment:
-            timing = replace(timing, abandoned_at=FOREVER, deadline=FOREVER)
+            timing = replace(timing, abandoned_at=NEVER, deadline=NEVER)
         work = self._make_work(timing, now)
         placement = placer.place(work, engine, targets, now)
         if placement is None:
-            found = bool(targets)
-            return Unplaced(decide_unplaced(timing, now, any_target=found))
+            any_target = bool(targets)
+            return Unplaced(decide_unplaced(timing, now, any_target=any_target))
         decision = decide(timing, work.worth, placement, now, placer.policy)
         if decision is Decision.send:
             return placement
         return Unplaced(
-            decision, get_retry_after_s(timing, placement.clear_s, now)
+            decision,
+            get_retry_after_s(timing, placement.pending_prefill_s, now),
         )
 
     def make_flight(
@@ -97,7 +104,7 @@
         phase: Phase,
         now: float,
     ) -> Flight:
-        """Return what the board is told of a sending."""
+        """Return the entry of an attempt in the load table."""
         return Flight(
             flight_id=self.req_id,
             target=placement.target.incarnation,
@@ -108,18 +115,18 @@
             pause_s=self.pause_s,
             worth=get_worth(self.size),
             due_at=self.timing.due_at,
-            helpers=tuple(one.incarnation for one in placement.helpers),
+            helpers=tuple(helper.incarnation for helper in placement.helpers),
             reservations=placement.reservations,
             abandoned_at=self.timing.abandoned_at,
-            patience_s=self.patience_s,
+            event_timeout_s=self.event_timeout_s,
         )
 
     def _make_work(self, timing: Timing, now: float) -> Work:
-        objective_s = timing.get_objective_left_s(now)
+        objective_s = timing.get_remaining_objective_s(now)
         return Work(
             size=self.size,
-            objective_s=max(objective_s, LEAST_OBJECTIVE_S),
+            objective_s=max(objective_s, MIN_OBJECTIVE_S),
             pause_s=self.pause_s,
             worth=get_worth(self.size),
-            abandoned_after_s=timing.get_left_s(now),
+            abandoned_after_s=timing.get_remaining_s(now),
         )
--- a/trestledock/relay/_quarantine.py
+++ b/trestledock/relay/_quarantine.py
@@ -2,11 +2,11 @@
 Quarantine
 ==========
 
-Requests that end the targets that run them: queries of death.  What is known is
-a set of ends, each a target that ended while it ran a request, and a set grows
-in the same way in whichever order its parts are heard.  Whether a request is
-quarantined follows from the set alone, so that all instances come to the same
-answer.
+Requests that crash the targets that run them (queries of death).  The state is
+a set of crashes, each an incarnation that crashed while it ran a request, which
+grows to the same result in whichever order its elements arrive.  Whether a
+request is quarantined depends on this set alone, so that all instances come to
+the same decision.
 """
 
 from collections import Counter
@@ -15,46 +15,48 @@
 
 from trestledock.relay._recent_answers import RecentAnswers
 
-#: So many targets have to end under a request before no other one gets it.  An
-#: end says little, since it is shared by all that the target ran, some seven
-#: requests.  Three catch each request that ends whatever runs it; of others
-#: that are sent four times they hold 0.08% where a tenth of the targets ends by
-#: itself in each round, 4% where a third does, and 0.03% beside a deadly one
-#: (simulated: 18 targets, 300 times each).  To put ends down to whichever
-#: request was at more of them halves that, but let one in two deadly ones go on
-#: beside crashes of a third of the targets.
+#: The number of targets that must crash under a request before no other target
+#: gets it.  A crash proves little, since all requests that the target ran, some
+#: seven, share it.  Three detect every request that crashes each target it runs
+#: on.  Of other requests that are sent four times, they quarantine 0.08% if a
+#: tenth of the targets crashes independently in each round, 4% if a third does,
+#: and 0.03% beside a deadly request (simulated: 18 targets, 300 times each).
+#: Blaming each crash on the request with most crashes halves these rates, but
+#: lets one in two deadly requests pass if a third of the targets crashes as
+#: well.
 MIN_CRASHES = 3
-#: A quarantined request is given to one target again so long after the last
-#: target that ended under it, or after the last such trial, in seconds, and
-#: each time later.  Whoever is quarantined by mistake, as what many ask for may
-#: be where all targets of a service end at once, is free after the first trial,
-#: or after the second where targets still end.  A deadly request costs two
-#: targets more on its first day and one on each day after, in case they were
-#: mended.
+#: The delays, in seconds, after which a quarantined request is sent to one
+#: target again as a probe: since the last crash under it or the last probe,
+#: increasing with each probe.  A request that is quarantined by mistake, as a
+#: popular one may be when all targets of a service crash at once, is released
+#: by the first probe, or by the second if targets still crash.  A deadly
+#: request costs two more targets on its first day and one on each day after, in
+#: case the targets were repaired.
 PROBE_DELAYS_S = (10.0, 300.0, 86_400.0)
-#: When a caller should come back with a quarantined request at the earliest, in
-#: seconds: after the first trial of it, which somebody else may make.
+#: The least time, in seconds, after which a caller should retry a quarantined
+#: request: after its first probe, which another caller may trigger.
 MIN_RETRY_AFTER_S = 15.0
-#: How many requests are kept of which a target ended, some 300 bytes each.  A
-#: flood of different ones pushes out those with the fewest ends first.
+#: The maximum number of suspect requests, some 300 bytes each.  A flood of
+#: different requests evicts those with the fewest crashes first.
 MAX_SUSPECTS = 1_000
-#: How many cleared ends of a request are kept, the newest: words of them come
-#: late by seconds, and what many ask for is cleared of some with each crash.
+#: The maximum number of cleared crashes of a request, of which the newest are
+#: kept: messages about them arrive seconds late, and a popular request is
+#: cleared of some with each crash.
 MAX_CLEARED = 50
 
 
-def get_trial_s(trials: int) -> float:
-    """Return how long after an end or a trial the next trial may be.
+def get_min_probe_delay_s(probes: int) -> float:
+    """Return the least delay after a crash or a probe until the next probe.
 
-    >>> [get_trial_s(trials) for trials in (0, 1, 2, 9)]
+    >>> [get_min_probe_delay_s(probes) for probes in (0, 1, 2, 9)]
     [10.0, 300.0, 86400.0, 86400.0]
     """
-    return PROBE_DELAYS_S[min(trials, len(PROBE_DELAYS_S) - 1)]
+    return PROBE_DELAYS_S[min(probes, len(PROBE_DELAYS_S) - 1)]
 
 
 @dataclass(frozen=True)
 class Crash:
-    """A target's incarnation that ended while it ran a request."""
+    """An incarnation of a target that crashed while it ran a request."""
 
     fingerprint: str
     incarnation: str
@@ -62,10 +64,11 @@
 
 @dataclass(frozen=True)
 class QuarantineRecord:
-    """A request in quarantine, as it is kept and handed on.
+    """The state of a request as it is stored and sent to other instances.
 
-    `age_s` is the time since its last end or trial: instants are told as ages,
-    since clocks differ.  `cleared` are the ends before it was answered.
+    `age_s` is the time since its last crash or probe: instants are sent as
+    ages, since clocks differ.  `probes` is stored as `trials`.  `cleared` are
+    the crashes before it was answered.
     """
 
     fingerprint: str
@@ -76,18 +79,18 @@
 
     @property
     def is_probe_due(self) -> bool:
-        """Whether it may be tried again."""
-        return self.age_s >= get_trial_s(self.probes)
+        """Whether the next probe may be sent."""
+        return self.age_s >= get_min_probe_delay_s(self.probes)
 
 
 @dataclass
 class Suspect:
-    """A request with the targets that ended under it.
+    """A request and the targets that crashed under it.
 
-    One was given the request again, on purpose, `probes` times; `since` is when
-    that was, or the last one ended.  What an answer has `cleared` is kept: some
-    instances hear of it late, and tell the old ends on meanwhile.  It is in the
-    order in which it was cleared.
+    It was sent again as a probe `probes` times; `since` is the instant of the
+    last probe or crash.  Crashes that were `cleared` by an answer are kept, in
+    the order in which they were cleared: other instances learn of the answer
+    late, and still report the old crashes.
     """
 
     incarnations: set[str] = field(default_factory=set)
@@ -96,99 +99,99 @@
     probes: int = 0
 
     def get_probe_delay_s(self, now: float) -> float:
-        """Return after how many seconds it may be tried again."""
-        return max(0, self.since + get_trial_s(self.probes) - now)
+        """Return after how many seconds the next probe may be sent."""
+        return max(0, self.since + get_min_probe_delay_s(self.probes) - now)
 
 
 class Quarantine:
-    """The requests under which targets have ended.
+    """The requests under which targets have crashed.
 
-    >>> known = Quarantine()
+    >>> quarantine = Quarantine()
     >>> for name in ('t1', 't2', 't3'):
-    ...     _ = known.record_crash(Crash('f', name), now=0)
-    >>> known.is_quarantined('f'), known.is_quarantined('g')
+    ...     _ = quarantine.record_crash(Crash('f', name), now=0)
+    >>> quarantine.is_quarantined('f'), quarantine.is_quarantined('g')
     (True, False)
-    >>> known.is_probe_due('f', now=1), known.is_probe_due('f', now=10)
-    (False, True)
+    >>> [quarantine.is_probe_due('f', now) for now in (1, 10)]
+    [False, True]
     """
 
     def __init__(self) -> None:
-        """Begin with no end."""
+        """Create a quarantine without any crash."""
         self.suspects: dict[str, Suspect] = {}
-        self._ended: Counter[str] = Counter()
-        self._proven = RecentAnswers()
+        self._crashed: Counter[str] = Counter()
+        self._recent_answers = RecentAnswers()
 
-    def is_blamed(self, end: Crash, now: float) -> bool:
-        """Whether an end that was seen here is put down to its request."""
-        return not self._proven.excuses(end.fingerprint, now)
+    def is_blamed(self, crash: Crash, now: float) -> bool:
+        """Return whether a crash seen here is attributed to its request."""
+        return not self._recent_answers.excuses(crash.fingerprint, now)
 
-    def record_crash(self, end: Crash, now: float) -> bool:
-        """Note an end; return whether it was new."""
-        suspect = self.suspects.setdefault(end.fingerprint, Suspect())
-        if end.incarnation in suspect.incarnations:
+    def record_crash(self, crash: Crash, now: float) -> bool:
+        """Record a crash; return whether it is new."""
+        suspect = self.suspects.setdefault(crash.fingerprint, Suspect())
+        if crash.incarnation in suspect.incarnations:
             return False
-        if end.incarnation in suspect.cleared:
+        if crash.incarnation in suspect.cleared:
             return False
-        suspect.incarnations.add(end.incarnation)
+        suspect.incarnations.add(crash.incarnation)
         suspect.since = max(suspect.since, now)
-        self._ended[end.incarnation] += 1
+        self._crashed[crash.incarnation] += 1
         return True
 
     def count_crashes(self, fingerprint: str) -> int:
-        """Return how many targets have ended under a request."""
+        """Return the number of targets that crashed under a request."""
         suspect = self.suspects.get(fingerprint)
         return len(suspect.incarnations) if suspect else 0
 
     def is_quarantined(self, fingerprint: str) -> bool:
-        """Whether a request is known for ending its targets."""
+        """Return whether a request is known for crashing its targets."""
         return self.count_crashes(fingerprint) >= MIN_CRASHES
 
     def is_probe_due(self, fingerprint: str, now: float) -> bool:
-        """Whether a quarantined request may be given to one target again."""
+        """Return whether a quarantined request may be sent as a probe."""
         return not self.get_probe_delay_s(fingerprint, now)
 
     def get_probe_delay_s(self, fingerprint: str, now: float) -> float:
-        """Return after how many seconds a request may be tried again."""
+        """Return after how many seconds a request may be sent as a probe."""
         suspect = self.suspects.get(fingerprint, Suspect())
         return suspect.get_probe_delay_s(now)
 
     def get_retry_after_s(self, fingerprint: str, now: float) -> float:
-        """Return when a refused caller should come back, in seconds."""
+        """Return after how many seconds a refused caller should retry."""
         return max(MIN_RETRY_AFTER_S, self.get_probe_delay_s(fingerprint, now))
 
     def record_probe(self, fingerprint: str, now: float) -> None:
-        """Note that a quarantined request is given to one target."""
+        """Record that a quarantined request is sent as a probe."""
         suspect = self.suspects[fingerprint]
         suspect.probes += 1
         suspect.since = now
 
     def record_answer(self, fingerprint: str, now: float) -> tuple[str, ...]:
-        """Clear a request that was answered here; return the ends it had.
+        """Clear a request that was answered here; return its crashes.
 
-        What a target has run to its end does not end targets.
+        A request that a target has answered completely does not crash targets.
         """
-        self._proven.record_answer(fingerprint, now)
+        self._recent_answers.record_answer(fingerprint, now)
         suspect = self.suspects.get(fingerprint, Suspect())
-        ends = tuple(sorted(suspect.incarnations))
-        self.clear_crashes(fingerprint, ends)
-        return ends
+        crashes = tuple(sorted(suspect.incarnations))
+        self.clear_crashes(fingerprint, crashes)
+        return crashes
 
-    def clear_crashes(self, fingerprint: str, ends: Iterable[str]) -> int:
-        """Clear a request of some ends; return how many were known."""
-        if not ends:
+    def clear_crashes(self, fingerprint: str, crashes: Iterable[str]) -> int:
+        """Clear a request of some crashes; return how many were known."""
+        if not crashes:
             return 0
         suspect = self.suspects.setdefault(fingerprint, Suspect())
-        known = suspect.incarnations.intersection(ends)
+        known = suspect.incarnations.intersection(crashes)
         suspect.incarnations -= known
-        suspect.cleared.update(dict.fromkeys(ends))
+        suspect.cleared.update(dict.fromkeys(crashes))
         while len(suspect.cleared) > MAX_CLEARED:
             suspect.cleared.pop(next(iter(suspect.cleared)))
         suspect.probes = 0
-        self._forget_ends(known)
+        self._forget_crashes(known)
         return len(known)
 
     def merge(self, record: QuarantineRecord, now: float) -> None:
-        """Take what another instance knows of a request."""
+        """Merge the state of a request that another instance knows."""
         self.clear_crashes(record.fingerprint, record.cleared)
         since = now - record.age_s
         for incarnation in record.incarnations:
@@ -199,14 +202,14 @@
             suspect.probes = max(suspect.probes, record.probes)
 
     def get_records(self, now: float) -> Iterator[QuarantineRecord]:
-        """Yield what is in quarantine or was, to be handed on."""
+        """Yield the state of all requests that are or were in quarantine."""
         for fingerprint, suspect in self.suspects.items():
-            known = max(len(suspect.incarnations), len(suspect.cleared))
-            if known >= MIN_CRASHES:
+            crash_count = max(len(suspect.incarnations), len(suspect.cleared))
+            if crash_count >= MIN_CRASHES:
                 yield self.make_record(fingerprint, now)
 
     def make_record(self, fingerprint: str, now: float) -> QuarantineRecord:
-        """Return a request with its ends, to be kept or handed on."""
+        """Return the state of a request, to be stored or sent."""
         suspect = self.suspects[fingerprint]
         return QuarantineRecord(
             fingerprint,
@@ -217,25 +220,25 @@
         )
 
     def has_crashed(self, incarnation: str) -> bool:
-        """Whether a target ended while it ran a request."""
-        return incarnation in self._ended
+        """Return whether a target crashed while it ran a request."""
+        return incarnation in self._crashed
 
     def evict_excess(self) -> list[str]:
-        """Forget what is too much, least ends first; return fingerprints."""
+        """Evict excess requests, fewest crashes first; return fingerprints."""
         surplus = len(self.suspects) - MAX_SUSPECTS
         if surplus <= 0:
             return []
-        least = sorted(self.suspects, key=self._get_rank)[:surplus]
-        for fingerprint in least:
-            self._forget_ends(self.suspects.pop(fingerprint).incarnations)
-        return least
+        evicted = sorted(self.suspects, key=self._get_rank)[:surplus]
+        for fingerprint in evicted:
+            self._forget_crashes(self.suspects.pop(fingerprint).incarnations)
+        return evicted
 
     def _get_rank(self, fingerprint: str) -> tuple[int, float]:
         suspect = self.suspects[fingerprint]
         return len(suspect.incarnations), suspect.since
 
-    def _forget_ends(self, incarnations: Iterable[str]) -> None:
-        self._ended.subtract(incarnations)
+    def _forget_crashes(self, incarnations: Iterable[str]) -> None:
+        self._crashed.subtract(incarnations)
         for incarnation in incarnations:
-            if not self._ended[incarnation]:
-                self._ended.pop(incarnation)
+            if not self._crashed[incarnation]:
+                self._crashed.pop(incarnation)
--- a/trestledock/relay/_quotas.py
+++ b/trestledock/relay/_quotas.py
@@ -2,29 +2,30 @@
 Quotas of a target's rate limit
 ===============================
 
-What a target takes from all entries together is shared without anybody who
-grants it: by what each entry knows of the others, a few of them have the right
-to send to that target, and each has an equal part.  Entries that hear only some
-of the others share no more than the part of those that they hear, so that both
-sides of a cut together stay within the limit.
+A target's limit applies to all instances together and is divided without a
+central coordinator.  From its own view of the others, each instance derives the
+same few holders of a quota, which may send to the target at equal rates.
+Instances that receive messages from only some of the others share no more than
+those instances' part, so that both sides of a network partition together stay
+within the limit.
 """
 
 from dataclasses import dataclass, field
 
 from trestledock.relay._rendezvous import rank_by_key
 
-#: A target that takes less than this is treated as if it took as much, in
-#: requests a second: nobody would hear that it takes more again.
+#: The least rate that is assumed for a target, in requests a second: at zero,
+#: no request would reveal that the target accepts more again.
 MIN_RATE_PER_S = 0.1
-#: So many entries hold a quota beside one for each request a second.  More use
-#: a small limit better, since each has its own callers, and each may be one
-#: request early.
+#: The number of quota holders beyond one for each request a second.  More
+#: holders use a small limit better, since each has its own callers, but each
+#: may send one request early.
 EXTRA_HOLDERS = 2
 
 
 @dataclass(frozen=True)
 class Member:
-    """An entry by its address."""
+    """An instance, named by its address."""
 
     name: str
     data_centre: str
@@ -32,10 +33,12 @@
 
 @dataclass(frozen=True)
 class Membership:
-    """An entry and others that it hears; `known_count` counts the unheard, too.
+    """An instance and the peers that it receives messages from.
+
+    `known_count` counts all known instances, silent ones included.
 
     >>> own, other = Member('a', 'dc'), Member('b', 'dc')
-    >>> Membership(own, (other,), known_count=4).heard_share
+    >>> Membership(own, (other,), known_count=4).active_share
     0.5
     """
 
@@ -44,60 +47,69 @@
     known_count: int = 1
 
     @property
-    def heard_share(self) -> float:
-        """The part of all entries that this one hears, itself included."""
-        heard = len(self.others) + 1
-        return heard / max(heard, self.known_count)
+    def active_share(self) -> float:
+        """The share of known instances that send messages, with this one."""
+        active_count = len(self.others) + 1
+        return active_count / max(active_count, self.known_count)
 
     def rank(self, target: str, data_centre: str) -> tuple[str, ...]:
-        """Return the entries that are heard in the order of their right.
+        """Return the active instances in order of precedence for a target.
 
-        Those of the target's own data centre go first: they send there most.
+        Instances of the target's own data centre come first, since they send
+        most requests there.
         """
-        everyone = (self.own, *self.others)
-        near = [one.name for one in everyone if one.data_centre == data_centre]
-        far = [one.name for one in everyone if one.data_centre != data_centre]
-        return rank_by_key(target, near) + rank_by_key(target, far)
+        members = (self.own, *self.others)
+        local = [
+            member.name
+            for member in members
+            if member.data_centre == data_centre
+        ]
+        remote = [
+            member.name
+            for member in members
+            if member.data_centre != data_centre
+        ]
+        return rank_by_key(target, local) + rank_by_key(target, remote)
 
 
 @dataclass(frozen=True)
 class TargetRate:
-    """What a target in a data centre takes from all entries, per second."""
+    """The rate at which a target accepts requests of all instances together."""
 
     target: str
     data_centre: str
     per_s: float
 
 
-def get_quota(members: Membership, demand: TargetRate) -> float:
-    """Return how many requests a second an entry may send to a target.
+def get_quota(members: Membership, target_rate: TargetRate) -> float:
+    """Return the rate at which an instance may send to a target.
 
     >>> alone = Membership(Member('a', 'dc'))
     >>> get_quota(alone, TargetRate('t', 'dc', per_s=3))
     3.0
     """
-    shared = max(demand.per_s, MIN_RATE_PER_S) * members.heard_share
-    heard = len(members.others) + 1
-    count = min(heard, int(shared) + EXTRA_HOLDERS)
-    holders = members.rank(demand.target, demand.data_centre)[:count]
+    shared = max(target_rate.per_s, MIN_RATE_PER_S) * members.active_share
+    active_count = len(members.others) + 1
+    count = min(active_count, int(shared) + EXTRA_HOLDERS)
+    holders = members.rank(target_rate.target, target_rate.data_centre)[:count]
     return shared / count if members.own.name in holders else 0
 
 
 @dataclass
 class QuotaCache:
-    """The quotas of one entry, kept until what they rest on changes."""
+    """The quotas of one instance, cached until its peers change."""
 
     members: Membership
-    _kept: dict[TargetRate, float] = field(default_factory=dict)
+    _quotas: dict[TargetRate, float] = field(default_factory=dict)
 
     def set_members(self, members: Membership) -> None:
-        """Take who is heard now."""
+        """Set the active instances."""
         if members != self.members:
             self.members = members
-            self._kept.clear()
+            self._quotas.clear()
 
-    def get(self, demand: TargetRate) -> float:
-        """Return how many requests a second the entry may send to a target."""
-        if demand not in self._kept:
-            self._kept[demand] = get_quota(self.members, demand)
-        return self._kept[demand]
+    def get(self, target_rate: TargetRate) -> float:
+        """Return the rate at which this instance may send to a target."""
+        if target_rate not in self._quotas:
+            self._quotas[target_rate] = get_quota(self.members, target_rate)
+        return self._quotas[target_rate]
--- a/trestledock/relay/_unconfirmed_crashes.py
+++ b/trestledock/relay/_unconfirmed_crashes.py
@@ -1,73 +1,79 @@
 """
-Open ends
-=========
+Unconfirmed crashes
+===================
 
-Targets that may have ended under a request: their connection ended, but that
-they are gone is known only as another start of them, or another target at their
-address, is listed.
+Targets that may have crashed while they ran a request.  The connection was
+closed, but the crash is confirmed only when the list shows a new incarnation of
+the target or another target at its address.
 """
 
 from dataclasses import dataclass
 
-from trestledock.relay._listed import ListedTarget
 from trestledock.relay._quarantine import Crash
+from trestledock.relay._target_records import ListedTarget
 
-#: For how long it may be told by a list that a target had ended, in seconds:
-#: three heartbeats, and the time that a process takes to start.
+#: How long a list can confirm a crash, in seconds: three heartbeats, and the
+#: time that a process takes to start.
 UNCONFIRMED_TTL_S = 10.0
-#: Targets whose end may be open at once.
+#: The maximum number of targets with unconfirmed crashes.
 MAX_UNCONFIRMED = 500
 
 
 @dataclass(frozen=True)
-class _Open:
-    """An end that may be one, with the address of its target."""
+class _PossibleCrash:
+    """A possible crash, with the address of its target."""
 
-    end: Crash
+    crash: Crash
     address: str
     until: float
 
 
 class UnconfirmedCrashes:
-    """What may have been the end of a target.
+    """Possible crashes that wait for confirmation.
 
-    >>> found = UnconfirmedCrashes()
-    >>> found.add('f', ListedTarget('t1', 's', 'a:1'), now=0)
-    >>> [end.fingerprint for end in found.pop_confirmed('t1', now=2)]
+    >>> crashes = UnconfirmedCrashes()
+    >>> crashes.add('f', ListedTarget('t1', 's', 'a:1'), now=0)
+    >>> [crash.fingerprint for crash in crashes.pop_confirmed('t1', now=2)]
     ['f']
     """
 
     def __init__(self) -> None:
-        """Begin with none."""
-        self._by_target: dict[str, list[_Open]] = {}
+        """Create an empty collection."""
+        self._by_target: dict[str, list[_PossibleCrash]] = {}
 
     def add(self, fingerprint: str, target: ListedTarget, now: float) -> None:
-        """Keep that a target may have ended under a request."""
-        self._drop_old(now)
+        """Record that a target may have crashed while it ran a request."""
+        self._expire(now)
         if len(self._by_target) >= MAX_UNCONFIRMED:
             return
-        end = Crash(fingerprint, target.incarnation)
-        found = self._by_target.setdefault(target.incarnation, [])
-        found.append(_Open(end, target.address, now + UNCONFIRMED_TTL_S))
+        crash = Crash(fingerprint, target.incarnation)
+        crashes = self._by_target.setdefault(target.incarnation, [])
+        crashes.append(
+            _PossibleCrash(crash, target.address, now + UNCONFIRMED_TTL_S)
+        )
 
     def pop_confirmed(self, incarnation: str, now: float) -> list[Crash]:
-        """Return the ends of a target that is known to have ended."""
-        found = self._by_target.pop(incarnation, [])
-        return [one.end for one in found if now < one.until]
+        """Remove and return the crashes of a target that has crashed."""
+        crashes = self._by_target.pop(incarnation, [])
+        return [crash.crash for crash in crashes if now < crash.until]
 
     def pop_replaced_by(self, listed: ListedTarget, now: float) -> list[Crash]:
-        """Return the ends of what had the address of a target before it."""
-        before = [
+        """Remove and return the crashes of other targets at its address."""
+        predecessors = [
             incarnation
-            for incarnation, found in self._by_target.items()
-            if found[0].address == listed.address
+            for incarnation, crashes in self._by_target.items()
+            if crashes[0].address == listed.address
             and incarnation != listed.incarnation
         ]
-        return [end for one in before for end in self.pop_confirmed(one, now)]
+        return [
+            crash
+            for predecessor in predecessors
+            for crash in self.pop_confirmed(predecessor, now)
+        ]
 
-    def _drop_old(self, now: float) -> None:
+    def _expire(self, now: float) -> None:
         self._by_target = {
-            incarnation: found
-            for incarnation, found in self._by_target.items()
-            if now < found[-1].until
+            incarnation: crashes
+            for incarnation, crashes in self._by_target.items()
+            if now < crashes[-1].until
         }
