--- a/trestledock/entry/_message_codec.py
+++ b/trestledock/entry/_message_codec.py
@@ -218,7 +218,7 @@
 
 
 def decode_message(raw: bytes, now: float) -> Message:
-    """Decode a message, or raise `BadWord`.
+    """Decode a message, or raise `InvalidMessage`.
 
     >>> decode_message(b'{"kind":"fresh","from":"e","news_age_ms":250}', now=0)
     Fresh(sender='e', store_age_s=0.25)
